--- a/internal/httpserver/held.go
+++ b/internal/httpserver/held.go
@@ -25,8 +25,8 @@
 		return false
 	}
 	if len(sent.whole) > 0 {
-		server.bounds().Sent.Take(int64(count))
-	} else if !server.bounds().Sent.TryTake(int64(count)) {
+		server.bounds().Sent.ForceAcquire(int64(count))
+	} else if !server.bounds().Sent.TryAcquire(int64(count)) {
 		return false
 	}
 	sent.partial += int64(count)
@@ -82,7 +82,7 @@
 		return
 	}
 	unread.bytes += int64(count)
-	server.bounds().Unread.Take(int64(count))
+	server.bounds().Unread.ForceAcquire(int64(count))
 }
 
 // took notes bytes that the client has taken. Refusals of half-sent requests are not
@@ -113,7 +113,7 @@
 // while all connections together hold what they may. Those that read go on piece by piece.
 func (connection *connection) unreadLimit() int {
 	limits := connection.server.bounds()
-	if limits.Unread.Full() {
+	if limits.Unread.Exhausted() {
 		return writePiece
 	}
 	return limits.WriteBufferBytes
--- a/internal/httpserver/held_close_test.go
+++ b/internal/httpserver/held_close_test.go
@@ -32,7 +32,7 @@
 			sent := &sentBytes{}
 			beside(func() { sent.take(server, 1) }, func() { sent.close(server) })
 		}
-		Expect(bound.Held()).To(BeZero())
+		Expect(bound.InUse()).To(BeZero())
 	})
 
 	It("are given back of answers", func() {
@@ -42,6 +42,6 @@
 			unread := &unreadBytes{}
 			beside(func() { unread.add(server, 1) }, func() { unread.close(server) })
 		}
-		Expect(bound.Held()).To(BeZero())
+		Expect(bound.InUse()).To(BeZero())
 	})
 })
--- a/internal/httpserver/held_test.go
+++ b/internal/httpserver/held_test.go
@@ -39,9 +39,9 @@
 			fmt.Fprint(silent, "GET / HTTP/1.1\r\nHost: x\r\n\r\n")
 			open = append(open, silent)
 		}
-		Eventually(unread.Held, patience).Should(BeNumerically(">", bound/4))
+		Eventually(unread.InUse, patience).Should(BeNumerically(">", bound/4))
 		slack := int64(clients * writePiece)
-		Consistently(unread.Held, 300*time.Millisecond).Should(BeNumerically("<=", bound+slack))
+		Consistently(unread.InUse, 300*time.Millisecond).Should(BeNumerically("<=", bound+slack))
 		answer, err := newClient().Get("http://" + server.Address() + "/short")
 		Expect(err).NotTo(HaveOccurred())
 		body, err := io.ReadAll(answer.Body)
@@ -50,7 +50,7 @@
 		for _, each := range open {
 			Expect(each.Close()).To(Succeed())
 		}
-		Eventually(unread.Held, patience).Should(BeZero())
+		Eventually(unread.InUse, patience).Should(BeZero())
 	})
 
 	It("refuses a body beyond the bound as not run, and takes it once others have ended", func() {
@@ -79,7 +79,7 @@
 		Expect(entered).NotTo(Receive(), "the refused request ran")
 		close(leave)
 		Eventually(first, patience).Should(Receive(BeNil()))
-		Eventually(sent.Held, patience).Should(BeZero())
+		Eventually(sent.InUse, patience).Should(BeZero())
 		answer, err = post()
 		Expect(err).NotTo(HaveOccurred())
 		Expect(answer.StatusCode).To(Equal(http.StatusOK))
@@ -97,7 +97,7 @@
 		for range 2 {
 			fmt.Fprintf(caller, "POST / HTTP/1.1\r\nHost: x\r\nContent-Length: %d\r\n\r\n%s", length, content(1, length))
 		}
-		Eventually(sent.Held, patience).Should(BeNumerically(">", 2*length))
+		Eventually(sent.InUse, patience).Should(BeNumerically(">", 2*length))
 		answers := bufio.NewReader(caller)
 		for left := range 2 {
 			leave <- struct{}{}
@@ -105,9 +105,9 @@
 			Expect(err).NotTo(HaveOccurred())
 			Expect(answer.StatusCode).To(Equal(http.StatusOK))
 			Expect(io.Copy(io.Discard, answer.Body)).To(BeZero())
-			Eventually(sent.Held, patience).Should(BeNumerically("<", (2-left)*length))
+			Eventually(sent.InUse, patience).Should(BeNumerically("<", (2-left)*length))
 		}
-		Eventually(sent.Held, patience).Should(BeZero())
+		Eventually(sent.InUse, patience).Should(BeZero())
 	})
 
 	It("forgets what a caller sent that left in the middle of its body", func() {
@@ -115,8 +115,8 @@
 		server := start(echo, Limits{Sent: sent})
 		half := dial(server)
 		fmt.Fprintf(half, "POST / HTTP/1.1\r\nHost: x\r\nContent-Length: 90000\r\n\r\n%s", content(1, 50_000))
-		Eventually(sent.Held, patience).Should(BeNumerically(">", 0))
+		Eventually(sent.InUse, patience).Should(BeNumerically(">", 0))
 		Expect(half.Close()).To(Succeed())
-		Eventually(sent.Held, patience).Should(BeZero())
+		Eventually(sent.InUse, patience).Should(BeZero())
 	})
 })
--- a/internal/httpserver/limits.go
+++ b/internal/httpserver/limits.go
@@ -46,10 +46,10 @@
 	WriteBufferBytes int
 	// Sent bounds what is held of requests over all connections, nil for no bound. A request
 	// that does not fit is refused with code TooManyConnections.
-	Sent *heldbytes.Bound
+	Sent *heldbytes.Limiter
 	// Unread bounds the answers that clients have not taken over all connections, nil for
 	// no bound. Once they hold that much, each gets its answer piece by piece.
-	Unread *heldbytes.Bound
+	Unread *heldbytes.Limiter
 	// TurnAway tells whether callers are to leave the connections that they keep, for
 	// another process serves them better; nil is never.
 	TurnAway func() bool
