--- a/internal/workerpool/pool.go
+++ b/internal/workerpool/pool.go
@@ -1,6 +1,6 @@
-// Package workerpool runs short jobs in goroutines that are kept for the next
-// job. A new goroutine begins with a small stack, and a job with deep calls, as
-// an HTTP exchange is, copies it several times; a kept one has done so already.
+// Package workerpool runs jobs on reusable goroutines. Reuse avoids growing the
+// stack of a new goroutine for each job with a deep call chain, such as an HTTP
+// exchange.
 package workerpool
 
 import (
@@ -8,51 +8,50 @@
 	"sync/atomic"
 )
 
-// Pool runs jobs, each at once in a goroutine of its own. It does not bound how
-// many run; only how many goroutines wait for further jobs. It is safe for
-// concurrent use.
+// Pool runs each job immediately on its own goroutine. It bounds the number of
+// idle goroutines, not the number of running jobs. It is safe for concurrent use.
 type Pool struct {
 	jobs    chan func()
-	ended   <-chan struct{}
-	kept    int64
-	waiting atomic.Int64
+	done    <-chan struct{}
+	maxIdle int64
+	idle    atomic.Int64
 }
 
-// New returns a pool that keeps up to kept goroutines without a job, until ctx
-// ends.
-func New(ctx context.Context, kept int) *Pool {
-	return &Pool{jobs: make(chan func()), ended: ctx.Done(), kept: int64(kept)}
+// New returns a pool that keeps up to maxIdle idle goroutines until ctx is done.
+func New(ctx context.Context, maxIdle int) *Pool {
+	return &Pool{jobs: make(chan func()), done: ctx.Done(), maxIdle: int64(maxIdle)}
 }
 
-// Go runs the job in a goroutine of its own, which may have run others before.
+// Go runs job on an idle goroutine, or on a new one if none is idle.
 func (pool *Pool) Go(job func()) {
 	select {
 	case pool.jobs <- job:
 	default:
-		go pool.work(job)
+		go pool.run(job)
 	}
 }
 
-func (pool *Pool) work(job func()) {
+func (pool *Pool) run(job func()) {
 	for {
 		job()
-		if !pool.await(&job) {
+		if !pool.nextJob(&job) {
 			return
 		}
 	}
 }
 
-// await waits for the next job and tells whether there is one.
-func (pool *Pool) await(job *func()) bool {
-	defer pool.waiting.Add(-1)
-	if pool.waiting.Add(1) > pool.kept {
+// nextJob waits for a job and stores it in *job. It returns false if the goroutine
+// should exit: enough others are idle, or the pool's context is done.
+func (pool *Pool) nextJob(job *func()) bool {
+	defer pool.idle.Add(-1)
+	if pool.idle.Add(1) > pool.maxIdle {
 		return false
 	}
 	*job = nil
 	select {
 	case *job = <-pool.jobs:
 		return true
-	case <-pool.ended:
+	case <-pool.done:
 		return false
 	}
 }
--- a/internal/workerpool/workerpool_suite_test.go
+++ b/internal/workerpool/workerpool_suite_test.go
@@ -19,7 +19,7 @@
 }
 
 var _ = Describe("worker pool", func() {
-	It("runs every job, also while all before are blocked", func() {
+	It("runs new jobs while all earlier ones are blocked", func() {
 		const jobs = 100
 		ctx, cancel := context.WithCancel(context.Background())
 		defer cancel()
@@ -40,7 +40,7 @@
 		group.Wait()
 	})
 
-	It("keeps no more goroutines than told, and none after its end", func() {
+	It("keeps at most maxIdle goroutines, and none after its context is done", func() {
 		before := runtime.NumGoroutine()
 		ctx, cancel := context.WithCancel(context.Background())
 		pool := workerpool.New(ctx, 4)
