--- a/internal/httpclient/client.go
+++ b/internal/httpclient/client.go
@@ -1,5 +1,5 @@
-// Package httpclient makes the HTTP clients that magpielug's processes use
-// among themselves and towards the platform.
+// Package httpclient builds the HTTP clients that magpielug's processes use
+// to reach each other and the platform.
 package httpclient
 
 import (
@@ -13,7 +13,7 @@
 	"github.com/magpielug/magpielug/internal/resultcode"
 )
 
-// Defaults of Options.
+// Defaults for Options.
 const (
 	DefaultDialTimeout     = 2 * time.Second
 	DefaultIdleTimeout     = 60 * time.Second
@@ -22,36 +22,35 @@
 )
 
 const (
-	plainScheme  = "http"
-	secureScheme = "https"
+	httpScheme  = "http"
+	httpsScheme = "https"
 )
 
-// Options tunes a client; zero fields take their defaults.
+// Options configures a client. Zero fields take their defaults.
 type Options struct {
-	// SourceAddress is the local IP address that connections come from; empty
-	// leaves it to the system.
+	// SourceAddress is the local IP address of outgoing connections. If empty,
+	// the system chooses it.
 	SourceAddress string
 	DialTimeout   time.Duration
-	// HeaderTimeout bounds the wait for an answer's headers; 0 is no bound.
+	// HeaderTimeout bounds the wait for the response headers; 0 means no bound.
 	HeaderTimeout time.Duration
-	// Timeout bounds a whole exchange, body included; 0 is no bound, as
-	// streams need.
+	// Timeout bounds the whole exchange, including the body; 0 means no bound, as
+	// streaming responses require.
 	Timeout time.Duration
-	// TLS, where set, is used for every exchange: an http URL is taken for an
-	// https one, so that callers need not know. It is called for each new
-	// connection, so that certificates can change.
+	// TLS, if set, enables TLS for all requests, including those with an http URL.
+	// It is called for each new connection, so that certificates can be rotated.
 	TLS func() *tls.Config
-	// IdlePerAddress is the number of idle connections kept per address.
+	// IdlePerAddress is the maximum number of idle connections kept per host.
 	IdlePerAddress int
 	IdleTimeout    time.Duration
-	// SilenceTimeout, where set, ends connections whose other machine has
-	// acknowledged nothing for so long.
+	// SilenceTimeout, if positive, closes connections whose peer has not
+	// acknowledged sent data for this long.
 	SilenceTimeout time.Duration
 }
 
-// New returns a client with its own connection pool. It takes no proxy from
-// the environment and follows no redirect. A bad SourceAddress is a
-// *resultcode.Error with code InvalidSettings.
+// New returns a client with its own connection pool. The client ignores proxy
+// settings in the environment and does not follow redirects. An invalid
+// SourceAddress is reported as a *resultcode.Error with code InvalidSettings.
 func New(options Options) (*http.Client, error) {
 	dialer := &net.Dialer{
 		Timeout:   orDefault(options.DialTimeout, DefaultDialTimeout),
@@ -80,7 +79,7 @@
 		DisableCompression:    true,
 	}
 	client := &http.Client{
-		Transport: secure(transport, dialer, options.TLS),
+		Transport: withTLS(transport, dialer, options.TLS),
 		Timeout:   options.Timeout,
 		CheckRedirect: func(*http.Request, []*http.Request) error {
 			return http.ErrUseLastResponse
@@ -89,32 +88,33 @@
 	return client, nil
 }
 
-// secure makes every exchange of transport use TLS under config, if any.
-func secure(transport *http.Transport, dialer *net.Dialer, config func() *tls.Config) http.RoundTripper {
+// withTLS returns a round tripper that sends all requests over TLS, or transport
+// itself if config is nil.
+func withTLS(transport *http.Transport, dialer *net.Dialer, config func() *tls.Config) http.RoundTripper {
 	if config == nil {
 		return transport
 	}
 	transport.DialTLSContext = func(ctx context.Context, network, address string) (net.Conn, error) {
-		secured := &tls.Dialer{NetDialer: dialer, Config: config()}
-		return secured.DialContext(ctx, network, address)
+		tlsDialer := &tls.Dialer{NetDialer: dialer, Config: config()}
+		return tlsDialer.DialContext(ctx, network, address)
 	}
-	return &securedTransport{transport: transport}
+	return &httpsTransport{base: transport}
 }
 
-// securedTransport turns http URLs into https ones.
-type securedTransport struct{ transport *http.Transport }
+// httpsTransport sends requests for http URLs over https.
+type httpsTransport struct{ base *http.Transport }
 
 // RoundTrip implements http.RoundTripper.
-func (secured *securedTransport) RoundTrip(request *http.Request) (*http.Response, error) {
-	if request.URL.Scheme == plainScheme {
+func (transport *httpsTransport) RoundTrip(request *http.Request) (*http.Response, error) {
+	if request.URL.Scheme == httpScheme {
 		request = request.Clone(request.Context())
-		request.URL.Scheme = secureScheme
+		request.URL.Scheme = httpsScheme
 	}
-	return secured.transport.RoundTrip(request)
+	return transport.base.RoundTrip(request)
 }
 
-// CloseIdleConnections closes the connections that no exchange uses.
-func (secured *securedTransport) CloseIdleConnections() { secured.transport.CloseIdleConnections() }
+// CloseIdleConnections closes idle connections; http.Client.CloseIdleConnections calls it.
+func (transport *httpsTransport) CloseIdleConnections() { transport.base.CloseIdleConnections() }
 
 func orDefault(value, fallback time.Duration) time.Duration {
 	if value > 0 {
--- a/internal/httpclient/client_test.go
+++ b/internal/httpclient/client_test.go
@@ -12,24 +12,24 @@
 )
 
 var _ = Describe("New", func() {
-	It("comes from its source address, by no proxy, and follows no redirect", func() {
-		var from string
+	It("connects from the source address, uses no proxy and follows no redirects", func() {
+		var remoteHost string
 		server := httptest.NewServer(http.HandlerFunc(func(writer http.ResponseWriter, request *http.Request) {
-			from, _, _ = net.SplitHostPort(request.RemoteAddr)
+			remoteHost, _, _ = net.SplitHostPort(request.RemoteAddr)
 			http.Redirect(writer, request, "/elsewhere", http.StatusFound)
 		}))
 		DeferCleanup(server.Close)
 		client, err := New(Options{SourceAddress: "127.3.0.9", Timeout: 20 * time.Second})
 		Expect(err).NotTo(HaveOccurred())
-		answer, err := client.Get(server.URL)
+		response, err := client.Get(server.URL)
 		Expect(err).NotTo(HaveOccurred())
-		Expect(answer.StatusCode).To(Equal(http.StatusFound))
-		Expect(from).To(Equal("127.3.0.9"))
-		// Go takes no proxy for loopback addresses anyway, so look at the field.
+		Expect(response.StatusCode).To(Equal(http.StatusFound))
+		Expect(remoteHost).To(Equal("127.3.0.9"))
+		// Go bypasses proxies for loopback addresses, so a request would not show one.
 		Expect(client.Transport.(*http.Transport).Proxy).To(BeNil())
 	})
 
-	It("refuses a source that is no address", func() {
+	It("rejects a source address that is not an IP address", func() {
 		_, err := New(Options{SourceAddress: "here"})
 		Expect(resultcode.CodeOf(err)).To(Equal(resultcode.InvalidSettings))
 	})
