--- a/internal/httpserver/adjust_test.go
+++ b/internal/httpserver/adjust_test.go
@@ -13,7 +13,7 @@
 	. "github.com/onsi/gomega"
 )
 
-var _ = Describe("Bounds that change", func() {
+var _ = Describe("Adjust", func() {
 	echoLength := http.HandlerFunc(func(writer http.ResponseWriter, request *http.Request) {
 		content, _ := io.ReadAll(request.Body)
 		_, _ = fmt.Fprintf(writer, "%d", len(content))
@@ -33,7 +33,7 @@
 		return response.StatusCode, string(content)
 	}
 
-	It("takes a chunked body that is larger than the headers may be", func() {
+	It("accepts a chunked body larger than MaxHeaderBytes", func() {
 		server := start(httpserver.Limits{MaxHeaderBytes: 16 << 10, MaxBodyBytes: 1 << 20})
 		connection, err := net.Dial("tcp", server.Address())
 		Expect(err).NotTo(HaveOccurred())
@@ -49,13 +49,13 @@
 		_, err = io.WriteString(connection, "\r\n0\r\n\r\n")
 		Expect(err).NotTo(HaveOccurred())
 		Expect(connection.SetReadDeadline(time.Now().Add(5 * time.Second))).To(Succeed())
-		answer := make([]byte, 4096)
-		count, err := connection.Read(answer)
+		response := make([]byte, 4096)
+		count, err := connection.Read(response)
 		Expect(err).NotTo(HaveOccurred())
-		Expect(string(answer[:count])).To(ContainSubstring("200 OK"))
+		Expect(string(response[:count])).To(ContainSubstring("200 OK"))
 	})
 
-	It("holds the bounds in force when a request comes", func() {
+	It("applies the limits in force when a request arrives", func() {
 		server := start(httpserver.Limits{MaxBodyBytes: 1 << 20})
 		status, _ := post(server, strings.NewReader(strings.Repeat("x", 5000)))
 		Expect(status).To(Equal(http.StatusOK))
--- a/internal/httpserver/bounded_conn.go
+++ b/internal/httpserver/bounded_conn.go
@@ -8,89 +8,89 @@
 	"github.com/rotisserie/eris"
 )
 
-// writePiece is the most handed to nbio at once, bytes.
-const writePiece = 16 << 10
+// maxWriteSize is the largest single write to nbio, in bytes.
+const maxWriteSize = 16 << 10
 
-// ErrSlowReader is returned to a handler whose client took nothing for the
-// write timeout; the connection is closed.
-var ErrSlowReader = eris.New("the client reads too slowly")
+// ErrSlowReader is returned to a handler whose client read nothing for the
+// write timeout. The connection is closed.
+var ErrSlowReader = eris.New("client read nothing within the write timeout")
 
-// boundedConn is the socket that nbhttp writes answers to. It waits while the
-// connection holds too many bytes that the client has not taken; nbio itself
-// would close the connection of a client that is only a little slow, or keep
-// all without a bound.
+// boundedConn is the socket to which nbhttp writes responses. Write blocks while
+// the connection's write buffer is full. nbio itself either closes a connection
+// whose buffer is full or buffers without a bound.
 type boundedConn struct {
 	net.Conn
 	connection *connection
 }
 
-// Write sends data piece by piece within the write buffer's bound.
+// Write sends data in chunks of at most maxWriteSize, within the write buffer's bound.
 func (conn *boundedConn) Write(data []byte) (int, error) {
 	if conn.connection.aborted.Load() {
 		return 0, net.ErrClosed
 	}
 	sent := 0
 	for sent < len(data) {
-		piece := data[sent:min(sent+writePiece, len(data))]
-		err := conn.connection.awaitRoom(len(piece))
+		chunk := data[sent:min(sent+maxWriteSize, len(data))]
+		err := conn.connection.waitBufferSpace(len(chunk))
 		if err != nil {
-			conn.connection.slow.Store(errors.Is(err, ErrSlowReader))
+			conn.connection.slowReader.Store(errors.Is(err, ErrSlowReader))
 			conn.connection.close()
 			return sent, err
 		}
-		conn.connection.submitted.Add(int64(len(piece)))
-		conn.connection.unread.add(conn.connection.server, len(piece))
-		_, err = conn.Conn.Write(piece)
+		conn.connection.submitted.Add(int64(len(chunk)))
+		conn.connection.responseBytes.add(conn.connection.server, len(chunk))
+		_, err = conn.Conn.Write(chunk)
 		if err != nil {
 			return sent, eris.Wrap(err, "write to client")
 		}
-		sent += len(piece)
+		sent += len(chunk)
 	}
 	return sent, nil
 }
 
-// Close closes the socket once the client has taken what was written.
+// Close closes the socket after the buffered output has been sent.
 func (conn *boundedConn) Close() error {
-	conn.connection.closeWhenDrained()
+	conn.connection.closeWhenFlushed()
 	return nil
 }
 
 // SetReadDeadline does nothing: the connection has its own read timer.
 func (conn *boundedConn) SetReadDeadline(time.Time) error { return nil }
 
-// caller returns the server's state of the connection.
-func (conn *boundedConn) caller() *connection { return conn.connection }
+// state implements connectionHolder.
+func (conn *boundedConn) state() *connection { return conn.connection }
 
-// pending is the number of bytes that the connection holds for its client.
-func (connection *connection) pending() int {
+// pendingBytes returns the number of bytes handed to nbio and not yet written to the socket.
+func (connection *connection) pendingBytes() int {
 	return int(connection.submitted.Load() - connection.written.Load())
 }
 
-// wrote notes that the system took count bytes. nbio calls it under the
-// socket's lock, so it must not touch the socket.
-func (connection *connection) wrote(count int) {
+// onWritten records that count bytes were written to the socket. nbio calls it
+// with the socket's lock held, so it must not call methods of the socket.
+func (connection *connection) onWritten(count int) {
 	connection.written.Add(int64(count))
-	connection.unread.took(connection.server, int64(count))
+	connection.responseBytes.release(connection.server, int64(count))
 	select {
-	case connection.progress <- struct{}{}:
+	case connection.writeProgress <- struct{}{}:
 	default:
 	}
 }
 
-// awaitRoom waits until size more bytes fit into the write buffer.
-func (connection *connection) awaitRoom(size int) error {
-	return connection.awaitPending(func() int { return connection.unreadLimit() - size })
+// waitBufferSpace blocks until size more bytes fit into the write buffer.
+func (connection *connection) waitBufferSpace(size int) error {
+	return connection.waitPendingAtMost(func() int { return connection.writeBufferLimit() - size })
 }
 
-// awaitPending waits until at most limit bytes are pending. It fails when the
-// client takes nothing for the write timeout or is gone.
-func (connection *connection) awaitPending(limit func() int) error {
-	for connection.pending() > max(limit(), 0) {
-		timer := time.NewTimer(connection.server.bounds().WriteTimeout)
+// waitPendingAtMost blocks until at most limit bytes are pending. It returns
+// ErrSlowReader if nothing is written for the write timeout, and net.ErrClosed
+// if the connection closes.
+func (connection *connection) waitPendingAtMost(limit func() int) error {
+	for connection.pendingBytes() > max(limit(), 0) {
+		timer := time.NewTimer(connection.server.currentLimits().WriteTimeout)
 		select {
-		case <-connection.progress:
+		case <-connection.writeProgress:
 			timer.Stop()
-		case <-connection.gone:
+		case <-connection.done:
 			timer.Stop()
 			return net.ErrClosed
 		case <-timer.C:
@@ -100,15 +100,15 @@
 	return nil
 }
 
-// closeWhenDrained closes the socket when nothing is pending, or after the
-// write timeout without progress.
-func (connection *connection) closeWhenDrained() {
-	if connection.pending() <= 0 {
+// closeWhenFlushed closes the socket once nothing is pending, or after the write
+// timeout without progress. It does not block.
+func (connection *connection) closeWhenFlushed() {
+	if connection.pendingBytes() <= 0 {
 		connection.close()
 		return
 	}
 	go func() {
-		_ = connection.awaitPending(func() int { return 0 })
+		_ = connection.waitPendingAtMost(func() int { return 0 })
 		connection.close()
 	}()
 }
--- a/internal/httpserver/held_close_test.go
+++ b/internal/httpserver/buffered_bytes_close_test.go
@@ -8,7 +8,7 @@
 	. "github.com/onsi/gomega"
 )
 
-var _ = Describe("bytes counted while their connection closes", func() {
+var _ = Describe("Bytes counted while their connection closes", func() {
 	const rounds = 20_000
 
 	serverWith := func(limits Limits) *Server {
@@ -17,30 +17,30 @@
 		return server
 	}
 
-	// beside runs two functions at once.
-	beside := func(left, right func()) {
-		both := sync.WaitGroup{}
-		both.Go(left)
-		both.Go(right)
-		both.Wait()
+	// concurrently runs two functions at the same time and waits for both.
+	concurrently := func(first, second func()) {
+		group := sync.WaitGroup{}
+		group.Go(first)
+		group.Go(second)
+		group.Wait()
 	}
 
-	It("are given back of requests", func() {
+	It("are released for requests", func() {
 		bound := heldbytes.New(1 << 40)
 		server := serverWith(Limits{Sent: bound})
 		for range rounds {
-			sent := &sentBytes{}
-			beside(func() { sent.take(server, 1) }, func() { sent.close(server) })
+			requests := &requestBytes{}
+			concurrently(func() { requests.reserve(server, 1) }, func() { requests.close(server) })
 		}
 		Expect(bound.Held()).To(BeZero())
 	})
 
-	It("are given back of answers", func() {
+	It("are released for responses", func() {
 		bound := heldbytes.New(1 << 40)
 		server := serverWith(Limits{Unread: bound})
 		for range rounds {
-			unread := &unreadBytes{}
-			beside(func() { unread.add(server, 1) }, func() { unread.close(server) })
+			responses := &responseBytes{}
+			concurrently(func() { responses.add(server, 1) }, func() { responses.close(server) })
 		}
 		Expect(bound.Held()).To(BeZero())
 	})
--- a/internal/httpserver/connection.go
+++ b/internal/httpserver/connection.go
@@ -12,66 +12,64 @@
 	"golang.org/x/sys/unix"
 )
 
-// maxPipelined bounds the complete requests that one connection may have
-// waiting behind the one that runs.
+// maxPipelined is the maximum number of complete requests that wait behind the
+// running one on a connection.
 const maxPipelined = 16
 
-// lingerTimeout is how long a refused connection stays open for its client to
-// read the refusal. Closing at once would reset it while the client still
-// sends, and the refusal would be lost.
+// lingerTimeout is how long a connection stays open after a rejected request.
+// Closing it while the client still sends would reset it, and the client might
+// not receive the error response.
 const lingerTimeout = 2 * time.Second
 
-// connection is the server's state of one client connection.
+// connection is the server-side state of a client connection.
 type connection struct {
 	server *Server
 	socket *nbio.Conn
-	// gone is closed when the connection is closed by either side.
-	gone   chan struct{}
-	opened time.Time
-	// used is true once a request's first byte has come.
-	used atomic.Bool
-	// excess is true for a connection over the limit.
-	excess bool
-
-	// Owned by the goroutine that reads the connection: the poller, or
-	// secureConn's own.
-	attached   bool
-	received   int
-	headerDone bool
-
-	// secure is nil on a connection without TLS.
-	secure *secureConn
-
-	// receiving is true from a request's first byte to its last.
+	// done is closed when the connection is closed by either side.
+	done     chan struct{}
+	openedAt time.Time
+	// requestSeen is set when the first byte of the first request arrives.
+	requestSeen atomic.Bool
+	// overLimit is set if the connection exceeds Limits.MaxConnections.
+	overLimit bool
+
+	// The next three fields belong to the goroutine that reads the connection: the poller,
+	// or the one that runs tlsConn.run.
+	parserConfigured bool
+	received         int
+	headerDone       bool
+
+	// tls is nil for plain HTTP.
+	tls *tlsConn
+
+	// receiving is true while a request has been received in part.
 	receiving atomic.Bool
 
-	// closeMutex guards closing, which is true once the connection closes for being idle: no
-	// request begins on it any more.
+	// closeMutex guards closing, which is set when an idle connection is closed. No
+	// request may start afterwards.
 	closeMutex sync.Mutex
 	closing    bool
-	// told is true once an answer has told the client that the connection closes behind it;
-	// answeredAt is how long after its opening the last answer ended, nanoseconds, 0 before the first.
-	told       atomic.Bool
-	answeredAt atomic.Int64
+	// closeAnnounced is set before a response with Connection: close. lastResponseEnd is
+	// when the last response ended, in nanoseconds since openedAt; 0 before the first.
+	closeAnnounced  atomic.Bool
+	lastResponseEnd atomic.Int64
 
-	// aborted drops all further output: an answer ends in its middle.
+	// aborted discards further output after a response is cut short.
 	aborted atomic.Bool
 
-	// discarding drops all further input: the connection has been refused, or closes.
+	// discarding discards further input once a request was rejected or the connection is closing.
 	discarding atomic.Bool
-	// calls counts complete requests whose answer is not finished.
-	calls atomic.Int32
-
-	submitted atomic.Int64
-	written   atomic.Int64
-	// sent is what its client has sent of requests that are not answered yet.
-	sent sentBytes
-	// unread is what its client has not taken, for the bound over all connections.
-	unread unreadBytes
-	// slow is true once the connection was closed for its slow client.
-	slow atomic.Bool
-	// progress tells a writer that the client took bytes.
-	progress chan struct{}
+	// pendingRequests counts complete requests whose response is not finished.
+	pendingRequests atomic.Int32
+
+	submitted     atomic.Int64
+	written       atomic.Int64
+	requestBytes  requestBytes
+	responseBytes responseBytes
+	// slowReader is set when the connection is closed because its client reads too slowly.
+	slowReader atomic.Bool
+	// writeProgress signals that bytes were written to the socket.
+	writeProgress chan struct{}
 
 	jobsMutex sync.Mutex
 	jobs      []func()
@@ -80,42 +78,42 @@
 	cancelMutex sync.Mutex
 	cancel      context.CancelFunc
 
-	// readTimer closes the connection when no whole request arrives in time.
+	// readTimer closes the connection if no complete request arrives in time.
 	readTimer *time.Timer
 }
 
 func newConnection(server *Server, socket *nbio.Conn) *connection {
-	made := &connection{
-		server:   server,
-		socket:   socket,
-		opened:   time.Now(),
-		gone:     make(chan struct{}),
-		progress: make(chan struct{}, 1),
+	created := &connection{
+		server:        server,
+		socket:        socket,
+		openedAt:      time.Now(),
+		done:          make(chan struct{}),
+		writeProgress: make(chan struct{}, 1),
 	}
-	made.readTimer = time.AfterFunc(server.bounds().IdleTimeout, made.readTimedOut)
-	return made
+	created.readTimer = time.AfterFunc(server.currentLimits().IdleTimeout, created.readTimedOut)
+	return created
 }
 
-// receive takes bytes from the client, on the poller goroutine.
-func (connection *connection) receive(data []byte) {
+// onData processes bytes from the client. It runs on the poller goroutine.
+func (connection *connection) onData(data []byte) {
 	if connection.discarding.Load() {
 		return
 	}
-	connection.attach()
-	if connection.secure != nil {
-		connection.secure.feed(data)
+	connection.configureParser()
+	if connection.tls != nil {
+		connection.tls.feed(data)
 		return
 	}
 	connection.parse(data)
 }
 
-// parse hands a request's bytes to nbhttp.
+// parse passes plaintext request bytes to nbhttp.
 func (connection *connection) parse(data []byte) {
 	if connection.discarding.Load() {
 		return
 	}
-	if !connection.sent.take(connection.server, len(data)) {
-		connection.refuse(bodiesTooLarge(connection.server.bounds()))
+	if !connection.requestBytes.reserve(connection.server, len(data)) {
+		connection.reject(requestBytesExhausted(connection.server.currentLimits()))
 		return
 	}
 	if !connection.startRequest() {
@@ -126,13 +124,13 @@
 	connection.checkReceived()
 }
 
-// attach puts the server's own executor, processor and socket into the parser
-// that nbhttp made for the connection.
-func (connection *connection) attach() {
-	if connection.attached {
+// configureParser sets the server's executor, processor and socket in the parser
+// that nbhttp created for the connection.
+func (connection *connection) configureParser() {
+	if connection.parserConfigured {
 		return
 	}
-	connection.attached = true
+	connection.parserConfigured = true
 	parser := connection.socket.Session().(*nbhttp.Parser)
 	parser.Execute = connection.execute
 	parser.Processor = &limitingProcessor{
@@ -142,13 +140,13 @@
 	bounded := &boundedConn{Conn: parser.Conn, connection: connection}
 	parser.Conn = bounded
 	if connection.server.tlsConfig != nil {
-		connection.secure = newSecureConn(bounded, connection.server.tlsConfig)
-		parser.Conn = connection.secure
+		connection.tls = newTLSConn(bounded, connection.server.tlsConfig)
+		parser.Conn = connection.tls
 	}
 }
 
-// startRequest arms the timeout of a half-sent request at its first byte. It returns false on
-// a connection that closes: what is not read there was not run, and its client may send it again.
+// startRequest starts the request timeout at the first byte of a request. It returns false
+// if the connection is closing: the request is not run, so the client may safely retry it.
 func (connection *connection) startRequest() bool {
 	connection.closeMutex.Lock()
 	defer connection.closeMutex.Unlock()
@@ -158,43 +156,43 @@
 	if connection.receiving.Swap(true) {
 		return true
 	}
-	connection.used.Store(true)
+	connection.requestSeen.Store(true)
 	connection.received = 0
 	connection.headerDone = false
-	if connection.calls.Load() == 0 {
-		connection.setReadTimeout(connection.server.bounds().RequestTimeout)
+	if connection.pendingRequests.Load() == 0 {
+		connection.setReadTimeout(connection.server.currentLimits().RequestTimeout)
 	}
 	return true
 }
 
-// completeRequest notes that a whole request has arrived. The read deadline
-// stops: it would cut an answer that takes longer.
+// completeRequest records that a request has been received in full. It stops the
+// read timer, which would otherwise cut long responses.
 func (connection *connection) completeRequest() {
-	connection.sent.completed()
-	connection.calls.Add(1)
+	connection.requestBytes.markComplete()
+	connection.pendingRequests.Add(1)
 	connection.receiving.Store(false)
 	connection.received = 0
 	connection.headerDone = false
 	connection.clearReadTimeout()
 }
 
-// checkReceived refuses a request that is over the limits before it is whole.
+// checkReceived rejects a request that exceeds the limits before it is complete.
 func (connection *connection) checkReceived() {
-	limits := connection.server.bounds()
+	limits := connection.server.currentLimits()
 	if !connection.receiving.Load() || connection.discarding.Load() {
 		return
 	}
 	if !connection.headerDone && connection.received > limits.MaxHeaderBytes {
-		connection.refuse(headerTooLarge(limits))
+		connection.reject(headerTooLarge(limits))
 		return
 	}
 	if connection.received > limits.MaxHeaderBytes+limits.MaxBodyBytes+bodyEncodingSlack {
-		connection.refuse(bodyTooLarge(limits))
+		connection.reject(bodyTooLarge(limits))
 	}
 }
 
-// execute runs the connection's requests in the order received, apart from
-// nbio's own job list, so that a close is seen while a request runs.
+// execute runs the connection's requests in the order received. It does not use nbio's
+// job list, so that a close is detected while a request runs.
 func (connection *connection) execute(job func()) bool {
 	connection.jobsMutex.Lock()
 	defer connection.jobsMutex.Unlock()
@@ -228,107 +226,107 @@
 	}
 }
 
-// runJob runs one request to the end of its answer.
+// runJob runs one request until its response is complete.
 func (connection *connection) runJob(job func()) {
-	defer connection.finishCall()
+	defer connection.finishRequest()
 	defer func() {
-		fault := recover()
-		if fault != nil {
-			reportPanic(fault)
+		recovered := recover()
+		if recovered != nil {
+			reportPanic(recovered)
 			connection.abort()
 		}
 	}()
 	job()
 }
 
-// abort ends an answer in its middle: the client gets what was written of it, then the
-// end of the connection. Nothing may follow that, neither the end that nbhttp writes
-// behind a handler nor the answers of requests that wait. nbio writes later what the
-// system did not take at once, as when a signal interrupts a write; closing the socket
-// at once would lose that.
+// abort cuts a response short: output already written is still sent, then the connection
+// closes. Output that follows is discarded: the end of the response that nbhttp writes
+// after the handler, and responses to pipelined requests. The socket is closed only after
+// nbio has sent its buffered output, which an immediate close would lose.
 func (connection *connection) abort() {
 	connection.aborted.Store(true)
 	connection.discarding.Store(true)
 	connection.jobsMutex.Lock()
-	connection.calls.Add(-int32(len(connection.jobs)))
+	connection.pendingRequests.Add(-int32(len(connection.jobs)))
 	connection.jobs = nil
 	connection.jobsMutex.Unlock()
-	connection.closeWhenDrained()
+	connection.closeWhenFlushed()
 }
 
-// finishCall notes that an answer has been handed to the socket.
-func (connection *connection) finishCall() {
-	remaining := connection.calls.Add(-1)
-	connection.sent.answered(connection.server)
-	connection.answeredAt.Store(int64(time.Since(connection.opened)))
+// finishRequest records that a response has been handed to the socket.
+func (connection *connection) finishRequest() {
+	remaining := connection.pendingRequests.Add(-1)
+	connection.requestBytes.releaseOldest(connection.server)
+	connection.lastResponseEnd.Store(int64(time.Since(connection.openedAt)))
 	if remaining == 0 {
-		connection.awaitRequest()
+		connection.armReadTimeout()
 	}
 	if connection.server.draining.Load() {
-		connection.closeWhenIdle()
+		connection.closeIfIdle()
 	}
 }
 
-// unnoticedIdle is how long a client that was not told that its connection closes has for its
-// next request after an answer: one that goes on at once has sent it by then. Its answer says so.
-const unnoticedIdle = 500 * time.Millisecond
+// nextRequestGrace is how long an idle connection stays open during shutdown if its last
+// response did not carry Connection: close. A request sent within that time is served, and
+// its response carries the header.
+const nextRequestGrace = 500 * time.Millisecond
 
-// closeWhenIdle closes a connection that has no request under way, none half
-// received or unread, and whose next one is not about to come.
-func (connection *connection) closeWhenIdle() {
-	if connection.awaitsRequest() || connection.hasUnread() {
+// closeIfIdle closes the connection unless a request is running, has arrived in part,
+// waits unread in the socket, or is expected shortly.
+func (connection *connection) closeIfIdle() {
+	if connection.expectsRequest() || connection.hasUnreadInput() {
 		return
 	}
-	if connection.beginsToClose() {
-		connection.closeWhenDrained()
+	if connection.tryMarkClosing() {
+		connection.closeWhenFlushed()
 	}
 }
 
-// awaitsRequest tells whether the client is likely to send a request now: the first one on a
-// new connection, or the next one behind an answer that did not say that the connection closes.
-func (connection *connection) awaitsRequest() bool {
-	if !connection.used.Load() {
-		return time.Since(connection.opened) < connection.server.bounds().FirstRequest
+// expectsRequest reports whether the client may be about to send a request: the first one
+// on a new connection, or the next one after a response without Connection: close.
+func (connection *connection) expectsRequest() bool {
+	if !connection.requestSeen.Load() {
+		return time.Since(connection.openedAt) < connection.server.currentLimits().FirstRequestGrace
 	}
-	answered := connection.answeredAt.Load()
-	return !connection.told.Load() && answered != 0 && time.Since(connection.opened)-time.Duration(answered) < unnoticedIdle
+	lastEnd := connection.lastResponseEnd.Load()
+	return !connection.closeAnnounced.Load() && lastEnd != 0 && time.Since(connection.openedAt)-time.Duration(lastEnd) < nextRequestGrace
 }
 
-// beginsToClose has the connection take no further request, unless one is under way.
-func (connection *connection) beginsToClose() bool {
+// tryMarkClosing prevents further requests. It returns false if a request is in progress.
+func (connection *connection) tryMarkClosing() bool {
 	connection.closeMutex.Lock()
 	defer connection.closeMutex.Unlock()
-	if connection.receiving.Load() || connection.calls.Load() > 0 {
+	if connection.receiving.Load() || connection.pendingRequests.Load() > 0 {
 		return false
 	}
 	connection.closing = true
 	return true
 }
 
-// hasUnread tells whether bytes of the client wait in the system. A socket that is
-// closed over them is reset, and the request that they begin is lost.
-func (connection *connection) hasUnread() bool {
+// hasUnreadInput reports whether the socket's receive queue has unread bytes. Closing a
+// socket with unread bytes resets the connection and loses the request.
+func (connection *connection) hasUnreadInput() bool {
 	unread := 0
 	connection.withDescriptor(func(descriptor int) {
-		// A socket that the client has reset has none, and fails here.
+		// On a socket reset by the client the call fails and leaves 0.
 		unread, _ = unix.IoctlGetInt(descriptor, unix.TIOCINQ)
 	})
 	return unread > 0
 }
 
-// close ends the connection from any goroutine: it takes no further input, and the poller closes
-// the socket. Closed elsewhere, its descriptor could go to a new connection while the poller still
-// holds an event for the old one, by which it would close the new one under its caller's request.
+// close ends the connection; any goroutine may call it. It shuts the socket down and leaves
+// closing it to the poller. Closed by another goroutine, its descriptor could be reused by a
+// new connection, which the poller would then close on a pending event of the old one.
 func (connection *connection) close() {
 	connection.discarding.Store(true)
 	connection.withDescriptor(func(descriptor int) {
-		// It fails on a socket that its client has reset, which the poller closes for that.
+		// Fails if the client reset the connection; the poller closes the socket in that case.
 		_ = unix.Shutdown(descriptor, unix.SHUT_RDWR)
 	})
 }
 
-// withDescriptor uses the socket's descriptor, unless the socket is closed. Under its lock an open
-// one stays open; the descriptor of a closed one may be another connection's.
+// withDescriptor calls use with the socket's descriptor unless the socket is closed. It holds
+// the socket's lock, so that the descriptor is not closed and reused meanwhile.
 func (connection *connection) withDescriptor(use func(descriptor int)) {
 	connection.socket.Lock()
 	defer connection.socket.Unlock()
@@ -338,18 +336,18 @@
 	}
 	raw, err := connection.socket.SyscallConn()
 	if err != nil {
-		// nbio's sockets always have one.
+		// Does not occur with nbio sockets.
 		return
 	}
 	_ = raw.Control(func(descriptor uintptr) { use(int(descriptor)) })
 }
 
-// closed is called once nbio has closed the socket.
-func (connection *connection) closed() {
+// onClose releases the connection's resources after nbio has closed the socket.
+func (connection *connection) onClose() {
 	connection.readTimer.Stop()
-	connection.sent.close(connection.server)
-	connection.unread.close(connection.server)
-	close(connection.gone)
+	connection.requestBytes.close(connection.server)
+	connection.responseBytes.close(connection.server)
+	close(connection.done)
 	connection.cancelMutex.Lock()
 	defer connection.cancelMutex.Unlock()
 	if connection.cancel != nil {
@@ -357,31 +355,31 @@
 	}
 }
 
-// setCancel names what to call when the connection closes under a request.
+// setCancel sets the function that is called if the connection closes during a request.
 func (connection *connection) setCancel(cancel context.CancelFunc) {
 	connection.cancelMutex.Lock()
 	connection.cancel = cancel
 	connection.cancelMutex.Unlock()
-	if connection.isGone() {
+	if connection.isClosed() {
 		cancel()
 	}
 }
 
-func (connection *connection) isGone() bool {
+func (connection *connection) isClosed() bool {
 	select {
-	case <-connection.gone:
+	case <-connection.done:
 		return true
 	default:
 		return false
 	}
 }
 
-// failure returns why the client gets nothing more, nil while it may.
-func (connection *connection) failure() error {
+// closeError returns why the connection can send no more, or nil if it still can.
+func (connection *connection) closeError() error {
 	switch {
-	case connection.slow.Load():
+	case connection.slowReader.Load():
 		return ErrSlowReader
-	case connection.isGone():
+	case connection.isClosed():
 		return net.ErrClosed
 	default:
 		return nil
--- a/internal/httpserver/handler.go
+++ b/internal/httpserver/handler.go
@@ -11,60 +11,60 @@
 	"github.com/magpielug/magpielug/internal/resultcode"
 )
 
-type callerKey struct{}
+type connectionKey struct{}
 
-// callerConn is what nbhttp writes answers to.
-type callerConn interface{ caller() *connection }
+// connectionHolder is implemented by the sockets that nbhttp writes responses to.
+type connectionHolder interface{ state() *connection }
 
-// CallerGone returns a channel that is closed when the request's connection
-// closes. The request's context ends then too, and when its handler returns.
-// The channel is nil, and so never ready, for a request of another server.
-func CallerGone(request *http.Request) <-chan struct{} {
-	caller, known := request.Context().Value(callerKey{}).(*connection)
-	if !known {
+// ConnectionClosed returns a channel that is closed when the request's connection
+// closes. The request's context is canceled then too, and when its handler returns.
+// The channel is nil for a request of another server.
+func ConnectionClosed(request *http.Request) <-chan struct{} {
+	state, found := request.Context().Value(connectionKey{}).(*connection)
+	if !found {
 		return nil
 	}
-	return caller.gone
+	return state.done
 }
 
-// serve runs one request on the connection's own goroutine. Nothing waits
-// here unseen: a request over the limit is refused at once.
+// serve runs one request on the connection's goroutine. Requests over a limit are
+// rejected immediately instead of queued.
 func (server *Server) serve(writer http.ResponseWriter, request *http.Request) {
 	response := writer.(*nbhttp.Response)
-	caller := response.Parser.Conn.(callerConn).caller()
-	if server.draining.Load() || server.turnsAway() {
+	state := response.Parser.Conn.(connectionHolder).state()
+	if server.draining.Load() || server.keepAlivesDisabled() {
 		request.Close = true
 	}
 	if request.Close {
 		response.Header().Set("Connection", "close")
-		caller.told.Store(true)
+		state.closeAnnounced.Store(true)
 	}
 	ctx, cancel := context.WithCancel(server.context)
 	defer cancel()
-	caller.setCancel(cancel)
-	if caller.excess {
+	state.setCancel(cancel)
+	if state.overLimit {
 		request.Close = true
 		response.Header().Set("Connection", "close")
-		WriteError(response, tooManyConnections(server.bounds()))
+		WriteError(response, tooManyConnections(server.currentLimits()))
 		return
 	}
-	ctx = context.WithValue(ctx, callerKey{}, caller)
-	server.admit(newResponseWriter(response, caller), request.WithContext(ctx))
+	ctx = context.WithValue(ctx, connectionKey{}, state)
+	server.admit(newResponseWriter(response, state), request.WithContext(ctx))
 }
 
-// turnsAway tells whether callers are to leave the connections that they keep.
-func (server *Server) turnsAway() bool {
-	turnAway := server.bounds().TurnAway
-	return turnAway != nil && turnAway()
+// keepAlivesDisabled reports whether responses should ask clients to close the connection.
+func (server *Server) keepAlivesDisabled() bool {
+	disabled := server.currentLimits().TurnAway
+	return disabled != nil && disabled()
 }
 
-// admit counts the request and hands it to the handler, or refuses it.
+// admit passes the request to the handler, or rejects it if MaxInFlight is reached.
 func (server *Server) admit(writer *responseWriter, request *http.Request) {
-	exempt := server.bounds().Exempt != nil && server.bounds().Exempt(request)
+	exempt := server.currentLimits().Exempt != nil && server.currentLimits().Exempt(request)
 	if !exempt {
 		defer server.inFlight.Add(-1)
-		if server.inFlight.Add(1) > int64(server.bounds().MaxInFlight) {
-			WriteError(writer, tooManyCalls(server.bounds()))
+		if server.inFlight.Add(1) > int64(server.currentLimits().MaxInFlight) {
+			WriteError(writer, tooManyRequests(server.currentLimits()))
 			return
 		}
 	}
@@ -72,14 +72,14 @@
 	server.handler.ServeHTTP(writer, request)
 }
 
-// recoverHandler answers Internal for a handler that panicked, or closes the
-// connection where an answer has begun.
+// recoverHandler recovers from a panic of the handler. It responds with Internal, or
+// closes the connection if the response has started.
 func recoverHandler(writer *responseWriter) {
-	fault := recover()
-	if fault == nil {
+	recovered := recover()
+	if recovered == nil {
 		return
 	}
-	reportPanic(fault)
+	reportPanic(recovered)
 	if writer.started {
 		writer.connection.abort()
 		return
@@ -87,14 +87,14 @@
 	WriteError(writer, resultcode.New(resultcode.Internal, "internal fault"))
 }
 
-// ReportPanic is told of every panic of a handler; by default it writes one
-// line to standard error. Set it before Start.
-var ReportPanic = func(fault any, stack []byte) {
-	fmt.Fprintf(os.Stderr, "level=error event=\"handler panicked\" fault=%q stack=%q\n", fmt.Sprint(fault), stack)
+// ReportPanic is called for each handler panic except http.ErrAbortHandler. By default
+// it writes one line to standard error. Set it before Start.
+var ReportPanic = func(recovered any, stack []byte) {
+	fmt.Fprintf(os.Stderr, "level=error event=\"handler panicked\" fault=%q stack=%q\n", fmt.Sprint(recovered), stack)
 }
 
-func reportPanic(fault any) {
-	if fault != http.ErrAbortHandler {
-		ReportPanic(fault, debug.Stack())
+func reportPanic(recovered any) {
+	if recovered != http.ErrAbortHandler {
+		ReportPanic(recovered, debug.Stack())
 	}
 }
--- a/internal/httpserver/limits.go
+++ b/internal/httpserver/limits.go
@@ -7,75 +7,71 @@
 	"github.com/magpielug/magpielug/internal/heldbytes"
 )
 
-// Default limits, used for every field of Limits that is zero.
+// Defaults for the fields of Limits.
 const (
-	DefaultMaxConnections = 4096
-	DefaultMaxInFlight    = 3072
-	DefaultMaxBodyBytes   = 8 << 20
-	DefaultMaxHeaderBytes = 32 << 10
-	DefaultWriteBuffer    = 256 << 10
-	DefaultIdleTimeout    = 120 * time.Second
-	DefaultRequestTimeout = 20 * time.Second
-	DefaultWriteTimeout   = 10 * time.Second
-	DefaultRetryAfter     = time.Second
-	DefaultDrainGrace     = time.Second
-	// DefaultFirstRequest is some ten times what a client of another region, or on a
-	// busy machine, needs to send on a connection that it has just opened.
-	DefaultFirstRequest = 500 * time.Millisecond
+	DefaultMaxConnections    = 4096
+	DefaultMaxInFlight       = 3072
+	DefaultMaxBodyBytes      = 8 << 20
+	DefaultMaxHeaderBytes    = 32 << 10
+	DefaultWriteBuffer       = 256 << 10
+	DefaultIdleTimeout       = 120 * time.Second
+	DefaultRequestTimeout    = 20 * time.Second
+	DefaultWriteTimeout      = 10 * time.Second
+	DefaultRetryAfter        = time.Second
+	DefaultDrainGrace        = time.Second
+	DefaultFirstRequestGrace = 500 * time.Millisecond
 )
 
-// MinWriteBuffer is the smallest WriteBufferBytes that is honoured.
-const MinWriteBuffer = 4 * writePiece
+// MinWriteBuffer is the lower bound of WriteBufferBytes; smaller values are raised to it.
+const MinWriteBuffer = 4 * maxWriteSize
 
-// Limits bounds what callers can make a server hold. A zero field takes its
-// default.
+// Limits bounds the resources that clients can use. Zero fields take their defaults.
 type Limits struct {
-	// MaxConnections is the number of open connections; one more is refused
-	// with code TooManyConnections on its first request.
+	// MaxConnections is the maximum number of open connections. The first request on a
+	// connection over the limit is rejected with code TooManyConnections.
 	MaxConnections int
-	// MaxInFlight is the number of requests that run at once; one more is
-	// refused with code TooManyConnections without waiting.
+	// MaxInFlight is the maximum number of concurrent requests. Further ones are
+	// rejected with code TooManyConnections without waiting.
 	MaxInFlight int
-	// MaxBodyBytes bounds a request's body; a longer one is refused with code
-	// BodyTooLarge and is never kept.
+	// MaxBodyBytes is the maximum size of a request body. Larger ones are rejected with
+	// code BodyTooLarge and not buffered.
 	MaxBodyBytes int
-	// MaxHeaderBytes bounds a request's target and headers together.
+	// MaxHeaderBytes is the maximum size of a request's target and headers together.
 	MaxHeaderBytes int
-	// WriteBufferBytes bounds what one connection holds of answers that the
-	// client has not taken.
+	// WriteBufferBytes is the maximum number of response bytes buffered per connection.
 	WriteBufferBytes int
-	// Sent bounds what is held of requests over all connections, nil for no bound. A request
-	// that does not fit is refused with code TooManyConnections.
+	// Sent bounds the request bytes buffered over all connections; nil means no bound.
+	// Requests that do not fit are rejected with code TooManyConnections.
 	Sent *heldbytes.Bound
-	// Unread bounds the answers that clients have not taken over all connections, nil for
-	// no bound. Once they hold that much, each gets its answer piece by piece.
+	// Unread bounds the response bytes buffered over all connections; nil means no bound.
+	// Once it is reached, each connection buffers a single write at a time.
 	Unread *heldbytes.Bound
-	// TurnAway tells whether callers are to leave the connections that they keep, for
-	// another process serves them better; nil is never.
+	// TurnAway reports whether responses should carry Connection: close, so that clients
+	// reconnect, possibly to another process; nil means never.
 	TurnAway func() bool
 	// IdleTimeout closes a connection without a request.
 	IdleTimeout time.Duration
-	// RequestTimeout closes a connection whose request is not complete this
-	// long after its first byte.
+	// RequestTimeout closes a connection whose request is not complete this long after
+	// its first byte.
 	RequestTimeout time.Duration
-	// WriteTimeout closes a connection whose client takes nothing for this
-	// long while the write buffer is full.
+	// WriteTimeout closes a connection whose client reads nothing for this long while
+	// the write buffer is full.
 	WriteTimeout time.Duration
-	// RetryAfter is told to callers refused by a limit.
+	// RetryAfter is the retry delay sent with requests rejected by a limit.
 	RetryAfter time.Duration
-	// DrainGrace is how long Shutdown goes on accepting and keeps idle
-	// connections, so that clients see in time that the process leaves. A
-	// request sent on a connection at the moment it is closed would be lost.
+	// DrainGrace is how long Shutdown keeps accepting connections and keeps idle ones
+	// open, so that clients can notice the shutdown. A request sent while its connection
+	// closes would be lost.
 	DrainGrace time.Duration
-	// FirstRequest is how long a connection may be open without a request until
-	// Shutdown takes it for idle: its client is about to send one.
-	FirstRequest time.Duration
-	// Exempt tells which requests MaxInFlight does not count, such as
-	// heartbeats between processes; nil counts all.
+	// FirstRequestGrace is how long Shutdown waits, from a connection's opening, for its
+	// first request before treating the connection as idle.
+	FirstRequestGrace time.Duration
+	// Exempt reports whether a request is excluded from MaxInFlight, such as a heartbeat
+	// between processes; nil excludes none.
 	Exempt func(request *http.Request) bool
 }
 
-// withDefaults returns limits with every zero field replaced.
+// withDefaults returns a copy of limits with defaults in place of zero fields.
 func (limits Limits) withDefaults() *Limits {
 	limits.MaxConnections = positive(limits.MaxConnections, DefaultMaxConnections)
 	limits.MaxInFlight = positive(limits.MaxInFlight, DefaultMaxInFlight)
@@ -87,11 +83,11 @@
 	limits.WriteTimeout = positive(limits.WriteTimeout, DefaultWriteTimeout)
 	limits.RetryAfter = positive(limits.RetryAfter, DefaultRetryAfter)
 	limits.DrainGrace = positive(limits.DrainGrace, DefaultDrainGrace)
-	limits.FirstRequest = positive(limits.FirstRequest, DefaultFirstRequest)
+	limits.FirstRequestGrace = positive(limits.FirstRequestGrace, DefaultFirstRequestGrace)
 	return &limits
 }
 
-// positive returns value, or fallback where value is not above zero.
+// positive returns value if it is above zero, otherwise fallback.
 func positive[Number int | time.Duration](value, fallback Number) Number {
 	if value > 0 {
 		return value
@@ -99,8 +95,8 @@
 	return fallback
 }
 
-// Bounds are the limits that may change while a server runs. A zero field
-// leaves its limit as it is.
+// Bounds are the limits that can change while a server runs. Zero fields leave
+// their limit unchanged.
 type Bounds struct {
 	MaxHeaderBytes int
 	MaxBodyBytes   int
@@ -108,16 +104,15 @@
 	IdleTimeout    time.Duration
 }
 
-// Adjust puts other bounds in force, for requests and idle times that begin
-// from now on. No bound can be raised over what the server was started with.
-func (server *Server) Adjust(bounds Bounds) {
-	adjusted := *server.bounds()
-	adjusted.MaxHeaderBytes = min(positive(bounds.MaxHeaderBytes, adjusted.MaxHeaderBytes), server.started.MaxHeaderBytes)
-	adjusted.MaxBodyBytes = min(positive(bounds.MaxBodyBytes, adjusted.MaxBodyBytes), server.started.MaxBodyBytes)
-	adjusted.RequestTimeout = positive(bounds.RequestTimeout, adjusted.RequestTimeout)
-	adjusted.IdleTimeout = positive(bounds.IdleTimeout, adjusted.IdleTimeout)
+// Adjust changes limits for requests and idle periods that begin afterwards. Size limits
+// cannot exceed those that the server was started with.
+func (server *Server) Adjust(update Bounds) {
+	adjusted := *server.currentLimits()
+	adjusted.MaxHeaderBytes = min(positive(update.MaxHeaderBytes, adjusted.MaxHeaderBytes), server.initialLimits.MaxHeaderBytes)
+	adjusted.MaxBodyBytes = min(positive(update.MaxBodyBytes, adjusted.MaxBodyBytes), server.initialLimits.MaxBodyBytes)
+	adjusted.RequestTimeout = positive(update.RequestTimeout, adjusted.RequestTimeout)
+	adjusted.IdleTimeout = positive(update.IdleTimeout, adjusted.IdleTimeout)
 	server.limits.Store(&adjusted)
 }
 
-// bounds returns the limits in force.
-func (server *Server) bounds() *Limits { return server.limits.Load() }
+func (server *Server) currentLimits() *Limits { return server.limits.Load() }
--- a/internal/httpserver/listener.go
+++ b/internal/httpserver/listener.go
@@ -10,34 +10,33 @@
 	"golang.org/x/sys/unix"
 )
 
-// acceptRetryDelay separates two tries after a failed accept, such as one for
-// want of file descriptors.
+// acceptRetryDelay is the pause after a failed accept, for example when the process is
+// out of file descriptors.
 const acceptRetryDelay = 50 * time.Millisecond
 
-// maxQueued bounds the connections taken over from the system's queue when a server
-// stops: the queue's own bound on Linux by default (net.core.somaxconn).
-const maxQueued = 4096
+// maxBacklog bounds the connections taken from the accept queue when the listener stops.
+// It is the queue's default bound on Linux (net.core.somaxconn).
+const maxBacklog = 4096
 
-// stoppableListener lets a server stop accepting before nbhttp shuts down.
-// nbhttp calls Accept in a loop without delay after an error, so Accept holds
-// it until the end once the socket is closed and its queue is handed over.
+// stoppableListener allows a server to stop accepting before nbhttp shuts down. nbhttp
+// retries a failed Accept without delay, so after Stop and the delivery of the backlog
+// Accept blocks until Close.
 type stoppableListener struct {
 	net.Listener
-	stopAccepting sync.Once
-	stopped       chan struct{}
-	// queued holds the connections that the system had taken when the socket was
-	// closed, for Accept to hand over.
-	queued   chan net.Conn
-	release  sync.Once
-	released chan struct{}
+	stopOnce sync.Once
+	stopped  chan struct{}
+	// backlog holds connections that were in the accept queue when the listener stopped.
+	backlog   chan net.Conn
+	closeOnce sync.Once
+	closed    chan struct{}
 }
 
 func newStoppableListener(inner net.Listener) *stoppableListener {
 	return &stoppableListener{
 		Listener: inner,
 		stopped:  make(chan struct{}),
-		queued:   make(chan net.Conn, maxQueued),
-		released: make(chan struct{}),
+		backlog:  make(chan net.Conn, maxBacklog),
+		closed:   make(chan struct{}),
 	}
 }
 
@@ -50,37 +49,36 @@
 		}
 		select {
 		case <-listener.stopped:
-			return listener.acceptQueued()
+			return listener.acceptBacklog()
 		case <-time.After(acceptRetryDelay):
 		}
 	}
 }
 
-// acceptQueued returns what the system had taken before the socket was closed, then
-// waits for Close.
-func (listener *stoppableListener) acceptQueued() (net.Conn, error) {
+// acceptBacklog returns the next connection of the backlog. If there is none, it blocks until Close.
+func (listener *stoppableListener) acceptBacklog() (net.Conn, error) {
 	select {
-	case accepted := <-listener.queued:
+	case accepted := <-listener.backlog:
 		return accepted, nil
-	case <-listener.released:
+	case <-listener.closed:
 		return nil, net.ErrClosed
 	}
 }
 
-// Stop closes the socket: new connections are refused by the system. Those that it has
-// already taken are kept for Accept, since closing the socket would reset them, and
-// with them the requests that their clients have sent.
+// Stop closes the listening socket, so that the system refuses new connections. Those in
+// its accept queue are first moved to the backlog for Accept: closing the socket would reset
+// them and lose requests already sent.
 func (listener *stoppableListener) Stop() {
-	listener.stopAccepting.Do(func() {
-		listener.takeQueued()
+	listener.stopOnce.Do(func() {
+		listener.drainBacklog()
 		close(listener.stopped)
 		_ = listener.Listener.Close()
 	})
 }
 
-// takeQueued accepts what waits at the socket. What can't be taken is reset by the
-// system when the socket is closed, as without it.
-func (listener *stoppableListener) takeQueued() {
+// drainBacklog moves the accept queue to the backlog. Connections that cannot be moved are
+// reset when the socket is closed.
+func (listener *stoppableListener) drainBacklog() {
 	socket, ok := listener.Listener.(syscall.Conn)
 	if !ok {
 		return
@@ -90,29 +88,29 @@
 		return
 	}
 	_ = raw.Control(func(descriptor uintptr) {
-		for range maxQueued {
+		for range maxBacklog {
 			accepted, _, err := unix.Accept4(int(descriptor), unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC)
 			if err != nil {
 				return
 			}
-			listener.keep(accepted)
+			listener.enqueue(accepted)
 		}
 	})
 }
 
-// keep puts an accepted socket where Accept finds it.
-func (listener *stoppableListener) keep(descriptor int) {
+// enqueue adds an accepted socket to the backlog.
+func (listener *stoppableListener) enqueue(descriptor int) {
 	file := os.NewFile(uintptr(descriptor), "accepted")
 	defer func() { _ = file.Close() }()
 	accepted, err := net.FileConn(file)
 	if err == nil {
-		listener.queued <- accepted
+		listener.backlog <- accepted
 	}
 }
 
-// Close stops accepting and releases the goroutine inside Accept.
+// Close stops accepting and unblocks Accept.
 func (listener *stoppableListener) Close() error {
 	listener.Stop()
-	listener.release.Do(func() { close(listener.released) })
+	listener.closeOnce.Do(func() { close(listener.closed) })
 	return nil
 }
--- a/internal/httpserver/processor.go
+++ b/internal/httpserver/processor.go
@@ -6,12 +6,11 @@
 	"github.com/lesismal/nbio/nbhttp"
 )
 
-// bodyEncodingSlack is what a chunked body may cost on the wire beside its
-// content, bytes.
+// bodyEncodingSlack is the allowance for chunked encoding on top of a body's content, in bytes.
 const bodyEncodingSlack = 64 << 10
 
-// limitingProcessor stands between nbhttp's parser and its request builder and
-// refuses requests over the limits with a numbered answer.
+// limitingProcessor wraps nbhttp's request builder and rejects requests that exceed
+// the limits.
 type limitingProcessor struct {
 	nbhttp.Processor
 	connection  *connection
@@ -19,42 +18,42 @@
 	bodyBytes   int
 }
 
-// OnURL counts the request's target as header bytes.
+// OnURL counts the request target as header bytes.
 func (processor *limitingProcessor) OnURL(parser *nbhttp.Parser, target string) error {
 	processor.headerBytes = len(target)
 	processor.bodyBytes = 0
 	return processor.Processor.OnURL(parser, target)
 }
 
-// OnHeader keeps a header while the headers are within their limit.
+// OnHeader adds a header, or rejects the request if its headers exceed the limit.
 func (processor *limitingProcessor) OnHeader(parser *nbhttp.Parser, key, value string) {
 	processor.headerBytes += len(key) + len(value)
-	limits := processor.connection.server.bounds()
+	limits := processor.connection.server.currentLimits()
 	if processor.headerBytes > limits.MaxHeaderBytes {
-		processor.connection.refuse(headerTooLarge(limits))
+		processor.connection.reject(headerTooLarge(limits))
 		return
 	}
-	// nbhttp keeps the white space of an empty value, which is not part of it.
+	// nbhttp does not trim the whitespace of an empty value.
 	processor.Processor.OnHeader(parser, key, strings.TrimSpace(value))
 }
 
-// OnContentLength refuses a body by its announced length, before it is sent.
+// OnContentLength rejects a request by its Content-Length, before the body arrives.
 func (processor *limitingProcessor) OnContentLength(parser *nbhttp.Parser, length int) {
 	processor.connection.headerDone = true
-	limits := processor.connection.server.bounds()
+	limits := processor.connection.server.currentLimits()
 	if length > limits.MaxBodyBytes {
-		processor.connection.refuse(bodyTooLarge(limits))
+		processor.connection.reject(bodyTooLarge(limits))
 		return
 	}
 	processor.Processor.OnContentLength(parser, length)
 }
 
-// OnBody keeps body bytes while the body is within its limit.
+// OnBody adds body bytes, or rejects the request if its body exceeds the limit.
 func (processor *limitingProcessor) OnBody(parser *nbhttp.Parser, data []byte) error {
 	processor.bodyBytes += len(data)
-	limits := processor.connection.server.bounds()
+	limits := processor.connection.server.currentLimits()
 	if processor.bodyBytes > limits.MaxBodyBytes {
-		processor.connection.refuse(bodyTooLarge(limits))
+		processor.connection.reject(bodyTooLarge(limits))
 	}
 	if processor.connection.discarding.Load() {
 		return nil
@@ -62,7 +61,7 @@
 	return processor.Processor.OnBody(parser, data)
 }
 
-// OnComplete hands a whole request on, unless its connection was refused.
+// OnComplete passes on a complete request unless the connection discards its input.
 func (processor *limitingProcessor) OnComplete(parser *nbhttp.Parser) {
 	if processor.connection.discarding.Load() {
 		return
--- a/internal/httpserver/read_timeout.go
+++ b/internal/httpserver/read_timeout.go
@@ -2,46 +2,44 @@
 
 import "time"
 
-// unusedTimeout is the read deadline given to nbhttp. nbhttp arms its deadline
-// after a connection is already read from, and so over one that was set for the
-// first request; the server keeps a timer of its own instead.
-const unusedTimeout = 10 * 365 * 24 * time.Hour
+// disabledKeepalive effectively disables nbhttp's read deadline. nbhttp sets the deadline
+// after reading has begun and could overwrite one set for the first request, so the server
+// uses its own timer.
+const disabledKeepalive = 10 * 365 * 24 * time.Hour
 
-// setReadTimeout closes the connection after timeout, unless a whole request
-// arrives before.
+// setReadTimeout closes the connection after timeout unless a complete request arrives first.
 func (connection *connection) setReadTimeout(timeout time.Duration) {
 	connection.readTimer.Reset(timeout)
 }
 
-// clearReadTimeout lets a call take as long as it needs.
+// clearReadTimeout stops the read timer while a request runs.
 func (connection *connection) clearReadTimeout() {
 	connection.readTimer.Stop()
 }
 
-// awaitRequest arms the timeout after the last answer: that of an idle
-// connection, or of a request that has begun to arrive.
-func (connection *connection) awaitRequest() {
+// armReadTimeout starts the timer after the last pending response: with the request
+// timeout if a request has arrived in part, otherwise with the idle timeout.
+func (connection *connection) armReadTimeout() {
 	if connection.receiving.Load() {
-		connection.setReadTimeout(connection.server.bounds().RequestTimeout)
+		connection.setReadTimeout(connection.server.currentLimits().RequestTimeout)
 		return
 	}
-	connection.setReadTimeout(connection.server.bounds().IdleTimeout)
+	connection.setReadTimeout(connection.server.currentLimits().IdleTimeout)
 }
 
-// readTimedOut closes the connection. It may have been armed by the end of one
-// call just as the next one arrived, so it looks whether a call is under way, or
-// whether a request has come to a quiet connection that was not read yet.
+// readTimedOut closes the connection, unless a request has arrived since the timer was
+// armed or waits unread in the socket.
 func (connection *connection) readTimedOut() {
-	if connection.calls.Load() > 0 {
+	if connection.pendingRequests.Load() > 0 {
 		return
 	}
-	if !connection.receiving.Load() && connection.hasUnread() {
-		connection.setReadTimeout(unreadPause)
+	if !connection.receiving.Load() && connection.hasUnreadInput() {
+		connection.setReadTimeout(unreadRecheckInterval)
 		return
 	}
 	connection.close()
 }
 
-// unreadPause is when a connection with unread bytes is looked at again; the poller
-// reads them long before.
-const unreadPause = 100 * time.Millisecond
+// unreadRecheckInterval is the delay before readTimedOut rechecks a connection with unread
+// input, which leaves the poller time to read it.
+const unreadRecheckInterval = 100 * time.Millisecond
--- a/internal/httpserver/reused_descriptor_test.go
+++ b/internal/httpserver/reused_descriptor_test.go
@@ -13,55 +13,55 @@
 	. "github.com/onsi/gomega"
 )
 
-// lastRequest asks for the connection's close behind its answer.
-const lastRequest = "GET / HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n"
+// closingRequest asks the server to close the connection after its response.
+const closingRequest = "GET / HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n"
 
-// callOnce makes one call on a connection of its own and returns why it was not answered. Both
-// sides close the connection behind the answer, at about the same time.
-func callOnce(address string) error {
+// requestOnce sends one request on a new connection and returns an error unless it is answered
+// with 200. Client and server both close the connection after the response.
+func requestOnce(address string) error {
 	client, err := net.Dial("tcp", address)
 	if err != nil {
 		return err
 	}
 	defer func() { _ = client.Close() }()
-	_, err = client.Write([]byte(lastRequest))
+	_, err = client.Write([]byte(closingRequest))
 	if err != nil {
 		return err
 	}
-	answer, err := http.ReadResponse(bufio.NewReader(client), nil)
+	response, err := http.ReadResponse(bufio.NewReader(client), nil)
 	if err != nil {
 		return err
 	}
-	if answer.StatusCode != http.StatusOK {
-		return fmt.Errorf("answered %d", answer.StatusCode)
+	if response.StatusCode != http.StatusOK {
+		return fmt.Errorf("status %d", response.StatusCode)
 	}
-	return answer.Body.Close()
+	return response.Body.Close()
 }
 
-var _ = Describe("Calls on new connections", func() {
-	BeforeEach(func() { secured = false })
+var _ = Describe("Requests on new connections", func() {
+	BeforeEach(func() { useTLS = false })
 
-	It("are answered while others are closed by both sides at once and their descriptors used again", func() {
-		const callers = 64
+	It("are answered while other connections are closed by both sides and their descriptors reused", func() {
+		const clients = 64
 		server := start(echo, Limits{})
 		address := server.Address()
 		until := time.Now().Add(4 * time.Second)
-		var made, lost atomic.Int64
+		var sent, failed atomic.Int64
 		var running sync.WaitGroup
-		for range callers {
+		for range clients {
 			running.Go(func() {
 				for time.Now().Before(until) {
-					made.Add(1)
-					err := callOnce(address)
+					sent.Add(1)
+					err := requestOnce(address)
 					if err != nil {
-						lost.Add(1)
-						GinkgoWriter.Printf("lost: %v\n", err)
+						failed.Add(1)
+						GinkgoWriter.Printf("failed: %v\n", err)
 					}
 				}
 			})
 		}
 		running.Wait()
-		GinkgoWriter.Printf("%d calls, %d lost\n", made.Load(), lost.Load())
-		Expect(lost.Load()).To(BeZero(), "of %d calls", made.Load())
+		GinkgoWriter.Printf("%d requests, %d failed\n", sent.Load(), failed.Load())
+		Expect(failed.Load()).To(BeZero(), "of %d requests", sent.Load())
 	})
 })
--- a/internal/httpserver/server.go
+++ b/internal/httpserver/server.go
@@ -1,6 +1,6 @@
-// Package httpserver runs an http.Handler on nbhttp and bounds what callers
-// can make a process hold: connections, requests under way, bodies, headers,
-// unread answers and half-sent requests.
+// Package httpserver runs an http.Handler on nbhttp and bounds the resources that
+// clients can use: connections, concurrent requests, header and body sizes, buffered
+// responses and incomplete requests.
 package httpserver
 
 import (
@@ -23,68 +23,68 @@
 )
 
 const (
-	// excessConnections is how many connections over the limit stay open long
-	// enough to be told so; further ones are closed at once.
-	excessConnections = 256
-	// drainPoll is how often Shutdown looks for the last request's end.
-	drainPoll = 10 * time.Millisecond
-	// keptWorkers is how many goroutines wait for the next request.
-	keptWorkers = 64
-	// closeTimeout bounds the closing of nbio itself.
-	closeTimeout = 2 * time.Second
+	// maxOverLimitConnections is how many connections over the limit are accepted in order to
+	// send them an error response. Further ones are closed immediately.
+	maxOverLimitConnections = 256
+	// drainPollInterval is how often Shutdown checks for open connections.
+	drainPollInterval = 10 * time.Millisecond
+	// maxIdleWorkers is the maximum number of goroutines kept idle for further requests.
+	maxIdleWorkers = 64
+	// engineShutdownTimeout bounds the shutdown of the nbhttp engine.
+	engineShutdownTimeout = 2 * time.Second
 )
 
-// Server is one listening address.
+// Server serves HTTP on one listening address.
 type Server struct {
-	// started are the limits at the start, limits those in force.
-	started  *Limits
-	limits   atomic.Pointer[Limits]
-	handler  http.Handler
-	engine   *nbhttp.Engine
-	listener *stoppableListener
+	// initialLimits are the limits at start, limits the current ones.
+	initialLimits *Limits
+	limits        atomic.Pointer[Limits]
+	handler       http.Handler
+	engine        *nbhttp.Engine
+	listener      *stoppableListener
 	// tlsConfig is nil for plain HTTP.
 	tlsConfig *tls.Config
 	context   context.Context
 	cancel    context.CancelFunc
 	workers   *workerpool.Pool
 
-	connections sync.Map // *nbio.Conn to *connection
-	open        atomic.Int64
-	inFlight    atomic.Int64
-	draining    atomic.Bool
-	shutdown    sync.Once
+	connections     sync.Map // *nbio.Conn to *connection
+	connectionCount atomic.Int64
+	inFlight        atomic.Int64
+	draining        atomic.Bool
+	shutdown        sync.Once
 }
 
-// Start listens on address and serves handler. A taken port is a
-// *resultcode.Error with code AddressInUse, any other bad address one with
-// code InvalidSettings.
+// Start listens on address and serves handler. It returns a *resultcode.Error with code
+// AddressInUse if the port is in use, and with code InvalidSettings if it cannot listen
+// for another reason.
 func Start(address string, handler http.Handler, limits Limits) (*Server, error) {
 	return listen(address, handler, limits, nil)
 }
 
-// StartTLS is Start with TLS (HTTP/1.1) under config.
+// StartTLS is Start with TLS under config. It supports HTTP/1.1 only.
 func StartTLS(address string, handler http.Handler, limits Limits, config *tls.Config) (*Server, error) {
-	secured := config.Clone()
-	secured.NextProtos = []string{"http/1.1"}
-	return listen(address, handler, limits, secured)
+	cloned := config.Clone()
+	cloned.NextProtos = []string{"http/1.1"}
+	return listen(address, handler, limits, cloned)
 }
 
 func listen(address string, handler http.Handler, limits Limits, config *tls.Config) (*Server, error) {
 	inner, err := net.Listen("tcp", address)
 	if err != nil {
-		return nil, listenFailure(address, err)
+		return nil, listenError(address, err)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	server := &Server{
-		workers:   workerpool.New(ctx, keptWorkers),
+		workers:   workerpool.New(ctx, maxIdleWorkers),
 		handler:   handler,
 		listener:  newStoppableListener(inner),
 		tlsConfig: config,
 		context:   ctx,
 		cancel:    cancel,
 	}
-	server.started = limits.withDefaults()
-	server.limits.Store(server.started)
+	server.initialLimits = limits.withDefaults()
+	server.limits.Store(server.initialLimits)
 	server.engine = server.newEngine(inner.Addr().String())
 	err = server.engine.Start()
 	if err != nil {
@@ -95,60 +95,58 @@
 	return server, nil
 }
 
-func listenFailure(address string, err error) error {
+func listenError(address string, err error) error {
 	if errors.Is(err, syscall.EADDRINUSE) {
-		return resultcode.New(resultcode.AddressInUse, "listen address %s is taken by another process", address)
+		return resultcode.New(resultcode.AddressInUse, "listen address %s is already in use", address)
 	}
-	return resultcode.New(resultcode.InvalidSettings, "can't listen on %s: %v", address, err)
+	return resultcode.New(resultcode.InvalidSettings, "cannot listen on %s: %v", address, err)
 }
 
-// newEngine builds the nbhttp engine around the open listener.
+// newEngine creates the nbhttp engine for the open listener.
 func (server *Server) newEngine(address string) *nbhttp.Engine {
-	silenceNbio()
-	limits := server.bounds()
+	disableNbioLogging()
+	limits := server.currentLimits()
 	engine := nbhttp.NewEngine(nbhttp.Config{
 		Network: "tcp",
 		Addrs:   []string{address},
 		Listen: func(string, string) (net.Listener, error) {
 			return server.listener, nil
 		},
-		MaxLoad:            limits.MaxConnections + excessConnections,
+		MaxLoad:            limits.MaxConnections + maxOverLimitConnections,
 		ReadLimit:          limits.MaxHeaderBytes + limits.MaxBodyBytes + 2*bodyEncodingSlack,
-		MaxWriteBufferSize: limits.WriteBufferBytes + writePiece,
-		KeepaliveTime:      unusedTimeout,
+		MaxWriteBufferSize: limits.WriteBufferBytes + maxWriteSize,
+		KeepaliveTime:      disabledKeepalive,
 		Handler:            http.HandlerFunc(server.serve),
 		// Requests run on their connection's goroutine (connection.execute);
-		// nbio itself only runs its close callbacks here.
+		// nbio uses this executor only for close callbacks.
 		ServerExecutor:    func(job func()) { go job() },
 		SupportServerOnly: true,
 		Context:           server.context,
 		Cancel:            server.cancel,
 	})
-	engine.OnOpen(server.opened)
-	engine.OnClose(server.closed)
-	engine.Engine.OnData(server.receive)
-	engine.OnWrittenSize(server.wrote)
+	engine.OnOpen(server.onOpen)
+	engine.OnClose(server.onClose)
+	engine.Engine.OnData(server.onData)
+	engine.OnWrittenSize(server.onWritten)
 	return engine
 }
 
-// silenceNbio stops nbio's own lines on standard error; what matters is
-// reported as a result code.
-var silenceNbio = sync.OnceFunc(func() { nbiologging.SetLevel(nbiologging.LevelNone) })
+// disableNbioLogging keeps nbio's log lines off standard error. Errors are reported as result codes.
+var disableNbioLogging = sync.OnceFunc(func() { nbiologging.SetLevel(nbiologging.LevelNone) })
 
-// Address returns the address listened on, with the port chosen by the system
-// where port 0 was asked for.
+// Address returns the listening address, with the actual port if port 0 was requested.
 func (server *Server) Address() string { return server.listener.Addr().String() }
 
-// InFlight returns the number of counted requests under way.
+// InFlight returns the number of running requests, without those that Limits.Exempt excludes.
 func (server *Server) InFlight() int { return int(server.inFlight.Load()) }
 
 // Connections returns the number of open connections.
-func (server *Server) Connections() int { return int(server.open.Load()) }
+func (server *Server) Connections() int { return int(server.connectionCount.Load()) }
 
-// Shutdown ends every connection with its next answer. After the limits' grace
-// it stops accepting and closes idle connections, waits until every request
-// under way is answered or ctx ends, then closes what is left. It returns
-// ctx's error where requests were cut. A second call returns nil at once.
+// Shutdown stops the server gracefully. From its start, responses carry Connection: close.
+// After Limits.DrainGrace it stops accepting and closes connections as they become idle. Once
+// none is open or ctx is done, it closes the rest. It returns ctx's error if connections were
+// still open. Later calls return nil once the first has returned.
 func (server *Server) Shutdown(ctx context.Context) error {
 	var err error
 	server.shutdown.Do(func() { err = server.drain(ctx) })
@@ -157,19 +155,19 @@
 
 func (server *Server) drain(ctx context.Context) error {
 	server.draining.Store(true)
-	server.awaitGrace(ctx)
+	server.waitDrainGrace(ctx)
 	server.listener.Stop()
-	server.eachConnection((*connection).closeWhenIdle)
-	err := server.awaitConnections(ctx)
+	server.eachConnection((*connection).closeIfIdle)
+	err := server.waitConnectionsClosed(ctx)
 	server.cancel()
-	closing, cancel := context.WithTimeout(context.Background(), closeTimeout)
+	shutdownCtx, cancel := context.WithTimeout(context.Background(), engineShutdownTimeout)
 	defer cancel()
-	_ = server.engine.Shutdown(closing)
+	_ = server.engine.Shutdown(shutdownCtx)
 	return err
 }
 
-func (server *Server) awaitGrace(ctx context.Context) {
-	timer := time.NewTimer(server.bounds().DrainGrace)
+func (server *Server) waitDrainGrace(ctx context.Context) {
+	timer := time.NewTimer(server.currentLimits().DrainGrace)
 	defer timer.Stop()
 	select {
 	case <-ctx.Done():
@@ -177,15 +175,15 @@
 	}
 }
 
-func (server *Server) awaitConnections(ctx context.Context) error {
-	ticker := time.NewTicker(drainPoll)
+func (server *Server) waitConnectionsClosed(ctx context.Context) error {
+	ticker := time.NewTicker(drainPollInterval)
 	defer ticker.Stop()
-	for server.open.Load() > 0 {
+	for server.connectionCount.Load() > 0 {
 		select {
 		case <-ctx.Done():
-			return eris.Wrap(ctx.Err(), "requests cut by shutdown")
+			return eris.Wrap(ctx.Err(), "shutdown interrupted with connections still open")
 		case <-ticker.C:
-			server.eachConnection((*connection).closeWhenIdle)
+			server.eachConnection((*connection).closeIfIdle)
 		}
 	}
 	return nil
@@ -198,32 +196,32 @@
 	})
 }
 
-func (server *Server) opened(socket net.Conn) {
+func (server *Server) onOpen(socket net.Conn) {
 	accepted := socket.(*nbio.Conn)
 	state := newConnection(server, accepted)
-	state.excess = server.open.Add(1) > int64(server.bounds().MaxConnections)
+	state.overLimit = server.connectionCount.Add(1) > int64(server.currentLimits().MaxConnections)
 	server.connections.Store(accepted, state)
 }
 
-func (server *Server) closed(socket net.Conn, _ error) {
-	value, known := server.connections.LoadAndDelete(socket)
-	if !known {
+func (server *Server) onClose(socket net.Conn, _ error) {
+	value, found := server.connections.LoadAndDelete(socket)
+	if !found {
 		return
 	}
-	server.open.Add(-1)
-	value.(*connection).closed()
+	server.connectionCount.Add(-1)
+	value.(*connection).onClose()
 }
 
-func (server *Server) receive(socket *nbio.Conn, data []byte) {
-	value, known := server.connections.Load(socket)
-	if known {
-		value.(*connection).receive(data)
+func (server *Server) onData(socket *nbio.Conn, data []byte) {
+	value, found := server.connections.Load(socket)
+	if found {
+		value.(*connection).onData(data)
 	}
 }
 
-func (server *Server) wrote(socket *nbio.Conn, _ []byte, count int) {
-	value, known := server.connections.Load(socket)
-	if known {
-		value.(*connection).wrote(count)
+func (server *Server) onWritten(socket *nbio.Conn, _ []byte, count int) {
+	value, found := server.connections.Load(socket)
+	if found {
+		value.(*connection).onWritten(count)
 	}
 }
--- a/internal/httpserver/server_test.go
+++ b/internal/httpserver/server_test.go
@@ -23,16 +23,16 @@
 	. "github.com/onsi/gomega"
 )
 
-const patience = 20 * time.Second
+const testTimeout = 20 * time.Second
 
-// largeAnswer is more than the system's socket buffers hold.
-const largeAnswer = 12 << 20
+// largeResponseSize exceeds the system's socket buffers.
+const largeResponseSize = 12 << 20
 
-// secured makes start, newClient, dial and url use TLS.
-var secured bool
+// useTLS makes start, newClient and dial use TLS.
+var useTLS bool
 
-// identity is a certificate for 127.0.0.1 and a client's trust in it.
-var identity = httptest.NewTLSServer(nil)
+// tlsTestServer provides a certificate for 127.0.0.1 and a client that trusts it.
+var tlsTestServer = httptest.NewTLSServer(nil)
 
 func start(handler http.HandlerFunc, limits Limits) *Server {
 	if limits.DrainGrace == 0 {
@@ -49,19 +49,19 @@
 }
 
 func startAt(address string, handler http.HandlerFunc, limits Limits) (*Server, error) {
-	if secured {
-		return StartTLS(address, handler, limits, identity.TLS)
+	if useTLS {
+		return StartTLS(address, handler, limits, tlsTestServer.TLS)
 	}
 	return Start(address, handler, limits)
 }
 
 func clientConfig() *tls.Config {
-	return identity.Client().Transport.(*http.Transport).TLSClientConfig.Clone()
+	return tlsTestServer.Client().Transport.(*http.Transport).TLSClientConfig.Clone()
 }
 
 func newClient() *http.Client {
-	options := httpclient.Options{SourceAddress: "127.0.0.1", Timeout: patience}
-	if secured {
+	options := httpclient.Options{SourceAddress: "127.0.0.1", Timeout: testTimeout}
+	if useTLS {
 		options.TLS = clientConfig
 	}
 	client, err := httpclient.New(options)
@@ -72,9 +72,9 @@
 func dial(server *Server) net.Conn {
 	connection, err := net.Dial("tcp", server.Address())
 	Expect(err).NotTo(HaveOccurred())
-	Expect(connection.SetDeadline(time.Now().Add(patience))).To(Succeed())
+	Expect(connection.SetDeadline(time.Now().Add(testTimeout))).To(Succeed())
 	DeferCleanup(func() { _ = connection.Close() })
-	if !secured {
+	if !useTLS {
 		return connection
 	}
 	config := clientConfig()
@@ -92,7 +92,7 @@
 	_, _ = io.Copy(writer, request.Body)
 }
 
-// content returns size bytes that differ by seed.
+// content returns size bytes that depend on seed.
 func content(seed, size int) []byte {
 	line := fmt.Appendf(nil, "answer %d ", seed)
 	return bytes.Repeat(line, size/len(line)+1)[:size]
@@ -103,9 +103,9 @@
 var _ = Describe("Server with TLS", func() { describeServer(true) })
 
 func describeServer(withTLS bool) {
-	BeforeEach(func() { secured = withTLS })
+	BeforeEach(func() { useTLS = withTLS })
 
-	It("says in one line that a port is taken", func() {
+	It("reports a port in use in a one-line error", func() {
 		server := start(echo, Limits{})
 		_, err := startAt(server.Address(), echo, Limits{})
 		Expect(resultcode.CodeOf(err)).To(Equal(resultcode.AddressInUse))
@@ -113,7 +113,7 @@
 		Expect(err.Error()).NotTo(ContainSubstring("\n"))
 	})
 
-	It("does not cut an answer that takes longer than the idle and request timeouts", func() {
+	It("does not cut a response that takes longer than the idle and request timeouts", func() {
 		const events = 8
 		stream := func(writer http.ResponseWriter, request *http.Request) {
 			for number := range events {
@@ -125,27 +125,27 @@
 		server := start(stream, Limits{IdleTimeout: 250 * time.Millisecond, RequestTimeout: 250 * time.Millisecond})
 		client := newClient()
 		for range 2 {
-			answer, err := client.Get("http://" + server.Address())
+			response, err := client.Get("http://" + server.Address())
 			Expect(err).NotTo(HaveOccurred())
-			body, err := io.ReadAll(answer.Body)
+			body, err := io.ReadAll(response.Body)
 			Expect(err).NotTo(HaveOccurred())
 			Expect(strings.Count(string(body), "\n")).To(Equal(events))
 		}
 	})
 
-	It("closes idle connections and half-sent requests", func() {
+	It("closes idle connections and connections with incomplete requests", func() {
 		server := start(echo, Limits{IdleTimeout: 50 * time.Millisecond, RequestTimeout: 50 * time.Millisecond})
 		idle := dial(server)
-		half := dial(server)
-		fmt.Fprint(half, "POST / HTTP/1.1\r\nHost: x\r\nContent-Length: 10\r\n\r\nabc")
-		for _, connection := range []net.Conn{idle, half} {
+		incomplete := dial(server)
+		fmt.Fprint(incomplete, "POST / HTTP/1.1\r\nHost: x\r\nContent-Length: 10\r\n\r\nabc")
+		for _, connection := range []net.Conn{idle, incomplete} {
 			_, err := connection.Read(make([]byte, 1))
 			Expect(err).To(MatchError(io.EOF))
 		}
-		Eventually(server.Connections, patience).Should(BeZero())
+		Eventually(server.Connections, testTimeout).Should(BeZero())
 	})
 
-	It("closes a request half sent with the connection's first bytes", func() {
+	It("closes a connection whose first bytes are an incomplete request", func() {
 		const connections = 100
 		firstByte := "G"
 		if withTLS {
@@ -158,10 +158,10 @@
 			DeferCleanup(func() { _ = raw.Close() })
 			fmt.Fprint(raw, firstByte)
 		}
-		Eventually(server.Connections, patience).Should(BeZero())
+		Eventually(server.Connections, testTimeout).Should(BeZero())
 	})
 
-	It("refuses a call over MaxInFlight at once, with when to come back", func() {
+	It("rejects a request over MaxInFlight immediately, with Retry-After", func() {
 		release := make(chan struct{})
 		started := make(chan struct{}, 1)
 		server := start(func(writer http.ResponseWriter, request *http.Request) {
@@ -179,29 +179,29 @@
 			_, err := client.Get("http://" + server.Address())
 			done <- err
 		}()
-		Eventually(started, patience).Should(Receive())
-		answer, err := client.Get("http://" + server.Address())
+		Eventually(started, testTimeout).Should(Receive())
+		response, err := client.Get("http://" + server.Address())
 		Expect(err).NotTo(HaveOccurred())
-		Expect(answer.StatusCode).To(Equal(http.StatusServiceUnavailable))
-		Expect(answer.Header.Get("Retry-After")).To(Equal("2"))
-		Expect(errorOf(answer.Body).Code).To(Equal(resultcode.TooManyConnections))
-		answer, err = client.Get("http://" + server.Address() + "/health")
+		Expect(response.StatusCode).To(Equal(http.StatusServiceUnavailable))
+		Expect(response.Header.Get("Retry-After")).To(Equal("2"))
+		Expect(errorOf(response.Body).Code).To(Equal(resultcode.TooManyConnections))
+		response, err = client.Get("http://" + server.Address() + "/health")
 		Expect(err).NotTo(HaveOccurred())
-		Expect(answer.StatusCode).To(Equal(http.StatusOK))
+		Expect(response.StatusCode).To(Equal(http.StatusOK))
 		close(release)
-		Eventually(done, patience).Should(Receive(BeNil()))
+		Eventually(done, testTimeout).Should(Receive(BeNil()))
 	})
 
-	It("tells a connection over MaxConnections", func() {
+	It("rejects the request of a connection over MaxConnections", func() {
 		server := start(echo, Limits{MaxConnections: 1})
 		dial(server)
-		Eventually(server.Connections, patience).Should(Equal(1))
-		answer, err := newClient().Get("http://" + server.Address())
+		Eventually(server.Connections, testTimeout).Should(Equal(1))
+		response, err := newClient().Get("http://" + server.Address())
 		Expect(err).NotTo(HaveOccurred())
-		Expect(errorOf(answer.Body).Code).To(Equal(resultcode.TooManyConnections))
+		Expect(errorOf(response.Body).Code).To(Equal(resultcode.TooManyConnections))
 	})
 
-	It("delivers what was written of an answer that is aborted, and nothing behind it", func() {
+	It("delivers the written part of an aborted response, and nothing after it", func() {
 		const size = 16 << 20
 		server := start(func(writer http.ResponseWriter, request *http.Request) {
 			if request.URL.Path == "/next" {
@@ -213,71 +213,71 @@
 		}, Limits{WriteBufferBytes: 2 * size})
 		raw := dial(server)
 		fmt.Fprint(raw, "GET / HTTP/1.1\r\nHost: a\r\n\r\nGET /next HTTP/1.1\r\nHost: a\r\n\r\n")
-		Eventually(server.InFlight, patience).Should(BeZero())
-		// The client reads only now that the handler has ended.
-		answer, err := http.ReadResponse(bufio.NewReader(raw), nil)
+		Eventually(server.InFlight, testTimeout).Should(BeZero())
+		// The client starts reading after the handler has ended.
+		response, err := http.ReadResponse(bufio.NewReader(raw), nil)
 		Expect(err).NotTo(HaveOccurred())
-		body, err := io.ReadAll(answer.Body)
+		body, err := io.ReadAll(response.Body)
 		Expect(err).To(MatchError(io.ErrUnexpectedEOF))
-		Expect(bytes.Equal(body, content(1, size))).To(BeTrue(), "%d bytes came", len(body))
+		Expect(bytes.Equal(body, content(1, size))).To(BeTrue(), "received %d bytes", len(body))
 	})
 
-	DescribeTable("refuses a body over the limit without keeping it",
+	DescribeTable("rejects a body over the limit",
 		func(newBody func() io.Reader, length int64) {
 			server := start(echo, Limits{MaxBodyBytes: 1000})
 			request, err := http.NewRequest(http.MethodPost, "http://"+server.Address(), newBody())
 			Expect(err).NotTo(HaveOccurred())
 			request.ContentLength = length
-			answer, err := newClient().Do(request)
+			response, err := newClient().Do(request)
 			Expect(err).NotTo(HaveOccurred())
-			Expect(answer.StatusCode).To(Equal(http.StatusRequestEntityTooLarge))
-			Expect(errorOf(answer.Body).Code).To(Equal(resultcode.BodyTooLarge))
+			Expect(response.StatusCode).To(Equal(http.StatusRequestEntityTooLarge))
+			Expect(errorOf(response.Body).Code).To(Equal(resultcode.BodyTooLarge))
 		},
 		Entry("announced", func() io.Reader { return bytes.NewReader(content(1, 300_000)) }, int64(300_000)),
 		Entry("chunked", func() io.Reader { return bytes.NewReader(content(1, 300_000)) }, int64(-1)),
 		Entry("one byte over", func() io.Reader { return bytes.NewReader(content(1, 1001)) }, int64(1001)),
 	)
 
-	It("takes a body of exactly the limit and refuses headers over theirs", func() {
+	It("accepts a body of exactly the limit and rejects headers over theirs", func() {
 		server := start(echo, Limits{MaxBodyBytes: 100_000, MaxHeaderBytes: 2000})
 		sent := content(1, 100_000)
-		answer, err := newClient().Post("http://"+server.Address(), "text/plain", bytes.NewReader(sent))
+		response, err := newClient().Post("http://"+server.Address(), "text/plain", bytes.NewReader(sent))
 		Expect(err).NotTo(HaveOccurred())
-		body, err := io.ReadAll(answer.Body)
+		body, err := io.ReadAll(response.Body)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(bytes.Equal(body, sent)).To(BeTrue())
 
 		request, _ := http.NewRequest(http.MethodGet, "http://"+server.Address(), nil)
 		request.Header.Set("X-Long", strings.Repeat("a", 3000))
-		answer, err = newClient().Do(request)
+		response, err = newClient().Do(request)
 		Expect(err).NotTo(HaveOccurred())
-		Expect(errorOf(answer.Body).Code).To(Equal(resultcode.BadRequest))
+		Expect(errorOf(response.Body).Code).To(Equal(resultcode.BadRequest))
 	})
 
-	It("tells a handler that its caller is gone, by channel and context", func() {
-		gone := make(chan struct{})
+	It("notifies a handler of a closed connection by channel and context", func() {
+		disconnected := make(chan struct{})
 		entered := make(chan struct{})
 		server := start(func(writer http.ResponseWriter, request *http.Request) {
 			close(entered)
-			<-CallerGone(request)
+			<-ConnectionClosed(request)
 			<-request.Context().Done()
-			close(gone)
+			close(disconnected)
 		}, Limits{})
 		connection := dial(server)
 		fmt.Fprint(connection, "GET / HTTP/1.1\r\nHost: x\r\n\r\n")
-		Eventually(entered, patience).Should(BeClosed())
+		Eventually(entered, testTimeout).Should(BeClosed())
 		Expect(connection.Close()).To(Succeed())
-		Eventually(gone, patience).Should(BeClosed())
+		Eventually(disconnected, testTimeout).Should(BeClosed())
 	})
 
-	It("ends the stream of a client that stops reading and keeps the heap small", func() {
+	It("ends the response to a client that stops reading, with bounded heap use", func() {
 		const bound = 128 << 10
 		failed := make(chan int, 1)
 		server := start(func(writer http.ResponseWriter, request *http.Request) {
 			sent := 0
-			piece := content(1, 32<<10)
+			chunk := content(1, 32<<10)
 			for {
-				count, err := writer.Write(piece)
+				count, err := writer.Write(chunk)
 				sent += count
 				if err != nil {
 					failed <- sent
@@ -289,14 +289,14 @@
 		runtime.ReadMemStats(&before)
 		fmt.Fprint(dial(server), "GET / HTTP/1.1\r\nHost: x\r\n\r\n")
 		var sent int
-		Eventually(failed, patience).Should(Receive(&sent))
+		Eventually(failed, testTimeout).Should(Receive(&sent))
 		runtime.ReadMemStats(&after)
 		Expect(int64(after.HeapAlloc) - int64(before.HeapAlloc)).To(BeNumerically("<", 8<<20))
 		Expect(sent).To(BeNumerically("<", 32<<20))
 	})
 
-	It("delivers large answers whole to slow and to many readers, none mixed", func() {
-		const size = largeAnswer
+	It("delivers large responses intact to concurrent slow readers", func() {
+		const size = largeResponseSize
 		server := start(func(writer http.ResponseWriter, request *http.Request) {
 			var seed int
 			fmt.Sscanf(request.URL.Path, "/%d", &seed)
@@ -311,26 +311,26 @@
 			go func() { results <- fetchSlowly(client, server, seed, size) }()
 		}
 		for range cap(results) {
-			Eventually(results, patience).Should(Receive(BeNil()))
+			Eventually(results, testTimeout).Should(Receive(BeNil()))
 		}
 	})
 
-	It("sends the whole of an answer before it closes on Connection: close", func() {
-		const size = largeAnswer
+	It("sends the whole response before closing on Connection: close", func() {
+		const size = largeResponseSize
 		server := start(func(writer http.ResponseWriter, request *http.Request) {
 			_, _ = writer.Write(content(7, size))
 		}, Limits{})
 		connection := dial(server)
 		fmt.Fprint(connection, "GET / HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n")
-		answer, err := http.ReadResponse(bufio.NewReader(connection), nil)
+		response, err := http.ReadResponse(bufio.NewReader(connection), nil)
 		Expect(err).NotTo(HaveOccurred())
 		time.Sleep(50 * time.Millisecond)
-		body, err := io.ReadAll(answer.Body)
+		body, err := io.ReadAll(response.Body)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(bytes.Equal(body, content(7, size))).To(BeTrue())
 	})
 
-	It("answers Internal when a handler panics and goes on", func() {
+	It("responds with Internal when a handler panics, and keeps serving", func() {
 		reported := 0
 		report := ReportPanic
 		DeferCleanup(func() { ReportPanic = report })
@@ -341,14 +341,14 @@
 		}
 		server := start(func(writer http.ResponseWriter, request *http.Request) { panic("fault") }, Limits{})
 		for range 2 {
-			answer, err := newClient().Get("http://" + server.Address())
+			response, err := newClient().Get("http://" + server.Address())
 			Expect(err).NotTo(HaveOccurred())
-			Expect(errorOf(answer.Body).Code).To(Equal(resultcode.Internal))
+			Expect(errorOf(response.Body).Code).To(Equal(resultcode.Internal))
 		}
 		Expect(reported).To(Equal(2))
 	})
 
-	It("finishes requests under way when it is shut down, and accepts no more", func() {
+	It("finishes running requests during shutdown, and accepts no more connections", func() {
 		entered := make(chan struct{})
 		server := start(func(writer http.ResponseWriter, request *http.Request) {
 			close(entered)
@@ -358,84 +358,84 @@
 		bodies := make(chan string, 1)
 		go func() {
 			defer GinkgoRecover()
-			answer, err := newClient().Get("http://" + server.Address())
+			response, err := newClient().Get("http://" + server.Address())
 			Expect(err).NotTo(HaveOccurred())
-			body, _ := io.ReadAll(answer.Body)
+			body, _ := io.ReadAll(response.Body)
 			bodies <- string(body)
 		}()
-		Eventually(entered, patience).Should(BeClosed())
-		ctx, cancel := context.WithTimeout(context.Background(), patience)
+		Eventually(entered, testTimeout).Should(BeClosed())
+		ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 		defer cancel()
 		Expect(server.Shutdown(ctx)).To(Succeed())
-		Eventually(bodies, patience).Should(Receive(Equal("whole")))
+		Eventually(bodies, testTimeout).Should(Receive(Equal("whole")))
 		_, err := net.Dial("tcp", server.Address())
 		Expect(err).To(HaveOccurred())
 	})
 
-	It("serves clients that come within the grace of a shutdown, each on its last connection", func() {
+	It("serves requests during DrainGrace, with Connection: close", func() {
 		server := start(echo, Limits{DrainGrace: 500 * time.Millisecond})
 		client := newClient()
 		_, err := client.Get("http://" + server.Address())
 		Expect(err).NotTo(HaveOccurred())
 		stopped := make(chan error, 1)
 		go func() { stopped <- server.Shutdown(context.Background()) }()
-		Eventually(server.draining.Load, patience).Should(BeTrue())
+		Eventually(server.draining.Load, testTimeout).Should(BeTrue())
 		for range 2 {
-			answer, err := client.Post("http://"+server.Address(), "text/plain", strings.NewReader("late"))
+			response, err := client.Post("http://"+server.Address(), "text/plain", strings.NewReader("late"))
 			Expect(err).NotTo(HaveOccurred())
-			body, err := io.ReadAll(answer.Body)
+			body, err := io.ReadAll(response.Body)
 			Expect(err).NotTo(HaveOccurred())
 			Expect(string(body)).To(Equal("late"))
-			Expect(answer.Close).To(BeTrue())
+			Expect(response.Close).To(BeTrue())
 		}
-		Eventually(stopped, patience).Should(Receive(BeNil()))
+		Eventually(stopped, testTimeout).Should(Receive(BeNil()))
 	})
 
-	It("ends with its context's error when a request outlasts the shutdown", func() {
+	It("returns the context's error when a request outlasts the shutdown", func() {
 		entered := make(chan struct{})
 		server := start(func(writer http.ResponseWriter, request *http.Request) {
 			close(entered)
 			<-request.Context().Done()
 		}, Limits{})
 		go func() { _, _ = newClient().Get("http://" + server.Address()) }()
-		Eventually(entered, patience).Should(BeClosed())
+		Eventually(entered, testTimeout).Should(BeClosed())
 		ctx, cancel := context.WithTimeout(context.Background(), 50*time.Millisecond)
 		defer cancel()
 		Expect(server.Shutdown(ctx)).To(MatchError(context.DeadlineExceeded))
 	})
 }
 
-var _ = Describe("Server with TLS, towards clients without", func() {
-	It("answers no plain request and closes half a handshake", func() {
-		secured = true
+var _ = Describe("Server with TLS and a client without", func() {
+	It("does not respond to a plain request and closes an incomplete handshake", func() {
+		useTLS = true
 		server := start(echo, Limits{RequestTimeout: 100 * time.Millisecond})
 		for _, sent := range []string{"GET / HTTP/1.1\r\nHost: x\r\n\r\n", "\x16\x03\x01"} {
 			connection, err := net.Dial("tcp", server.Address())
 			Expect(err).NotTo(HaveOccurred())
-			Expect(connection.SetDeadline(time.Now().Add(patience))).To(Succeed())
+			Expect(connection.SetDeadline(time.Now().Add(testTimeout))).To(Succeed())
 			fmt.Fprint(connection, sent)
-			answer, err := io.ReadAll(connection)
+			response, err := io.ReadAll(connection)
 			Expect(errors.Is(err, os.ErrDeadlineExceeded)).To(BeFalse())
-			Expect(string(answer)).NotTo(ContainSubstring("HTTP"))
+			Expect(string(response)).NotTo(ContainSubstring("HTTP"))
 			Expect(connection.Close()).To(Succeed())
 		}
-		Eventually(server.Connections, patience).Should(BeZero())
+		Eventually(server.Connections, testTimeout).Should(BeZero())
 	})
 })
 
 func fetchSlowly(client *http.Client, server *Server, seed, size int) error {
-	answer, err := client.Get(fmt.Sprintf("http://%s/%d", server.Address(), seed))
+	response, err := client.Get(fmt.Sprintf("http://%s/%d", server.Address(), seed))
 	if err != nil {
 		return err
 	}
-	defer answer.Body.Close()
+	defer response.Body.Close()
 	time.Sleep(50 * time.Millisecond)
-	body, err := io.ReadAll(answer.Body)
+	body, err := io.ReadAll(response.Body)
 	if err != nil {
 		return err
 	}
 	if !bytes.Equal(body, content(seed, size)) {
-		return fmt.Errorf("answer %d differs after %d bytes", seed, len(body))
+		return fmt.Errorf("response %d differs after %d bytes", seed, len(body))
 	}
 	return nil
 }
--- a/internal/httpserver/shutdown_test.go
+++ b/internal/httpserver/shutdown_test.go
@@ -13,85 +13,80 @@
 	. "github.com/onsi/gomega"
 )
 
-// wholeRequest is a request that echo answers with an empty body.
-const wholeRequest = "GET / HTTP/1.1\r\nHost: a\r\n\r\n"
+// completeRequestText is a request to which echo responds with an empty body.
+const completeRequestText = "GET / HTTP/1.1\r\nHost: a\r\n\r\n"
 
-// openConnections returns a server's states of its connections.
 func openConnections(server *Server) []*connection {
 	var found []*connection
 	server.eachConnection(func(each *connection) { found = append(found, each) })
 	return found
 }
 
-func expectAnswer(client net.Conn) {
-	answer, err := http.ReadResponse(bufio.NewReader(client), nil)
+func expectOK(client net.Conn) {
+	response, err := http.ReadResponse(bufio.NewReader(client), nil)
 	ExpectWithOffset(1, err).NotTo(HaveOccurred())
-	_, err = io.ReadAll(answer.Body)
+	_, err = io.ReadAll(response.Body)
 	ExpectWithOffset(1, err).NotTo(HaveOccurred())
-	ExpectWithOffset(1, answer.StatusCode).To(Equal(http.StatusOK))
+	ExpectWithOffset(1, response.StatusCode).To(Equal(http.StatusOK))
 }
 
-// shutDown begins a shutdown and returns once idle connections are being closed.
-func shutDown(server *Server) <-chan error {
+// beginShutdown starts a shutdown and returns once the server has begun to close idle connections.
+func beginShutdown(server *Server) <-chan error {
 	stopped := make(chan error, 1)
 	go func() { stopped <- server.Shutdown(context.Background()) }()
-	EventuallyWithOffset(1, server.listener.stopped, patience).Should(BeClosed())
-	// Some rounds in which connections that look idle are closed.
-	time.Sleep(5 * drainPoll)
+	EventuallyWithOffset(1, server.listener.stopped, testTimeout).Should(BeClosed())
+	// Leaves time for several checks for idle connections.
+	time.Sleep(5 * drainPollInterval)
 	return stopped
 }
 
-var _ = Describe("Requests that cross a shutdown", func() {
-	BeforeEach(func() { secured = false })
+var _ = Describe("Requests during a shutdown", func() {
+	BeforeEach(func() { useTLS = false })
 
-	It("are answered on a connection that its client has just opened", func() {
-		server := start(echo, Limits{FirstRequest: patience})
+	It("are answered on a newly opened connection", func() {
+		server := start(echo, Limits{FirstRequestGrace: testTimeout})
 		client := dial(server)
-		Eventually(server.Connections, patience).Should(Equal(1))
-		stopped := shutDown(server)
-		fmt.Fprint(client, wholeRequest)
-		expectAnswer(client)
-		Eventually(stopped, patience).Should(Receive(BeNil()))
+		Eventually(server.Connections, testTimeout).Should(Equal(1))
+		stopped := beginShutdown(server)
+		fmt.Fprint(client, completeRequestText)
+		expectOK(client)
+		Eventually(stopped, testTimeout).Should(Receive(BeNil()))
 	})
 
-	It("do not keep a server whose client opens a connection and sends nothing", func() {
-		server := start(echo, Limits{FirstRequest: time.Millisecond})
+	It("do not delay it if the client of a connection sends none", func() {
+		server := start(echo, Limits{FirstRequestGrace: time.Millisecond})
 		dial(server)
-		Eventually(server.Connections, patience).Should(Equal(1))
-		Eventually(shutDown(server), patience).Should(Receive(BeNil()))
+		Eventually(server.Connections, testTimeout).Should(Equal(1))
+		Eventually(beginShutdown(server), testTimeout).Should(Receive(BeNil()))
 	})
 
-	It("are answered on kept connections whose bytes the server has not read", func() {
+	It("are answered on keep-alive connections if they wait unread in the socket", func() {
 		const clients = 32
 		server := start(echo, Limits{})
 		var connections []net.Conn
 		for range clients {
 			client := dial(server)
-			fmt.Fprint(client, wholeRequest)
-			expectAnswer(client)
+			fmt.Fprint(client, completeRequestText)
+			expectOK(client)
 			connections = append(connections, client)
 		}
-		// The first connection's poller waits for its lock, and reads none of the
-		// others that it serves.
+		// Blocks the poller of the first connection, so that it does not read the others.
 		blocked := openConnections(server)[0]
 		blocked.jobsMutex.Lock()
 		for _, client := range connections {
-			fmt.Fprint(client, wholeRequest)
+			fmt.Fprint(client, completeRequestText)
 		}
-		stopped := shutDown(server)
+		stopped := beginShutdown(server)
 		blocked.jobsMutex.Unlock()
 		for _, client := range connections {
-			expectAnswer(client)
+			expectOK(client)
 		}
-		Eventually(stopped, patience).Should(Receive(BeNil()))
+		Eventually(stopped, testTimeout).Should(Receive(BeNil()))
 	})
 
-	// A caller got EOF for a call in a planned stop, though it may be sent again: 0.42 s after the
-	// stop had begun, within the grace for idle connections. The server's line of the call says
-	// CALLER_GONE after 0.27 ms, and nobody but the server had closed. An answer that had begun
-	// before the stop told its client nothing of it, and its connection was closed with its end,
-	// which is when the client sends the next request.
-	It("are answered behind an answer that began before the shutdown, which did not say that the connection closes", func() {
+	// Guards against closing a keep-alive connection right after a response that began before
+	// the shutdown: its client was not told and may already be sending the next request.
+	It("are answered after a response that began before the shutdown without Connection: close", func() {
 		finish := make(chan struct{})
 		server := start(http.HandlerFunc(func(writer http.ResponseWriter, request *http.Request) {
 			_, _ = io.WriteString(writer, "begun")
@@ -99,52 +94,52 @@
 				writer.(http.Flusher).Flush()
 				<-finish
 			}
-		}), Limits{DrainGrace: patience})
+		}), Limits{DrainGrace: testTimeout})
 		client := dial(server)
 		fmt.Fprint(client, "GET /long HTTP/1.1\r\nHost: a\r\n\r\n")
 		reader := bufio.NewReader(client)
-		answer, err := http.ReadResponse(reader, nil)
+		response, err := http.ReadResponse(reader, nil)
 		Expect(err).NotTo(HaveOccurred())
-		Expect(answer.Close).To(BeFalse())
+		Expect(response.Close).To(BeFalse())
 		stopping, stop := context.WithCancel(context.Background())
 		defer stop()
 		go func() { _ = server.Shutdown(stopping) }()
-		Eventually(server.draining.Load, patience).Should(BeTrue())
+		Eventually(server.draining.Load, testTimeout).Should(BeTrue())
 		close(finish)
-		_, err = io.ReadAll(answer.Body)
+		_, err = io.ReadAll(response.Body)
 		Expect(err).NotTo(HaveOccurred())
-		// As long as a client may take to go on.
-		time.Sleep(unnoticedIdle / 10)
-		fmt.Fprint(client, wholeRequest)
-		answer, err = http.ReadResponse(reader, nil)
+		// A client may send its next request after a short delay.
+		time.Sleep(nextRequestGrace / 10)
+		fmt.Fprint(client, completeRequestText)
+		response, err = http.ReadResponse(reader, nil)
 		Expect(err).NotTo(HaveOccurred())
-		Expect(answer.Close).To(BeTrue(), "from now on it says so")
+		Expect(response.Close).To(BeTrue(), "the next response must carry Connection: close")
 	})
 
-	It("are not begun on a connection that is being closed", func() {
+	It("are not started on a closing connection", func() {
 		server := start(echo, Limits{})
 		client := dial(server)
-		fmt.Fprint(client, wholeRequest)
-		expectAnswer(client)
-		Eventually(func() int { return len(openConnections(server)) }, patience).Should(Equal(1))
+		fmt.Fprint(client, completeRequestText)
+		expectOK(client)
+		Eventually(func() int { return len(openConnections(server)) }, testTimeout).Should(Equal(1))
 		closing := openConnections(server)[0]
-		Eventually(closing.beginsToClose, patience).Should(BeTrue())
+		Eventually(closing.tryMarkClosing, testTimeout).Should(BeTrue())
 		Expect(closing.startRequest()).To(BeFalse())
-		Expect(closing.beginsToClose()).To(BeTrue())
+		Expect(closing.tryMarkClosing()).To(BeTrue())
 	})
 
-	It("keep their connection from being closed once their first byte has come", func() {
+	It("prevent their connection from closing once their first byte has arrived", func() {
 		server := start(echo, Limits{})
 		client := dial(server)
 		fmt.Fprint(client, "GET / HTTP/1.1\r\n")
 		Eventually(func() bool {
 			open := openConnections(server)
 			return len(open) == 1 && open[0].receiving.Load()
-		}, patience).Should(BeTrue())
-		Expect(openConnections(server)[0].beginsToClose()).To(BeFalse())
+		}, testTimeout).Should(BeTrue())
+		Expect(openConnections(server)[0].tryMarkClosing()).To(BeFalse())
 	})
 
-	It("come with the connections that the system had taken before the listener stopped", func() {
+	It("are served from connections in the accept queue when the listener stops", func() {
 		inner, err := net.Listen("tcp", "127.0.0.1:0")
 		Expect(err).NotTo(HaveOccurred())
 		listener := newStoppableListener(inner)
@@ -153,7 +148,7 @@
 			client, err := net.Dial("tcp", inner.Addr().String())
 			Expect(err).NotTo(HaveOccurred())
 			DeferCleanup(client.Close)
-			fmt.Fprint(client, wholeRequest)
+			fmt.Fprint(client, completeRequestText)
 		}
 		listener.Stop()
 		accepted := make(chan net.Conn, clients)
@@ -170,13 +165,13 @@
 		}()
 		for range clients {
 			var socket net.Conn
-			Eventually(accepted, patience).Should(Receive(&socket))
+			Eventually(accepted, testTimeout).Should(Receive(&socket))
 			request, err := http.ReadRequest(bufio.NewReader(socket))
 			Expect(err).NotTo(HaveOccurred())
 			Expect(request.Host).To(Equal("a"))
 			Expect(socket.Close()).To(Succeed())
 		}
 		Expect(listener.Close()).To(Succeed())
-		Eventually(ended, patience).Should(Receive(MatchError(net.ErrClosed)))
+		Eventually(ended, testTimeout).Should(Receive(MatchError(net.ErrClosed)))
 	})
 })
--- a/internal/httpserver/writer.go
+++ b/internal/httpserver/writer.go
@@ -6,14 +6,13 @@
 	"github.com/lesismal/nbio/nbhttp"
 )
 
-// flushThreshold keeps nbhttp's response buffer under its packet size of
-// 64 KiB. Beyond that size nbhttp v1.6.8 writes a chunk from a buffer that it
-// has already given back to its pool (Response.writeChunk), and answers of two
-// callers could mix.
-const flushThreshold = 2 * writePiece
+// flushThreshold keeps nbhttp's response buffer below its packet size of 64 KiB. Beyond
+// that, nbhttp v1.6.8 writes a chunk from a buffer that it has already returned to its
+// pool (Response.writeChunk), which could mix responses of different clients.
+const flushThreshold = 2 * maxWriteSize
 
-// responseWriter hands an answer to nbhttp in small pieces and tells the
-// handler when the client is gone.
+// responseWriter writes a response to nbhttp in small chunks and reports a closed
+// connection to the handler.
 type responseWriter struct {
 	response   *nbhttp.Response
 	connection *connection
@@ -21,35 +20,35 @@
 	buffered   int
 }
 
-func newResponseWriter(response *nbhttp.Response, caller *connection) *responseWriter {
-	return &responseWriter{response: response, connection: caller}
+func newResponseWriter(response *nbhttp.Response, state *connection) *responseWriter {
+	return &responseWriter{response: response, connection: state}
 }
 
-// Header returns the answer's headers.
+// Header implements http.ResponseWriter.
 func (writer *responseWriter) Header() http.Header { return writer.response.Header() }
 
-// WriteHeader sets the answer's status.
+// WriteHeader implements http.ResponseWriter.
 func (writer *responseWriter) WriteHeader(status int) {
 	writer.started = true
 	writer.response.WriteHeader(status)
 }
 
-// Write sends data. It blocks while the client is slow, and fails once the
-// client is gone.
+// Write sends data. It blocks while the write buffer is full and fails once the
+// connection is closed.
 func (writer *responseWriter) Write(data []byte) (int, error) {
 	writer.started = true
 	sent := 0
 	for sent < len(data) {
-		if err := writer.connection.failure(); err != nil {
+		if err := writer.connection.closeError(); err != nil {
 			return sent, err
 		}
-		piece := data[sent:min(sent+writePiece, len(data))]
-		_, err := writer.response.Write(piece)
+		chunk := data[sent:min(sent+maxWriteSize, len(data))]
+		_, err := writer.response.Write(chunk)
 		if err != nil {
 			return sent, err
 		}
-		sent += len(piece)
-		writer.buffered += len(piece)
+		sent += len(chunk)
+		writer.buffered += len(chunk)
 		if writer.buffered >= flushThreshold {
 			writer.Flush()
 		}
@@ -57,15 +56,14 @@
 	return sent, nil
 }
 
-// FlushError sends what is buffered and returns ErrSlowReader or
-// net.ErrClosed where the client gets nothing more; see
-// http.ResponseController.
+// FlushError sends buffered data. It returns ErrSlowReader or net.ErrClosed if the
+// connection is closed; see http.ResponseController.
 func (writer *responseWriter) FlushError() error {
 	writer.Flush()
-	return writer.connection.failure()
+	return writer.connection.closeError()
 }
 
-// Flush sends what is buffered.
+// Flush implements http.Flusher.
 func (writer *responseWriter) Flush() {
 	writer.started = true
 	writer.buffered = 0
