--- a/internal/backend/wait_queue.go
+++ b/internal/backend/wait_queue.go
@@ -20,26 +20,26 @@
 	longestLook = 100 * time.Millisecond
 )
 
-// Rooms knows what room engines have.
-type Rooms interface {
-	// Room is how many more requests to a service engines have room for.
-	Room(service string, now time.Time) int
-	// Renew takes in that the view of all nodes has changed; here counts the requests that
+// CapacitySource knows what room engines have.
+type CapacitySource interface {
+	// FreeCapacity is how many more requests to a service engines have room for.
+	FreeCapacity(service string, now time.Time) int
+	// UpdateLoad takes in that the view of all nodes has changed; here counts the requests that
 	// wait at this node.
-	Renew(here map[load.Queue]int, now time.Time)
-	// NextRoom is when an engine that has refused may be asked again, false where none has.
-	NextRoom(service string, now time.Time) (time.Time, bool)
+	UpdateLoad(here map[load.QueueKey]int, now time.Time)
+	// NextRetryTime is when an engine that has refused may be asked again, false where none has.
+	NextRetryTime(service string, now time.Time) (time.Time, bool)
 }
 
 // Waiter is a request that waits for an engine of a service. Rank 0 is the most urgent.
 type Waiter struct {
-	Service string
-	Rank    int
-	// Aim is when the request's program should be over.
-	Aim time.Time
-	// MayAsk tells whether the request may ask an engine now; nil is always. One that may not
+	Service  string
+	Priority int
+	// SoftDeadline is when the request's program should be over.
+	SoftDeadline time.Time
+	// MayAttempt tells whether the request may ask an engine now; nil is always. One that may not
 	// keeps its place and is not woken: it would take the turn of others for nothing.
-	MayAsk func() bool
+	MayAttempt func() bool
 }
 
 // WaitQueue holds the requests that wait for an engine, by service, in order of their ranks
@@ -53,7 +53,7 @@
 	mutex    sync.Mutex
 	services map[string]*waiters
 	// rooms is nil where the first is woken by each event and by a clock.
-	rooms Rooms
+	rooms CapacitySource
 	// now is the clock, and after runs a function later by it.
 	now   func() time.Time
 	after func(while time.Duration, run func())
@@ -65,12 +65,12 @@
 	return &WaitQueue{services: map[string]*waiters{}, now: time.Now, after: after}
 }
 
-// UseRooms has the queue heed what room there is. It is called before anything else.
-func (queue *WaitQueue) UseRooms(rooms Rooms) { queue.rooms = rooms }
+// SetCapacitySource has the queue heed what room there is. It is called before anything else.
+func (queue *WaitQueue) SetCapacitySource(rooms CapacitySource) { queue.rooms = rooms }
 
 // paced tells whether requests are woken only where there is room.
 func (queue *WaitQueue) paced() bool {
-	return queue.rooms != nil && feature.Enabled(feature.RoomByLoad)
+	return queue.rooms != nil && feature.Enabled(feature.LoadBasedCapacity)
 }
 
 // waiters are the requests that wait for engines of one service.
@@ -93,11 +93,11 @@
 }
 
 func newWaiting(waiter Waiter, now time.Time) *waiting {
-	return &waiting{rank: waiter.Rank, aim: waiter.Aim, late: !waiter.Aim.After(now), mayAsk: waiter.MayAsk, woken: make(chan struct{}, 1)}
+	return &waiting{rank: waiter.Priority, aim: waiter.SoftDeadline, late: !waiter.SoftDeadline.After(now), mayAsk: waiter.MayAttempt, woken: make(chan struct{}, 1)}
 }
 
-// Here counts the requests to a service in the queue, by rank.
-func (queue *WaitQueue) Here(service string) map[int]int {
+// CountByPriority counts the requests to a service in the queue, by rank.
+func (queue *WaitQueue) CountByPriority(service string) map[int]int {
 	queue.mutex.Lock()
 	defer queue.mutex.Unlock()
 	found := queue.services[service]
@@ -107,26 +107,26 @@
 	return found.byRank()
 }
 
-// Waits tells whether requests to a service are in the queue.
-func (queue *WaitQueue) Waits(service string) bool {
+// HasWaiters tells whether requests to a service are in the queue.
+func (queue *WaitQueue) HasWaiters(service string) bool {
 	queue.mutex.Lock()
 	defer queue.mutex.Unlock()
 	found := queue.services[service]
 	return found != nil && len(found.ordered) > 0
 }
 
-// Waiting counts the requests in the queue, by service and rank.
-func (queue *WaitQueue) Waiting() map[load.Queue]int {
+// Counts counts the requests in the queue, by service and rank.
+func (queue *WaitQueue) Counts() map[load.QueueKey]int {
 	queue.mutex.Lock()
 	defer queue.mutex.Unlock()
 	return queue.counts()
 }
 
-func (queue *WaitQueue) counts() map[load.Queue]int {
-	counts := map[load.Queue]int{}
+func (queue *WaitQueue) counts() map[load.QueueKey]int {
+	counts := map[load.QueueKey]int{}
 	for service, found := range queue.services {
 		for _, each := range found.ordered {
-			counts[load.Queue{Service: service, Rank: each.rank}]++
+			counts[load.QueueKey{Service: service, Priority: each.rank}]++
 		}
 	}
 	return counts
@@ -166,7 +166,7 @@
 	waited := queue.leave(waiter.Service, mine)
 	if !waited && ctx.Err() != nil {
 		// Its caller left just as its turn came, which is now another one's.
-		queue.Wake(waiter.Service)
+		queue.WakeNext(waiter.Service)
 	}
 }
 
@@ -210,10 +210,10 @@
 
 // pause is how long after now to look for room.
 func (queue *WaitQueue) pause(service string, now time.Time) time.Duration {
-	if !queue.paced() || queue.rooms.Room(service, now) > 0 {
+	if !queue.paced() || queue.rooms.FreeCapacity(service, now) > 0 {
 		return queuePoll
 	}
-	next, refused := queue.rooms.NextRoom(service, now)
+	next, refused := queue.rooms.NextRetryTime(service, now)
 	if refused {
 		return min(next.Sub(now), longestLook)
 	}
@@ -239,12 +239,12 @@
 	if !queue.paced() {
 		return 1
 	}
-	return queue.rooms.Room(service, now)
+	return queue.rooms.FreeCapacity(service, now)
 }
 
-// Wake lets the first in the queue for a service look for an engine: a request of this node
+// WakeNext lets the first in the queue for a service look for an engine: a request of this node
 // has ended there.
-func (queue *WaitQueue) Wake(service string) {
+func (queue *WaitQueue) WakeNext(service string) {
 	queue.mutex.Lock()
 	defer queue.mutex.Unlock()
 	now := queue.now()
@@ -252,25 +252,25 @@
 	if found == nil || len(found.ordered) == 0 {
 		return
 	}
-	if !queue.paced() || queue.rooms.Room(service, now) > 0 {
+	if !queue.paced() || queue.rooms.FreeCapacity(service, now) > 0 {
 		queue.wakeFor(found, 1)
 	}
 	queue.arm(service, found, now)
 }
 
-// Renewed is called when the view of the load has changed. It lets as many requests look
+// WakeForLoadUpdate is called when the view of the load has changed. It lets as many requests look
 // for an engine as this node's part of the room that it shows.
-func (queue *WaitQueue) Renewed() {
+func (queue *WaitQueue) WakeForLoadUpdate() {
 	if !queue.paced() {
 		return
 	}
 	queue.mutex.Lock()
 	defer queue.mutex.Unlock()
 	now := queue.now()
-	queue.rooms.Renew(queue.counts(), now)
+	queue.rooms.UpdateLoad(queue.counts(), now)
 	for service, found := range queue.services {
 		if len(found.ordered) > 0 {
-			queue.wakeFor(found, queue.rooms.Room(service, now))
+			queue.wakeFor(found, queue.rooms.FreeCapacity(service, now))
 			queue.arm(service, found, now)
 		}
 	}
@@ -324,7 +324,7 @@
 	if !feature.Enabled(feature.QueueOrder) {
 		return false
 	}
-	if request.rank != other.rank && feature.Enabled(feature.RoomByLoad) {
+	if request.rank != other.rank && feature.Enabled(feature.LoadBasedCapacity) {
 		return request.rank < other.rank
 	}
 	if request.late != other.late {
--- a/internal/backend/wait_queue_order_test.go
+++ b/internal/backend/wait_queue_order_test.go
@@ -24,10 +24,10 @@
 	soon := enter(begins.Add(time.Hour))
 	queue.leave("s", leaves)
 	for _, next := range []*waiting{soon, later, late} {
-		expect.Expect(queue.Waits("s")).To(BeTrue())
-		queue.Wake("s")
+		expect.Expect(queue.HasWaiters("s")).To(BeTrue())
+		queue.WakeNext("s")
 		expect.Expect(next.woken).To(Receive())
 	}
-	expect.Expect(queue.Waits("s")).To(BeFalse())
+	expect.Expect(queue.HasWaiters("s")).To(BeFalse())
 	expect.Expect(leaves.woken).NotTo(Receive())
 }
--- a/internal/backend/wait_queue_room_test.go
+++ b/internal/backend/wait_queue_room_test.go
@@ -13,14 +13,14 @@
 type fakeRooms struct {
 	room    int
 	next    time.Time
-	renewed map[load.Queue]int
+	renewed map[load.QueueKey]int
 }
 
-func (rooms *fakeRooms) Room(string, time.Time) int { return rooms.room }
-func (rooms *fakeRooms) NextRoom(string, time.Time) (time.Time, bool) {
+func (rooms *fakeRooms) FreeCapacity(string, time.Time) int { return rooms.room }
+func (rooms *fakeRooms) NextRetryTime(string, time.Time) (time.Time, bool) {
 	return rooms.next, !rooms.next.IsZero()
 }
-func (rooms *fakeRooms) Renew(here map[load.Queue]int, _ time.Time) { rooms.renewed = here }
+func (rooms *fakeRooms) UpdateLoad(here map[load.QueueKey]int, _ time.Time) { rooms.renewed = here }
 
 // stillQueue is a queue at one moment; looks are what it would do later.
 type stillQueue struct {
@@ -32,7 +32,7 @@
 
 func newStillQueue() *stillQueue {
 	still := &stillQueue{WaitQueue: NewWaitQueue(), rooms: &fakeRooms{}}
-	still.UseRooms(still.rooms)
+	still.SetCapacitySource(still.rooms)
 	still.now = func() time.Time { return roomNow }
 	still.after = func(while time.Duration, run func()) {
 		still.looks = append(still.looks, while)
@@ -42,7 +42,7 @@
 }
 
 func (still *stillQueue) enterRank(rank int, aim time.Duration) *waiting {
-	entered := newWaiting(Waiter{Rank: rank, Aim: roomNow.Add(aim)}, roomNow)
+	entered := newWaiting(Waiter{Priority: rank, SoftDeadline: roomNow.Add(aim)}, roomNow)
 	still.enter("s", entered)
 	return entered
 }
@@ -53,10 +53,10 @@
 	still.rooms.room = 1
 	lateUrgent, later, soon := still.enterRank(0, -time.Second), still.enterRank(2, time.Hour), still.enterRank(2, time.Second)
 	urgent := still.enterRank(0, time.Hour)
-	expect.Expect(still.Waiting()).To(Equal(map[load.Queue]int{{Service: "s", Rank: 0}: 2, {Service: "s", Rank: 2}: 2}))
-	expect.Expect(still.Ahead(Waiter{Service: "s", Rank: 1, Aim: roomNow}, roomNow)).To(Equal(2))
+	expect.Expect(still.Counts()).To(Equal(map[load.QueueKey]int{{Service: "s", Priority: 0}: 2, {Service: "s", Priority: 2}: 2}))
+	expect.Expect(still.Ahead(Waiter{Service: "s", Priority: 1, SoftDeadline: roomNow}, roomNow)).To(Equal(2))
 	for _, next := range []*waiting{urgent, lateUrgent, soon, later} {
-		still.Wake("s")
+		still.WakeNext("s")
 		expect.Expect(next.woken).To(Receive())
 	}
 }
@@ -67,14 +67,14 @@
 	for range 5 {
 		still.enterRank(1, time.Hour)
 	}
-	still.Wake("s")
-	expect.Expect(still.Here("s")).To(Equal(map[int]int{1: 5}), "an end without room")
+	still.WakeNext("s")
+	expect.Expect(still.CountByPriority("s")).To(Equal(map[int]int{1: 5}), "an end without room")
 	still.rooms.room = 2
-	still.Renewed()
-	expect.Expect(still.rooms.renewed).To(Equal(map[load.Queue]int{{Service: "s", Rank: 1}: 5}))
-	expect.Expect(still.Here("s")).To(Equal(map[int]int{1: 3}))
-	still.Wake("s")
-	expect.Expect(still.Here("s")).To(Equal(map[int]int{1: 2}))
+	still.WakeForLoadUpdate()
+	expect.Expect(still.rooms.renewed).To(Equal(map[load.QueueKey]int{{Service: "s", Priority: 1}: 5}))
+	expect.Expect(still.CountByPriority("s")).To(Equal(map[int]int{1: 3}))
+	still.WakeNext("s")
+	expect.Expect(still.CountByPriority("s")).To(Equal(map[int]int{1: 2}))
 }
 
 func TestQueueLooksWhenAnEngineMayBeAskedAgain(t *testing.T) {
@@ -105,17 +105,17 @@
 	still.after = func(time.Duration, func()) {}
 	still.mutex.Lock()
 	go func() {
-		still.Wait(ctx, Waiter{Service: "s", Aim: roomNow.Add(time.Hour)}, time.Hour)
+		still.Wait(ctx, Waiter{Service: "s", SoftDeadline: roomNow.Add(time.Hour)}, time.Hour)
 		close(left)
 	}()
 	still.mutex.Unlock()
-	expect.Eventually(func() int { return still.Here("s")[0] }).Should(Equal(1))
+	expect.Eventually(func() int { return still.CountByPriority("s")[0] }).Should(Equal(1))
 	leave()
-	still.Wake("s")
+	still.WakeNext("s")
 	expect.Eventually(left).Should(BeClosed())
-	expect.Expect(still.Here("s")[0]).To(BeZero())
+	expect.Expect(still.CountByPriority("s")[0]).To(BeZero())
 	expect.Eventually(func() int {
-		still.Wake("s")
+		still.WakeNext("s")
 		return len(next.woken)
 	}).Should(Equal(1), "the other one's turn comes")
 }
--- a/internal/backend/zones.go
+++ b/internal/backend/zones.go
@@ -13,10 +13,10 @@
 		return
 	}
 	switch outcome {
-	case Answered, Full, Misdirected:
-		directory.zones.EngineHeard(engine.Zone, now)
-	case Failed, Unreachable, Silent:
-		directory.zones.EngineFailed(engine.Zone, now)
+	case Succeeded, Full, Misdirected:
+		directory.zones.RecordEngineResponse(engine.Zone, now)
+	case Failed, Unreachable, NoResponse:
+		directory.zones.RecordEngineFailure(engine.Zone, now)
 	case Abandoned:
 	}
 }
@@ -29,7 +29,7 @@
 	if directory.zones == nil {
 		return candidates
 	}
-	beyond := func(engine *Engine) bool { return !directory.zones.Reached(engine.Zone, now) }
+	beyond := func(engine *Engine) bool { return !directory.zones.Reachable(engine.Zone, now) }
 	if !slices.ContainsFunc(candidates, beyond) {
 		return candidates
 	}
@@ -51,5 +51,5 @@
 	if zones == nil {
 		return engines
 	}
-	return slices.DeleteFunc(slices.Clone(engines), func(engine *Engine) bool { return !zones.Holds(engine.Zone) })
+	return slices.DeleteFunc(slices.Clone(engines), func(engine *Engine) bool { return !zones.Contains(engine.Zone) })
 }
--- a/internal/backend/zones_test.go
+++ b/internal/backend/zones_test.go
@@ -14,21 +14,21 @@
 	now := time.Unix(1000, 0)
 	zones := reach.NewZones("a")
 	directory := backend.NewDirectory()
-	directory.UseZones(zones)
-	directory.Put(backend.Instance{ID: "near", Service: "s", Zone: "a"}, time.Time{})
-	directory.Put(backend.Instance{ID: "far", Service: "s", Zone: "b"}, time.Time{})
+	directory.SetZones(zones)
+	directory.Upsert(backend.Instance{ID: "near", Service: "s", Zone: "a"}, time.Time{})
+	directory.Upsert(backend.Instance{ID: "far", Service: "s", Zone: "b"}, time.Time{})
 	request := &backend.Request{Service: "s", Zone: "b", Assigned: "far"}
 	expect.Expect(directory.Pick(request, now).ID).To(Equal("far"))
-	zones.Unanswered("b", now, now)
-	zones.Unanswered("b", now, now)
+	zones.RecordProbeTimeout("b", now, now)
+	zones.RecordProbeTimeout("b", now, now)
 	expect.Expect(directory.Pick(request, now).ID).To(Equal("near"))
-	expect.Expect(directory.Sound("s", nil, now)).To(HaveLen(1), "owners assign no engine there")
+	expect.Expect(directory.Healthy("s", nil, now)).To(HaveLen(1), "owners assign no engine there")
 	request.Tried = []string{"near"}
 	expect.Expect(directory.Pick(request, now).ID).To(Equal("far"), "better than none")
 
 	engine := directory.Pick(&backend.Request{Service: "s", Tried: []string{"near"}}, now)
-	directory.Finish(engine, backend.Answered, now.Add(time.Second))
-	expect.Expect(zones.Reached("b", now.Add(time.Second))).To(BeTrue(), "an engine there answers")
+	directory.Finish(engine, backend.Succeeded, now.Add(time.Second))
+	expect.Expect(zones.Reachable("b", now.Add(time.Second))).To(BeTrue(), "an engine there answers")
 }
 
 func TestEnginesBehindACutHaveNoRoomForWaitingCalls(t *testing.T) {
@@ -36,17 +36,17 @@
 	now := time.Unix(1000, 0)
 	zones := reach.NewZones("a")
 	directory := backend.NewDirectory()
-	directory.UseZones(zones)
-	directory.Put(backend.Instance{ID: "near", Service: "s", Zone: "a", Slots: 3}, time.Time{})
-	directory.Put(backend.Instance{ID: "far", Service: "s", Zone: "b", Slots: 3}, time.Time{})
-	zones.Unanswered("b", now, now)
-	zones.Unanswered("b", now, now)
+	directory.SetZones(zones)
+	directory.Upsert(backend.Instance{ID: "near", Service: "s", Zone: "a", Slots: 3}, time.Time{})
+	directory.Upsert(backend.Instance{ID: "far", Service: "s", Zone: "b", Slots: 3}, time.Time{})
+	zones.RecordProbeTimeout("b", now, now)
+	zones.RecordProbeTimeout("b", now, now)
 	request := &backend.Request{Service: "s", Zone: "a"}
 	for directory.Pick(request, now) != nil {
 		expect.Expect(directory.Running()["near"]).To(BeNumerically("<", 10))
 	}
 	expect.Expect(directory.Running()).NotTo(HaveKey("far"))
-	expect.Expect(directory.Room("s", now)).To(BeZero(), "a call that was woken would find no engine")
+	expect.Expect(directory.FreeCapacity("s", now)).To(BeZero(), "a call that was woken would find no engine")
 }
 
 func TestProgramsBeginByTheSlotsThatAreReached(t *testing.T) {
@@ -54,12 +54,12 @@
 	now := time.Unix(1000, 0)
 	zones := reach.NewZones("a")
 	directory := backend.NewDirectory()
-	directory.UseZones(zones)
-	directory.Put(backend.Instance{ID: "near", Service: "s", Zone: "a", Slots: 3}, time.Time{})
-	directory.Put(backend.Instance{ID: "far", Service: "s", Zone: "b", Slots: 5}, time.Time{})
+	directory.SetZones(zones)
+	directory.Upsert(backend.Instance{ID: "near", Service: "s", Zone: "a", Slots: 3}, time.Time{})
+	directory.Upsert(backend.Instance{ID: "far", Service: "s", Zone: "b", Slots: 5}, time.Time{})
 	expect.Expect(directory.Capacities(now)[0].Slots).To(Equal(8))
-	zones.Unanswered("b", now, now)
-	zones.Unanswered("b", now, now)
+	zones.RecordProbeTimeout("b", now, now)
+	zones.RecordProbeTimeout("b", now, now)
 	expect.Expect(directory.Capacities(now)[0].Slots).To(Equal(3))
 }
 
@@ -68,9 +68,9 @@
 	now := time.Unix(1000, 0)
 	zones := reach.NewZones("a")
 	directory := backend.NewDirectory()
-	directory.UseZones(zones)
+	directory.SetZones(zones)
 	for id, zone := range map[string]string{"near-1": "a", "near-2": "a", "far": "b"} {
-		directory.Put(backend.Instance{ID: id, Service: "s", Zone: zone, Slots: 3}, time.Time{})
+		directory.Upsert(backend.Instance{ID: id, Service: "s", Zone: zone, Slots: 3}, time.Time{})
 	}
 	var sent []*backend.Engine
 	for range 3 {
@@ -78,14 +78,14 @@
 	}
 	for _, engine := range sent {
 		expect.Expect(engine.ID).To(Equal("far"))
-		directory.EndSilence(engine)
-		directory.Finish(engine, backend.Erred, now)
+		directory.EndFirstByteWait(engine)
+		directory.Finish(engine, backend.EngineError, now)
 	}
-	expect.Expect(directory.Sound("s", nil, now)).To(HaveLen(2))
+	expect.Expect(directory.Healthy("s", nil, now)).To(HaveLen(2))
 	later := now.Add(900 * time.Millisecond)
-	zones.Unanswered("b", later, later)
-	zones.Unanswered("b", later, later)
-	expect.Expect(zones.Reached("b", later)).To(BeFalse())
+	zones.RecordProbeTimeout("b", later, later)
+	zones.RecordProbeTimeout("b", later, later)
+	expect.Expect(zones.Reachable("b", later)).To(BeFalse())
 	expect.Expect(directory.OpenBreakers()["s"]).To(Equal(1))
 	expect.Expect(directory.Pick(&backend.Request{Service: "s", Repeatable: true}, later).ID).NotTo(Equal("far"))
 }
--- a/internal/command/load.go
+++ b/internal/command/load.go
@@ -164,15 +164,15 @@
 		age = (time.Duration(*status.View.AgeMillis) * time.Millisecond).String()
 	}
 	return newTable("NODE", "ZONE", "OWNED", "VIEW", "AGE", "NODES", "GATHERED", "CUT OFF", "ZONES OUT OF REACH").add(status.Node, status.Zone,
-		share(status.OwnedShare), word(status.View.Known, "known", "unknown"), age, status.View.Nodes, status.View.GatheredNodes,
-		word(status.CutOff, "yes", "no"), list(status.ZonesOutOfReach))
+		share(status.OwnedShare), word(status.View.Known, "known", "unknown"), age, status.View.Nodes, status.View.ReportingNodes,
+		word(status.ZoneIsolated, "yes", "no"), list(status.UnreachableZones))
 }
 
 func servicesTable(services []load.ServiceStatus) table {
 	rows := newTable("SERVICE", "ENGINES", "PASSED OVER", "SLOTS", "SOUND", "RUNNING", "WAITING (RANK:CALLS)", "HERE", "TOOL CALLS")
 	for _, service := range services {
-		rows = rows.add(service.Service, service.Engines, service.PassedOver, service.Slots, service.SoundSlots, count(service.Running),
-			ranks(service.Waiting), ranks(service.WaitingHere), count(service.ToolCalls))
+		rows = rows.add(service.Service, service.Engines, service.AvoidedEngines, service.Slots, service.HealthySlots, count(service.Running),
+			ranks(service.Waiting), ranks(service.WaitingLocally), count(service.ToolCalls))
 	}
 	return rows
 }
@@ -188,8 +188,8 @@
 func routesTable(status load.Status) table {
 	rows := newTable("ROUTE", "SERVICE", "RANK", "PROGRAMS", "TURNS", "BEGUN/S", "REFUSED/S", "LATE/S")
 	for _, route := range status.Routes {
-		rows = rows.add(route.Route, route.Service, route.Rank, route.Programs, route.Turns,
-			figure(route.BegunPerSecond), figure(route.RefusedPerSecond), figure(route.LatePerSecond))
+		rows = rows.add(route.Route, route.Service, route.Priority, route.Programs, route.Turns,
+			figure(route.StartedPerSecond), figure(route.RefusedPerSecond), figure(route.LatePerSecond))
 	}
 	return rows.addOthers(status.OtherRoutes)
 }
@@ -198,10 +198,10 @@
 	rows := newTable("TENANT", "RANK", "PROGRAMS", "FAIR")
 	for _, tenant := range status.Tenants {
 		fair := notKnown
-		if tenant.Fair != nil {
-			fair = figure(*tenant.Fair)
+		if tenant.FairShare != nil {
+			fair = figure(*tenant.FairShare)
 		}
-		rows = rows.add(tenant.Tenant, tenant.Rank, tenant.Programs, fair)
+		rows = rows.add(tenant.Tenant, tenant.Priority, tenant.Programs, fair)
 	}
 	return rows.addOthers(status.OtherTenants)
 }
@@ -217,8 +217,8 @@
 func enginesTable(engines []load.EngineStatus) table {
 	rows := newTable("ENGINE", "SERVICE", "ZONE", "REACHED", "SLOTS", "RUNNING", "HERE", "PASSED OVER")
 	for _, engine := range engines {
-		rows = rows.add(engine.Engine, engine.Service, engine.Zone, word(engine.ZoneReached, "yes", "no"), engine.Slots, count(engine.Running),
-			engine.RunningHere, list(engine.PassedOver))
+		rows = rows.add(engine.Engine, engine.Service, engine.Zone, word(engine.ZoneReachable, "yes", "no"), engine.Slots, count(engine.Running),
+			engine.RunningLocally, list(engine.AvoidReasons))
 	}
 	return rows
 }
@@ -250,10 +250,10 @@
 	return strings.Join(names, ",")
 }
 
-func ranks(counts []load.RankCalls) string {
+func ranks(counts []load.PriorityCalls) string {
 	shown := make([]string, 0, len(counts))
 	for _, each := range counts {
-		shown = append(shown, fmt.Sprintf("%d:%d", each.Rank, each.Calls))
+		shown = append(shown, fmt.Sprintf("%d:%d", each.Priority, each.Calls))
 	}
 	return list(shown)
 }
--- a/internal/command/load_test.go
+++ b/internal/command/load_test.go
@@ -17,16 +17,16 @@
 	status := load.Status{
 		Node:       "node-1",
 		Zone:       "a",
-		View:       load.ViewStatus{Known: true, AgeMillis: &age, Nodes: 3, GatheredNodes: 2},
+		View:       load.ViewStatus{Known: true, AgeMillis: &age, Nodes: 3, ReportingNodes: 2},
 		OwnedShare: 0.25,
-		Services: []load.ServiceStatus{{Service: "models", Engines: 2, Slots: 12, SoundSlots: 12, Running: &running,
-			Waiting: []load.RankCalls{{Rank: 0, Calls: 3}, {Rank: 2, Calls: 48}}}},
-		Engines:         []load.EngineStatus{{Engine: "e0", Service: "models", Zone: "b", Slots: 6, RunningHere: 1, PassedOver: []string{"zone", "full"}}},
-		Admission:       []load.AdmissionStatus{{Service: "models", Resource: "slots", Demand: 15.25, Limit: 13, Capacity: 12}},
-		Routes:          []load.RouteStatus{{Route: "turn", Service: "models", Rank: 2, Programs: 60, RefusedPerSecond: 8}},
-		Tenants:         []load.TenantStatus{{Tenant: "hot", Rank: 2, Programs: 50, Fair: &fair}},
-		OtherTenants:    20,
-		ZonesOutOfReach: []string{"b"},
+		Services: []load.ServiceStatus{{Service: "models", Engines: 2, Slots: 12, HealthySlots: 12, Running: &running,
+			Waiting: []load.PriorityCalls{{Priority: 0, Calls: 3}, {Priority: 2, Calls: 48}}}},
+		Engines:          []load.EngineStatus{{Engine: "e0", Service: "models", Zone: "b", Slots: 6, RunningLocally: 1, AvoidReasons: []string{"zone", "full"}}},
+		Admission:        []load.AdmissionStatus{{Service: "models", Resource: "slots", Demand: 15.25, Limit: 13, Capacity: 12}},
+		Routes:           []load.RouteStatus{{Route: "turn", Service: "models", Priority: 2, Programs: 60, RefusedPerSecond: 8}},
+		Tenants:          []load.TenantStatus{{Tenant: "hot", Priority: 2, Programs: 50, FairShare: &fair}},
+		OtherTenants:     20,
+		UnreachableZones: []string{"b"},
 	}
 
 	// serve answers with a result, and returns the address.
--- a/internal/durable/answering.go
+++ b/internal/durable/answering.go
@@ -10,9 +10,9 @@
 	return context.WithValue(ctx, answeringKey{}, tell)
 }
 
-// Answering is called by a Log once the beginning of a call's answer has arrived: the rest is
+// MarkResponseStarted is called by a Log once the beginning of a call's answer has arrived: the rest is
 // on its way, however long that takes, and sending the call again would only slow it down.
-func Answering(ctx context.Context) {
+func MarkResponseStarted(ctx context.Context) {
 	if tell, found := ctx.Value(answeringKey{}).(func()); found {
 		tell()
 	}
--- a/internal/durable/durable.go
+++ b/internal/durable/durable.go
@@ -32,14 +32,14 @@
 
 // Condition is what an append depends on; the zero value is no condition.
 type Condition struct {
-	// At, where set, is the end that the partition must have.
-	At *int64
+	// ExpectedEnd, where set, is the end that the partition must have.
+	ExpectedEnd *int64
 	// Fence, where set, is the writer's.
 	Fence *Fence
 }
 
-// Appended is where an append's records stand.
-type Appended struct {
+// AppendResult is where an append's records stand.
+type AppendResult struct {
 	// Offset is the first record's; End is the partition's after the append.
 	Offset int64
 	End    int64
@@ -50,9 +50,9 @@
 	// Offset is the first record's.
 	Offset  int64
 	Records [][]byte
-	// First is the oldest offset kept, End the partition's end.
-	First int64
-	End   int64
+	// FirstOffset is the oldest offset kept, End the partition's end.
+	FirstOffset int64
+	EndOffset   int64
 }
 
 // KeyedRecord is the newest record of a key. An empty value says that the key
@@ -75,11 +75,11 @@
 type Log interface {
 	// Append adds all records or none. An empty list with a fence only sets
 	// the epoch.
-	Append(ctx context.Context, partition Partition, records [][]byte, condition Condition) (Appended, error)
+	Append(ctx context.Context, partition Partition, records [][]byte, condition Condition) (AppendResult, error)
 	// Read returns records from an offset on, and waits up to wait for one.
 	Read(ctx context.Context, partition Partition, from int64, wait time.Duration) (Batch, error)
-	// Newest returns the newest record of each key of a keyed topic.
-	Newest(ctx context.Context, topic string) (Snapshot, error)
+	// Latest returns the newest record of each key of a keyed topic.
+	Latest(ctx context.Context, topic string) (Snapshot, error)
 }
 
 // Errors of a Log. An error that is none of them leaves the outcome of an
@@ -87,8 +87,8 @@
 var (
 	// ErrFenced says that a higher epoch has been seen; nothing was done.
 	ErrFenced = errors.New("fenced by a higher epoch")
-	// ErrSequence says that the sequence number does not follow; nothing was done.
-	ErrSequence = errors.New("sequence number does not follow")
+	// ErrOutOfSequence says that the sequence number does not follow; nothing was done.
+	ErrOutOfSequence = errors.New("sequence number does not follow")
 	// ErrConflict says that the partition does not end at Condition.At; nothing
 	// was done.
 	ErrConflict = errors.New("the partition ends elsewhere")
@@ -104,18 +104,18 @@
 	return fmt.Sprintf("records before offset %d are gone", trimmed.First)
 }
 
-// NothingDone tells whether err promises that an append was not done and will
+// NotApplied tells whether err promises that an append was not done and will
 // not be.
-func NothingDone(err error) bool {
-	return errors.Is(err, ErrFenced) || errors.Is(err, ErrSequence) ||
+func NotApplied(err error) bool {
+	return errors.Is(err, ErrFenced) || errors.Is(err, ErrOutOfSequence) ||
 		errors.Is(err, ErrConflict) || errors.Is(err, ErrUnavailable)
 }
 
-// Answered tells whether err, or nil, is the answer of a log that works: it did what it
+// LogResponded tells whether err, or nil, is the answer of a log that works: it did what it
 // was asked, or refused that for good reason.
-func Answered(err error) bool {
+func LogResponded(err error) bool {
 	var trimmed *TrimmedError
-	return err == nil || errors.As(err, &trimmed) || (NothingDone(err) && !errors.Is(err, ErrUnavailable))
+	return err == nil || errors.As(err, &trimmed) || (NotApplied(err) && !errors.Is(err, ErrUnavailable))
 }
 
 // maxKeyLength is the longest key of a keyed record, bytes.
--- a/internal/durable/durable_test.go
+++ b/internal/durable/durable_test.go
@@ -29,7 +29,7 @@
 		Expect(err).NotTo(HaveOccurred())
 		Expect(again).To(Equal(first))
 		_, err = log.Append(ctx, partition, record, fence(1, 9))
-		Expect(err).To(MatchError(durable.ErrSequence))
+		Expect(err).To(MatchError(durable.ErrOutOfSequence))
 		_, err = log.Append(ctx, partition, record, fence(2, 0))
 		Expect(err).NotTo(HaveOccurred())
 		_, err = log.Append(ctx, partition, record, fence(1, 8))
@@ -39,9 +39,9 @@
 	It("appends only where the partition ends as asked", func() {
 		log := durable.NewMemory()
 		at := int64(1)
-		_, err := log.Append(ctx, partition, record, durable.Condition{At: &at})
+		_, err := log.Append(ctx, partition, record, durable.Condition{ExpectedEnd: &at})
 		Expect(err).To(MatchError(durable.ErrConflict))
-		Expect(durable.NothingDone(err)).To(BeTrue())
+		Expect(durable.NotApplied(err)).To(BeTrue())
 	})
 })
 
@@ -56,7 +56,7 @@
 		log := durable.NewMemory()
 		put(log, "a", "1")
 		put(log, "a", "2")
-		view := durable.NewView(log, "t")
+		view := durable.NewTopicFollower(log, "t")
 		update, err := view.Next(ctx, 0)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(update.Full).To(BeTrue())
@@ -72,7 +72,7 @@
 	It("begins anew where its history is gone", func() {
 		log := durable.NewMemory()
 		put(log, "a", "1")
-		view := durable.NewView(log, "t")
+		view := durable.NewTopicFollower(log, "t")
 		_, err := view.Next(ctx, 0)
 		Expect(err).NotTo(HaveOccurred())
 		put(log, "a", "2")
@@ -86,7 +86,7 @@
 
 var _ = Describe("Hedge", func() {
 	It("sends again where an answer is lost, and takes the first known outcome", func() {
-		var pace durable.Pace
+		var pace durable.AppendLatency
 		var sendings atomic.Int32
 		err := durable.Hedge(context.Background(), &pace, func(ctx context.Context) error {
 			if sendings.Add(1) == 1 {
@@ -100,13 +100,13 @@
 	})
 
 	It("ends at once where the store promises that nothing was done", func() {
-		var pace durable.Pace
+		var pace durable.AppendLatency
 		err := durable.Hedge(context.Background(), &pace, func(context.Context) error { return durable.ErrFenced })
 		Expect(err).To(MatchError(durable.ErrFenced))
 	})
 
 	It("gives up with its context", func() {
-		var pace durable.Pace
+		var pace durable.AppendLatency
 		ctx, cancel := context.WithTimeout(context.Background(), 200*time.Millisecond)
 		defer cancel()
 		done := make(chan error, 1)
@@ -120,9 +120,9 @@
 	})
 
 	It("waits longer where the store is slow", func() {
-		var pace durable.Pace
-		least := pace.Patience()
-		pace.Note(100 * time.Millisecond)
-		Expect(pace.Patience()).To(BeNumerically(">", least))
+		var pace durable.AppendLatency
+		least := pace.HedgeDelay()
+		pace.Observe(100 * time.Millisecond)
+		Expect(pace.HedgeDelay()).To(BeNumerically(">", least))
 	})
 })
--- a/internal/durable/hedge.go
+++ b/internal/durable/hedge.go
@@ -20,15 +20,15 @@
 	paceWeight = 0.2
 )
 
-// Pace is the usual time of an append, learned from those that were answered.
+// AppendLatency is the usual time of an append, learned from those that were answered.
 // It is safe for concurrent use; the zero value is ready.
-type Pace struct {
+type AppendLatency struct {
 	mutex sync.Mutex
 	usual time.Duration
 }
 
-// Note takes one append's time in.
-func (pace *Pace) Note(took time.Duration) {
+// Observe takes one append's time in.
+func (pace *AppendLatency) Observe(took time.Duration) {
 	pace.mutex.Lock()
 	defer pace.mutex.Unlock()
 	if pace.usual == 0 {
@@ -38,22 +38,22 @@
 	pace.usual += time.Duration(paceWeight * float64(took-pace.usual))
 }
 
-// Patience is how long an append may take before it is worth another sending.
-func (pace *Pace) Patience() time.Duration {
+// HedgeDelay is how long an append may take before it is worth another sending.
+func (pace *AppendLatency) HedgeDelay() time.Duration {
 	pace.mutex.Lock()
 	defer pace.mutex.Unlock()
 	return min(max(hedgeFactor*pace.usual, hedgeLeast), hedgeMost)
 }
 
-// Repeatable is an append that may be sent more than once: its fence's number
+// IdempotentAppend is an append that may be sent more than once: its fence's number
 // makes the store do it once, or its records are facts.
-type Repeatable func(ctx context.Context) error
+type IdempotentAppend func(ctx context.Context) error
 
 // Hedge sends an append, and sends it again where an answer takes unusually
 // long: a store that has lost an answer says nothing more on that connection.
 // The first sending with a known outcome decides. It gives up when ctx ends or
 // no sending is left, with the last error.
-func Hedge(ctx context.Context, pace *Pace, send Repeatable) error {
+func Hedge(ctx context.Context, pace *AppendLatency, send IdempotentAppend) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	results := make(chan error, hedgesInFlight)
@@ -61,26 +61,26 @@
 		began := time.Now()
 		err := send(ctx)
 		if err == nil {
-			pace.Note(time.Since(began))
+			pace.Observe(time.Since(began))
 		}
 		results <- err
 	}
 	go launch()
 	sent, failed := 1, 0
-	timer := time.NewTimer(pace.Patience())
+	timer := time.NewTimer(pace.HedgeDelay())
 	defer timer.Stop()
 	for {
 		select {
 		case err := <-results:
 			failed++
-			if err == nil || NothingDone(err) || failed == sent {
+			if err == nil || NotApplied(err) || failed == sent {
 				return err
 			}
 		case <-timer.C:
 			if sent < hedgesInFlight && feature.Enabled(feature.HedgedAppends) {
 				sent++
 				go launch()
-				timer.Reset(pace.Patience())
+				timer.Reset(pace.HedgeDelay())
 			}
 		case <-ctx.Done():
 			return ctx.Err()
--- a/internal/durable/memory.go
+++ b/internal/durable/memory.go
@@ -31,7 +31,7 @@
 	epoch   int64
 	started bool
 	last    int64
-	answers map[int64]Appended
+	answers map[int64]AppendResult
 }
 
 // NewMemory returns an empty log.
@@ -60,9 +60,9 @@
 }
 
 // Append implements Log.
-func (log *Memory) Append(_ context.Context, name Partition, records [][]byte, condition Condition) (Appended, error) {
+func (log *Memory) Append(_ context.Context, name Partition, records [][]byte, condition Condition) (AppendResult, error) {
 	if err := log.intercepted("append", name); err != nil {
-		return Appended{}, err
+		return AppendResult{}, err
 	}
 	log.mutex.Lock()
 	defer log.mutex.Unlock()
@@ -73,8 +73,8 @@
 			return orZero(answer), err
 		}
 	}
-	if condition.At != nil && *condition.At != partition.end() {
-		return Appended{End: partition.end()}, ErrConflict
+	if condition.ExpectedEnd != nil && *condition.ExpectedEnd != partition.end() {
+		return AppendResult{End: partition.end()}, ErrConflict
 	}
 	appended := partition.append(records)
 	if condition.Fence != nil {
@@ -83,15 +83,15 @@
 	return appended, nil
 }
 
-func orZero(answer *Appended) Appended {
+func orZero(answer *AppendResult) AppendResult {
 	if answer == nil {
-		return Appended{}
+		return AppendResult{}
 	}
 	return *answer
 }
 
 // admit checks a fence. It returns the first answer of a repeated append.
-func (partition *memoryPartition) admit(fence *Fence) (*Appended, error) {
+func (partition *memoryPartition) admit(fence *Fence) (*AppendResult, error) {
 	writer := partition.writers[fence.Producer]
 	if writer == nil || fence.Epoch > writer.epoch {
 		return nil, nil
@@ -103,16 +103,16 @@
 		return &answer, nil
 	}
 	if writer.started && fence.Sequence != writer.last+1 {
-		return nil, ErrSequence
+		return nil, ErrOutOfSequence
 	}
 	return nil, nil
 }
 
 // note remembers a writer's append for its repetition.
-func (partition *memoryPartition) note(fence *Fence, appended Appended, numbered bool) {
+func (partition *memoryPartition) note(fence *Fence, appended AppendResult, numbered bool) {
 	writer := partition.writers[fence.Producer]
 	if writer == nil || fence.Epoch > writer.epoch {
-		writer = &memoryWriter{epoch: fence.Epoch, answers: map[int64]Appended{}}
+		writer = &memoryWriter{epoch: fence.Epoch, answers: map[int64]AppendResult{}}
 		partition.writers[fence.Producer] = writer
 	}
 	if !numbered {
@@ -126,7 +126,7 @@
 
 func (partition *memoryPartition) end() int64 { return partition.first + int64(len(partition.records)) }
 
-func (partition *memoryPartition) append(records [][]byte) Appended {
+func (partition *memoryPartition) append(records [][]byte) AppendResult {
 	offset := partition.end()
 	for _, record := range records {
 		copied := append([]byte(nil), record...)
@@ -140,7 +140,7 @@
 		close(partition.changed)
 		partition.changed = make(chan struct{})
 	}
-	return Appended{Offset: offset, End: partition.end()}
+	return AppendResult{Offset: offset, End: partition.end()}
 }
 
 // Read implements Log.
@@ -172,15 +172,15 @@
 	if from < partition.first {
 		return Batch{}, nil, &TrimmedError{First: partition.first}
 	}
-	batch := Batch{Offset: from, First: partition.first, End: partition.end()}
+	batch := Batch{Offset: from, FirstOffset: partition.first, EndOffset: partition.end()}
 	if from < partition.end() {
 		batch.Records = append(batch.Records, partition.records[from-partition.first:]...)
 	}
 	return batch, partition.changed, nil
 }
 
-// Newest implements Log.
-func (log *Memory) Newest(_ context.Context, topic string) (Snapshot, error) {
+// Latest implements Log.
+func (log *Memory) Latest(_ context.Context, topic string) (Snapshot, error) {
 	name := Partition{Topic: topic}
 	if err := log.intercepted("newest", name); err != nil {
 		return Snapshot{}, err
--- a/internal/durable/read.go
+++ b/internal/durable/read.go
@@ -21,14 +21,14 @@
 		if err != nil {
 			return from, eris.Wrap(err, "read "+partition.String())
 		}
-		if batch.End < from {
-			return from, eris.Errorf("%s ends at %d, before %d", partition, batch.End, from)
+		if batch.EndOffset < from {
+			return from, eris.Errorf("%s ends at %d, before %d", partition, batch.EndOffset, from)
 		}
 		for _, record := range batch.Records {
 			apply(record)
 		}
 		from += int64(len(batch.Records))
-		if from >= batch.End || len(batch.Records) == 0 {
+		if from >= batch.EndOffset || len(batch.Records) == 0 {
 			return from, nil
 		}
 	}
--- a/internal/durable/reread.go
+++ b/internal/durable/reread.go
@@ -21,12 +21,12 @@
 	arrivalPatience = 2500 * time.Millisecond
 )
 
-// Rereading is a Log that sends reads again which get no answer.
-type Rereading struct{ Log }
+// HedgedReads is a Log that sends reads again which get no answer.
+type HedgedReads struct{ Log }
 
 // Read implements Log. A read that waits for a record is sent once.
-func (rereading *Rereading) Read(ctx context.Context, partition Partition, from int64, wait time.Duration) (Batch, error) {
-	if wait > 0 || !feature.Enabled(feature.Rereading) {
+func (rereading *HedgedReads) Read(ctx context.Context, partition Partition, from int64, wait time.Duration) (Batch, error) {
+	if wait > 0 || !feature.Enabled(feature.HedgedReads) {
 		return rereading.Log.Read(ctx, partition, from, wait)
 	}
 	return reread(ctx, func(ctx context.Context) (Batch, error) {
@@ -34,13 +34,13 @@
 	})
 }
 
-// Newest implements Log.
-func (rereading *Rereading) Newest(ctx context.Context, topic string) (Snapshot, error) {
-	if !feature.Enabled(feature.Rereading) {
-		return rereading.Log.Newest(ctx, topic)
+// Latest implements Log.
+func (rereading *HedgedReads) Latest(ctx context.Context, topic string) (Snapshot, error) {
+	if !feature.Enabled(feature.HedgedReads) {
+		return rereading.Log.Latest(ctx, topic)
 	}
 	return reread(ctx, func(ctx context.Context) (Snapshot, error) {
-		return rereading.Log.Newest(ctx, topic)
+		return rereading.Log.Latest(ctx, topic)
 	})
 }
 
--- a/internal/durable/reread_test.go
+++ b/internal/durable/reread_test.go
@@ -34,12 +34,12 @@
 	return log.Memory.Read(ctx, partition, from, wait)
 }
 
-// Newest implements durable.Log.
-func (log *silentLog) Newest(ctx context.Context, topic string) (durable.Snapshot, error) {
+// Latest implements durable.Log.
+func (log *silentLog) Latest(ctx context.Context, topic string) (durable.Snapshot, error) {
 	if err := log.hang(ctx); err != nil {
 		return durable.Snapshot{}, err
 	}
-	return log.Memory.Newest(ctx, topic)
+	return log.Memory.Latest(ctx, topic)
 }
 
 // arrivingLog never answers the first call; the answer of the second begins to arrive with
@@ -60,7 +60,7 @@
 		return durable.Batch{}, ctx.Err()
 	}
 	<-log.arrive
-	durable.Answering(ctx)
+	durable.MarkResponseStarted(ctx)
 	for !log.end.Load() && ctx.Err() == nil {
 		time.Sleep(time.Millisecond)
 	}
@@ -72,7 +72,7 @@
 
 	It("gets an answer of a store that was silent when the read began", func() {
 		silent := &silentLog{Memory: durable.NewMemory()}
-		log := &durable.Rereading{Log: silent}
+		log := &durable.HedgedReads{Log: silent}
 		silent.silent.Store(true)
 		ctx, cancel := context.WithTimeout(context.Background(), patience)
 		defer cancel()
@@ -82,7 +82,7 @@
 			done <- err
 		}()
 		go func() {
-			_, err := log.Newest(ctx, partition.Topic)
+			_, err := log.Latest(ctx, partition.Topic)
 			done <- err
 		}()
 		Eventually(silent.calls.Load, patience).Should(BeNumerically(">=", 4))
@@ -94,7 +94,7 @@
 
 	It("is not sent again while its answer arrives, and ends the sendings beside it", func() {
 		arriving := &arrivingLog{Memory: durable.NewMemory(), arrive: make(chan struct{}), gone: make(chan struct{}, 8)}
-		log := &durable.Rereading{Log: arriving}
+		log := &durable.HedgedReads{Log: arriving}
 		ctx, cancel := context.WithTimeout(context.Background(), patience)
 		defer cancel()
 		done := make(chan error, 1)
@@ -117,7 +117,7 @@
 		silent.silent.Store(true)
 		ctx, cancel := context.WithCancel(context.Background())
 		cancel()
-		_, err := (&durable.Rereading{Log: silent}).Newest(ctx, partition.Topic)
+		_, err := (&durable.HedgedReads{Log: silent}).Latest(ctx, partition.Topic)
 		Expect(err).To(MatchError(context.Canceled))
 	})
 })
--- a/internal/durable/view.go
+++ b/internal/durable/view.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// View follows a keyed topic. It reads the newest records once, then the stream
+// TopicFollower follows a keyed topic. It reads the newest records once, then the stream
 // of records from there on, and begins anew where the stream's history is gone
 // or its offsets went backwards. It is used by one goroutine.
 //
@@ -14,16 +14,16 @@
 // older state. The view therefore hands every record on with its offset, and
 // its receiver must not go back behind what it has applied; Restarted tells the
 // receiver that absent keys may have been dropped unseen.
-type View struct {
+type TopicFollower struct {
 	log   Log
 	topic string
 	next  int64
 	read  bool
 }
 
-// NewView returns a view that has read nothing.
-func NewView(log Log, topic string) *View {
-	return &View{log: log, topic: topic}
+// NewTopicFollower returns a view that has read nothing.
+func NewTopicFollower(log Log, topic string) *TopicFollower {
+	return &TopicFollower{log: log, topic: topic}
 }
 
 // Update is what one call of Next found.
@@ -36,7 +36,7 @@
 }
 
 // Next returns the records that are new, waiting up to wait for one.
-func (view *View) Next(ctx context.Context, wait time.Duration) (Update, error) {
+func (view *TopicFollower) Next(ctx context.Context, wait time.Duration) (Update, error) {
 	if !view.read {
 		return view.restart(ctx)
 	}
@@ -49,14 +49,14 @@
 	if err != nil {
 		return Update{}, err
 	}
-	if batch.End < view.next {
+	if batch.EndOffset < view.next {
 		view.read = false
 		return Update{}, nil
 	}
 	return view.advance(batch), nil
 }
 
-func (view *View) advance(batch Batch) Update {
+func (view *TopicFollower) advance(batch Batch) Update {
 	view.next = batch.Offset + int64(len(batch.Records))
 	update := Update{End: view.next}
 	for index, record := range batch.Records {
@@ -68,8 +68,8 @@
 	return update
 }
 
-func (view *View) restart(ctx context.Context) (Update, error) {
-	snapshot, err := view.log.Newest(ctx, view.topic)
+func (view *TopicFollower) restart(ctx context.Context) (Update, error) {
+	snapshot, err := view.log.Latest(ctx, view.topic)
 	if err != nil {
 		return Update{}, err
 	}
@@ -80,11 +80,11 @@
 
 // SkipTo makes the view go on from an offset up to which the receiver has learned
 // everything in another way.
-func (view *View) SkipTo(offset int64) {
+func (view *TopicFollower) SkipTo(offset int64) {
 	if view.read {
 		view.next = max(view.next, offset)
 	}
 }
 
 // Restart makes the next call read the newest records of all keys.
-func (view *View) Restart() { view.read = false }
+func (view *TopicFollower) Restart() { view.read = false }
--- a/internal/egress/egress.go
+++ b/internal/egress/egress.go
@@ -16,8 +16,8 @@
 	"github.com/magpielug/magpielug/internal/backend"
 )
 
-// Path is where a node takes requests that others hand to it, on its peer address.
-const Path = "/egress/v1/exchange"
+// ExchangePath is where a node takes requests that others hand to it, on its peer address.
+const ExchangePath = "/egress/v1/exchange"
 
 // Node is a node that sends requests to the engines of its zone for other nodes.
 type Node struct {
@@ -30,6 +30,6 @@
 	// EgressNodes returns the other egress nodes of an engine, the first choice first;
 	// self is true where this node is the first choice, and sends itself.
 	EgressNodes(engine backend.Instance) (nodes []Node, self bool)
-	// Siblings returns how many engines of the service the engine's zone has.
-	Siblings(engine backend.Instance) int
+	// EngineCount returns how many engines of the service the engine's zone has.
+	EngineCount(engine backend.Instance) int
 }
--- a/internal/egress/freeze_test.go
+++ b/internal/egress/freeze_test.go
@@ -49,9 +49,9 @@
 		var failed atomic.Int64
 		handler = &Handler{Engines: leavingEngine{oneEngine: oneEngine{id: "e", failed: &failed}, views: views}, Logger: zap.NewNop(),
 			Stopping: func() bool { return false }, Views: views,
-			Sender: senderFunc(func(context.Context, *forward.Attempt) (*forward.Reply, error) {
+			Sender: senderFunc(func(context.Context, *forward.Attempt) (*forward.EngineResponse, error) {
 				sent.Add(1)
-				return nil, backend.ErrLost
+				return nil, backend.ErrResponseLost
 			})}
 	})
 
@@ -59,7 +59,7 @@
 		content, err := encodeRequest(&forward.Attempt{Call: &forward.Call{ID: "r"}, Engine: backend.Instance{ID: "e"}, Remaining: time.Second})
 		Expect(err).NotTo(HaveOccurred())
 		recorder := httptest.NewRecorder()
-		handler.ServeHTTP(recorder, httptest.NewRequest(http.MethodPost, Path, bytes.NewReader(content)).WithContext(ctx))
+		handler.ServeHTTP(recorder, httptest.NewRequest(http.MethodPost, ExchangePath, bytes.NewReader(content)).WithContext(ctx))
 		return recorder
 	}
 
@@ -81,7 +81,7 @@
 	It("counts no answer against its engine that broke off while nothing was read", func() {
 		var failed atomic.Int64
 		clock := time.Now()
-		freezes := freeze.NewWatchOf(func() time.Time { return clock })
+		freezes := freeze.NewDetectorWithClock(func() time.Time { return clock })
 		watched := watchSilence(context.Background(), oneEngine{id: "e", failed: &failed}, freezes, backend.Instance{ID: "e"})
 		defer watched.stop()
 		clock = clock.Add(3 * time.Second)
--- a/internal/egress/handler.go
+++ b/internal/egress/handler.go
@@ -28,8 +28,8 @@
 type Engines interface {
 	// Instance returns an engine, false where it is not known or leaves.
 	Instance(id string) (backend.Instance, bool)
-	// Patience is how long a request to a service may at least be silent.
-	Patience(service string) time.Duration
+	// FirstByteTimeout is how long a request to a service may at least be silent.
+	FirstByteTimeout(service string) time.Duration
 	// CountFailed counts a request that an engine fails, UncountFailed takes that back.
 	CountFailed(engine backend.Instance, now time.Time)
 	UncountFailed(engine backend.Instance, now time.Time)
@@ -41,16 +41,16 @@
 	Sender  forward.Sender
 	Logger  *zap.Logger
 	// Views tells what is known from before a freeze, Freezes when the process was frozen.
-	Views   forward.Views
-	Freezes *freeze.Watch
+	Views          forward.Views
+	FreezeDetector *freeze.Detector
 	// Stopping tells whether the node stops: it then takes no more requests.
 	Stopping func() bool
 
 	underWay atomic.Int64
 }
 
-// UnderWay returns the number of requests that are being sent for other nodes.
-func (handler *Handler) UnderWay() int { return int(handler.underWay.Load()) }
+// InFlight returns the number of requests that are being sent for other nodes.
+func (handler *Handler) InFlight() int { return int(handler.underWay.Load()) }
 
 // ServeHTTP implements http.Handler. The answer's headers go out at once: they tell the
 // asker that the request has arrived.
@@ -72,7 +72,7 @@
 	}
 	handler.underWay.Add(1)
 	defer handler.underWay.Add(-1)
-	forward.AwaitViews(request.Context(), handler.Views, message.Request, handler.Logger)
+	forward.AwaitFreshViews(request.Context(), handler.Views, message.Request, handler.Logger)
 	if request.Context().Err() != nil {
 		return // The asker is gone, and takes the request for lost.
 	}
@@ -83,10 +83,10 @@
 	}
 	attempt := attemptOf(message, engine)
 	chosen := time.Now()
-	attempt.HeldUp = func() bool { return handler.Freezes.Since(chosen) }
+	attempt.Frozen = func() bool { return handler.FreezeDetector.FrozenSince(chosen) }
 	bounded, cancel := context.WithTimeout(request.Context(), attempt.Remaining+remainingSlack)
 	defer cancel()
-	watched := watchSilence(request.Context(), handler.Engines, handler.Freezes, engine)
+	watched := watchSilence(request.Context(), handler.Engines, handler.FreezeDetector, engine)
 	defer watched.stop()
 	reply, err := handler.Sender.Send(bounded, attempt)
 	if err != nil {
@@ -125,7 +125,7 @@
 
 // relay passes an engine's answer on as it comes, its head with its first piece. One that breaks off is broken off
 // here too, so that it can't be taken for whole.
-func relay(writer http.ResponseWriter, control *http.ResponseController, reply *forward.Reply, watched *silence) {
+func relay(writer http.ResponseWriter, control *http.ResponseController, reply *forward.EngineResponse, watched *silence) {
 	watched.heard()
 	err := writeHead(writer, &nodev1.EgressHead{
 		Outcome:     nodev1.EgressOutcome_EGRESS_OUTCOME_ANSWERED,
--- a/internal/egress/sender.go
+++ b/internal/egress/sender.go
@@ -71,38 +71,38 @@
 
 // Ends of a hand-over.
 const (
-	// HandedAnswered: the engine answered.
-	HandedAnswered = "answered"
-	// HandedNotReached: the egress node did not get the request, or does not know the engine.
-	HandedNotReached = "not_reached"
-	// HandedNodeLost: the egress node may have got the request and did not answer.
-	HandedNodeLost = "node_lost"
-	// HandedFailed: the egress node got no answer of the engine, or the caller left.
-	HandedFailed = "failed"
+	// DelegationSucceeded: the engine answered.
+	DelegationSucceeded = "answered"
+	// DelegationNotReached: the egress node did not get the request, or does not know the engine.
+	DelegationNotReached = "not_reached"
+	// DelegationNodeLost: the egress node may have got the request and did not answer.
+	DelegationNodeLost = "node_lost"
+	// DelegationFailed: the egress node got no answer of the engine, or the caller left.
+	DelegationFailed = "failed"
 )
 
 func handedOutcome(err error) string {
 	switch {
 	case err == nil:
-		return HandedAnswered
+		return DelegationSucceeded
 	case errors.Is(err, errNotHandedOver):
-		return HandedNotReached
+		return DelegationNotReached
 	case errors.Is(err, backend.ErrNodeLost):
-		return HandedNodeLost
+		return DelegationNodeLost
 	}
-	return HandedFailed
+	return DelegationFailed
 }
 
 // Send implements forward.Sender.
-func (sender *Sender) Send(ctx context.Context, attempt *forward.Attempt) (*forward.Reply, error) {
+func (sender *Sender) Send(ctx context.Context, attempt *forward.Attempt) (*forward.EngineResponse, error) {
 	for _, node := range sender.nodesFor(attempt) {
-		attempt.HandedOver.Store(true)
+		attempt.Delegated.Store(true)
 		reply, err := sender.handOver(ctx, node, attempt)
 		sender.observe(handedOutcome(err))
 		if !errors.Is(err, errNotHandedOver) {
 			return reply, err
 		}
-		attempt.HandedOver.Store(false)
+		attempt.Delegated.Store(false)
 		sender.logger.Info("request not handed over", zap.String("request", attempt.Call.ID),
 			zap.String("engine", attempt.Engine.ID), zap.String("node", node.Name), logging.Cause(err))
 	}
@@ -111,12 +111,12 @@
 
 // nodesFor returns the egress nodes to try, none where this node sends itself.
 func (sender *Sender) nodesFor(attempt *forward.Attempt) []Node {
-	if !attempt.Streams || !feature.Enabled(feature.Egress) {
+	if !attempt.Streaming || !feature.Enabled(feature.Egress) {
 		return nil
 	}
 	now := time.Now()
 	turns := sender.demand.note(attempt.Engine.Service+"/"+attempt.Engine.Zone, now)
-	if turns >= worthKeeping*float64(sender.topology.Siblings(attempt.Engine)) {
+	if turns >= worthKeeping*float64(sender.topology.EngineCount(attempt.Engine)) {
 		return nil
 	}
 	nodes, self := sender.topology.EgressNodes(attempt.Engine)
@@ -156,14 +156,14 @@
 
 // handOver has an egress node send the request. Its error is errNotHandedOver where
 // neither that node nor the engine can have got it.
-func (sender *Sender) handOver(ctx context.Context, node Node, attempt *forward.Attempt) (*forward.Reply, error) {
+func (sender *Sender) handOver(ctx context.Context, node Node, attempt *forward.Attempt) (*forward.EngineResponse, error) {
 	content, err := encodeRequest(attempt)
 	if err != nil {
 		return nil, errors.Join(errNotHandedOver, err)
 	}
 	exchanging, giveUp := context.WithCancel(ctx)
 	accepting := time.AfterFunc(acceptTimeout, giveUp)
-	request, err := http.NewRequestWithContext(exchanging, http.MethodPost, "http://"+node.Address+Path, bytes.NewReader(content))
+	request, err := http.NewRequestWithContext(exchanging, http.MethodPost, "http://"+node.Address+ExchangePath, bytes.NewReader(content))
 	if err != nil {
 		giveUp()
 		return nil, errors.Join(errNotHandedOver, err)
@@ -191,7 +191,7 @@
 // refused tells what the failure of a hand-over leaves open.
 func (sender *Sender) refused(ctx context.Context, node Node, cause error) error {
 	if ctx.Err() != nil {
-		return eris.Wrap(backend.ErrLost, "the caller left")
+		return eris.Wrap(backend.ErrResponseLost, "the caller left")
 	}
 	sender.noteFailure(node, time.Now())
 	var operation *net.OpError
@@ -202,7 +202,7 @@
 }
 
 // answerOf reads the head of an egress node's answer.
-func answerOf(response *http.Response, done context.CancelFunc) (*forward.Reply, error) {
+func answerOf(response *http.Response, done context.CancelFunc) (*forward.EngineResponse, error) {
 	if response.StatusCode != http.StatusOK {
 		return nil, eris.Wrapf(errNotHandedOver, "status %d", response.StatusCode)
 	}
@@ -212,7 +212,7 @@
 	}
 	switch head.Outcome {
 	case nodev1.EgressOutcome_EGRESS_OUTCOME_ANSWERED:
-		return &forward.Reply{
+		return &forward.EngineResponse{
 			Status:      int(head.Status),
 			Header:      fromHeaders(head.Headers),
 			NotRun:      head.NotRun,
@@ -226,7 +226,7 @@
 	case nodev1.EgressOutcome_EGRESS_OUTCOME_UNKNOWN_ENGINE:
 		return nil, eris.Wrap(errNotHandedOver, "the node does not know the engine, or stops")
 	}
-	return nil, eris.Wrap(backend.ErrLost, head.Failure)
+	return nil, eris.Wrap(backend.ErrResponseLost, head.Failure)
 }
 
 // replyBody is an answer's body; closing it before its end ends the engine's work.
--- a/internal/egress/sender_test.go
+++ b/internal/egress/sender_test.go
@@ -21,9 +21,9 @@
 const patience = 20 * time.Second
 
 // senderFunc is a forward.Sender made of a function.
-type senderFunc func(ctx context.Context, attempt *forward.Attempt) (*forward.Reply, error)
+type senderFunc func(ctx context.Context, attempt *forward.Attempt) (*forward.EngineResponse, error)
 
-func (send senderFunc) Send(ctx context.Context, attempt *forward.Attempt) (*forward.Reply, error) {
+func (send senderFunc) Send(ctx context.Context, attempt *forward.Attempt) (*forward.EngineResponse, error) {
 	return send(ctx, attempt)
 }
 
@@ -38,7 +38,7 @@
 	return []Node{topology.node}, topology.self
 }
 
-func (topology oneNode) Siblings(backend.Instance) int { return topology.siblings }
+func (topology oneNode) EngineCount(backend.Instance) int { return topology.siblings }
 
 // oneEngine knows a single engine, and counts what it fails.
 type oneEngine struct {
@@ -46,7 +46,7 @@
 	failed *atomic.Int64
 }
 
-func (oneEngine) Patience(string) time.Duration                     { return 0 }
+func (oneEngine) FirstByteTimeout(string) time.Duration             { return 0 }
 func (engines oneEngine) CountFailed(backend.Instance, time.Time)   { engines.failed.Add(1) }
 func (engines oneEngine) UncountFailed(backend.Instance, time.Time) { engines.failed.Add(-1) }
 
@@ -73,7 +73,7 @@
 		stopping.Store(false)
 		failed.Store(0)
 		handler := &Handler{Engines: oneEngine{id: "engine-1", failed: &failed}, Logger: zap.NewNop(), Stopping: stopping.Load,
-			Sender: senderFunc(func(ctx context.Context, attempt *forward.Attempt) (*forward.Reply, error) {
+			Sender: senderFunc(func(ctx context.Context, attempt *forward.Attempt) (*forward.EngineResponse, error) {
 				return atEgress(ctx, attempt)
 			})}
 		server, err := httpserver.Start("127.0.0.1:0", handler, httpserver.Limits{DrainGrace: time.Millisecond})
@@ -89,9 +89,9 @@
 	JustBeforeEach(func() {
 		client, err := httpclient.New(httpclient.Options{DialTimeout: 250 * time.Millisecond})
 		Expect(err).NotTo(HaveOccurred())
-		own := senderFunc(func(context.Context, *forward.Attempt) (*forward.Reply, error) {
+		own := senderFunc(func(context.Context, *forward.Attempt) (*forward.EngineResponse, error) {
 			direct.Add(1)
-			return &forward.Reply{Status: http.StatusOK, Body: http.NoBody}, nil
+			return &forward.EngineResponse{Status: http.StatusOK, Body: http.NoBody}, nil
 		})
 		outcomes = nil
 		sender = NewSender(own, topology, client, zap.NewNop(), func(outcome string) { outcomes = append(outcomes, outcome) })
@@ -104,8 +104,8 @@
 			Engine:    backend.Instance{ID: "engine-1", Service: "models", Zone: "a"},
 			Body:      []byte("input"),
 			Remaining: 3 * time.Second,
-			Streams:   true,
-			Urgency:   2,
+			Streaming: true,
+			Priority:  2,
 			// The egress node's own bound, not the asker's.
 			MaxConnections: 5, MaxSharedConnections: 40,
 		}
@@ -114,9 +114,9 @@
 	It("reaches the engine as it is, and its answer comes back piece by piece", func() {
 		pieces, written := io.Pipe()
 		var got *forward.Attempt
-		atEgress = func(_ context.Context, attempt *forward.Attempt) (*forward.Reply, error) {
+		atEgress = func(_ context.Context, attempt *forward.Attempt) (*forward.EngineResponse, error) {
 			got = attempt
-			return &forward.Reply{Status: http.StatusOK, Header: http.Header{"Response-Stamp": {"s"}}, Body: pieces}, nil
+			return &forward.EngineResponse{Status: http.StatusOK, Header: http.Header{"Response-Stamp": {"s"}}, Body: pieces}, nil
 		}
 		parts := []string{"data: 1\n\n", "data: 2\n\n"}
 		go func() { _, _ = io.WriteString(written, parts[0]) }()
@@ -133,8 +133,8 @@
 		Expect(got.Engine.Address).To(Equal("10.0.0.9:80"))
 		Expect(string(got.Body)).To(Equal("input"))
 		Expect(got.Remaining).To(Equal(3 * time.Second))
-		Expect(got.Streams).To(BeTrue())
-		Expect(got.Urgency).To(Equal(2))
+		Expect(got.Streaming).To(BeTrue())
+		Expect(got.Priority).To(Equal(2))
 		Expect(got.MaxConnections).To(Equal(40))
 		for number, piece := range parts {
 			received := make([]byte, len(piece))
@@ -152,13 +152,13 @@
 		Expect(rest).To(BeEmpty())
 		Expect(reply.Body.Close()).To(Succeed())
 		Expect(direct.Load()).To(BeZero())
-		Expect(outcomes).To(Equal([]string{HandedAnswered}))
+		Expect(outcomes).To(Equal([]string{DelegationSucceeded}))
 	})
 
 	It("ends as broken off where the engine breaks off", func() {
 		pieces, written := io.Pipe()
-		atEgress = func(context.Context, *forward.Attempt) (*forward.Reply, error) {
-			return &forward.Reply{Status: http.StatusOK, Body: pieces}, nil
+		atEgress = func(context.Context, *forward.Attempt) (*forward.EngineResponse, error) {
+			return &forward.EngineResponse{Status: http.StatusOK, Body: pieces}, nil
 		}
 		go func() {
 			_, _ = io.WriteString(written, "data: 1\n\n")
@@ -175,19 +175,19 @@
 	It("counts against an engine that sends nothing for long, until it does", func() {
 		pieces, written := io.Pipe()
 		answering := make(chan struct{})
-		atEgress = func(context.Context, *forward.Attempt) (*forward.Reply, error) {
+		atEgress = func(context.Context, *forward.Attempt) (*forward.EngineResponse, error) {
 			<-answering
-			return &forward.Reply{Status: http.StatusOK, Body: pieces}, nil
+			return &forward.EngineResponse{Status: http.StatusOK, Body: pieces}, nil
 		}
 		attempt := turn()
-		replies := make(chan *forward.Reply, 1)
+		replies := make(chan *forward.EngineResponse, 1)
 		go func() {
 			defer GinkgoRecover()
 			reply, err := sender.Send(context.Background(), attempt)
 			Expect(err).NotTo(HaveOccurred())
 			replies <- reply
 		}()
-		Eventually(attempt.HandedOver.Load, patience).Should(BeTrue())
+		Eventually(attempt.Delegated.Load, patience).Should(BeTrue())
 		Eventually(failed.Load, patience).Should(BeEquivalentTo(1))
 		close(answering)
 		Eventually(failed.Load, patience).Should(BeZero())
@@ -195,7 +195,7 @@
 		go func() { _, _ = io.WriteString(written, "data: 1\n\n") }()
 		Eventually(failed.Load, patience).Should(BeZero())
 		Expect(written.Close()).To(Succeed())
-		var reply *forward.Reply
+		var reply *forward.EngineResponse
 		Eventually(replies, patience).Should(Receive(&reply))
 		_, err := io.ReadAll(reply.Body)
 		Expect(err).NotTo(HaveOccurred())
@@ -203,21 +203,21 @@
 	})
 
 	It("leaves it to the asker to count what the egress node answers", func() {
-		atEgress = func(context.Context, *forward.Attempt) (*forward.Reply, error) {
+		atEgress = func(context.Context, *forward.Attempt) (*forward.EngineResponse, error) {
 			time.Sleep(2 * leastSilence)
-			return nil, backend.ErrLost
+			return nil, backend.ErrResponseLost
 		}
 		_, err := sender.Send(context.Background(), turn())
-		Expect(err).To(MatchError(backend.ErrLost))
+		Expect(err).To(MatchError(backend.ErrResponseLost))
 		Expect(failed.Load()).To(BeZero())
 	})
 
 	It("ends at the engine once its caller has left", func() {
 		sending := make(chan context.Context, 1)
-		atEgress = func(ctx context.Context, _ *forward.Attempt) (*forward.Reply, error) {
+		atEgress = func(ctx context.Context, _ *forward.Attempt) (*forward.EngineResponse, error) {
 			sending <- ctx
 			<-ctx.Done()
-			return nil, backend.ErrLost
+			return nil, backend.ErrResponseLost
 		}
 		ctx, leave := context.WithCancel(context.Background())
 		ended := make(chan error, 1)
@@ -235,14 +235,14 @@
 
 	DescribeTable("fails as it did at the egress node",
 		func(cause, expected error) {
-			atEgress = func(context.Context, *forward.Attempt) (*forward.Reply, error) { return nil, cause }
+			atEgress = func(context.Context, *forward.Attempt) (*forward.EngineResponse, error) { return nil, cause }
 			_, err := sender.Send(context.Background(), turn())
 			Expect(err).To(MatchError(expected))
 			Expect(direct.Load()).To(BeZero())
 		},
 		Entry("not sent", backend.ErrNotSent, backend.ErrNotSent),
 		Entry("no free connection", backend.ErrTooManyConnections, backend.ErrTooManyConnections),
-		Entry("lost", backend.ErrLost, backend.ErrLost),
+		Entry("lost", backend.ErrResponseLost, backend.ErrResponseLost),
 	)
 
 	It("is sent by the node itself where the egress node does not know the engine", func() {
@@ -258,7 +258,7 @@
 		_, err := sender.Send(context.Background(), turn())
 		Expect(err).NotTo(HaveOccurred())
 		Expect(direct.Load()).To(BeEquivalentTo(1))
-		Expect(outcomes).To(Equal([]string{HandedNotReached}))
+		Expect(outcomes).To(Equal([]string{DelegationNotReached}))
 	})
 
 	Context("with an egress node that is down", func() {
@@ -275,7 +275,7 @@
 			Expect(reply.Via).To(BeEmpty())
 			Expect(direct.Load()).To(BeEquivalentTo(1))
 			Expect(sender.nodesFor(turn())).To(BeEmpty())
-			Expect(outcomes).To(Equal([]string{HandedNotReached}))
+			Expect(outcomes).To(Equal([]string{DelegationNotReached}))
 		})
 	})
 
@@ -318,13 +318,13 @@
 			Expect(err).NotTo(HaveOccurred())
 			Expect(direct.Load()).To(BeEquivalentTo(1))
 			Expect(connected.Load()).To(BeEquivalentTo(1))
-			Expect(outcomes).To(Equal([]string{HandedNodeLost}))
+			Expect(outcomes).To(Equal([]string{DelegationNodeLost}))
 		})
 	})
 
 	It("is sent by the node itself where it is no stream, or the node is the engine's egress node", func() {
 		whole := turn()
-		whole.Streams = false
+		whole.Streaming = false
 		Expect(sender.nodesFor(whole)).To(BeEmpty())
 		sender.topology = oneNode{node: topology.node, self: true, siblings: 1000}
 		Expect(sender.nodesFor(turn())).To(BeEmpty())
--- a/internal/egress/silence.go
+++ b/internal/egress/silence.go
@@ -22,7 +22,7 @@
 	engines Engines
 	engine  backend.Instance
 	limit   time.Duration
-	freezes *freeze.Watch
+	freezes *freeze.Detector
 	began   time.Time
 
 	mutex   sync.Mutex
@@ -32,9 +32,9 @@
 }
 
 // watchSilence begins with a request's sending.
-func watchSilence(asker context.Context, engines Engines, freezes *freeze.Watch, engine backend.Instance) *silence {
+func watchSilence(asker context.Context, engines Engines, freezes *freeze.Detector, engine backend.Instance) *silence {
 	watched := &silence{asker: asker, engines: engines, engine: engine, freezes: freezes, began: time.Now(),
-		limit: max(leastSilence, engines.Patience(engine.Service))}
+		limit: max(leastSilence, engines.FirstByteTimeout(engine.Service))}
 	watched.mutex.Lock()
 	defer watched.mutex.Unlock()
 	watched.timer = freezes.After(watched.limit, watched.count)
@@ -75,7 +75,7 @@
 // broken notes that the answer has broken off, unless that is for the asker's leaving, or
 // because this node read nothing of it while it was frozen.
 func (watched *silence) broken() {
-	if watched.asker.Err() == nil && !watched.freezes.Since(watched.began) {
+	if watched.asker.Err() == nil && !watched.freezes.FrozenSince(watched.began) {
 		watched.count()
 	}
 }
--- a/internal/egress/silence_test.go
+++ b/internal/egress/silence_test.go
@@ -36,7 +36,7 @@
 		asker := &slowAsker{ResponseRecorder: httptest.NewRecorder(), pause: leastSilence + 200*time.Millisecond, failed: &failed}
 		watched := watchSilence(context.Background(), oneEngine{id: "e", failed: &failed}, nil, backend.Instance{ID: "e"})
 		defer watched.stop()
-		reply := &forward.Reply{Status: http.StatusOK, Body: io.NopCloser(strings.NewReader("data: a\n\n"))}
+		reply := &forward.EngineResponse{Status: http.StatusOK, Body: io.NopCloser(strings.NewReader("data: a\n\n"))}
 		relay(asker, http.NewResponseController(asker), reply, watched)
 		Expect(asker.most).To(BeZero())
 		Expect(asker.Body.String()).To(HaveSuffix("data: a\n\n"))
--- a/internal/egress/wire.go
+++ b/internal/egress/wire.go
@@ -30,8 +30,8 @@
 		Body:           attempt.Body,
 		Engine:         attempt.Engine.ID,
 		RemainingMs:    attempt.Remaining.Milliseconds(),
-		Streams:        attempt.Streams,
-		Urgency:        int32(attempt.Urgency),
+		Streams:        attempt.Streaming,
+		Urgency:        int32(attempt.Priority),
 		MaxConnections: int32(attempt.MaxSharedConnections),
 		Tenant:         attempt.Call.Tenant,
 	}
@@ -59,8 +59,8 @@
 		Engine:         engine,
 		Body:           message.Body,
 		Remaining:      time.Duration(message.RemainingMs) * time.Millisecond,
-		Streams:        message.Streams,
-		Urgency:        int(message.Urgency),
+		Streaming:      message.Streams,
+		Priority:       int(message.Urgency),
 		MaxConnections: int(message.MaxConnections),
 	}
 }
--- a/internal/feature/feature.go
+++ b/internal/feature/feature.go
@@ -20,30 +20,30 @@
 	Allowances Feature = "allowances"
 	// HedgedAppends: an append is sent once, until its time is over.
 	HedgedAppends Feature = "hedged-appends"
-	// Rereading: a read is sent once, until its time is over.
-	Rereading Feature = "rereading"
+	// HedgedReads: a read is sent once, until its time is over.
+	HedgedReads Feature = "rereading"
 	// LearningFromPeers: a node that the store does not answer learns nothing.
 	LearningFromPeers Feature = "learning-from-peers"
 	// SharedReader: each node reads the store itself.
 	SharedReader Feature = "shared-reader"
-	// EngineDoubt: engines that give no byte are passed over no more than others.
-	EngineDoubt Feature = "engine-doubt"
+	// AvoidUnresponsiveEngines: engines that give no byte are passed over no more than others.
+	AvoidUnresponsiveEngines Feature = "engine-doubt"
 	// EngineReports: nodes do not tell each other which engines they pass over.
 	EngineReports Feature = "engine-reports"
-	// EnginePace: engines that are slower than others get as many requests.
-	EnginePace Feature = "engine-pace"
+	// AvoidSlowEngines: engines that are slower than others get as many requests.
+	AvoidSlowEngines Feature = "engine-pace"
 	// EngineLimits: a node's requests at an engine that refuses some are not bounded.
 	EngineLimits Feature = "engine-limits"
 	// QueueOrder: calls that wait for an engine are served in any order.
 	QueueOrder Feature = "queue-order"
-	// ToolPatience: a program's call of a tool waits no longer than any other.
-	ToolPatience Feature = "tool-patience"
+	// LongerToolWait: a program's call of a tool waits no longer than any other.
+	LongerToolWait Feature = "tool-patience"
 	// SafeRepeats: a safe request without an answer waits for it.
 	SafeRepeats Feature = "safe-repeats"
-	// RecordingElsewhere: a turn is written by its own node only.
-	RecordingElsewhere Feature = "recording-elsewhere"
-	// Yielding: an owner keeps its shards though it can't write.
-	Yielding Feature = "yielding"
+	// RemoteRecording: a turn is written by its own node only.
+	RemoteRecording Feature = "recording-elsewhere"
+	// OwnershipHandover: an owner keeps its shards though it can't write.
+	OwnershipHandover Feature = "yielding"
 	// OwnershipByCapacity: all nodes own alike.
 	OwnershipByCapacity Feature = "ownership-by-capacity"
 	// ClaimRefusal: a node claims shards also while the store does not answer it.
@@ -56,40 +56,40 @@
 	LogGate Feature = "log-gate"
 	// Egress: each node sends its turns to the engines itself.
 	Egress Feature = "egress"
-	// LaterRetries: a node without a configuration names one time to come back.
-	LaterRetries Feature = "later-retries"
+	// StaggeredRetries: a node without a configuration names one time to come back.
+	StaggeredRetries Feature = "later-retries"
 	// ProgramsFirst: a tenant's limit counts each request as it comes, also where
 	// programs that have begun can't end.
 	ProgramsFirst Feature = "programs-first"
 	// LoadSharing: a node knows of the load only what it has under way itself.
 	LoadSharing Feature = "load-sharing"
-	// RoomByLoad: engines are asked that have no room by the load known.
-	RoomByLoad Feature = "room-by-load"
+	// LoadBasedCapacity: engines are asked that have no room by the load known.
+	LoadBasedCapacity Feature = "room-by-load"
 	// RetryBudget: a call goes on to further engines as long as it finds one.
 	RetryBudget Feature = "retry-budget"
 	// Admission: programs begin also where there is no room for them.
 	Admission Feature = "admission"
 	// TenantShares: programs are admitted whatever their tenants have under way.
 	TenantShares Feature = "tenant-shares"
-	// MemoryRoom: programs begin also where their prompts don't fit into engines' memory.
-	MemoryRoom Feature = "memory-room"
+	// MemoryAdmission: programs begin also where their prompts don't fit into engines' memory.
+	MemoryAdmission Feature = "memory-room"
 	// EngineBreaker: engines whose requests end badly get as many as others.
 	EngineBreaker Feature = "engine-breaker"
-	// EngineSpeed: work is dealt to engines without regard to their speed.
-	EngineSpeed Feature = "engine-speed"
+	// SpeedWeighting: work is dealt to engines without regard to their speed.
+	SpeedWeighting Feature = "engine-speed"
 	// HeldBytes: what callers have not read is held without a bound over all calls.
 	HeldBytes Feature = "held-bytes"
-	// ZoneReach: a node goes by what it sees of single nodes and engines, also where a
+	// ZoneReachability: a node goes by what it sees of single nodes and engines, also where a
 	// whole zone is cut off.
-	ZoneReach Feature = "zone-reach"
+	ZoneReachability Feature = "zone-reach"
 )
 
 // All lists the features.
 var All = []Feature{
-	Allowances, HedgedAppends, Rereading, LearningFromPeers, SharedReader, EngineDoubt, EngineReports, EnginePace, EngineLimits,
-	QueueOrder, ToolPatience, SafeRepeats, RecordingElsewhere, Yielding, OwnershipByCapacity, ClaimRefusal, Isolation,
-	EnginePriority, LogGate, Egress, LaterRetries, ProgramsFirst,
-	LoadSharing, RoomByLoad, RetryBudget, Admission, TenantShares, MemoryRoom, EngineBreaker, EngineSpeed, HeldBytes, ZoneReach,
+	Allowances, HedgedAppends, HedgedReads, LearningFromPeers, SharedReader, AvoidUnresponsiveEngines, EngineReports, AvoidSlowEngines, EngineLimits,
+	QueueOrder, LongerToolWait, SafeRepeats, RemoteRecording, OwnershipHandover, OwnershipByCapacity, ClaimRefusal, Isolation,
+	EnginePriority, LogGate, Egress, StaggeredRetries, ProgramsFirst,
+	LoadSharing, LoadBasedCapacity, RetryBudget, Admission, TenantShares, MemoryAdmission, EngineBreaker, SpeedWeighting, HeldBytes, ZoneReachability,
 }
 
 // disabled holds the features turned off.
--- a/internal/feature/feature_test.go
+++ b/internal/feature/feature_test.go
@@ -15,12 +15,12 @@
 		expect.Expect(feature.Enabled(each)).To(BeTrue())
 	}
 	expect.Expect(feature.Disable("yielding, isolation")).To(Succeed())
-	expect.Expect(feature.Enabled(feature.Yielding)).To(BeFalse())
+	expect.Expect(feature.Enabled(feature.OwnershipHandover)).To(BeFalse())
 	expect.Expect(feature.Enabled(feature.Isolation)).To(BeFalse())
 	expect.Expect(feature.Enabled(feature.Allowances)).To(BeTrue())
 
 	err := feature.Disable("allowances,guesses")
 	expect.Expect(resultcode.CodeOf(err)).To(Equal(resultcode.InvalidSettings))
 	expect.Expect(feature.Enabled(feature.Allowances)).To(BeTrue(), "nothing changed")
-	expect.Expect(feature.Enabled(feature.Yielding)).To(BeFalse())
+	expect.Expect(feature.Enabled(feature.OwnershipHandover)).To(BeFalse())
 }
--- a/internal/forward/admission.go
+++ b/internal/forward/admission.go
@@ -12,19 +12,19 @@
 // Quotas asks whether a request fits into its tenant's limit.
 type Quotas interface {
 	// Admit returns once the request may run, or may not.
-	Admit(ctx context.Context, order *AdmissionOrder) Admission
+	Admit(ctx context.Context, order *AdmissionRequest) Admission
 }
 
-// AdmissionOrder is a request that asks to be admitted.
-type AdmissionOrder struct {
+// AdmissionRequest is a request that asks to be admitted.
+type AdmissionRequest struct {
 	Call   *Call
 	Holder *tenant.Tenant
 	// Configuration is the version that the holder's limit stands in.
 	Configuration int64
 	// Continues is true where the call's program has begun for certain.
 	Continues bool
-	// Patience is how long the request may wait for room.
-	Patience time.Duration
+	// MaxWait is how long the request may wait for room.
+	MaxWait time.Duration
 }
 
 // AdmissionVerdict is how a request for admission ended.
@@ -36,8 +36,8 @@
 	Admitted AdmissionVerdict = iota + 1
 	// OverLimit: the tenant's limit has no room before Admission.RetryAfter.
 	OverLimit
-	// LimitUnknown: nobody who keeps the limit could be asked.
-	LimitUnknown
+	// LimitUnavailable: nobody who keeps the limit could be asked.
+	LimitUnavailable
 )
 
 // Admission is the answer to an AdmissionOrder.
@@ -59,7 +59,7 @@
 // that is open when the program's owner stops counts as spent to the next one, also where
 // the limit then refuses the turn, and the program was told that its budget is spent.
 func (current *course) admit(ctx context.Context) error {
-	if current.tenant == nil || !current.tenant.Limit.Bounded() || current.service.Quotas == nil {
+	if current.tenant == nil || !current.tenant.Limit.Limited() || current.service.Quotas == nil {
 		return nil
 	}
 	began := time.Now()
@@ -68,12 +68,12 @@
 	return current.afterAdmission(ctx, admission)
 }
 
-func (current *course) admissionOrder() *AdmissionOrder {
-	order := &AdmissionOrder{
+func (current *course) admissionOrder() *AdmissionRequest {
+	order := &AdmissionRequest{
 		Call:          current.call,
 		Holder:        current.tenant,
 		Configuration: current.version,
-		Patience:      time.Duration(admissionPatience * float64(time.Until(current.end))),
+		MaxWait:       time.Duration(admissionPatience * float64(time.Until(current.end))),
 	}
 	// A program begins with a turn, and calls tools later.
 	goesOn := current.call.Turn != nil && current.call.Turn.Previous != ""
--- a/internal/forward/authenticate.go
+++ b/internal/forward/authenticate.go
@@ -11,16 +11,16 @@
 // authenticate finds the tenant that sends the call. Where there are tenants no engine
 // gets the key: it would let an engine, or whoever reads its logs, call in their name.
 func (current *course) authenticate(configuration *routing.Configuration) error {
-	if !configuration.Tenants.Configured() {
+	if !configuration.Tenants.RequiresKey() {
 		return nil
 	}
 	current.call.Header.Del(headerCredentials)
-	current.tenant = configuration.Tenants.HolderOf(current.call.Key)
+	current.tenant = configuration.Tenants.TenantForKey(current.call.Key)
 	if current.tenant != nil {
 		current.call.Tenant = current.tenant.Name
 		return nil
 	}
-	if current.route.Open {
+	if current.route.AllowsAnonymous {
 		return nil
 	}
 	return current.denied(resultcode.BadKey, "the call carries no key that a tenant holds")
--- a/internal/forward/call.go
+++ b/internal/forward/call.go
@@ -42,25 +42,25 @@
 	// Program, Session and Turn are set for calls of agent programs.
 	Program string
 	Session string
-	// Aim is when the program should be over; zero where it does not say.
-	Aim time.Time
+	// SoftDeadline is when the program should be over; zero where it does not say.
+	SoftDeadline time.Time
 	// Turn is nil for a call that is no turn of a program.
-	Turn *TurnOrder
+	Turn *TurnRequest
 	// Resumes is true where the caller continues a stream it has a part of.
 	Resumes bool
 	// SharedPrompt names the parts of the prompt that others share.
 	SharedPrompt string
 }
 
-// TurnOrder is what a call says as a turn of a program.
-type TurnOrder struct {
+// TurnRequest is what a call says as a turn of a program.
+type TurnRequest struct {
 	// Budget is what the program may spend over all turns, tokens; Unlimited
 	// where the caller names no bound.
 	Budget int64
-	// Most is what the turn may emit, tokens.
-	Most int64
-	// Prompt is the length of its prompt, tokens; 0 where the caller does not say.
-	Prompt int64
+	// MaxTokens is what the turn may emit, tokens.
+	MaxTokens int64
+	// PromptTokens is the length of its prompt, tokens; 0 where the caller does not say.
+	PromptTokens int64
 	// Previous is the turn to go on from, empty at the start.
 	Previous string
 }
@@ -73,9 +73,9 @@
 	return tenant.Program{Tenant: call.Tenant, ID: call.Program}
 }
 
-// Answer takes what the caller gets. Its methods are called from one goroutine,
+// ResponseWriter takes what the caller gets. Its methods are called from one goroutine,
 // Fail alone or Begin first.
-type Answer interface {
+type ResponseWriter interface {
 	// Begin sends status and headers.
 	Begin(status int, header http.Header) error
 	// Write sends bytes of the body at once.
@@ -97,24 +97,24 @@
 	Body []byte
 	// Remaining is how long the engine may work.
 	Remaining time.Duration
-	// Streams is true on a streaming route.
-	Streams bool
-	// Urgency is 0 for the most urgent calls.
-	Urgency int
+	// Streaming is true on a streaming route.
+	Streaming bool
+	// Priority is 0 for the most urgent calls.
+	Priority int
 	// MaxConnections bounds this node's connections to the engine, MaxSharedConnections
 	// those of a node that sends for many; 0 is no bound.
 	MaxConnections       int
 	MaxSharedConnections int
-	// HandedOver is true while another node sends the request: what becomes of it at the
+	// Delegated is true while another node sends the request: what becomes of it at the
 	// engine is that node's to count.
-	HandedOver atomic.Bool
-	// HeldUp tells whether the process was frozen since the engine was chosen; nil where that
+	Delegated atomic.Bool
+	// Frozen tells whether the process was frozen since the engine was chosen; nil where that
 	// is not known. Nothing is sent then.
-	HeldUp func() bool
+	Frozen func() bool
 }
 
-// Reply is an engine's answer.
-type Reply struct {
+// EngineResponse is an engine's answer.
+type EngineResponse struct {
 	Status int
 	Header http.Header
 	// NotRun is true where the engine says that it did not run the request.
@@ -132,5 +132,5 @@
 // engine got nothing, otherwise the request may have run. The exchange ends
 // when ctx does.
 type Sender interface {
-	Send(ctx context.Context, attempt *Attempt) (*Reply, error)
+	Send(ctx context.Context, attempt *Attempt) (*EngineResponse, error)
 }
--- a/internal/forward/freeze_test.go
+++ b/internal/forward/freeze_test.go
@@ -42,13 +42,13 @@
 
 	BeforeEach(func() {
 		directory = backend.NewDirectory()
-		directory.Put(backend.Instance{ID: "left", Service: "s", Address: "left"}, time.Time{})
+		directory.Upsert(backend.Instance{ID: "left", Service: "s", Address: "left"}, time.Time{})
 		sender = &fakeSender{}
-		sender.replies = append(sender.replies, func() (*forward.Reply, error) { return answerOf(200, strings.NewReader("out"))() })
+		sender.replies = append(sender.replies, func() (*forward.EngineResponse, error) { return answerOf(200, strings.NewReader("out"))() })
 		views = &fakeViews{}
-		routes := &routing.Current{}
+		routes := &routing.ActiveConfiguration{}
 		routes.Apply(oldRoutes(1, "/tool/"))
-		service = &forward.Service{Routes: routes, Engines: directory, Sender: sender, Waiting: backend.NewWaitQueue(), Meter: silentMeter{},
+		service = &forward.Service{Routes: routes, Engines: directory, Sender: sender, WaitQueue: backend.NewWaitQueue(), Meter: silentMeter{},
 			Logger: zap.NewNop(), Nodes: func() int { return 1 }, ViewAge: func() time.Duration { return 0 }, Views: views}
 	})
 
@@ -62,7 +62,7 @@
 	It("sends nothing by the list of engines from before the freeze", func() {
 		time.AfterFunc(30*time.Millisecond, func() {
 			directory.Remove("left")
-			directory.Put(backend.Instance{ID: "there", Service: "s", Address: "there"}, time.Now())
+			directory.Upsert(backend.Instance{ID: "there", Service: "s", Address: "there"}, time.Now())
 			views.current.Store(true)
 		})
 		Expect(serve("/tool/x").status).To(Equal(200))
@@ -98,10 +98,10 @@
 		views.current.Store(true)
 		held := true
 		sender.replies = nil
-		sender.replies = append(sender.replies, func() (*forward.Reply, error) {
+		sender.replies = append(sender.replies, func() (*forward.EngineResponse, error) {
 			if held {
 				held = false
-				return nil, backend.ErrHeldUp
+				return nil, backend.ErrProcessFrozen
 			}
 			return answerOf(200, strings.NewReader("out"))()
 		})
@@ -113,34 +113,34 @@
 	It("tells its sender that it was frozen since the engine was chosen", func() {
 		views.current.Store(true)
 		heldUp := []bool{}
-		for _, freezes := range []*freeze.Watch{nil, freezetest.JustWoken(0), wokenSoon(time.Minute)} {
-			service.Freezes = freezes
+		for _, freezes := range []*freeze.Detector{nil, freezetest.JustWoken(0), wokenSoon(time.Minute)} {
+			service.FreezeDetector = freezes
 			sender.sent = nil
 			serve("/tool/x")
-			heldUp = append(heldUp, sender.sent[0].HeldUp())
+			heldUp = append(heldUp, sender.sent[0].Frozen())
 		}
 		Expect(heldUp).To(Equal([]bool{false, false, true}))
 	})
 
 	It("learns nothing of engines from requests that were under way in the freeze", func() {
 		views.current.Store(true)
-		service.Freezes = wokenSoon(time.Minute)
+		service.FreezeDetector = wokenSoon(time.Minute)
 		for range 10 {
 			serve("/tool/x")
 		}
-		Expect(directory.Duration("s")).To(BeZero())
-		Expect(directory.Patience("s")).To(BeZero())
-		service.Freezes = nil
+		Expect(directory.TypicalDuration("s")).To(BeZero())
+		Expect(directory.FirstByteTimeout("s")).To(BeZero())
+		service.FreezeDetector = nil
 		serve("/tool/x")
-		Expect(directory.Duration("s")).NotTo(BeZero())
-		Expect(directory.Patience("s")).NotTo(BeZero())
+		Expect(directory.TypicalDuration("s")).NotTo(BeZero())
+		Expect(directory.FirstByteTimeout("s")).NotTo(BeZero())
 	})
 
 	It("counts nothing against an engine that broke off while the node could not read", func() {
 		views.current.Store(true)
-		service.Freezes = wokenSoon(time.Minute)
+		service.FreezeDetector = wokenSoon(time.Minute)
 		sender.replies = nil
-		sender.replies = append(sender.replies, func() (*forward.Reply, error) { return nil, backend.ErrLost })
+		sender.replies = append(sender.replies, func() (*forward.EngineResponse, error) { return nil, backend.ErrResponseLost })
 		for range 4 {
 			Expect(resultcode.CodeOf(serve("/tool/x").failure)).To(Equal(resultcode.OutcomeUnknown))
 		}
@@ -150,10 +150,10 @@
 
 // wokenSoon is the watch of a process whose requests all have a freeze in them: it goes on a
 // time from now.
-func wokenSoon(ahead time.Duration) *freeze.Watch {
+func wokenSoon(ahead time.Duration) *freeze.Detector {
 	begun := time.Now()
 	clock := begun
-	watch := freeze.NewWatchOf(func() time.Time { return clock })
+	watch := freeze.NewDetectorWithClock(func() time.Time { return clock })
 	clock = begun.Add(ahead)
 	return watch
 }
--- a/internal/forward/hold.go
+++ b/internal/forward/hold.go
@@ -11,7 +11,7 @@
 // comes: it can't be tried elsewhere any more, and the node stays within its memory.
 func (current *course) hold(body io.Reader) (content []byte, whole bool, err error) {
 	content = make([]byte, 0, firstHeldBytes)
-	current.service.Answers.Take(firstHeldBytes)
+	current.service.HeldResponses.ForceAcquire(firstHeldBytes)
 	for {
 		if len(content) == cap(content) {
 			if !current.growHeld(&content) {
@@ -32,7 +32,7 @@
 // growHeld doubles the room for a held answer, or tells that it may not grow.
 func (current *course) growHeld(content *[]byte) bool {
 	more := cap(*content)
-	if more >= heldBytes || !current.service.Answers.TryTake(int64(more)) {
+	if more >= heldBytes || !current.service.HeldResponses.TryAcquire(int64(more)) {
 		return false
 	}
 	grown := make([]byte, len(*content), 2*more)
--- a/internal/forward/log_gate.go
+++ b/internal/forward/log_gate.go
@@ -17,9 +17,9 @@
 	// logRetryShare of what is then left is when to come back: callers that are told a
 	// later time than a third of it do not come back in time.
 	logRetryShare = 0.3
-	// CutOffRetry is when callers are to come back to a zone that is cut off: in front of
+	// IsolatedRetryAfter is when callers are to come back to a zone that is cut off: in front of
 	// the nodes it takes two questions, a second apart, to send callers to other zones.
-	CutOffRetry = time.Second
+	IsolatedRetryAfter = time.Second
 	// logLook separates two looks whether the log is back.
 	logLook = 25 * time.Millisecond
 )
@@ -31,8 +31,8 @@
 	if !current.recorded() || !current.service.logAway() {
 		return nil
 	}
-	if current.service.CutOff != nil && current.service.CutOff() {
-		return resultcode.New(resultcode.LogAway, "this zone is cut off from the others and the log").After(current.retryWithin(CutOffRetry))
+	if current.service.ZoneIsolated != nil && current.service.ZoneIsolated() {
+		return resultcode.New(resultcode.LogAway, "this zone is cut off from the others and the log").After(current.retryWithin(IsolatedRetryAfter))
 	}
 	began := time.Now()
 	until := began.Add(time.Duration(logWaitShare * float64(current.end.Sub(began))))
@@ -44,7 +44,7 @@
 			comeBack := time.Duration(logRetryShare * float64(time.Until(current.end)))
 			return resultcode.New(resultcode.LogAway, "the log has answered no node for too long to record the turn").After(comeBack)
 		}
-		wait.For(ctx, logLook)
+		wait.Sleep(ctx, logLook)
 	}
 	current.service.Logger.Info("log back", zap.String("request", current.call.ID), zap.Duration("waited", time.Since(began)))
 	return nil
@@ -52,7 +52,9 @@
 
 // recorded tells whether the call is a turn whose answer ends only with its record.
 func (current *course) recorded() bool {
-	return current.route.KeepsTurns && current.call.Turn != nil
+	return current.route.StoresTurns && current.call.Turn != nil
 }
 
-func (service *Service) logAway() bool { return service.LogAway != nil && service.LogAway() }
+func (service *Service) logAway() bool {
+	return service.LogUnavailable != nil && service.LogUnavailable()
+}
--- a/internal/forward/outcome.go
+++ b/internal/forward/outcome.go
@@ -60,7 +60,7 @@
 		fields = append(fields, zap.String("tenant", current.call.Tenant))
 	}
 	if code == resultcode.BadKey && current.call.Key != "" {
-		fields = append(fields, zap.String("key_digest", tenant.ShortDigest(current.call.Key)))
+		fields = append(fields, zap.String("key_digest", tenant.KeyFingerprint(current.call.Key)))
 	}
 	if current.reservation.Verdict != 0 {
 		fields = append(fields, zap.Stringer("verdict", current.reservation.Verdict), zap.String("owner", current.reservation.Grant.Owner),
--- a/internal/forward/region_test.go
+++ b/internal/forward/region_test.go
@@ -21,7 +21,7 @@
 // engineNoted answers each attempt and notes its engine.
 type engineNoted struct{ engines []string }
 
-func (sender *engineNoted) Send(_ context.Context, attempt *forward.Attempt) (*forward.Reply, error) {
+func (sender *engineNoted) Send(_ context.Context, attempt *forward.Attempt) (*forward.EngineResponse, error) {
 	sender.engines = append(sender.engines, attempt.Engine.ID)
 	return answerOf(http.StatusOK, strings.NewReader("ok"))()
 }
@@ -31,23 +31,23 @@
 func TestCallsStayInTheRegionsOfTheirRouteAndTenant(t *testing.T) {
 	expect := NewWithT(t)
 	directory := backend.NewDirectory()
-	directory.Put(backend.Instance{ID: "north", Service: "s", Address: "n", Zone: "a", Slots: 4}, time.Time{})
-	directory.Put(backend.Instance{ID: "south", Service: "s", Address: "s", Zone: "b", Slots: 4}, time.Time{})
+	directory.Upsert(backend.Instance{ID: "north", Service: "s", Address: "n", Zone: "a", Slots: 4}, time.Time{})
+	directory.Upsert(backend.Instance{ID: "south", Service: "s", Address: "s", Zone: "b", Slots: 4}, time.Time{})
 	share := []routing.Share{{Service: "s", Weight: 1}}
 	configuration := routing.New(1, []*routing.Route{
 		{Name: "bound", Host: "h", Prefix: "/bound/", Shares: share, Regions: []string{"north"}},
 		{Name: "free", Host: "h", Prefix: "/free/", Shares: share},
 	}, []routing.Service{{Name: "s"}}, routing.Limits{})
-	configuration.Tenants = tenant.NewDirectory([]tenant.Holder{
+	configuration.Tenants = tenant.NewDirectory([]tenant.TenantKeys{
 		{Tenant: tenant.Tenant{Name: "bound", Regions: []string{"south"}}, Keys: []string{"k-bound"}},
 		{Tenant: tenant.Tenant{Name: "free"}, Keys: []string{"k-free"}},
 	})
-	routes := &routing.Current{}
+	routes := &routing.ActiveConfiguration{}
 	routes.Apply(configuration)
 	sender := &engineNoted{}
 	waiting := backend.NewWaitQueue()
-	waiting.UseRooms(directory)
-	service := &forward.Service{Routes: routes, Engines: directory, Waiting: waiting, Meter: &fakeMeter{}, Logger: zap.NewNop(),
+	waiting.SetCapacitySource(directory)
+	service := &forward.Service{Routes: routes, Engines: directory, WaitQueue: waiting, Meter: &fakeMeter{}, Logger: zap.NewNop(),
 		Programs: &fakePrograms{}, Sender: sender, Zone: "b", Regions: region.Map{"a": "north", "b": "south"},
 		Nodes: func() int { return 1 }, ViewAge: func() time.Duration { return 0 }}
 	serve := func(path, key string) *fakeAnswer {
--- a/internal/forward/room_test.go
+++ b/internal/forward/room_test.go
@@ -29,13 +29,13 @@
 	release chan struct{}
 }
 
-func (sender *busySender) Send(ctx context.Context, _ *forward.Attempt) (*forward.Reply, error) {
+func (sender *busySender) Send(ctx context.Context, _ *forward.Attempt) (*forward.EngineResponse, error) {
 	sender.asked.Add(1)
 	select {
 	case <-sender.release:
 		return answerOf(http.StatusOK, strings.NewReader("ok"))()
 	case <-ctx.Done():
-		return nil, backend.ErrLost
+		return nil, backend.ErrResponseLost
 	}
 }
 
@@ -76,16 +76,16 @@
 		logs = observed
 		meter = &fakeMeter{}
 		directory = backend.NewDirectory()
-		directory.Put(backend.Instance{ID: "e1", Service: "s", Address: "e1", Slots: 1}, time.Time{})
-		routes := &routing.Current{}
+		directory.Upsert(backend.Instance{ID: "e1", Service: "s", Address: "e1", Slots: 1}, time.Time{})
+		routes := &routing.ActiveConfiguration{}
 		share := []routing.Share{{Service: "s", Weight: 1}}
 		routes.Apply(routing.New(1, []*routing.Route{
 			{Name: "tool", Host: "h", Prefix: "/tool/", Shares: share, Objective: 50 * time.Millisecond},
-			{Name: "kept", Host: "h", Prefix: "/kept/", Kind: routing.Streaming, Shares: share, KeepsTurns: true, Retention: time.Minute},
+			{Name: "kept", Host: "h", Prefix: "/kept/", Kind: routing.Streaming, Shares: share, StoresTurns: true, Retention: time.Minute},
 		}, []routing.Service{{Name: "s"}}, routing.Limits{}))
 		waiting := backend.NewWaitQueue()
-		waiting.UseRooms(directory)
-		service = &forward.Service{Routes: routes, Engines: directory, Waiting: waiting, Meter: meter, Logger: zap.New(core),
+		waiting.SetCapacitySource(directory)
+		service = &forward.Service{Routes: routes, Engines: directory, WaitQueue: waiting, Meter: meter, Logger: zap.New(core),
 			Programs: &fakePrograms{reservation: forward.Reservation{Verdict: nodev1.Verdict_VERDICT_GRANTED}},
 			Nodes:    func() int { return 1 }, ViewAge: func() time.Duration { return 0 }}
 	})
@@ -93,7 +93,7 @@
 	serve := func(ctx context.Context, path string) *fakeAnswer {
 		answer := &fakeAnswer{}
 		service.Serve(ctx, &forward.Call{ID: "r", Method: "POST", Host: "h", Target: path, Path: path, Received: time.Now(),
-			Deadline: time.Now().Add(2 * time.Second), Program: "p", Turn: &forward.TurnOrder{Budget: 1000, Most: 100}}, answer)
+			Deadline: time.Now().Add(2 * time.Second), Program: "p", Turn: &forward.TurnRequest{Budget: 1000, MaxTokens: 100}}, answer)
 		return answer
 	}
 	failureOf := func(answer *fakeAnswer) *resultcode.Error {
@@ -115,7 +115,7 @@
 	}
 
 	It("refuses a call at once whose predicted wait is over its patience, and says when there will be room", func() {
-		directory.Took("s", 10*time.Second)
+		directory.RecordDuration("s", 10*time.Second)
 		busy := fill()
 		DeferCleanup(func() { close(busy.release) })
 		began := time.Now()
@@ -125,11 +125,11 @@
 		Expect(failure.RetryAfter).To(BeNumerically("~", 300*time.Millisecond, 20*time.Millisecond), "what its caller can wait for")
 		Expect(failureOf(serve(context.Background(), "/tool/x")).RetryAfter).NotTo(Equal(failure.RetryAfter))
 		Expect(busy.asked.Load()).To(Equal(int64(2)), "it was not asked")
-		Expect(meter.reasons()).To(HaveEach(forward.NoRoomInTime))
+		Expect(meter.reasons()).To(HaveEach(forward.DeadlineTooClose))
 	})
 
 	It("refuses a call with the time to room that it predicts", func() {
-		directory.Took("s", 1200*time.Millisecond)
+		directory.RecordDuration("s", 1200*time.Millisecond)
 		busy := fill()
 		DeferCleanup(func() { close(busy.release) })
 		// One of two that take 1.2 s ends each 0.6 s, and a tool's call waits for half of its time.
@@ -138,9 +138,9 @@
 			defer close(held)
 			serve(context.Background(), "/tool/x")
 		}()
-		Eventually(func() bool { return service.Waiting.Waits("s") }).Should(BeTrue())
+		Eventually(func() bool { return service.WaitQueue.HasWaiters("s") }).Should(BeTrue())
 		failure := failureOf(serve(context.Background(), "/tool/x"))
-		Expect(meter.reasons()).To(Equal([]forward.RoomReason{forward.NoRoomPredicted}))
+		Expect(meter.reasons()).To(Equal([]forward.CapacityRefusal{forward.WaitPredictedTooLong}))
 		Expect(failure.RetryAfter).To(BeNumerically(">=", 100*time.Millisecond))
 		line := logs.FilterMessage("call failed").All()[0].ContextMap()
 		Expect(line).To(HaveKeyWithValue("ahead", BeNumerically("==", 1)))
@@ -149,11 +149,11 @@
 	})
 
 	It("lets a call wait that can be served in time, until a request ends", func() {
-		directory.Took("s", 150*time.Millisecond)
+		directory.RecordDuration("s", 150*time.Millisecond)
 		busy := fill()
 		answered := make(chan *fakeAnswer)
 		go func() { answered <- serve(context.Background(), "/tool/x") }()
-		Eventually(func() bool { return service.Waiting.Waits("s") }).Should(BeTrue())
+		Eventually(func() bool { return service.WaitQueue.HasWaiters("s") }).Should(BeTrue())
 		close(busy.release)
 		var answer *fakeAnswer
 		Eventually(answered).Should(Receive(&answer))
@@ -169,43 +169,43 @@
 			defer close(over)
 			serve(ctx, "/tool/x")
 		}()
-		Eventually(func() bool { return service.Waiting.Waits("s") }).Should(BeTrue())
+		Eventually(func() bool { return service.WaitQueue.HasWaiters("s") }).Should(BeTrue())
 		leave()
 		Eventually(over).Should(BeClosed())
-		Expect(service.Waiting.Waits("s")).To(BeFalse())
+		Expect(service.WaitQueue.HasWaiters("s")).To(BeFalse())
 		close(busy.release)
 		Consistently(busy.asked.Load, "100ms").Should(Equal(int64(2)))
 	})
 
 	It("asks no engine again without end, and reads refusals whole so that their connections are kept", func() {
 		for _, id := range []string{"e2", "e3", "e4", "e5", "e6"} {
-			directory.Put(backend.Instance{ID: id, Service: "s", Address: id, Slots: 1}, time.Time{})
+			directory.Upsert(backend.Instance{ID: id, Service: "s", Address: id, Slots: 1}, time.Time{})
 		}
 		var whole atomic.Bool
-		sender := &fakeSender{replies: []func() (*forward.Reply, error){func() (*forward.Reply, error) {
+		sender := &fakeSender{replies: []func() (*forward.EngineResponse, error){func() (*forward.EngineResponse, error) {
 			body := countingBody{Reader: strings.NewReader("full"), whole: &whole}
-			return &forward.Reply{Status: http.StatusServiceUnavailable, NotRun: true, Body: io.NopCloser(body)}, nil
+			return &forward.EngineResponse{Status: http.StatusServiceUnavailable, NotRun: true, Body: io.NopCloser(body)}, nil
 		}}}
 		service.Sender = sender
 		failure := failureOf(serve(context.Background(), "/tool/x"))
 		Expect(failure.Code).To(Equal(resultcode.NoBackEnd))
-		Expect(meter.reasons()).To(Equal([]forward.RoomReason{forward.NoRoomRefused}))
+		Expect(meter.reasons()).To(Equal([]forward.CapacityRefusal{forward.TooManyRefusals}))
 		Expect(sender.sent).To(HaveLen(4))
 		Expect(whole.Load()).To(BeTrue())
 	})
 
 	It("lets calls past one that waits for room and may not ask", func() {
-		for service.Retries.Take(time.Now()) {
+		for service.RetryBudget.Acquire(time.Now()) {
 			continue
 		}
-		answered := func() (*forward.Reply, error) { return answerOf(http.StatusOK, strings.NewReader("ok"))() }
-		service.Sender = &fakeSender{replies: []func() (*forward.Reply, error){refused, answered}}
+		answered := func() (*forward.EngineResponse, error) { return answerOf(http.StatusOK, strings.NewReader("ok"))() }
+		service.Sender = &fakeSender{replies: []func() (*forward.EngineResponse, error){refused, answered}}
 		held := make(chan struct{})
 		go func() {
 			defer close(held)
 			serve(context.Background(), "/tool/x")
 		}()
-		Eventually(func() bool { return service.Waiting.Waits("s") }).Should(BeTrue())
+		Eventually(func() bool { return service.WaitQueue.HasWaiters("s") }).Should(BeTrue())
 		began := time.Now()
 		Expect(serve(context.Background(), "/tool/x").ended).To(BeTrue())
 		Expect(time.Since(began)).To(BeNumerically("<", 400*time.Millisecond), "a second refills the budget by one")
@@ -216,9 +216,9 @@
 		DeferCleanup(func() { _ = feature.Disable("") })
 		Expect(feature.Disable("retry-budget,room-by-load")).To(Succeed())
 		for _, id := range []string{"e2", "e3", "e4", "e5", "e6"} {
-			directory.Put(backend.Instance{ID: id, Service: "s", Address: id, Slots: 1}, time.Time{})
+			directory.Upsert(backend.Instance{ID: id, Service: "s", Address: id, Slots: 1}, time.Time{})
 		}
-		sender := &fakeSender{replies: []func() (*forward.Reply, error){refused}}
+		sender := &fakeSender{replies: []func() (*forward.EngineResponse, error){refused}}
 		service.Sender = sender
 		serve(context.Background(), "/tool/x")
 		Expect(len(sender.sent)).To(BeNumerically(">", 6))
@@ -229,7 +229,7 @@
 			reservation: forward.Reservation{Verdict: nodev1.Verdict_VERDICT_UNSURE, RetryAfter: time.Second}}
 		answer := &fakeAnswer{}
 		service.Serve(context.Background(), &forward.Call{ID: "r", Method: "POST", Host: "h", Target: "/kept/x", Path: "/kept/x", Received: time.Now(),
-			Deadline: time.Now().Add(20 * time.Millisecond), Program: "p", Turn: &forward.TurnOrder{Budget: 1000, Most: 100}}, answer)
+			Deadline: time.Now().Add(20 * time.Millisecond), Program: "p", Turn: &forward.TurnRequest{Budget: 1000, MaxTokens: 100}}, answer)
 		Expect(failureOf(answer).Code).To(Equal(resultcode.NoLeader))
 		Expect(failureOf(answer).RetryAfter).To(BeNumerically(">=", 0))
 	})
@@ -237,7 +237,7 @@
 	It("frees the engine's place before a turn is recorded", func() {
 		programs := &slowLog{fakePrograms: fakePrograms{reservation: forward.Reservation{Verdict: nodev1.Verdict_VERDICT_GRANTED}}, directory: directory}
 		service.Programs = programs
-		service.Sender = &fakeSender{replies: []func() (*forward.Reply, error){answerOf(http.StatusOK, strings.NewReader("data: a\n\n"))}}
+		service.Sender = &fakeSender{replies: []func() (*forward.EngineResponse, error){answerOf(http.StatusOK, strings.NewReader("data: a\n\n"))}}
 		Expect(serve(context.Background(), "/kept/x").ended).To(BeTrue())
 		Expect(programs.running).To(BeEmpty())
 		Expect(directory.Running()).To(BeEmpty())
--- a/internal/forward/send.go
+++ b/internal/forward/send.go
@@ -42,15 +42,15 @@
 // pick chooses an engine, nil where none has room, others wait for one, or the call may
 // not ask again.
 func (current *course) pick() *backend.Engine {
-	if !current.waited && current.service.Waiting.Waits(current.serviceName) {
+	if !current.waited && current.service.WaitQueue.HasWaiters(current.serviceName) {
 		return nil
 	}
-	if !current.asking.Take(&current.service.Retries, time.Now()) {
+	if !current.asking.AcquireAttempt(&current.service.RetryBudget, time.Now()) {
 		return nil
 	}
 	engine := current.pickAmong()
 	if engine == nil {
-		current.asking.Return(&current.service.Retries)
+		current.asking.ReleaseAttempt(&current.service.RetryBudget)
 	}
 	return engine
 }
@@ -66,7 +66,7 @@
 		request.Prompt = current.call.SharedPrompt
 	}
 	current.viewAge = current.service.ViewAge()
-	current.usable = current.service.Engines.Usable(current.serviceName)
+	current.usable = current.service.Engines.EligibleCount(current.serviceName)
 	return current.service.Engines.Pick(request, time.Now())
 }
 
@@ -83,7 +83,7 @@
 	stopWatch := current.watch(engine, attempt)
 	defer func() {
 		outcome = stopWatch(outcome)
-		if outcome == backend.Failed && current.service.Freezes.Since(began) {
+		if outcome == backend.Failed && current.service.FreezeDetector.FrozenSince(began) {
 			// The engine gave a node up that read nothing for long.
 			outcome = backend.Abandoned
 		}
@@ -95,7 +95,7 @@
 	reply, err := current.service.Sender.Send(sending, attempt)
 	if err != nil {
 		outcome = outcomeOfSending(ctx, err)
-		if errors.Is(err, backend.ErrHeldUp) {
+		if errors.Is(err, backend.ErrProcessFrozen) {
 			current.tried = current.tried[:len(current.tried)-1]
 		}
 		return current.afterSendFailure(ctx, err)
@@ -122,11 +122,11 @@
 }
 
 // refusedBy reads an engine's refusal to its end, and returns what it says of the engine.
-func (current *course) refusedBy(engine *backend.Engine, reply *Reply, giveUp context.CancelFunc) backend.Outcome {
+func (current *course) refusedBy(engine *backend.Engine, reply *EngineResponse, giveUp context.CancelFunc) backend.Outcome {
 	outcome := backend.Misdirected
 	if !reply.Misdirected {
 		outcome = backend.Full
-		current.asking.Refused()
+		current.asking.RecordRefusal()
 	}
 	drain(reply, giveUp)
 	current.service.Logger.Info("engine refused", zap.String("request", current.call.ID),
@@ -145,22 +145,22 @@
 		released = true
 		current.endSilence()
 		current.service.Engines.Finish(engine, outcome, time.Now())
-		if outcome == backend.Answered {
-			if !current.service.Freezes.Since(began) {
-				current.service.Engines.Took(current.serviceName, time.Since(began))
+		if outcome == backend.Succeeded {
+			if !current.service.FreezeDetector.FrozenSince(began) {
+				current.service.Engines.RecordDuration(current.serviceName, time.Since(began))
 			}
-			current.service.Retries.Served()
+			current.service.RetryBudget.RecordSuccess()
 		}
 		if outcome != backend.Full && outcome != backend.NoConnection {
 			// After a refusal the next one waits for the queue's own pace.
-			current.service.Waiting.Wake(current.serviceName)
+			current.service.WaitQueue.WakeNext(current.serviceName)
 		}
 	}
 }
 
 // drain reads a refusal to its end, so that its connection can be kept: a new one for each
 // ask after a refusal costs a full engine more than the ask.
-func drain(reply *Reply, giveUp context.CancelFunc) {
+func drain(reply *EngineResponse, giveUp context.CancelFunc) {
 	timer := time.AfterFunc(refusalDrain, giveUp)
 	defer timer.Stop()
 	// Where it can't be read the connection is closed with the body.
@@ -171,13 +171,13 @@
 func (current *course) newAttempt(engine *backend.Engine, remaining time.Duration) *Attempt {
 	chosen := time.Now()
 	return &Attempt{
-		HeldUp:         func() bool { return current.service.Freezes.Since(chosen) },
+		Frozen:         func() bool { return current.service.FreezeDetector.FrozenSince(chosen) },
 		Call:           current.call,
 		Engine:         engine.Instance,
 		Body:           current.body,
 		Remaining:      max(remaining-answerMargin, time.Millisecond),
-		Streams:        current.route.Kind == routing.Streaming,
-		Urgency:        current.urgency(),
+		Streaming:      current.route.Kind == routing.Streaming,
+		Priority:       current.urgency(),
 		MaxConnections: current.maxConnections(),
 		// A quarter for each: few nodes send to an engine for all others.
 		MaxSharedConnections: current.definition.MaxConnections / sharedConnections,
@@ -189,7 +189,7 @@
 	switch {
 	case ctx.Err() != nil:
 		return backend.Abandoned
-	case errors.Is(err, backend.ErrHeldUp):
+	case errors.Is(err, backend.ErrProcessFrozen):
 		return backend.Abandoned
 	case errors.Is(err, backend.ErrTooManyConnections):
 		return backend.NoConnection
@@ -203,8 +203,8 @@
 
 // outcomeOfStatus tells an engine's own failure from an answer.
 func outcomeOfStatus(outcome backend.Outcome, status int) backend.Outcome {
-	if outcome == backend.Answered && status >= http.StatusInternalServerError {
-		return backend.Erred
+	if outcome == backend.Succeeded && status >= http.StatusInternalServerError {
+		return backend.EngineError
 	}
 	return outcome
 }
@@ -212,7 +212,7 @@
 // noteFailure keeps the engine that ran a call and failed it, for the owner of its program.
 func (current *course) noteFailure(engine *backend.Engine, outcome backend.Outcome) {
 	switch outcome {
-	case backend.Erred, backend.Failed, backend.FailedElsewhere, backend.Silent:
+	case backend.EngineError, backend.Failed, backend.FailedRemotely, backend.NoResponse:
 		current.failedEngine = engine.ID
 	}
 }
@@ -246,7 +246,7 @@
 	if ctx.Err() != nil {
 		return true, current.timedOut(ctx)
 	}
-	if current.route.Kind == routing.Safe && current.runs < max(current.route.Attempts, 1) {
+	if current.route.Kind == routing.Safe && current.runs < max(current.route.MaxAttempts, 1) {
 		return false, nil
 	}
 	return true, current.outcomeUnknown()
@@ -275,9 +275,9 @@
 // relayWhole holds an answer until it is whole, so that a broken one can be
 // told as such or tried elsewhere. Of one over heldBytes the beginning is passed
 // on before its end has come.
-func (current *course) relayWhole(ctx context.Context, reply *Reply) (backend.Outcome, error) {
+func (current *course) relayWhole(ctx context.Context, reply *EngineResponse) (backend.Outcome, error) {
 	content, whole, err := current.hold(reply.Body)
-	defer current.service.Answers.Release(int64(cap(content)))
+	defer current.service.HeldResponses.Release(int64(cap(content)))
 	current.heard()
 	if err != nil {
 		return current.brokenAnswer(ctx, errBrokenOff)
@@ -288,7 +288,7 @@
 		err = current.answer.Write(content)
 	}
 	if err != nil {
-		return backend.Answered, errCallerGone
+		return backend.Succeeded, errCallerGone
 	}
 	if !whole {
 		outcome, failure := current.relayRest(ctx, reply)
@@ -297,11 +297,11 @@
 		}
 	}
 	current.answer.End()
-	return backend.Answered, nil
+	return backend.Succeeded, nil
 }
 
 // relayRest passes on what follows the held beginning of a long answer.
-func (current *course) relayRest(ctx context.Context, reply *Reply) (backend.Outcome, error) {
+func (current *course) relayRest(ctx context.Context, reply *EngineResponse) (backend.Outcome, error) {
 	buffer := make([]byte, restBytes)
 	for {
 		count, err := reply.Body.Read(buffer)
@@ -309,7 +309,7 @@
 			return backend.Abandoned, errCallerGone
 		}
 		if errors.Is(err, io.EOF) {
-			return backend.Answered, nil
+			return backend.Succeeded, nil
 		}
 		if err != nil {
 			return current.brokenAnswer(ctx, current.outcomeUnknown())
--- a/internal/forward/service.go
+++ b/internal/forward/service.go
@@ -17,14 +17,14 @@
 	"go.uber.org/zap"
 )
 
-// ReservationOrder is a turn that asks its program's owner.
-type ReservationOrder struct {
+// ReservationRequest is a turn that asks its program's owner.
+type ReservationRequest struct {
 	Call *Call
 	// Service runs the turn.
 	Service string
 	// Route takes it, and Rank is how urgent it is: 0 is the most urgent.
-	Route string
-	Rank  int
+	Route    string
+	Priority int
 	// Zones are those in which the turn may be served and kept.
 	Zones region.ZoneSet
 }
@@ -37,9 +37,9 @@
 	Grant   Grant
 	// Engine keeps the line of turns, empty where the owner names none.
 	Engine string
-	// Elsewhere is true where the owner could not be asked from this node, and may
+	// TryOtherNode is true where the owner could not be asked from this node, and may
 	// be from another one.
-	Elsewhere bool
+	TryOtherNode bool
 	// RetryAfter is when there will be room for a program that may not begin now.
 	RetryAfter time.Duration
 }
@@ -65,40 +65,40 @@
 type Programs interface {
 	// Reserve asks for a turn's tokens, its chain and its engine of the service, and
 	// whether its program may begin.
-	Reserve(ctx context.Context, order *ReservationOrder) Reservation
+	Reserve(ctx context.Context, order *ReservationRequest) Reservation
 	// Settle tells how a turn ended. It does not wait.
 	Settle(call *Call, grant Grant, end TurnEnd)
 	// Record returns nil once the turn will outlast all machines.
 	Record(ctx context.Context, turn *history.Turn) error
 }
 
-// Meter counts calls for the metrics.
-type Meter interface {
+// Metrics counts calls for the metrics.
+type Metrics interface {
 	// Finished notes a call's end: its route's kind, its result, how long it took.
 	Finished(kind routing.Kind, code resultcode.Code, took time.Duration)
 	// FirstEvent notes the time to a stream's first event.
 	FirstEvent(took time.Duration)
-	// RefusedForRoom notes a call refused because no engine of a service had room in time.
-	RefusedForRoom(service string, reason RoomReason)
+	// RefusedForCapacity notes a call refused because no engine of a service had room in time.
+	RefusedForCapacity(service string, reason CapacityRefusal)
 }
 
 // Service takes calls their way.
 type Service struct {
-	Routes  *routing.Current
+	Routes  *routing.ActiveConfiguration
 	Engines *backend.Directory
-	// Waiting orders the calls that wait for an engine.
-	Waiting *backend.WaitQueue
-	// Retries bounds the asks that follow on refusals, Returns spreads the calls that come
+	// WaitQueue orders the calls that wait for an engine.
+	WaitQueue *backend.WaitQueue
+	// RetryBudget bounds the asks that follow on refusals, Returns spreads the calls that come
 	// back after their own.
-	Retries  backend.RetryBudget
-	Returns  backend.Returns
-	Sender   Sender
-	Programs Programs
+	RetryBudget    backend.RetryBudget
+	RetryScheduler backend.RetryScheduler
+	Sender         Sender
+	Programs       Programs
 	// Quotas bounds the requests of tenants; nil where none has a limit.
 	Quotas Quotas
 	// ToolCalls counts what programs have under way beside turns; nil where nobody asks.
 	ToolCalls *ToolCalls
-	Meter     Meter
+	Meter     Metrics
 	Logger    *zap.Logger
 	Zone      string
 	// Regions holds the region of each zone.
@@ -111,15 +111,15 @@
 	ViewAge func() time.Duration
 	// Views tells what configuration and engines are from before a freeze; nil where that is
 	// not known. Freezes tells when the process was frozen.
-	Views   Views
-	Freezes *freeze.Watch
-	// Answers bounds the bytes of answers that are held until they are whole; nil is no bound.
-	Answers *heldbytes.Bound
-	// CutOff tells whether this node's zone reaches neither the store nor another zone; nil
+	Views          Views
+	FreezeDetector *freeze.Detector
+	// HeldResponses bounds the bytes of answers that are held until they are whole; nil is no bound.
+	HeldResponses *heldbytes.Limiter
+	// ZoneIsolated tells whether this node's zone reaches neither the store nor another zone; nil
 	// where that is not known.
-	CutOff func() bool
-	// LogAway tells whether the log answers nobody now; nil where that is not known.
-	LogAway func() bool
+	ZoneIsolated func() bool
+	// LogUnavailable tells whether the log answers nobody now; nil where that is not known.
+	LogUnavailable func() bool
 }
 
 const (
@@ -181,7 +181,7 @@
 type course struct {
 	service *Service
 	call    *Call
-	answer  Answer
+	answer  ResponseWriter
 	route   *routing.Route
 	// serviceName is the service that runs the call.
 	serviceName string
@@ -196,7 +196,7 @@
 	tried  []string
 	runs   int
 	// asking is how often engines have refused the call.
-	asking backend.Asking
+	asking backend.RefusalState
 	// goesOn is true for a turn whose program has turns already.
 	goesOn     bool
 	lastEngine string
@@ -238,7 +238,7 @@
 }
 
 // Serve takes a call to its answer. ctx ends when the caller is gone.
-func (service *Service) Serve(ctx context.Context, call *Call, answer Answer) {
+func (service *Service) Serve(ctx context.Context, call *Call, answer ResponseWriter) {
 	current := &course{service: service, call: call, answer: answer}
 	current.awaitViews(ctx)
 	failure := current.prepare()
@@ -261,7 +261,7 @@
 	if current.route == nil {
 		return current.denied(resultcode.UnknownRoute, "no route for this host and path")
 	}
-	if current.route.KeepsTurns && current.call.Resumes {
+	if current.route.StoresTurns && current.call.Resumes {
 		// The turn's record has to hold what the caller got from the start, and an
 		// earlier attempt's node may be gone with it.
 		return resultcode.New(resultcode.ResumeNotHeld, "the beginning of the stream is not held").After(unknownRetry)
@@ -289,21 +289,21 @@
 // tenant both hold.
 func (current *course) allowedZones() region.ZoneSet {
 	if current.tenant == nil {
-		return current.service.Regions.Allowed(current.route.Regions)
+		return current.service.Regions.AllowedZones(current.route.Regions)
 	}
-	return current.service.Regions.Allowed(current.route.Regions, current.tenant.Regions)
+	return current.service.Regions.AllowedZones(current.route.Regions, current.tenant.Regions)
 }
 
 func (service *Service) unknownRetry() time.Duration {
-	if time.Since(service.Started) < startupTime || !feature.Enabled(feature.LaterRetries) {
+	if time.Since(service.Started) < startupTime || !feature.Enabled(feature.StaggeredRetries) {
 		return unknownRetry
 	}
 	return unknownRetryMost
 }
 
 func (current *course) run(ctx context.Context) error {
-	if current.service.Engines.Closed(current.serviceName, current.zones) {
-		return current.noRoom(NoRoomClosed, backend.Forecast{})
+	if current.service.Engines.NoneAvailable(current.serviceName, current.zones) {
+		return current.noRoom(NoEngineAvailable, backend.Forecast{})
 	}
 	failure := current.awaitLog(ctx)
 	if failure != nil {
@@ -334,24 +334,24 @@
 	if turn == nil || current.route.Kind != routing.Streaming {
 		return false
 	}
-	return turn.Budget < Unlimited || (current.route.KeepsTurns && turn.Previous != "")
+	return turn.Budget < Unlimited || (current.route.StoresTurns && turn.Previous != "")
 }
 
 // reserve asks the program's owner, and puts the chain before the input.
 func (current *course) reserve(ctx context.Context) error {
-	if !current.route.KeepsTurns {
+	if !current.route.StoresTurns {
 		current.call.Turn.Previous = ""
 	}
 	began := time.Now()
-	reservation := current.service.Programs.Reserve(ctx, &ReservationOrder{
-		Call: current.call, Service: current.serviceName, Route: current.route.Name, Rank: current.urgency(), Zones: current.zones})
+	reservation := current.service.Programs.Reserve(ctx, &ReservationRequest{
+		Call: current.call, Service: current.serviceName, Route: current.route.Name, Priority: current.urgency(), Zones: current.zones})
 	current.reservation = reservation
 	current.reserveTook = time.Since(began)
 	switch reservation.Verdict {
 	case nodev1.Verdict_VERDICT_GRANTED:
 		current.reserved = true
 		if len(reservation.Chain) > 0 {
-			current.body = history.Prompt(reservation.Chain, current.call.Body)
+			current.body = history.BuildPrompt(reservation.Chain, current.call.Body)
 		}
 		return nil
 	case nodev1.Verdict_VERDICT_SPENT:
@@ -365,7 +365,7 @@
 		switch {
 		case reservation.RetryAfter > 0:
 			comeBack = current.retryWithin(reservation.RetryAfter)
-		case reservation.Elsewhere:
+		case reservation.TryOtherNode:
 			comeBack = elsewhereRetry
 		}
 		return resultcode.New(resultcode.NoLeader, "the program's owner can't tell now: %s", reservation.Reason).After(comeBack)
--- a/internal/forward/service_test.go
+++ b/internal/forward/service_test.go
@@ -26,17 +26,17 @@
 
 // fakeSender answers with what it is given, attempt by attempt.
 type fakeSender struct {
-	replies []func() (*forward.Reply, error)
+	replies []func() (*forward.EngineResponse, error)
 	// mutex guards sent while calls are under way.
 	mutex sync.Mutex
 	sent  []*forward.Attempt
 }
 
-func (sender *fakeSender) Send(_ context.Context, attempt *forward.Attempt) (*forward.Reply, error) {
+func (sender *fakeSender) Send(_ context.Context, attempt *forward.Attempt) (*forward.EngineResponse, error) {
 	return sender.next(attempt)()
 }
 
-func (sender *fakeSender) next(attempt *forward.Attempt) func() (*forward.Reply, error) {
+func (sender *fakeSender) next(attempt *forward.Attempt) func() (*forward.EngineResponse, error) {
 	sender.mutex.Lock()
 	defer sender.mutex.Unlock()
 	reply := sender.replies[min(len(sender.sent), len(sender.replies)-1)]
@@ -44,14 +44,14 @@
 	return reply
 }
 
-func answerOf(status int, body io.Reader) func() (*forward.Reply, error) {
-	return func() (*forward.Reply, error) {
-		return &forward.Reply{Status: status, Header: http.Header{}, Body: io.NopCloser(body)}, nil
+func answerOf(status int, body io.Reader) func() (*forward.EngineResponse, error) {
+	return func() (*forward.EngineResponse, error) {
+		return &forward.EngineResponse{Status: status, Header: http.Header{}, Body: io.NopCloser(body)}, nil
 	}
 }
 
-func refused() (*forward.Reply, error) {
-	return &forward.Reply{Status: http.StatusServiceUnavailable, NotRun: true, Body: io.NopCloser(strings.NewReader(""))}, nil
+func refused() (*forward.EngineResponse, error) {
+	return &forward.EngineResponse{Status: http.StatusServiceUnavailable, NotRun: true, Body: io.NopCloser(strings.NewReader(""))}, nil
 }
 
 var errBroken = errors.New("broken off")
@@ -70,18 +70,18 @@
 // refusingSender refuses everything and counts.
 type refusingSender struct{ asked atomic.Int64 }
 
-func (sender *refusingSender) Send(context.Context, *forward.Attempt) (*forward.Reply, error) {
+func (sender *refusingSender) Send(context.Context, *forward.Attempt) (*forward.EngineResponse, error) {
 	sender.asked.Add(1)
 	return refused()
 }
 
 // togetherSender answers once three attempts are there.
 type togetherSender struct {
-	answer  func(ctx context.Context, attempt *forward.Attempt) (*forward.Reply, error)
+	answer  func(ctx context.Context, attempt *forward.Attempt) (*forward.EngineResponse, error)
 	arrived sync.WaitGroup
 }
 
-func (sender *togetherSender) Send(ctx context.Context, attempt *forward.Attempt) (*forward.Reply, error) {
+func (sender *togetherSender) Send(ctx context.Context, attempt *forward.Attempt) (*forward.EngineResponse, error) {
 	sender.arrived.Done()
 	sender.arrived.Wait()
 	return sender.answer(ctx, attempt)
@@ -89,12 +89,12 @@
 
 // hangingSender hangs on the first attempt and answers the others.
 type hangingSender struct {
-	hang    func(ctx context.Context) (*forward.Reply, error)
-	then    func() (*forward.Reply, error)
+	hang    func(ctx context.Context) (*forward.EngineResponse, error)
+	then    func() (*forward.EngineResponse, error)
 	engines []string
 }
 
-func (sender *hangingSender) Send(ctx context.Context, attempt *forward.Attempt) (*forward.Reply, error) {
+func (sender *hangingSender) Send(ctx context.Context, attempt *forward.Attempt) (*forward.EngineResponse, error) {
 	sender.engines = append(sender.engines, attempt.Engine.ID)
 	if len(sender.engines) == 1 {
 		return sender.hang(ctx)
@@ -121,7 +121,7 @@
 	mutex sync.Mutex
 	// reserves counts the asks for tokens, orders are they.
 	reserves int
-	orders   []*forward.ReservationOrder
+	orders   []*forward.ReservationRequest
 	settled  []int64
 	// failedEngine is the one that the last settlement names.
 	failedEngine string
@@ -130,7 +130,7 @@
 	wait         time.Duration
 }
 
-func (programs *fakePrograms) Reserve(_ context.Context, order *forward.ReservationOrder) forward.Reservation {
+func (programs *fakePrograms) Reserve(_ context.Context, order *forward.ReservationRequest) forward.Reservation {
 	programs.mutex.Lock()
 	programs.reserves++
 	programs.orders = append(programs.orders, order)
@@ -156,7 +156,7 @@
 // silentPrograms grants everything to any number of calls.
 type silentPrograms struct{}
 
-func (*silentPrograms) Reserve(context.Context, *forward.ReservationOrder) forward.Reservation {
+func (*silentPrograms) Reserve(context.Context, *forward.ReservationRequest) forward.Reservation {
 	return forward.Reservation{Verdict: nodev1.Verdict_VERDICT_GRANTED}
 }
 func (*silentPrograms) Settle(*forward.Call, forward.Grant, forward.TurnEnd) {}
@@ -167,7 +167,7 @@
 
 func (silentMeter) Finished(routing.Kind, resultcode.Code, time.Duration) {}
 func (silentMeter) FirstEvent(time.Duration)                              {}
-func (silentMeter) RefusedForRoom(string, forward.RoomReason)             {}
+func (silentMeter) RefusedForCapacity(string, forward.CapacityRefusal)    {}
 
 // fakeAnswer is the caller's side. Abort leaves by a panic, as a real one does.
 type fakeAnswer struct {
@@ -199,7 +199,7 @@
 type fakeMeter struct {
 	mutex   sync.Mutex
 	codes   []resultcode.Code
-	refused []forward.RoomReason
+	refused []forward.CapacityRefusal
 }
 
 func (meter *fakeMeter) Finished(_ routing.Kind, code resultcode.Code, _ time.Duration) {
@@ -210,13 +210,13 @@
 func (meter *fakeMeter) FirstEvent(time.Duration) {}
 
 // reasons returns why calls were refused for want of room so far.
-func (meter *fakeMeter) reasons() []forward.RoomReason {
+func (meter *fakeMeter) reasons() []forward.CapacityRefusal {
 	meter.mutex.Lock()
 	defer meter.mutex.Unlock()
 	return slices.Clone(meter.refused)
 }
 
-func (meter *fakeMeter) RefusedForRoom(_ string, reason forward.RoomReason) {
+func (meter *fakeMeter) RefusedForCapacity(_ string, reason forward.CapacityRefusal) {
 	meter.mutex.Lock()
 	defer meter.mutex.Unlock()
 	meter.refused = append(meter.refused, reason)
@@ -238,17 +238,17 @@
 		meter = &fakeMeter{}
 		directory = backend.NewDirectory()
 		for _, id := range []string{"e1", "e2", "e3"} {
-			directory.Put(backend.Instance{ID: id, Service: "s", Address: id}, time.Time{})
+			directory.Upsert(backend.Instance{ID: id, Service: "s", Address: id}, time.Time{})
 		}
-		routes := &routing.Current{}
+		routes := &routing.ActiveConfiguration{}
 		share := []routing.Share{{Service: "s", Weight: 1}}
 		routes.Apply(routing.New(1, []*routing.Route{
-			{Name: "kept", Host: "h", Prefix: "/kept/", Kind: routing.Streaming, Shares: share, KeepsTurns: true, Retention: time.Minute},
+			{Name: "kept", Host: "h", Prefix: "/kept/", Kind: routing.Streaming, Shares: share, StoresTurns: true, Retention: time.Minute},
 			{Name: "stream", Host: "h", Prefix: "/stream/", Kind: routing.Streaming, Shares: share},
 			{Name: "tool", Host: "h", Prefix: "/tool/", Shares: share, Objective: 50 * time.Millisecond},
-			{Name: "safe", Host: "h", Prefix: "/safe/", Kind: routing.Safe, Shares: share, Attempts: 2},
+			{Name: "safe", Host: "h", Prefix: "/safe/", Kind: routing.Safe, Shares: share, MaxAttempts: 2},
 		}, []routing.Service{{Name: "s", TokensPerEvent: 9}}, routing.Limits{}))
-		service = &forward.Service{Routes: routes, Engines: directory, Sender: sender, Waiting: backend.NewWaitQueue(), Programs: programs, Meter: meter,
+		service = &forward.Service{Routes: routes, Engines: directory, Sender: sender, WaitQueue: backend.NewWaitQueue(), Programs: programs, Meter: meter,
 			Logger: zap.New(core), Nodes: func() int { return 1 }, ViewAge: func() time.Duration { return 0 }}
 	})
 
@@ -256,7 +256,7 @@
 		answer := &fakeAnswer{}
 		call := &forward.Call{ID: "r", Method: "POST", Host: "h", Target: path, Path: path, Received: time.Now(),
 			Deadline: time.Now().Add(2 * time.Second), Program: "p", Body: []byte("in"),
-			Turn: &forward.TurnOrder{Budget: 1000, Most: 100}}
+			Turn: &forward.TurnRequest{Budget: 1000, MaxTokens: 100}}
 		func() {
 			defer func() { _ = recover() }()
 			service.Serve(context.Background(), call, answer)
@@ -266,7 +266,7 @@
 	lines := func(event string) int { return logs.FilterMessage(event).Len() }
 
 	It("tells callers to come back soon while it starts, and late where it then knows no configuration", func() {
-		service.Routes = &routing.Current{}
+		service.Routes = &routing.ActiveConfiguration{}
 		wait := func(since time.Duration) time.Duration {
 			service.Started = time.Now().Add(-since)
 			var failure *resultcode.Error
@@ -281,7 +281,7 @@
 	})
 
 	It("does not send a turn again that another node was to send and may have sent, and blames no engine for it", func() {
-		sender.replies = []func() (*forward.Reply, error){func() (*forward.Reply, error) { return nil, backend.ErrNodeLost }}
+		sender.replies = []func() (*forward.EngineResponse, error){func() (*forward.EngineResponse, error) { return nil, backend.ErrNodeLost }}
 		for range 4 {
 			sender.sent = nil
 			Expect(resultcode.CodeOf(serve("/stream/x").failure)).To(Equal(resultcode.OutcomeUnknown))
@@ -291,11 +291,11 @@
 	})
 
 	It("passes an engine over that gives no byte, while the request waits and after its caller left", func() {
-		sender.replies = []func() (*forward.Reply, error){func() (*forward.Reply, error) {
+		sender.replies = []func() (*forward.EngineResponse, error){func() (*forward.EngineResponse, error) {
 			time.Sleep(700 * time.Millisecond)
 			Expect(directory.Avoided(time.Now())).To(HaveLen(1))
 			time.Sleep(1400 * time.Millisecond) // The call's time is over.
-			return nil, backend.ErrLost
+			return nil, backend.ErrResponseLost
 		}}
 		serve("/stream/x")
 		Expect(lines("engine suspected")).To(Equal(1))
@@ -303,8 +303,8 @@
 	})
 
 	It("counts an engine's own errors against it, tells the owner which engine failed a turn, and passes the answer on", func() {
-		failed := func() (*forward.Reply, error) { return answerOf(500, strings.NewReader("no"))() }
-		sender.replies = []func() (*forward.Reply, error){failed}
+		failed := func() (*forward.EngineResponse, error) { return answerOf(500, strings.NewReader("no"))() }
+		sender.replies = []func() (*forward.EngineResponse, error){failed}
 		for range 6 {
 			answer := serve("/stream/x")
 			Expect(answer.status).To(Equal(500))
@@ -316,7 +316,7 @@
 	})
 
 	DescribeTable("counts against an engine what it fails, and not what may be another node's loss",
-		func(counted int, answer func(ctx context.Context, attempt *forward.Attempt) (*forward.Reply, error)) {
+		func(counted int, answer func(ctx context.Context, attempt *forward.Attempt) (*forward.EngineResponse, error)) {
 			together := &togetherSender{answer: answer}
 			together.arrived.Add(3)
 			service.Sender = together
@@ -333,22 +333,22 @@
 			}()
 			most := 0
 			look := func() {
-				directory.Sound("s", nil, time.Now())
+				directory.Healthy("s", nil, time.Now())
 				most = max(most, directory.OpenBreakers()["s"])
 			}
 			Eventually(func() chan struct{} { look(); return ended }, 5*time.Second, 50*time.Millisecond).Should(BeClosed())
 			look()
 			Expect(most).To(Equal(counted))
 		},
-		Entry("a stream broken off", 1, func(context.Context, *forward.Attempt) (*forward.Reply, error) {
+		Entry("a stream broken off", 1, func(context.Context, *forward.Attempt) (*forward.EngineResponse, error) {
 			return answerOf(200, brokenReader{strings.NewReader("data: a\n\n")})()
 		}),
-		Entry("one that another node sent", 0, func(context.Context, *forward.Attempt) (*forward.Reply, error) {
+		Entry("one that another node sent", 0, func(context.Context, *forward.Attempt) (*forward.EngineResponse, error) {
 			reply, err := answerOf(200, brokenReader{strings.NewReader("data: a\n\n")})()
 			reply.Via = "node-2"
 			return reply, err
 		}),
-		Entry("a stream that ceases without an end", 1, func(ctx context.Context, _ *forward.Attempt) (*forward.Reply, error) {
+		Entry("a stream that ceases without an end", 1, func(ctx context.Context, _ *forward.Attempt) (*forward.EngineResponse, error) {
 			pieces, written := io.Pipe()
 			go func() {
 				_, _ = io.WriteString(written, "data: a\n\n")
@@ -357,20 +357,20 @@
 			}()
 			return answerOf(200, pieces)()
 		}),
-		Entry("no byte", 1, func(ctx context.Context, _ *forward.Attempt) (*forward.Reply, error) {
+		Entry("no byte", 1, func(ctx context.Context, _ *forward.Attempt) (*forward.EngineResponse, error) {
 			<-ctx.Done()
-			return nil, backend.ErrLost
+			return nil, backend.ErrResponseLost
 		}),
-		Entry("no byte from another node", 0, func(ctx context.Context, attempt *forward.Attempt) (*forward.Reply, error) {
-			attempt.HandedOver.Store(true)
+		Entry("no byte from another node", 0, func(ctx context.Context, attempt *forward.Attempt) (*forward.EngineResponse, error) {
+			attempt.Delegated.Store(true)
 			<-ctx.Done()
-			return nil, backend.ErrLost
+			return nil, backend.ErrResponseLost
 		}),
 	)
 
 	It("counts nothing against an engine whose caller reads slowly until its time is over", func() {
 		var sentBy string
-		sending := &togetherSender{answer: func(ctx context.Context, attempt *forward.Attempt) (*forward.Reply, error) {
+		sending := &togetherSender{answer: func(ctx context.Context, attempt *forward.Attempt) (*forward.EngineResponse, error) {
 			sentBy = attempt.Engine.ID
 			pieces, written := io.Pipe()
 			go func() {
@@ -384,7 +384,7 @@
 		sending.arrived.Add(1)
 		service.Sender = sending
 		call := &forward.Call{ID: "r", Method: "POST", Host: "h", Target: "/stream/x", Path: "/stream/x", Received: time.Now(),
-			Deadline: time.Now().Add(1500 * time.Millisecond), Program: "p", Body: []byte("in"), Turn: &forward.TurnOrder{Budget: 1000, Most: 100}}
+			Deadline: time.Now().Add(1500 * time.Millisecond), Program: "p", Body: []byte("in"), Turn: &forward.TurnRequest{Budget: 1000, MaxTokens: 100}}
 		func() {
 			defer func() { _ = recover() }()
 			service.Serve(context.Background(), call, &slowAnswer{pause: 1100 * time.Millisecond})
@@ -393,9 +393,9 @@
 	})
 
 	It("counts a request once that gave no byte for long and was then broken off", func() {
-		sender.replies = []func() (*forward.Reply, error){func() (*forward.Reply, error) {
+		sender.replies = []func() (*forward.EngineResponse, error){func() (*forward.EngineResponse, error) {
 			time.Sleep(700 * time.Millisecond)
-			return nil, backend.ErrLost
+			return nil, backend.ErrResponseLost
 		}}
 		serve("/stream/x")
 		Expect(lines("engine suspected")).To(Equal(1))
@@ -403,9 +403,9 @@
 	})
 
 	It("takes neither a full set of connections nor a refusal nor an answer of the caller's fault for an engine's failure", func() {
-		full := func() (*forward.Reply, error) { return nil, backend.ErrTooManyConnections }
+		full := func() (*forward.EngineResponse, error) { return nil, backend.ErrTooManyConnections }
 		fault := answerOf(404, strings.NewReader("no"))
-		sender.replies = []func() (*forward.Reply, error){full, refused, fault}
+		sender.replies = []func() (*forward.EngineResponse, error){full, refused, fault}
 		for range 4 {
 			sender.sent = nil
 			serve("/stream/x")
@@ -415,7 +415,7 @@
 	})
 
 	It("writes a line, counts and settles for a stream that its engine broke off", func() {
-		sender.replies = []func() (*forward.Reply, error){answerOf(200, brokenReader{strings.NewReader("data: a\n\ndata: b\n\ndata: ha")})}
+		sender.replies = []func() (*forward.EngineResponse, error){answerOf(200, brokenReader{strings.NewReader("data: a\n\ndata: b\n\ndata: ha")})}
 		answer := serve("/stream/x")
 		Expect(answer.aborted).To(BeTrue())
 		Expect(answer.body.String()).To(Equal("data: a\n\ndata: b\n\n"), "whole events only")
@@ -427,16 +427,16 @@
 	It("observes the time between the events of streams that have enough", func() {
 		events := func(count int) {
 			for range 3 {
-				sender.replies = []func() (*forward.Reply, error){answerOf(200, &pacedEvents{left: count})}
+				sender.replies = []func() (*forward.EngineResponse, error){answerOf(200, &pacedEvents{left: count})}
 				Expect(serve("/stream/x").ended).To(BeTrue())
 			}
 		}
 		events(2)
-		Expect(directory.TakePaces()).To(BeEmpty())
+		Expect(directory.DrainLatencyStats()).To(BeEmpty())
 		events(4)
 		// The first one says what is usual.
 		observed := 0.0
-		for _, pace := range directory.TakePaces() {
+		for _, pace := range directory.DrainLatencyStats() {
 			observed += pace.Weight
 		}
 		Expect(observed).To(BeNumerically("==", 2))
@@ -444,31 +444,31 @@
 
 	It("learns nothing of an engine by streams whose callers read slowly", func() {
 		for range 3 {
-			sender.replies = []func() (*forward.Reply, error){answerOf(200, strings.NewReader(strings.Repeat("data: a\n\n", 4)))}
+			sender.replies = []func() (*forward.EngineResponse, error){answerOf(200, strings.NewReader(strings.Repeat("data: a\n\n", 4)))}
 			call := &forward.Call{ID: "r", Method: "POST", Host: "h", Target: "/stream/x", Path: "/stream/x", Received: time.Now(),
-				Deadline: time.Now().Add(2 * time.Second), Program: "p", Body: []byte("in"), Turn: &forward.TurnOrder{Budget: 1000, Most: 100}}
+				Deadline: time.Now().Add(2 * time.Second), Program: "p", Body: []byte("in"), Turn: &forward.TurnRequest{Budget: 1000, MaxTokens: 100}}
 			answer := &slowAnswer{pause: 30 * time.Millisecond}
 			service.Serve(context.Background(), call, answer)
 			Expect(answer.ended).To(BeTrue())
 		}
-		Expect(directory.TakePaces()).To(BeEmpty())
+		Expect(directory.DrainLatencyStats()).To(BeEmpty())
 	})
 
 	It("takes no engine for fast that answers errors at once", func() {
 		for range 3 {
-			sender.replies = []func() (*forward.Reply, error){answerOf(200, strings.NewReader("ok"))}
+			sender.replies = []func() (*forward.EngineResponse, error){answerOf(200, strings.NewReader("ok"))}
 			serve("/tool/x")
 		}
-		directory.TakePaces()
+		directory.DrainLatencyStats()
 		for range 3 {
-			sender.replies = []func() (*forward.Reply, error){answerOf(500, strings.NewReader("no"))}
+			sender.replies = []func() (*forward.EngineResponse, error){answerOf(500, strings.NewReader("no"))}
 			serve("/tool/x")
 		}
-		Expect(directory.TakePaces()).To(BeEmpty())
+		Expect(directory.DrainLatencyStats()).To(BeEmpty())
 	})
 
 	It("runs no turn that could not be recorded, and says when to come back", func() {
-		service.LogAway = func() bool { return true }
+		service.LogUnavailable = func() bool { return true }
 		began := time.Now()
 		answer := serve("/kept/x")
 		var failure *resultcode.Error
@@ -495,23 +495,23 @@
 
 	It("runs a turn that waited once the log is back, and those that need no record at once", func() {
 		var looks atomic.Int64
-		service.LogAway = func() bool { return looks.Add(1) <= 3 }
-		sender.replies = []func() (*forward.Reply, error){answerOf(200, strings.NewReader("data: a\n\n"))}
+		service.LogUnavailable = func() bool { return looks.Add(1) <= 3 }
+		sender.replies = []func() (*forward.EngineResponse, error){answerOf(200, strings.NewReader("data: a\n\n"))}
 		Expect(serve("/kept/x").ended).To(BeTrue())
 		Expect(programs.recorded).To(HaveLen(1))
 		Expect(lines("log back")).To(Equal(1))
 
-		service.LogAway = func() bool { return true }
-		sender.replies = []func() (*forward.Reply, error){answerOf(200, strings.NewReader("data: a\n\n"))}
+		service.LogUnavailable = func() bool { return true }
+		sender.replies = []func() (*forward.EngineResponse, error){answerOf(200, strings.NewReader("data: a\n\n"))}
 		Expect(serve("/stream/x").ended).To(BeTrue())
 	})
 
 	It("records a kept turn before it ends the answer, and never ends one that is not recorded", func() {
-		sender.replies = []func() (*forward.Reply, error){answerOf(200, strings.NewReader("data: a\n\ndata: b\n\n"))}
+		sender.replies = []func() (*forward.EngineResponse, error){answerOf(200, strings.NewReader("data: a\n\ndata: b\n\n"))}
 		Expect(serve("/kept/x").ended).To(BeTrue())
 		Expect(string(programs.recorded[0].Output)).To(Equal("a\nb\n"))
 
-		sender.replies = []func() (*forward.Reply, error){answerOf(200, strings.NewReader("data: a\n\n"))}
+		sender.replies = []func() (*forward.EngineResponse, error){answerOf(200, strings.NewReader("data: a\n\n"))}
 		programs.recordError = errors.New("the store is away")
 		answer := serve("/kept/x")
 		Expect(answer.ended).To(BeFalse())
@@ -519,10 +519,10 @@
 	})
 
 	It("asks other engines after refusals, and refuses early where all are full", func() {
-		sender.replies = []func() (*forward.Reply, error){refused, answerOf(200, strings.NewReader("ok"))}
+		sender.replies = []func() (*forward.EngineResponse, error){refused, answerOf(200, strings.NewReader("ok"))}
 		Expect(serve("/tool/x").body.String()).To(Equal("ok"))
 
-		sender.replies = []func() (*forward.Reply, error){refused}
+		sender.replies = []func() (*forward.EngineResponse, error){refused}
 		answer := serve("/tool/x")
 		Expect(resultcode.CodeOf(answer.failure)).To(Equal(resultcode.NoBackEnd))
 		var failure *resultcode.Error
@@ -545,18 +545,18 @@
 
 	It("looks for an engine as long after a long reservation as after a short one", func() {
 		programs.wait = 300 * time.Millisecond
-		sender.replies = []func() (*forward.Reply, error){refused, refused, refused, answerOf(200, strings.NewReader("data: a\n\n"))}
+		sender.replies = []func() (*forward.EngineResponse, error){refused, refused, refused, answerOf(200, strings.NewReader("data: a\n\n"))}
 		Expect(serve("/stream/x").ended).To(BeTrue())
 	})
 
 	It("counts a program's calls of tools while they are under way, and no turns", func() {
 		service.ToolCalls = forward.NewToolCalls()
 		var during []map[string]int
-		note := func() (*forward.Reply, error) {
+		note := func() (*forward.EngineResponse, error) {
 			during = append(during, service.ToolCalls.Counts())
 			return answerOf(200, strings.NewReader("data: a\n\n"))()
 		}
-		sender.replies = []func() (*forward.Reply, error){note}
+		sender.replies = []func() (*forward.EngineResponse, error){note}
 		serve("/tool/x")
 		serve("/stream/x")
 		Expect(during).To(Equal([]map[string]int{{"s": 1}, {}}))
@@ -564,8 +564,8 @@
 	})
 
 	It("repeats a safe request up to its attempts, an unsafe one never", func() {
-		lost := func() (*forward.Reply, error) { return nil, backend.ErrLost }
-		sender.replies = []func() (*forward.Reply, error){lost}
+		lost := func() (*forward.EngineResponse, error) { return nil, backend.ErrResponseLost }
+		sender.replies = []func() (*forward.EngineResponse, error){lost}
 		Expect(resultcode.CodeOf(serve("/safe/x").failure)).To(Equal(resultcode.OutcomeUnknown))
 		Expect(sender.sent).To(HaveLen(2))
 		sender.sent = nil
@@ -574,9 +574,9 @@
 	})
 
 	It("sends a safe request on whose answer is lost, and no other one", func() {
-		silence := func(ctx context.Context) (*forward.Reply, error) {
+		silence := func(ctx context.Context) (*forward.EngineResponse, error) {
 			<-ctx.Done()
-			return nil, backend.ErrLost
+			return nil, backend.ErrResponseLost
 		}
 		hanging := &hangingSender{hang: silence, then: answerOf(200, strings.NewReader("ok"))}
 		service.Sender = hanging
@@ -591,12 +591,12 @@
 
 	It("passes on an answer of any length whole, or not as whole", func() {
 		long := strings.Repeat("x", 9<<20)
-		sender.replies = []func() (*forward.Reply, error){answerOf(200, strings.NewReader(long))}
+		sender.replies = []func() (*forward.EngineResponse, error){answerOf(200, strings.NewReader(long))}
 		answer := serve("/tool/x")
 		Expect(answer.ended).To(BeTrue())
 		Expect(answer.body.Len()).To(Equal(len(long)))
 
-		sender.replies = []func() (*forward.Reply, error){answerOf(200, brokenReader{strings.NewReader(long)})}
+		sender.replies = []func() (*forward.EngineResponse, error){answerOf(200, brokenReader{strings.NewReader(long)})}
 		answer = serve("/tool/x")
 		Expect(answer.ended).To(BeFalse())
 		Expect(answer.aborted).To(BeTrue())
--- a/internal/forward/stream.go
+++ b/internal/forward/stream.go
@@ -97,16 +97,16 @@
 
 // relayStream passes events on as they come. The end of a kept turn's answer is
 // held until the turn is recorded.
-func (current *course) relayStream(ctx context.Context, reply *Reply) (backend.Outcome, error) {
+func (current *course) relayStream(ctx context.Context, reply *EngineResponse) (backend.Outcome, error) {
 	reader := newEventReader(reply.Body)
 	var said []byte
 	for {
 		current.awaiting = time.Now()
 		read, err := reader.next()
 		if errors.Is(err, io.EOF) {
-			current.release(backend.Answered)
+			current.release(backend.Succeeded)
 			current.streamed()
-			return backend.Answered, current.endStream(ctx, reply, said)
+			return backend.Succeeded, current.endStream(ctx, reply, said)
 		}
 		if err != nil {
 			return current.brokenStream(ctx, err)
@@ -123,7 +123,7 @@
 }
 
 // passOn gives the caller one event.
-func (current *course) passOn(reply *Reply, read event) error {
+func (current *course) passOn(reply *EngineResponse, read event) error {
 	if !current.begun {
 		current.begun = true
 		current.heard()
@@ -158,7 +158,7 @@
 func (current *course) brokenStream(ctx context.Context, err error) (backend.Outcome, error) {
 	outcome := backend.Failed
 	if current.via != "" {
-		outcome = backend.FailedElsewhere
+		outcome = backend.FailedRemotely
 	}
 	if ctx.Err() != nil {
 		if !current.begun || time.Since(current.awaiting) < leastSilence {
@@ -172,7 +172,7 @@
 }
 
 // endStream completes the answer once nothing of it can be lost.
-func (current *course) endStream(ctx context.Context, reply *Reply, said []byte) error {
+func (current *course) endStream(ctx context.Context, reply *EngineResponse, said []byte) error {
 	if !current.begun {
 		current.begun = true
 		err := current.answer.Begin(reply.Status, reply.Header)
@@ -201,15 +201,15 @@
 
 func (current *course) turn(said []byte) *history.Turn {
 	return &history.Turn{
-		ID:        current.call.ID,
-		Tenant:    current.call.Tenant,
-		Program:   current.call.Program,
-		Previous:  current.call.Turn.Previous,
-		Input:     current.call.Body,
-		Output:    said,
-		Ended:     time.Now(),
-		Retention: current.route.Retention,
-		Zones:     current.zones,
+		ID:         current.call.ID,
+		Tenant:     current.call.Tenant,
+		Program:    current.call.Program,
+		PreviousID: current.call.Turn.Previous,
+		Input:      current.call.Body,
+		Output:     said,
+		Ended:      time.Now(),
+		Retention:  current.route.Retention,
+		Zones:      current.zones,
 	}
 }
 
--- a/internal/forward/tenant_test.go
+++ b/internal/forward/tenant_test.go
@@ -23,12 +23,12 @@
 // fakeQuotas answers with what it is given, and notes the orders.
 type fakeQuotas struct {
 	admission forward.Admission
-	orders    []*forward.AdmissionOrder
+	orders    []*forward.AdmissionRequest
 	// holds lets each order wait until its caller is gone.
 	holds bool
 }
 
-func (quotas *fakeQuotas) Admit(ctx context.Context, order *forward.AdmissionOrder) forward.Admission {
+func (quotas *fakeQuotas) Admit(ctx context.Context, order *forward.AdmissionRequest) forward.Admission {
 	quotas.orders = append(quotas.orders, order)
 	if quotas.holds {
 		<-ctx.Done()
@@ -46,25 +46,25 @@
 	BeforeEach(func() {
 		core, observed := observer.New(zap.InfoLevel)
 		logs = observed
-		sender = &fakeSender{replies: []func() (*forward.Reply, error){answerOf(http.StatusOK, strings.NewReader("id: 1\ndata: x\n\n"))}}
+		sender = &fakeSender{replies: []func() (*forward.EngineResponse, error){answerOf(http.StatusOK, strings.NewReader("id: 1\ndata: x\n\n"))}}
 		programs = &fakePrograms{reservation: forward.Reservation{Verdict: nodev1.Verdict_VERDICT_GRANTED}}
 		quotas = &fakeQuotas{admission: forward.Admission{Verdict: forward.Admitted}}
 		directory := backend.NewDirectory()
-		directory.Put(backend.Instance{ID: "e1", Service: "s", Address: "e1"}, time.Time{})
+		directory.Upsert(backend.Instance{ID: "e1", Service: "s", Address: "e1"}, time.Time{})
 		share := []routing.Share{{Service: "s", Weight: 1}}
 		configuration := routing.New(7, []*routing.Route{
 			{Name: "stream", Host: "h", Prefix: "/stream/", Kind: routing.Streaming, Shares: share, Priority: 4},
 			{Name: "tool", Host: "h", Prefix: "/tool/", Shares: share},
-			{Name: "open", Host: "h", Prefix: "/open/", Shares: share, Open: true},
+			{Name: "open", Host: "h", Prefix: "/open/", Shares: share, AllowsAnonymous: true},
 		}, []routing.Service{{Name: "s", TokensPerEvent: 9}}, routing.Limits{})
 		rank := 2
-		configuration.Tenants = tenant.NewDirectory([]tenant.Holder{
+		configuration.Tenants = tenant.NewDirectory([]tenant.TenantKeys{
 			{Tenant: tenant.Tenant{Name: "bounded", Priority: &rank, Limit: tenant.Limit{PerSecond: 5}}, Keys: []string{"key-1"}},
 			{Tenant: tenant.Tenant{Name: "free"}, Keys: []string{"key-2"}},
 		})
-		routes := &routing.Current{}
+		routes := &routing.ActiveConfiguration{}
 		routes.Apply(configuration)
-		service = &forward.Service{Routes: routes, Engines: directory, Sender: sender, Waiting: backend.NewWaitQueue(), Programs: programs,
+		service = &forward.Service{Routes: routes, Engines: directory, Sender: sender, WaitQueue: backend.NewWaitQueue(), Programs: programs,
 			Quotas: quotas, Meter: &fakeMeter{}, Logger: zap.New(core), Nodes: func() int { return 1 }, ViewAge: func() time.Duration { return 0 }}
 	})
 
@@ -72,7 +72,7 @@
 		answer := &fakeAnswer{}
 		call := &forward.Call{ID: "r", Method: "POST", Host: "h", Target: path, Path: path, Received: time.Now(), Key: key,
 			Header:   http.Header{"Authorization": {"Token " + key}},
-			Deadline: time.Now().Add(2 * time.Second), Program: "p", Turn: &forward.TurnOrder{Budget: 1000, Most: 100, Previous: previous}}
+			Deadline: time.Now().Add(2 * time.Second), Program: "p", Turn: &forward.TurnRequest{Budget: 1000, MaxTokens: 100, Previous: previous}}
 		service.Serve(context.Background(), call, answer)
 		return answer
 	}
@@ -85,10 +85,10 @@
 	It("go on with their tenant's name and rank, and without the key", func() {
 		Expect(serve("/stream/x", "key-1", "").failure).NotTo(HaveOccurred())
 		Expect(sender.sent[0].Call.Tenant).To(Equal("bounded"))
-		Expect(sender.sent[0].Urgency).To(Equal(2))
+		Expect(sender.sent[0].Priority).To(Equal(2))
 		Expect(sender.sent[0].Call.Header).NotTo(HaveKey("Authorization"))
 		Expect(serve("/stream/x", "key-2", "").failure).NotTo(HaveOccurred())
-		Expect(sender.sent[1].Urgency).To(Equal(4))
+		Expect(sender.sent[1].Priority).To(Equal(4))
 	})
 
 	It("are refused with a key that nobody holds, of which the log shows a digest", func() {
@@ -96,7 +96,7 @@
 		Expect(sender.sent).To(BeEmpty())
 		failed := logs.FilterMessage("call failed").All()
 		Expect(failed).To(HaveLen(1))
-		Expect(failed[0].ContextMap()).To(HaveKeyWithValue("key_digest", tenant.ShortDigest("secret")))
+		Expect(failed[0].ContextMap()).To(HaveKeyWithValue("key_digest", tenant.KeyFingerprint("secret")))
 		for _, value := range failed[0].ContextMap() {
 			Expect(fmt.Sprint(value)).NotTo(ContainSubstring("secret"))
 		}
@@ -109,7 +109,7 @@
 	})
 
 	It("keep their key where nobody holds any: then it is the engine's matter", func() {
-		service.Routes = &routing.Current{}
+		service.Routes = &routing.ActiveConfiguration{}
 		service.Routes.Apply(routing.New(8, []*routing.Route{{Host: "h", Prefix: "/tool/", Shares: []routing.Share{{Service: "s", Weight: 1}}}}, nil, routing.Limits{}))
 		Expect(serve("/tool/x", "key", "").failure).NotTo(HaveOccurred())
 		Expect(sender.sent[0].Call.Header).To(HaveKey("Authorization"))
@@ -138,7 +138,7 @@
 	})
 
 	It("are told to try another node where nobody who keeps the limit can be asked", func() {
-		quotas.admission = forward.Admission{Verdict: forward.LimitUnknown}
+		quotas.admission = forward.Admission{Verdict: forward.LimitUnavailable}
 		failure := failureOf(serve("/tool/x", "key-1", ""))
 		Expect(failure.Code).To(Equal(resultcode.QuotaUnknown))
 		Expect(failure.RetryAfter).To(BeNumerically(">", 0))
@@ -151,7 +151,7 @@
 		time.AfterFunc(20*time.Millisecond, leave)
 		answer := &fakeAnswer{}
 		service.Serve(ctx, &forward.Call{ID: "r", Method: "POST", Host: "h", Target: "/stream/x", Path: "/stream/x", Received: time.Now(), Key: "key-1",
-			Header: http.Header{}, Deadline: time.Now().Add(2 * time.Second), Program: "p", Turn: &forward.TurnOrder{Budget: 1000, Most: 100}}, answer)
+			Header: http.Header{}, Deadline: time.Now().Add(2 * time.Second), Program: "p", Turn: &forward.TurnRequest{Budget: 1000, MaxTokens: 100}}, answer)
 		Expect(sender.sent).To(BeEmpty())
 		Expect(programs.reserves).To(BeZero())
 		Expect(programs.settled).To(BeEmpty())
--- a/internal/forward/views.go
+++ b/internal/forward/views.go
@@ -29,23 +29,23 @@
 	ConfigurationAge() time.Duration
 }
 
-// AwaitViews lets a request wait while what is known of configuration and engines is from
+// AwaitFreshViews lets a request wait while what is known of configuration and engines is from
 // before a freeze. A node that has just woken would send it to an engine that left meanwhile,
 // by a route or key that is in force no more.
-func AwaitViews(ctx context.Context, views Views, request string, logger *zap.Logger) {
+func AwaitFreshViews(ctx context.Context, views Views, request string, logger *zap.Logger) {
 	if views == nil || views.Current() {
 		return
 	}
 	began := time.Now()
 	for !views.Current() && ctx.Err() == nil && time.Since(began) < viewPatience {
-		wait.For(ctx, viewLook)
+		wait.Sleep(ctx, viewLook)
 	}
 	logger.Info("views awaited after a freeze", zap.String("request", request),
 		zap.Duration("waited", time.Since(began)), zap.Bool("current", views.Current()))
 }
 
 func (current *course) awaitViews(ctx context.Context) {
-	AwaitViews(ctx, current.service.Views, current.call.ID, current.service.Logger)
+	AwaitFreshViews(ctx, current.service.Views, current.call.ID, current.service.Logger)
 }
 
 // denied refuses a call that the configuration does not allow, or says that this can't be told
--- a/internal/forward/wait.go
+++ b/internal/forward/wait.go
@@ -10,35 +10,35 @@
 	"github.com/magpielug/magpielug/internal/routing"
 )
 
-// RoomReason is why a call was refused for want of room.
-type RoomReason string
+// CapacityRefusal is why a call was refused for want of room.
+type CapacityRefusal string
 
 // Reasons of such a refusal.
 const (
-	// NoRoomInPatience: the call has waited as long as it may.
-	NoRoomInPatience RoomReason = "patience"
-	// NoRoomPredicted: it would have to wait longer than it may.
-	NoRoomPredicted RoomReason = "predicted"
-	// NoRoomInTime: its time would be over before an engine had answered.
-	NoRoomInTime RoomReason = "time"
-	// NoRoomClosed: engines of its service are known, and none takes new calls where it may
+	// WaitExpired: the call has waited as long as it may.
+	WaitExpired CapacityRefusal = "patience"
+	// WaitPredictedTooLong: it would have to wait longer than it may.
+	WaitPredictedTooLong CapacityRefusal = "predicted"
+	// DeadlineTooClose: its time would be over before an engine had answered.
+	DeadlineTooClose CapacityRefusal = "time"
+	// NoEngineAvailable: engines of its service are known, and none takes new calls where it may
 	// be served.
-	NoRoomClosed RoomReason = "closed"
-	// NoRoomRefused: as many engines have refused it as may.
-	NoRoomRefused RoomReason = "refused"
+	NoEngineAvailable CapacityRefusal = "closed"
+	// TooManyRefusals: as many engines have refused it as may.
+	TooManyRefusals CapacityRefusal = "refused"
 )
 
 // awaitEngine waits a moment for an engine with room, or refuses.
 func (current *course) awaitEngine(ctx context.Context) error {
-	waiter := backend.Waiter{Service: current.serviceName, Rank: current.urgency(), Aim: current.aim(), MayAsk: current.mayAsk}
+	waiter := backend.Waiter{Service: current.serviceName, Priority: current.urgency(), SoftDeadline: current.aim(), MayAttempt: current.mayAsk}
 	forecast, predicted := current.predict(waiter)
 	patience, reason := current.patience(forecast, predicted)
 	if reason != "" {
 		return current.noRoom(reason, forecast)
 	}
-	current.service.Waiting.Wait(ctx, waiter, patience)
+	current.service.WaitQueue.Wait(ctx, waiter, patience)
 	current.waited = true
-	current.asking.Waited()
+	current.asking.RecordWait()
 	if current.runs == 0 || current.route.Repeatable() {
 		current.tried = current.tried[:0]
 	}
@@ -47,18 +47,18 @@
 
 // mayAsk tells whether the call may ask an engine now. It is called while the call waits.
 func (current *course) mayAsk() bool {
-	return current.asking.MayAsk(&current.service.Retries, time.Now())
+	return current.asking.MayAttempt(&current.service.RetryBudget, time.Now())
 }
 
 // predict tells what the call would find in the queue, false where nothing is known to
 // predict its wait from.
 func (current *course) predict(waiter backend.Waiter) (backend.Forecast, bool) {
-	if !feature.Enabled(feature.RoomByLoad) {
+	if !feature.Enabled(feature.LoadBasedCapacity) {
 		return backend.Forecast{}, false
 	}
 	now := time.Now()
-	queue := current.service.Waiting
-	forecast, known := current.service.Engines.Predict(waiter, queue.Ahead(waiter, now), queue.Here(waiter.Service), now)
+	queue := current.service.WaitQueue
+	forecast, known := current.service.Engines.Predict(waiter, queue.Ahead(waiter, now), queue.CountByPriority(waiter.Service), now)
 	if !current.waited {
 		current.forecast = forecast
 	}
@@ -69,38 +69,38 @@
 //
 // It answers the load of more calls than can be served in time: one that waits all its
 // patience for nothing keeps its caller from trying elsewhere, and stands before others.
-func (current *course) patience(forecast backend.Forecast, predicted bool) (time.Duration, RoomReason) {
-	if current.service.Engines.Closed(current.serviceName, current.zones) {
-		return 0, NoRoomClosed
+func (current *course) patience(forecast backend.Forecast, predicted bool) (time.Duration, CapacityRefusal) {
+	if current.service.Engines.NoneAvailable(current.serviceName, current.zones) {
+		return 0, NoEngineAvailable
 	}
 	patience := current.engineWait() - time.Since(current.searching)
 	if patience <= 0 {
-		return 0, NoRoomInPatience
+		return 0, WaitExpired
 	}
-	if current.asking.Over() {
-		return 0, NoRoomRefused
+	if current.asking.Exhausted() {
+		return 0, TooManyRefusals
 	}
-	if !feature.Enabled(feature.RoomByLoad) {
+	if !feature.Enabled(feature.LoadBasedCapacity) {
 		return patience, ""
 	}
-	inTime := time.Until(current.end) - current.service.Engines.Duration(current.serviceName)
+	inTime := time.Until(current.end) - current.service.Engines.TypicalDuration(current.serviceName)
 	switch {
 	case inTime <= 0:
-		return 0, NoRoomInTime
-	case predicted && forecast.Over(min(patience, inTime)):
-		return 0, NoRoomPredicted
+		return 0, DeadlineTooClose
+	case predicted && forecast.Exceeds(min(patience, inTime)):
+		return 0, WaitPredictedTooLong
 	}
 	return min(patience, inTime), ""
 }
 
 // noRoom refuses the call. It has not run, unless an engine has got it before.
-func (current *course) noRoom(reason RoomReason, forecast backend.Forecast) error {
+func (current *course) noRoom(reason CapacityRefusal, forecast backend.Forecast) error {
 	if current.runs > 0 {
 		return current.outcomeUnknown()
 	}
-	current.service.Meter.RefusedForRoom(current.serviceName, reason)
+	current.service.Meter.RefusedForCapacity(current.serviceName, reason)
 	return resultcode.New(resultcode.NoBackEnd, "none of %d engines of %s has room (%s), %d refusals, %d calls ahead, predicted wait %s",
-		current.service.Engines.Usable(current.serviceName), current.serviceName, reason, current.asking.Refusals, forecast.Ahead, forecast.Wait).
+		current.service.Engines.EligibleCount(current.serviceName), current.serviceName, reason, current.asking.Refusals, forecast.Ahead, forecast.Wait).
 		After(current.comeBack(forecast))
 }
 
@@ -110,7 +110,7 @@
 		return fullRetry
 	}
 	most := max(time.Duration(fullRetryShare*float64(time.Until(current.end))), fullRetry)
-	return current.service.Returns.After(current.serviceName, max(forecast.Wait, fullRetry), forecast.Interval, most, time.Now())
+	return current.service.RetryScheduler.RetryAfter(current.serviceName, max(forecast.Wait, fullRetry), forecast.Interval, most, time.Now())
 }
 
 // engineWait is how long the call waits for a free engine in all.
@@ -120,10 +120,10 @@
 		objective = fallbackObjective
 	}
 	wait := time.Duration(refusalShare * float64(objective))
-	if current.goesOn && feature.Enabled(feature.RoomByLoad) {
+	if current.goesOn && feature.Enabled(feature.LoadBasedCapacity) {
 		return max(wait, time.Duration(turnWaitShare*float64(current.end.Sub(current.call.Received))))
 	}
-	if current.call.Program == "" || current.route.Kind == routing.Streaming || !feature.Enabled(feature.ToolPatience) {
+	if current.call.Program == "" || current.route.Kind == routing.Streaming || !feature.Enabled(feature.LongerToolWait) {
 		return wait
 	}
 	return max(wait, time.Duration(toolWaitShare*float64(current.end.Sub(current.call.Received))))
@@ -133,8 +133,8 @@
 // is about to be given up is as urgent as one whose program is nearly over.
 func (current *course) aim() time.Time {
 	givenUp := current.searching.Add(current.engineWait())
-	if current.call.Aim.IsZero() || (current.call.Aim.After(givenUp) && current.call.Aim.After(time.Now())) {
+	if current.call.SoftDeadline.IsZero() || (current.call.SoftDeadline.After(givenUp) && current.call.SoftDeadline.After(time.Now())) {
 		return givenUp
 	}
-	return current.call.Aim
+	return current.call.SoftDeadline
 }
--- a/internal/forward/wait_test.go
+++ b/internal/forward/wait_test.go
@@ -12,7 +12,7 @@
 func waitingCall(kind routing.Kind, now time.Time, aim time.Duration) *course {
 	call := &Call{Program: "p", Received: now}
 	if aim != 0 {
-		call.Aim = now.Add(aim)
+		call.SoftDeadline = now.Add(aim)
 	}
 	return &course{
 		call:      call,
--- a/internal/forward/watch.go
+++ b/internal/forward/watch.go
@@ -59,14 +59,14 @@
 func (current *course) watch(engine *backend.Engine, attempt *Attempt) func(backend.Outcome) backend.Outcome {
 	began := time.Now()
 	engines := current.service.Engines
-	limit := max(silenceShare*current.route.Objective, leastSilence, engines.Patience(current.serviceName))
-	current.endSilence = sync.OnceFunc(func() { engines.EndSilence(engine) })
+	limit := max(silenceShare*current.route.Objective, leastSilence, engines.FirstByteTimeout(current.serviceName))
+	current.endSilence = sync.OnceFunc(func() { engines.EndFirstByteWait(engine) })
 	var silent atomic.Bool
 	count := &silentCount{engines: engines, engine: engine.Instance}
-	timer := current.service.Freezes.After(limit, func() {
+	timer := current.service.FreezeDetector.After(limit, func() {
 		silent.Store(true)
 		engines.Suspect(engine, time.Now())
-		if !attempt.HandedOver.Load() {
+		if !attempt.Delegated.Load() {
 			count.count()
 		}
 		current.service.Logger.Info("engine suspected", zap.String("request", current.call.ID),
@@ -75,15 +75,15 @@
 	current.heard = func() {
 		timer.Stop()
 		current.endSilence()
-		if !current.service.Freezes.Since(began) {
-			engines.Heard(engine, current.paceRoute(), time.Since(began), time.Now())
+		if !current.service.FreezeDetector.FrozenSince(began) {
+			engines.RecordFirstByte(engine, current.paceRoute(), time.Since(began), time.Now())
 		}
 		count.end(true)
 	}
 	current.streamed = func() {
 		took := current.lastEvent.Sub(current.firstEvent)
 		quick := current.writing <= max(time.Duration(mostWriting*float64(took)), quickWriting)
-		if quick && !current.service.Freezes.Since(current.firstEvent) {
+		if quick && !current.service.FreezeDetector.FrozenSince(current.firstEvent) {
 			engines.ObserveEvents(engine, int(current.events), took, time.Now())
 		}
 	}
@@ -92,7 +92,7 @@
 		// One that failed is counted with its end.
 		count.end(outcome == backend.Failed)
 		if outcome == backend.Abandoned && silent.Load() && !current.begun {
-			return backend.Silent
+			return backend.NoResponse
 		}
 		return outcome
 	}
@@ -112,11 +112,11 @@
 // for long, while it may be sent to another engine. An engine may run a request and
 // lose its answer. What it returns ends the watch.
 func (current *course) repeatWhereSilent(engine *backend.Engine, giveUp context.CancelFunc) func() {
-	if current.route.Kind != routing.Safe || current.runs+1 >= current.route.Attempts || !feature.Enabled(feature.SafeRepeats) {
+	if current.route.Kind != routing.Safe || current.runs+1 >= current.route.MaxAttempts || !feature.Enabled(feature.SafeRepeats) {
 		return func() {}
 	}
-	patience := max(current.route.Objective, leastRepeat, current.service.Engines.Patience(current.serviceName))
-	timer := current.service.Freezes.After(patience, func() {
+	patience := max(current.route.Objective, leastRepeat, current.service.Engines.FirstByteTimeout(current.serviceName))
+	timer := current.service.FreezeDetector.After(patience, func() {
 		current.service.Logger.Info("request repeated elsewhere", zap.String("request", current.call.ID),
 			zap.String("engine", engine.ID), zap.Duration("silent", patience))
 		giveUp()
--- a/internal/freeze/freeze.go
+++ b/internal/freeze/freeze.go
@@ -20,9 +20,9 @@
 	beatPause = 200 * time.Millisecond
 )
 
-// Watch notes freezes of the process. It is safe for concurrent use; of a nil Watch nothing
+// Detector notes freezes of the process. It is safe for concurrent use; of a nil Detector nothing
 // was ever frozen.
-type Watch struct {
+type Detector struct {
 	clock func() time.Time
 
 	mutex sync.Mutex
@@ -31,23 +31,25 @@
 	woken time.Time
 }
 
-// NewWatch returns a watch that has seen no freeze. Run must be called.
-func NewWatch() *Watch { return NewWatchOf(time.Now) }
+// NewDetector returns a watch that has seen no freeze. Run must be called.
+func NewDetector() *Detector { return NewDetectorWithClock(time.Now) }
 
-// NewWatchOf is NewWatch by a clock of its own, for tests.
-func NewWatchOf(clock func() time.Time) *Watch { return &Watch{clock: clock, beat: clock()} }
+// NewDetectorWithClock is NewWatch by a clock of its own, for tests.
+func NewDetectorWithClock(clock func() time.Time) *Detector {
+	return &Detector{clock: clock, beat: clock()}
+}
 
 // Run beats until ctx ends.
-func (watch *Watch) Run(ctx context.Context) {
+func (watch *Detector) Run(ctx context.Context) {
 	for ctx.Err() == nil {
-		wait.For(ctx, beatPause)
-		watch.Woken()
+		wait.Sleep(ctx, beatPause)
+		watch.LastResume()
 	}
 }
 
-// Woken is when the process went on after its last freeze, false where it never was frozen. A
+// LastResume is when the process went on after its last freeze, false where it never was frozen. A
 // freeze that has just ended is seen also before the next beat.
-func (watch *Watch) Woken() (time.Time, bool) {
+func (watch *Detector) LastResume() (time.Time, bool) {
 	if watch == nil {
 		return time.Time{}, false
 	}
@@ -63,16 +65,16 @@
 	return watch.woken, !watch.woken.IsZero()
 }
 
-// Since tells whether the process was frozen at any time since a moment.
-func (watch *Watch) Since(moment time.Time) bool {
-	woken, frozen := watch.Woken()
+// FrozenSince tells whether the process was frozen at any time since a moment.
+func (watch *Detector) FrozenSince(moment time.Time) bool {
+	woken, frozen := watch.LastResume()
 	return frozen && moment.Before(woken)
 }
 
-// Awake bounds an age by the time since the process went on: nothing could be heard while it
+// ClampAge bounds an age by the time since the process went on: nothing could be heard while it
 // was frozen.
-func (watch *Watch) Awake(age time.Duration, now time.Time) time.Duration {
-	woken, frozen := watch.Woken()
+func (watch *Detector) ClampAge(age time.Duration, now time.Time) time.Duration {
+	woken, frozen := watch.LastResume()
 	if !frozen {
 		return age
 	}
@@ -81,7 +83,7 @@
 
 // Timer runs a function once a time has passed in which the process was not frozen.
 type Timer struct {
-	watch *Watch
+	watch *Detector
 	run   func()
 
 	mutex  sync.Mutex
@@ -92,7 +94,7 @@
 
 // After runs a function after a time, which begins anew where the process is frozen in it:
 // what the function waits for may have come meanwhile.
-func (watch *Watch) After(length time.Duration, run func()) *Timer {
+func (watch *Detector) After(length time.Duration, run func()) *Timer {
 	made := &Timer{watch: watch, run: run}
 	made.Reset(length)
 	return made
@@ -129,7 +131,7 @@
 func (timer *Timer) beginsAnew() bool {
 	timer.mutex.Lock()
 	defer timer.mutex.Unlock()
-	if !timer.watch.Since(timer.set) {
+	if !timer.watch.FrozenSince(timer.set) {
 		return false
 	}
 	timer.set = time.Now()
--- a/internal/freeze/freeze_test.go
+++ b/internal/freeze/freeze_test.go
@@ -13,9 +13,9 @@
 
 func (clock *steppedClock) read() time.Time { return clock.now }
 
-func newWatch() (*freeze.Watch, *steppedClock) {
+func newWatch() (*freeze.Detector, *steppedClock) {
 	clock := &steppedClock{now: time.Now()}
-	return freeze.NewWatchOf(clock.read), clock
+	return freeze.NewDetectorWithClock(clock.read), clock
 }
 
 func TestAProcessThatRunsWasNeverFrozen(t *testing.T) {
@@ -24,9 +24,9 @@
 	begun := clock.now
 	for range 100 {
 		clock.now = clock.now.Add(300 * time.Millisecond)
-		expect.Expect(watch.Since(begun)).To(BeFalse())
+		expect.Expect(watch.FrozenSince(begun)).To(BeFalse())
 	}
-	expect.Expect(watch.Awake(time.Hour, clock.now)).To(Equal(time.Hour))
+	expect.Expect(watch.ClampAge(time.Hour, clock.now)).To(Equal(time.Hour))
 }
 
 func TestAFreezeIsSeenByTheFirstWhoAsks(t *testing.T) {
@@ -35,19 +35,19 @@
 	begun := clock.now
 	clock.now = clock.now.Add(3 * time.Second)
 	woken := clock.now
-	expect.Expect(watch.Since(begun)).To(BeTrue())
-	expect.Expect(watch.Since(woken)).To(BeFalse(), "what began with the wake has seen no freeze")
+	expect.Expect(watch.FrozenSince(begun)).To(BeTrue())
+	expect.Expect(watch.FrozenSince(woken)).To(BeFalse(), "what began with the wake has seen no freeze")
 	clock.now = clock.now.Add(200 * time.Millisecond)
-	expect.Expect(watch.Since(begun)).To(BeTrue())
-	expect.Expect(watch.Awake(3*time.Second, clock.now)).To(Equal(200 * time.Millisecond))
-	expect.Expect(watch.Awake(100*time.Millisecond, clock.now)).To(Equal(100 * time.Millisecond))
+	expect.Expect(watch.FrozenSince(begun)).To(BeTrue())
+	expect.Expect(watch.ClampAge(3*time.Second, clock.now)).To(Equal(200 * time.Millisecond))
+	expect.Expect(watch.ClampAge(100*time.Millisecond, clock.now)).To(Equal(100 * time.Millisecond))
 }
 
 func TestOfNoWatchNothingWasFrozen(t *testing.T) {
 	expect := NewWithT(t)
-	var watch *freeze.Watch
-	expect.Expect(watch.Since(time.Now().Add(-time.Hour))).To(BeFalse())
-	expect.Expect(watch.Awake(time.Second, time.Now())).To(Equal(time.Second))
+	var watch *freeze.Detector
+	expect.Expect(watch.FrozenSince(time.Now().Add(-time.Hour))).To(BeFalse())
+	expect.Expect(watch.ClampAge(time.Second, time.Now())).To(Equal(time.Second))
 }
 
 func TestATimerBeginsAnewAfterAFreeze(t *testing.T) {
--- a/internal/freeze/freezetest/freezetest.go
+++ b/internal/freeze/freezetest/freezetest.go
@@ -8,11 +8,11 @@
 )
 
 // JustWoken returns the watch of a process that goes on now after a freeze of a length.
-func JustWoken(length time.Duration) *freeze.Watch {
+func JustWoken(length time.Duration) *freeze.Detector {
 	now := time.Now()
 	clock := now.Add(-length)
-	watch := freeze.NewWatchOf(func() time.Time { return clock })
+	watch := freeze.NewDetectorWithClock(func() time.Time { return clock })
 	clock = now
-	watch.Woken()
+	watch.LastResume()
 	return watch
 }
--- a/internal/heldbytes/heldbytes.go
+++ b/internal/heldbytes/heldbytes.go
@@ -6,18 +6,18 @@
 
 import "sync/atomic"
 
-// Bound counts bytes held for one purpose over all calls. A nil Bound and one made with no
+// Limiter counts bytes held for one purpose over all calls. A nil Limiter and one made with no
 // limit take everything. It is safe for concurrent use.
-type Bound struct {
+type Limiter struct {
 	most int64
 	held atomic.Int64
 }
 
 // New returns a bound of a number of bytes; 0 or less is no limit.
-func New(most int64) *Bound { return &Bound{most: most} }
+func New(most int64) *Limiter { return &Limiter{most: most} }
 
-// TryTake counts further bytes, or returns false where they don't fit and counts nothing.
-func (bound *Bound) TryTake(count int64) bool {
+// TryAcquire counts further bytes, or returns false where they don't fit and counts nothing.
+func (bound *Limiter) TryAcquire(count int64) bool {
 	if bound == nil {
 		return true
 	}
@@ -29,25 +29,25 @@
 	return true
 }
 
-// Take counts bytes that are held already, whether they fit or not.
-func (bound *Bound) Take(count int64) {
+// ForceAcquire counts bytes that are held already, whether they fit or not.
+func (bound *Limiter) ForceAcquire(count int64) {
 	if bound != nil {
 		bound.held.Add(count)
 	}
 }
 
 // Release takes back what was counted.
-func (bound *Bound) Release(count int64) { bound.Take(-count) }
+func (bound *Limiter) Release(count int64) { bound.ForceAcquire(-count) }
 
-// Held returns the bytes counted now.
-func (bound *Bound) Held() int64 {
+// InUse returns the bytes counted now.
+func (bound *Limiter) InUse() int64 {
 	if bound == nil {
 		return 0
 	}
 	return bound.held.Load()
 }
 
-// Full tells whether nothing more fits.
-func (bound *Bound) Full() bool {
+// Exhausted tells whether nothing more fits.
+func (bound *Limiter) Exhausted() bool {
 	return bound != nil && bound.most > 0 && bound.held.Load() >= bound.most
 }
--- a/internal/heldbytes/heldbytes_test.go
+++ b/internal/heldbytes/heldbytes_test.go
@@ -14,7 +14,7 @@
 	var takers sync.WaitGroup
 	taken := make(chan bool, 300)
 	for range cap(taken) {
-		takers.Go(func() { taken <- bound.TryTake(10) })
+		takers.Go(func() { taken <- bound.TryAcquire(10) })
 	}
 	takers.Wait()
 	close(taken)
@@ -24,21 +24,21 @@
 			granted++
 		}
 	}
-	expect.Expect(bound.Held()).To(Equal(int64(10 * granted)))
-	expect.Expect(bound.Held()).To(BeNumerically("<=", 1000))
-	bound.Release(bound.Held())
-	expect.Expect(bound.TryTake(1000)).To(BeTrue())
-	expect.Expect(bound.TryTake(1)).To(BeFalse())
-	expect.Expect(bound.Full()).To(BeTrue())
+	expect.Expect(bound.InUse()).To(Equal(int64(10 * granted)))
+	expect.Expect(bound.InUse()).To(BeNumerically("<=", 1000))
+	bound.Release(bound.InUse())
+	expect.Expect(bound.TryAcquire(1000)).To(BeTrue())
+	expect.Expect(bound.TryAcquire(1)).To(BeFalse())
+	expect.Expect(bound.Exhausted()).To(BeTrue())
 }
 
 func TestNoLimitTakesEverything(t *testing.T) {
 	expect := NewWithT(t)
-	var none *heldbytes.Bound
-	expect.Expect(none.TryTake(1 << 40)).To(BeTrue())
-	expect.Expect(none.Held()).To(BeZero())
+	var none *heldbytes.Limiter
+	expect.Expect(none.TryAcquire(1 << 40)).To(BeTrue())
+	expect.Expect(none.InUse()).To(BeZero())
 	open := heldbytes.New(0)
-	expect.Expect(open.TryTake(1 << 40)).To(BeTrue())
-	expect.Expect(open.Held()).To(Equal(int64(1 << 40)))
-	expect.Expect(open.Full()).To(BeFalse())
+	expect.Expect(open.TryAcquire(1 << 40)).To(BeTrue())
+	expect.Expect(open.InUse()).To(Equal(int64(1 << 40)))
+	expect.Expect(open.Exhausted()).To(BeFalse())
 }
--- a/internal/history/history.go
+++ b/internal/history/history.go
@@ -17,9 +17,9 @@
 	// Tenant is whose turn it is, empty where no tenants were configured.
 	Tenant  string
 	Program string
-	// Previous is the id of the turn that this one goes on from, empty at the
+	// PreviousID is the id of the turn that this one goes on from, empty at the
 	// start of a line.
-	Previous string
+	PreviousID string
 	// Input is what the caller sent, Output what it was given, as the next
 	// prompt repeats them.
 	Input  []byte
@@ -44,11 +44,11 @@
 func (turn *Turn) Key() Key { return Key{Tenant: turn.Tenant, ID: turn.ID} }
 
 // before names the turn that this one goes on from, for a line that a tenant asks for.
-func (turn *Turn) before(asker string) Key { return Key{Tenant: asker, ID: turn.Previous} }
+func (turn *Turn) before(asker string) Key { return Key{Tenant: asker, ID: turn.PreviousID} }
 
 // size is what the turn holds in memory, bytes.
 func (turn *Turn) size() int {
-	return len(turn.ID) + len(turn.Tenant) + len(turn.Program) + len(turn.Previous) + len(turn.Input) + len(turn.Output) + turnOverhead
+	return len(turn.ID) + len(turn.Tenant) + len(turn.Program) + len(turn.PreviousID) + len(turn.Input) + len(turn.Output) + turnOverhead
 }
 
 const (
@@ -142,9 +142,9 @@
 	return line, Key{}, true
 }
 
-// Line returns the turns of the line that ends with a turn as far back as they are
+// PartialChain returns the turns of the line that ends with a turn as far back as they are
 // held, the oldest first.
-func (store *Store) Line(key Key) []*Turn {
+func (store *Store) PartialChain(key Key) []*Turn {
 	line, _ := store.walk(key)
 	return line
 }
@@ -197,8 +197,8 @@
 	return store.recent.Len(), store.bytes
 }
 
-// Prompt returns the chain's inputs and outputs in order, then the new input.
-func Prompt(chain []*Turn, input []byte) []byte {
+// BuildPrompt returns the chain's inputs and outputs in order, then the new input.
+func BuildPrompt(chain []*Turn, input []byte) []byte {
 	length := len(input)
 	for _, turn := range chain {
 		length += len(turn.Input) + len(turn.Output)
--- a/internal/history/reader.go
+++ b/internal/history/reader.go
@@ -10,9 +10,9 @@
 	"github.com/rotisserie/eris"
 )
 
-// Elsewhere asks whichever node reads a shard's partition for the line of turns
+// RemoteLookup asks whichever node reads a shard's partition for the line of turns
 // that ends with a turn, as Reader.Line returns it.
-type Elsewhere func(ctx context.Context, shard int, key Key) ([]*Turn, error)
+type RemoteLookup func(ctx context.Context, shard int, key Key) ([]*Turn, error)
 
 // Reader finds turns that this node does not hold in the log. It reads a
 // partition once, from the oldest record kept, and later only what is new. The
@@ -23,7 +23,7 @@
 	log       durable.Log
 	store     *Store
 	shards    int
-	elsewhere Elsewhere
+	elsewhere RemoteLookup
 	mutex     sync.Mutex
 	tails     map[int]*tail
 }
@@ -44,20 +44,20 @@
 // partitions itself.
 func NewReader(log durable.Log, store *Store, shards int) *Reader {
 	reader := &Reader{log: log, store: store, shards: shards, tails: map[int]*tail{}}
-	reader.elsewhere = reader.Line
+	reader.elsewhere = reader.PartialChain
 	return reader
 }
 
-// Delegate makes the reader ask others for the turns of other shards. It must be
+// SetRemoteLookup makes the reader ask others for the turns of other shards. It must be
 // called before the first search.
-func (reader *Reader) Delegate(elsewhere Elsewhere) { reader.elsewhere = elsewhere }
+func (reader *Reader) SetRemoteLookup(elsewhere RemoteLookup) { reader.elsewhere = elsewhere }
 
 // Lookup is the outcome of a search.
 type Lookup struct {
 	Chain []*Turn
-	// Exists is false where the log has no such turn; then it never had one
+	// Found is false where the log has no such turn; then it never had one
 	// whose retention is not over.
-	Exists bool
+	Found bool
 }
 
 // Find returns the chain that ends with a turn. It looks in the shard's partition
@@ -67,7 +67,7 @@
 	for range maxSearches {
 		chain, missing, complete := reader.store.Chain(key)
 		if complete {
-			return Lookup{Chain: chain, Exists: true}, nil
+			return Lookup{Chain: chain, Found: true}, nil
 		}
 		line, err := reader.search(ctx, shard, missing)
 		if err != nil {
@@ -88,7 +88,7 @@
 
 // search looks for a turn in the shard's partition, then in all others.
 func (reader *Reader) search(ctx context.Context, shard int, key Key) ([]*Turn, error) {
-	line, failure := reader.Line(ctx, shard, key)
+	line, failure := reader.PartialChain(ctx, shard, key)
 	if len(line) > 0 {
 		return line, nil
 	}
@@ -116,17 +116,17 @@
 	return nil, failure
 }
 
-// Line returns the turns of the line that ends with a turn, the oldest first, as far
+// PartialChain returns the turns of the line that ends with a turn, the oldest first, as far
 // back as this node holds them once it has read the shard's partition to its
 // end; none where the partition has no such turn. An error says that it can't be
 // told now.
-func (reader *Reader) Line(ctx context.Context, shard int, key Key) ([]*Turn, error) {
-	line := reader.store.Line(key)
+func (reader *Reader) PartialChain(ctx context.Context, shard int, key Key) ([]*Turn, error) {
+	line := reader.store.PartialChain(key)
 	if len(line) > 0 {
 		return line, nil
 	}
 	err := reader.readOn(ctx, shard)
-	line = reader.store.Line(key)
+	line = reader.store.PartialChain(key)
 	switch {
 	case len(line) > 0:
 		return line, nil
--- a/internal/history/reader_test.go
+++ b/internal/history/reader_test.go
@@ -18,7 +18,7 @@
 func key(id string) history.Key { return history.Key{ID: id} }
 
 func turn(id, previous, input, output string) *history.Turn {
-	return &history.Turn{ID: id, Program: "p", Previous: previous, Input: []byte(input), Output: []byte(output),
+	return &history.Turn{ID: id, Program: "p", PreviousID: previous, Input: []byte(input), Output: []byte(output),
 		Ended: time.Now(), Retention: time.Minute}
 }
 
@@ -41,14 +41,14 @@
 	It("finds a chain written by a process that is gone", func() {
 		found, err := newReader().Find(ctx, 1, key("b"))
 		Expect(err).NotTo(HaveOccurred())
-		Expect(found.Exists).To(BeTrue())
-		Expect(string(history.Prompt(found.Chain, []byte("next")))).To(Equal("hellohi\nmoresome\nnext"))
+		Expect(found.Found).To(BeTrue())
+		Expect(string(history.BuildPrompt(found.Chain, []byte("next")))).To(Equal("hellohi\nmoresome\nnext"))
 	})
 
 	It("finds a turn of another program, in another program's shard", func() {
 		found, err := newReader().Find(ctx, 3, key("b"))
 		Expect(err).NotTo(HaveOccurred())
-		Expect(found.Exists).To(BeTrue())
+		Expect(found.Found).To(BeTrue())
 	})
 
 	It("leaves the partitions of other shards to the nodes that read them", func() {
@@ -68,8 +68,8 @@
 			nodes[shard] = newReader()
 		}
 		for _, node := range nodes {
-			node.Delegate(func(ctx context.Context, shard int, id history.Key) ([]*history.Turn, error) {
-				return nodes[shard].Line(ctx, shard, id)
+			node.SetRemoteLookup(func(ctx context.Context, shard int, id history.Key) ([]*history.Turn, error) {
+				return nodes[shard].PartialChain(ctx, shard, id)
 			})
 		}
 		for shard, node := range nodes {
@@ -87,13 +87,13 @@
 		Expect(history.NewRecorder(log, shards).Record(ctx, 3, turn("c", "b", "x", "y\n"))).To(Succeed())
 		found, err := newReader().Find(ctx, 0, key("c"))
 		Expect(err).NotTo(HaveOccurred())
-		Expect(string(history.Prompt(found.Chain, nil))).To(Equal("hellohi\nmoresome\nxy\n"))
+		Expect(string(history.BuildPrompt(found.Chain, nil))).To(Equal("hellohi\nmoresome\nxy\n"))
 	})
 
 	It("says that a turn does not exist only where every partition was read", func() {
 		found, err := newReader().Find(ctx, 1, key("forged"))
 		Expect(err).NotTo(HaveOccurred())
-		Expect(found.Exists).To(BeFalse())
+		Expect(found.Found).To(BeFalse())
 
 		log.Intercept = func(_ string, partition durable.Partition) error {
 			if partition.Number == 2 {
@@ -123,12 +123,12 @@
 		refused.Intercept = func(string, durable.Partition) error { return durable.ErrUnavailable }
 		other := history.NewRecorder(log, shards)
 		recorder := history.NewRecorder(refused, shards)
-		recorder.RelayBy(other.RecordHere)
+		recorder.SetRelay(other.RecordLocally)
 		bounded, cancel := context.WithTimeout(ctx, 5*time.Second)
 		defer cancel()
 		Expect(recorder.Record(bounded, 1, turn("c", "b", "x", "y\n"))).To(Succeed())
-		Expect(recorder.Refused()).To(BeTrue())
-		Expect(other.Refused()).To(BeFalse())
+		Expect(recorder.RecentlyRefused()).To(BeTrue())
+		Expect(other.RecentlyRefused()).To(BeFalse())
 		found, err := newReader().Find(ctx, 1, key("c"))
 		Expect(err).NotTo(HaveOccurred())
 		Expect(found.Chain).To(HaveLen(3))
--- a/internal/history/record.go
+++ b/internal/history/record.go
@@ -7,13 +7,13 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// ToMessage returns a turn in the form that the log and other nodes get.
-func ToMessage(turn *Turn) *nodev1.Turn {
+// ToProto returns a turn in the form that the log and other nodes get.
+func ToProto(turn *Turn) *nodev1.Turn {
 	return &nodev1.Turn{
 		Id:          turn.ID,
 		Tenant:      turn.Tenant,
 		Program:     turn.Program,
-		Previous:    turn.Previous,
+		Previous:    turn.PreviousID,
 		Input:       turn.Input,
 		Output:      turn.Output,
 		EndedUnixMs: turn.Ended.UnixMilli(),
@@ -21,39 +21,39 @@
 	}
 }
 
-// FromMessage is the reverse of ToMessage.
-func FromMessage(message *nodev1.Turn) *Turn {
+// FromProto is the reverse of ToMessage.
+func FromProto(message *nodev1.Turn) *Turn {
 	return &Turn{
-		ID:        message.Id,
-		Tenant:    message.Tenant,
-		Program:   message.Program,
-		Previous:  message.Previous,
-		Input:     message.Input,
-		Output:    message.Output,
-		Ended:     time.UnixMilli(message.EndedUnixMs),
-		Retention: time.Duration(message.RetentionMs) * time.Millisecond,
+		ID:         message.Id,
+		Tenant:     message.Tenant,
+		Program:    message.Program,
+		PreviousID: message.Previous,
+		Input:      message.Input,
+		Output:     message.Output,
+		Ended:      time.UnixMilli(message.EndedUnixMs),
+		Retention:  time.Duration(message.RetentionMs) * time.Millisecond,
 	}
 }
 
-// ToMessages is ToMessage for a line of turns.
-func ToMessages(line []*Turn) []*nodev1.Turn {
+// ToProtos is ToMessage for a line of turns.
+func ToProtos(line []*Turn) []*nodev1.Turn {
 	messages := make([]*nodev1.Turn, 0, len(line))
 	for _, turn := range line {
-		messages = append(messages, ToMessage(turn))
+		messages = append(messages, ToProto(turn))
 	}
 	return messages
 }
 
-// FromMessages is the reverse of ToMessages.
-func FromMessages(messages []*nodev1.Turn) []*Turn {
+// FromProtos is the reverse of ToMessages.
+func FromProtos(messages []*nodev1.Turn) []*Turn {
 	line := make([]*Turn, 0, len(messages))
 	for _, message := range messages {
-		line = append(line, FromMessage(message))
+		line = append(line, FromProto(message))
 	}
 	return line
 }
 
-func encode(turn *Turn) ([]byte, error) { return proto.Marshal(ToMessage(turn)) }
+func encode(turn *Turn) ([]byte, error) { return proto.Marshal(ToProto(turn)) }
 
 // decode returns nil for bytes that are no turn.
 func decode(record []byte) *Turn {
@@ -61,5 +61,5 @@
 	if proto.Unmarshal(record, &message) != nil || message.Id == "" {
 		return nil
 	}
-	return FromMessage(&message)
+	return FromProto(&message)
 }
--- a/internal/history/recorder.go
+++ b/internal/history/recorder.go
@@ -36,7 +36,7 @@
 	shards  int
 	mutex   sync.Mutex
 	pending map[durable.Partition]*pendingAppend
-	pace    durable.Pace
+	pace    durable.AppendLatency
 	relay   Relay
 	// underway counts the recordings that have not ended; waitingSince is when the
 	// newest of them was recorded, or the first of them began. The mutex guards both.
@@ -71,13 +71,13 @@
 	return &Recorder{log: log, shards: shards, pending: map[durable.Partition]*pendingAppend{}}
 }
 
-// RelayBy makes the recorder ask another node where the log does not answer this
+// SetRelay makes the recorder ask another node where the log does not answer this
 // one: a store may refuse single nodes. It must be called before the first turn.
-func (recorder *Recorder) RelayBy(relay Relay) { recorder.relay = relay }
+func (recorder *Recorder) SetRelay(relay Relay) { recorder.relay = relay }
 
-// Refused tells whether the log has just refused this node, so that it is no
+// RecentlyRefused tells whether the log has just refused this node, so that it is no
 // help to another one.
-func (recorder *Recorder) Refused() bool {
+func (recorder *Recorder) RecentlyRefused() bool {
 	recorder.mutex.Lock()
 	defer recorder.mutex.Unlock()
 	return time.Since(recorder.refused) < refusedFor
@@ -90,8 +90,8 @@
 	return recorder.record(ctx, shard, turn, recorder.relay)
 }
 
-// RecordHere is Record without asking another node.
-func (recorder *Recorder) RecordHere(ctx context.Context, shard int, turn *Turn) error {
+// RecordLocally is Record without asking another node.
+func (recorder *Recorder) RecordLocally(ctx context.Context, shard int, turn *Turn) error {
 	return recorder.record(ctx, shard, turn, nil)
 }
 
@@ -133,9 +133,9 @@
 	}
 }
 
-// Waiting is for how long turns have waited here and none was recorded, 0 where none
+// StalledFor is for how long turns have waited here and none was recorded, 0 where none
 // waits.
-func (recorder *Recorder) Waiting(now time.Time) time.Duration {
+func (recorder *Recorder) StalledFor(now time.Time) time.Duration {
 	recorder.mutex.Lock()
 	defer recorder.mutex.Unlock()
 	if recorder.underway == 0 {
@@ -166,7 +166,7 @@
 	current.tryNext()
 	// Another partition is tried when an append takes unusually long, the next
 	// one after twice that time, and so on.
-	patience := current.recorder.pace.Patience()
+	patience := current.recorder.pace.HedgeDelay()
 	timer := time.NewTimer(patience)
 	defer timer.Stop()
 	pause := firstPause
@@ -217,7 +217,7 @@
 	go func() {
 		err := current.relay(ctx, current.shard, current.turn)
 		if err != nil {
-			wait.For(ctx, relayPause)
+			wait.Sleep(ctx, relayPause)
 		}
 		current.relayed <- err
 	}()
@@ -232,7 +232,7 @@
 		recorder.pending[partition] = pending
 	}
 	pending.waiting = append(pending.waiting, waitingRecord{record: record, done: done})
-	stuck := time.Since(pending.begun) > recorder.pace.Patience()
+	stuck := time.Since(pending.begun) > recorder.pace.HedgeDelay()
 	if pending.workers == 0 || (stuck && pending.workers < maxWorkers) {
 		pending.workers++
 		go recorder.work(partition, pending)
@@ -267,7 +267,7 @@
 // note learns from an append's outcome.
 func (recorder *Recorder) note(began time.Time, err error) {
 	if err == nil {
-		recorder.pace.Note(time.Since(began))
+		recorder.pace.Observe(time.Since(began))
 	}
 	recorder.mutex.Lock()
 	defer recorder.mutex.Unlock()
--- a/internal/history/tenant_test.go
+++ b/internal/history/tenant_test.go
@@ -32,8 +32,8 @@
 		Expect(recorder.Record(ctx, 0, of("a", "1", "", "first"))).To(Succeed())
 		Expect(recorder.Record(ctx, 2, of("a", "2", "1", "second"))).To(Succeed())
 		Expect(find(log, "a", "2").Chain).To(HaveLen(2))
-		Expect(find(log, "b", "2").Exists).To(BeFalse())
-		Expect(find(log, "", "2").Exists).To(BeFalse())
+		Expect(find(log, "b", "2").Found).To(BeFalse())
+		Expect(find(log, "", "2").Found).To(BeFalse())
 	})
 
 	It("are kept apart where two tenants use one id", func() {
--- a/internal/httpserver/buffered_bytes.go
+++ b/internal/httpserver/buffered_bytes.go
@@ -27,8 +27,8 @@
 		return false
 	}
 	if len(requests.complete) > 0 {
-		server.currentLimits().Sent.Take(int64(count))
-	} else if !server.currentLimits().Sent.TryTake(int64(count)) {
+		server.currentLimits().Sent.ForceAcquire(int64(count))
+	} else if !server.currentLimits().Sent.TryAcquire(int64(count)) {
 		return false
 	}
 	requests.incomplete += int64(count)
@@ -84,7 +84,7 @@
 		return
 	}
 	responses.bytes += int64(count)
-	server.currentLimits().Unread.Take(int64(count))
+	server.currentLimits().Unread.ForceAcquire(int64(count))
 }
 
 // release releases up to count bytes that have been sent. Error responses to incomplete
@@ -116,7 +116,7 @@
 // clients that keep reading still make progress.
 func (connection *connection) writeBufferLimit() int {
 	limits := connection.server.currentLimits()
-	if limits.Unread.Full() {
+	if limits.Unread.Exhausted() {
 		return maxWriteSize
 	}
 	return limits.WriteBufferBytes
--- a/internal/httpserver/buffered_bytes_close_test.go
+++ b/internal/httpserver/buffered_bytes_close_test.go
@@ -32,7 +32,7 @@
 			requests := &requestBytes{}
 			concurrently(func() { requests.reserve(server, 1) }, func() { requests.close(server) })
 		}
-		Expect(bound.Held()).To(BeZero())
+		Expect(bound.InUse()).To(BeZero())
 	})
 
 	It("are released for responses", func() {
@@ -42,6 +42,6 @@
 			responses := &responseBytes{}
 			concurrently(func() { responses.add(server, 1) }, func() { responses.close(server) })
 		}
-		Expect(bound.Held()).To(BeZero())
+		Expect(bound.InUse()).To(BeZero())
 	})
 })
--- a/internal/httpserver/buffered_bytes_test.go
+++ b/internal/httpserver/buffered_bytes_test.go
@@ -39,9 +39,9 @@
 			fmt.Fprint(stalled, "GET / HTTP/1.1\r\nHost: x\r\n\r\n")
 			connections = append(connections, stalled)
 		}
-		Eventually(buffered.Held, testTimeout).Should(BeNumerically(">", bound/4))
+		Eventually(buffered.InUse, testTimeout).Should(BeNumerically(">", bound/4))
 		slack := int64(clients * maxWriteSize)
-		Consistently(buffered.Held, 300*time.Millisecond).Should(BeNumerically("<=", bound+slack))
+		Consistently(buffered.InUse, 300*time.Millisecond).Should(BeNumerically("<=", bound+slack))
 		response, err := newClient().Get("http://" + server.Address() + "/short")
 		Expect(err).NotTo(HaveOccurred())
 		body, err := io.ReadAll(response.Body)
@@ -50,7 +50,7 @@
 		for _, each := range connections {
 			Expect(each.Close()).To(Succeed())
 		}
-		Eventually(buffered.Held, testTimeout).Should(BeZero())
+		Eventually(buffered.InUse, testTimeout).Should(BeZero())
 	})
 
 	It("cause a body over the request limit to be rejected before its handler runs, and accepted after others end", func() {
@@ -79,7 +79,7 @@
 		Expect(entered).NotTo(Receive(), "the rejected request ran")
 		close(finish)
 		Eventually(first, testTimeout).Should(Receive(BeNil()))
-		Eventually(buffered.Held, testTimeout).Should(BeZero())
+		Eventually(buffered.InUse, testTimeout).Should(BeZero())
 		response, err = post()
 		Expect(err).NotTo(HaveOccurred())
 		Expect(response.StatusCode).To(Equal(http.StatusOK))
@@ -97,7 +97,7 @@
 		for range 2 {
 			fmt.Fprintf(client, "POST / HTTP/1.1\r\nHost: x\r\nContent-Length: %d\r\n\r\n%s", length, content(1, length))
 		}
-		Eventually(buffered.Held, testTimeout).Should(BeNumerically(">", 2*length))
+		Eventually(buffered.InUse, testTimeout).Should(BeNumerically(">", 2*length))
 		responses := bufio.NewReader(client)
 		for left := range 2 {
 			finish <- struct{}{}
@@ -105,9 +105,9 @@
 			Expect(err).NotTo(HaveOccurred())
 			Expect(response.StatusCode).To(Equal(http.StatusOK))
 			Expect(io.Copy(io.Discard, response.Body)).To(BeZero())
-			Eventually(buffered.Held, testTimeout).Should(BeNumerically("<", (2-left)*length))
+			Eventually(buffered.InUse, testTimeout).Should(BeNumerically("<", (2-left)*length))
 		}
-		Eventually(buffered.Held, testTimeout).Should(BeZero())
+		Eventually(buffered.InUse, testTimeout).Should(BeZero())
 	})
 
 	It("are released when a client disconnects in the middle of a body", func() {
@@ -115,8 +115,8 @@
 		server := start(echo, Limits{Sent: buffered})
 		interrupted := dial(server)
 		fmt.Fprintf(interrupted, "POST / HTTP/1.1\r\nHost: x\r\nContent-Length: 90000\r\n\r\n%s", content(1, 50_000))
-		Eventually(buffered.Held, testTimeout).Should(BeNumerically(">", 0))
+		Eventually(buffered.InUse, testTimeout).Should(BeNumerically(">", 0))
 		Expect(interrupted.Close()).To(Succeed())
-		Eventually(buffered.Held, testTimeout).Should(BeZero())
+		Eventually(buffered.InUse, testTimeout).Should(BeZero())
 	})
 })
--- a/internal/httpserver/limits.go
+++ b/internal/httpserver/limits.go
@@ -42,10 +42,10 @@
 	WriteBufferBytes int
 	// Sent bounds the request bytes buffered over all connections; nil means no bound.
 	// Requests that do not fit are rejected with code TooManyConnections.
-	Sent *heldbytes.Bound
+	Sent *heldbytes.Limiter
 	// Unread bounds the response bytes buffered over all connections; nil means no bound.
 	// Once it is reached, each connection buffers a single write at a time.
-	Unread *heldbytes.Bound
+	Unread *heldbytes.Limiter
 	// TurnAway reports whether responses should carry Connection: close, so that clients
 	// reconnect, possibly to another process; nil means never.
 	TurnAway func() bool
