--- a/internal/load/gather.go
+++ b/internal/load/gather.go
@@ -7,18 +7,18 @@
 	"time"
 )
 
-// PartAge is how long what a node or a gatherer told counts. Parts come at least twice in
+// ReportTTL is how long what a node or a gatherer told counts. Parts come at least twice in
 // that time, so that one lost message takes nothing out of the sum, and a node that is lost
 // stays in it no longer than a view counts.
-const PartAge = time.Second
+const ReportTTL = time.Second
 
-// Sum is what several nodes have under way.
-type Sum struct {
+// Aggregate is what several nodes have under way.
+type Aggregate struct {
 	Report Report
 	// Nodes is the number of nodes in the report, Age the mean age of their parts: the
 	// error of a sum grows with the mean, and a single lost node makes no sum useless.
-	Nodes int
-	Age   time.Duration
+	Nodes   int
+	MeanAge time.Duration
 }
 
 // Origin names the message that a part came with.
@@ -32,17 +32,17 @@
 // part is the newest that one sender told.
 type part struct {
 	origin Origin
-	sum    Sum
+	sum    Aggregate
 	heard  time.Time
 }
 
 // ageAt is the mean age of what the part holds.
-func (part part) ageAt(now time.Time) time.Duration { return part.sum.Age + now.Sub(part.heard) }
+func (part part) ageAt(now time.Time) time.Duration { return part.sum.MeanAge + now.Sub(part.heard) }
 
-// Gatherer holds what the nodes of a zone told, and what other gatherers have gathered.
+// Aggregator holds what the nodes of a zone told, and what other gatherers have gathered.
 // Any node may be told; parts that nobody repeats are over soon. It is safe for concurrent
 // use.
-type Gatherer struct {
+type Aggregator struct {
 	zone  string
 	mutex sync.Mutex
 	// nodes are parts of single nodes, sums those of other gatherers, by their senders.
@@ -50,20 +50,20 @@
 	sums  map[string]part
 }
 
-// NewGatherer returns a gatherer of a zone that was told nothing.
-func NewGatherer(zone string) *Gatherer {
-	return &Gatherer{zone: zone, nodes: map[string]part{}, sums: map[string]part{}}
+// NewAggregator returns a gatherer of a zone that was told nothing.
+func NewAggregator(zone string) *Aggregator {
+	return &Aggregator{zone: zone, nodes: map[string]part{}, sums: map[string]part{}}
 }
 
-// Hear takes in what a node has under way. The gatherer keeps the report.
-func (gatherer *Gatherer) Hear(origin Origin, report Report, now time.Time) {
+// AddReport takes in what a node has under way. The gatherer keeps the report.
+func (gatherer *Aggregator) AddReport(origin Origin, report Report, now time.Time) {
 	gatherer.mutex.Lock()
 	defer gatherer.mutex.Unlock()
-	take(gatherer.nodes, part{origin: origin, sum: Sum{Report: report, Nodes: 1}, heard: now})
+	take(gatherer.nodes, part{origin: origin, sum: Aggregate{Report: report, Nodes: 1}, heard: now})
 }
 
-// HearSum takes in what another gatherer was told by nodes. The gatherer keeps the report.
-func (gatherer *Gatherer) HearSum(origin Origin, sum Sum, now time.Time) {
+// AddAggregate takes in what another gatherer was told by nodes. The gatherer keeps the report.
+func (gatherer *Aggregator) AddAggregate(origin Origin, sum Aggregate, now time.Time) {
 	gatherer.mutex.Lock()
 	defer gatherer.mutex.Unlock()
 	take(gatherer.sums, part{origin: origin, sum: sum, heard: now})
@@ -72,33 +72,33 @@
 // take keeps a part unless a newer one of its sender still counts.
 func take(parts map[string]part, told part) {
 	held, known := parts[told.origin.Node]
-	if known && held.origin.Sequence >= told.origin.Sequence && told.heard.Sub(held.heard) <= PartAge {
+	if known && held.origin.Sequence >= told.origin.Sequence && told.heard.Sub(held.heard) <= ReportTTL {
 		return
 	}
 	parts[told.origin.Node] = told
 }
 
 // expire drops the parts that are over. The caller holds the mutex.
-func (gatherer *Gatherer) expire(now time.Time) {
+func (gatherer *Aggregator) expire(now time.Time) {
 	for _, parts := range []map[string]part{gatherer.nodes, gatherer.sums} {
 		for name, held := range parts {
-			if now.Sub(held.heard) > PartAge {
+			if now.Sub(held.heard) > ReportTTL {
 				delete(parts, name)
 			}
 		}
 	}
 }
 
-// Heard returns the number of nodes that tell this gatherer what they have under way.
-func (gatherer *Gatherer) Heard(now time.Time) int {
+// NodeCount returns the number of nodes that tell this gatherer what they have under way.
+func (gatherer *Aggregator) NodeCount(now time.Time) int {
 	gatherer.mutex.Lock()
 	defer gatherer.mutex.Unlock()
 	gatherer.expire(now)
 	return len(gatherer.nodes)
 }
 
-// Gatherers returns the other gatherers that tell this one their sums.
-func (gatherer *Gatherer) Gatherers(now time.Time) []string {
+// PeerAggregators returns the other gatherers that tell this one their sums.
+func (gatherer *Aggregator) PeerAggregators(now time.Time) []string {
 	gatherer.mutex.Lock()
 	defer gatherer.mutex.Unlock()
 	gatherer.expire(now)
@@ -110,8 +110,8 @@
 	return names
 }
 
-// Own returns the sum of the nodes that this gatherer hears itself, for other gatherers.
-func (gatherer *Gatherer) Own(now time.Time) Sum {
+// ZoneTotal returns the sum of the nodes that this gatherer hears itself, for other gatherers.
+func (gatherer *Aggregator) ZoneTotal(now time.Time) Aggregate {
 	gatherer.mutex.Lock()
 	defer gatherer.mutex.Unlock()
 	gatherer.expire(now)
@@ -126,7 +126,7 @@
 // zones tells how many nodes each zone has: where sums of one zone overlap, since nodes
 // left one gatherer for another, an older sum counts for the nodes only that newer ones
 // leave, lest engines look twice as busy for as long as a part counts.
-func (gatherer *Gatherer) Total(zones map[string]int, now time.Time) (Sum, int) {
+func (gatherer *Aggregator) Total(zones map[string]int, now time.Time) (Aggregate, int) {
 	gatherer.mutex.Lock()
 	defer gatherer.mutex.Unlock()
 	gatherer.expire(now)
@@ -159,12 +159,12 @@
 
 // summing is a sum in the making.
 type summing struct {
-	sum Sum
+	sum Aggregate
 	// ages sums the ages of the nodes' parts.
 	ages time.Duration
 }
 
-func newSumming() *summing { return &summing{sum: Sum{Report: NewReport()}} }
+func newSumming() *summing { return &summing{sum: Aggregate{Report: NewReport()}} }
 
 // add counts so many nodes of a part.
 func (summing *summing) add(added part, nodes int, now time.Time) {
@@ -180,9 +180,9 @@
 	summing.ages += time.Duration(nodes) * added.ageAt(now)
 }
 
-func (summing *summing) done() Sum {
+func (summing *summing) done() Aggregate {
 	if summing.sum.Nodes > 0 {
-		summing.sum.Age = summing.ages / time.Duration(summing.sum.Nodes)
+		summing.sum.MeanAge = summing.ages / time.Duration(summing.sum.Nodes)
 	}
 	return summing.sum
 }
@@ -192,14 +192,14 @@
 	whole := func(count int) int { return int(math.Round(share * float64(count))) }
 	scaled := NewReport()
 	for id, engine := range report.Engines {
-		scaled.Engines[id] = Engine{Running: whole(engine.Running), Silent: whole(engine.Silent), Answered: share * engine.Answered, Failed: share * engine.Failed}
+		scaled.Engines[id] = Engine{Running: whole(engine.Running), AwaitingFirstByte: whole(engine.AwaitingFirstByte), Succeeded: share * engine.Succeeded, Failed: share * engine.Failed}
 	}
 	for queue, calls := range report.Waiting {
 		scaled.Waiting[queue] = whole(calls)
 	}
 	for name, route := range report.Routes {
-		scaled.Routes[name] = Route{Service: route.Service, Rank: route.Rank, Programs: whole(route.Programs), Turns: whole(route.Turns),
-			Begun: share * route.Begun, Refused: share * route.Refused, Late: share * route.Late, Tokens: int64(share * float64(route.Tokens))}
+		scaled.Routes[name] = Route{Service: route.Service, Priority: route.Priority, Programs: whole(route.Programs), Turns: whole(route.Turns),
+			ProgramsStarted: share * route.ProgramsStarted, Refused: share * route.Refused, Late: share * route.Late, PromptTokens: int64(share * float64(route.PromptTokens))}
 	}
 	for holder, programs := range report.Tenants {
 		scaled.Tenants[holder] = whole(programs)
--- a/internal/load/gather_test.go
+++ b/internal/load/gather_test.go
@@ -20,14 +20,14 @@
 }
 
 // sumOf is a sum of some nodes' requests at engine e.
-func sumOf(running, nodes int, age time.Duration) load.Sum {
-	return load.Sum{Report: reportOf("e", running), Nodes: nodes, Age: age}
+func sumOf(running, nodes int, age time.Duration) load.Aggregate {
+	return load.Aggregate{Report: reportOf("e", running), Nodes: nodes, MeanAge: age}
 }
 
 // tellAll has nodes of zone a tell one request each.
-func tellAll(gatherer *load.Gatherer, first, count int, at time.Time) {
+func tellAll(gatherer *load.Aggregator, first, count int, at time.Time) {
 	for number := first; number < first+count; number++ {
-		gatherer.Hear(from("n"+strconv.Itoa(number), at.UnixMicro()), reportOf("e", 1), at)
+		gatherer.AddReport(from("n"+strconv.Itoa(number), at.UnixMicro()), reportOf("e", 1), at)
 	}
 }
 
@@ -35,81 +35,81 @@
 
 func TestAGathererSumsNodesAndOtherZones(t *testing.T) {
 	expect := NewWithT(t)
-	gatherer := load.NewGatherer("a")
+	gatherer := load.NewAggregator("a")
 	tellAll(gatherer, 0, 4, now)
-	gatherer.HearSum(sumFrom("b1", "b", 1), sumOf(20, 10, 100*time.Millisecond), now)
+	gatherer.AddAggregate(sumFrom("b1", "b", 1), sumOf(20, 10, 100*time.Millisecond), now)
 
 	total, zoneNodes := gatherer.Total(zones, now.Add(140*time.Millisecond))
 	expect.Expect(total.Report.Engines["e"].Running).To(Equal(24))
 	expect.Expect(total.Nodes).To(Equal(14))
 	expect.Expect(zoneNodes).To(Equal(4))
-	expect.Expect(total.Age).To(Equal((4*140*time.Millisecond + 10*240*time.Millisecond) / 14))
-	expect.Expect(gatherer.Own(now).Report.Engines["e"].Running).To(Equal(4), "other gatherers tell theirs themselves")
-	expect.Expect(gatherer.Gatherers(now)).To(Equal([]string{"b1"}))
+	expect.Expect(total.MeanAge).To(Equal((4*140*time.Millisecond + 10*240*time.Millisecond) / 14))
+	expect.Expect(gatherer.ZoneTotal(now).Report.Engines["e"].Running).To(Equal(4), "other gatherers tell theirs themselves")
+	expect.Expect(gatherer.PeerAggregators(now)).To(Equal([]string{"b1"}))
 }
 
 func TestRepeatedAndLateMessagesChangeNothing(t *testing.T) {
 	expect := NewWithT(t)
-	gatherer := load.NewGatherer("a")
+	gatherer := load.NewAggregator("a")
 	running := func(at time.Time) int {
 		total, _ := gatherer.Total(zones, at)
 		return total.Report.Engines["e"].Running
 	}
-	gatherer.Hear(from("n", 2), reportOf("e", 5), now)
-	gatherer.Hear(from("n", 2), reportOf("e", 5), now)
+	gatherer.AddReport(from("n", 2), reportOf("e", 5), now)
+	gatherer.AddReport(from("n", 2), reportOf("e", 5), now)
 	expect.Expect(running(now)).To(Equal(5))
-	gatherer.Hear(from("n", 1), reportOf("e", 9), now.Add(100*time.Millisecond))
+	gatherer.AddReport(from("n", 1), reportOf("e", 9), now.Add(100*time.Millisecond))
 	expect.Expect(running(now.Add(100 * time.Millisecond))).To(Equal(5))
-	gatherer.HearSum(sumFrom("b1", "b", 7), sumOf(20, 10, 0), now)
-	gatherer.HearSum(sumFrom("b1", "b", 6), sumOf(99, 10, 0), now)
+	gatherer.AddAggregate(sumFrom("b1", "b", 7), sumOf(20, 10, 0), now)
+	gatherer.AddAggregate(sumFrom("b1", "b", 6), sumOf(99, 10, 0), now)
 	expect.Expect(running(now)).To(Equal(25))
 }
 
 func TestANodeWhoseNumbersBeganAnewIsHeardOnceItsPartIsOver(t *testing.T) {
 	expect := NewWithT(t)
-	gatherer := load.NewGatherer("a")
-	gatherer.Hear(from("n", 100), reportOf("e", 5), now)
-	later := now.Add(load.PartAge + time.Millisecond)
-	gatherer.Hear(from("n", 1), reportOf("e", 1), later)
+	gatherer := load.NewAggregator("a")
+	gatherer.AddReport(from("n", 100), reportOf("e", 5), now)
+	later := now.Add(load.ReportTTL + time.Millisecond)
+	gatherer.AddReport(from("n", 1), reportOf("e", 1), later)
 	total, _ := gatherer.Total(zones, later)
 	expect.Expect(total.Report.Engines["e"].Running).To(Equal(1))
 }
 
 func TestALostMessageTakesNothingAndALostNodeLeavesTheSum(t *testing.T) {
 	expect := NewWithT(t)
-	gatherer := load.NewGatherer("a")
+	gatherer := load.NewAggregator("a")
 	tellAll(gatherer, 0, 4, now)
-	later := now.Add(load.PartAge / 2)
+	later := now.Add(load.ReportTTL / 2)
 	tellAll(gatherer, 0, 3, later)
 	total, zoneNodes := gatherer.Total(zones, later)
 	expect.Expect(zoneNodes).To(Equal(4))
 	expect.Expect(total.Report.Engines["e"].Running).To(Equal(4))
-	total, zoneNodes = gatherer.Total(zones, now.Add(load.PartAge+time.Millisecond))
+	total, zoneNodes = gatherer.Total(zones, now.Add(load.ReportTTL+time.Millisecond))
 	expect.Expect(zoneNodes).To(Equal(3))
 	expect.Expect(total.Report.Engines["e"].Running).To(Equal(3))
-	expect.Expect(gatherer.Heard(later.Add(load.PartAge + time.Millisecond))).To(BeZero())
+	expect.Expect(gatherer.NodeCount(later.Add(load.ReportTTL + time.Millisecond))).To(BeZero())
 }
 
 func TestOneLostNodeMakesNoSumOld(t *testing.T) {
 	expect := NewWithT(t)
-	gatherer := load.NewGatherer("a")
+	gatherer := load.NewAggregator("a")
 	tellAll(gatherer, 0, 20, now)
 	last := now.Add(900 * time.Millisecond)
 	tellAll(gatherer, 1, 19, last)
 	total, _ := gatherer.Total(nil, last)
 	expect.Expect(total.Nodes).To(Equal(20))
-	expect.Expect(total.Age).To(BeNumerically("<", 100*time.Millisecond))
+	expect.Expect(total.MeanAge).To(BeNumerically("<", 100*time.Millisecond))
 }
 
 // The gatherer of zone b is lost, and its ten nodes come to another one within a few
 // hundred milliseconds: until the former one's sum is over, they are in both.
 func TestNodesThatMoveToAnotherGathererCountOnce(t *testing.T) {
 	expect := NewWithT(t)
-	gatherer := load.NewGatherer("a")
-	gatherer.HearSum(sumFrom("b1", "b", 1), sumOf(30, 10, 0), now)
+	gatherer := load.NewAggregator("a")
+	gatherer.AddAggregate(sumFrom("b1", "b", 1), sumOf(30, 10, 0), now)
 	for _, moved := range []int{2, 5, 10} {
 		at := now.Add(time.Duration(moved) * 50 * time.Millisecond)
-		gatherer.HearSum(sumFrom("b2", "b", int64(moved)), sumOf(3*moved, moved, 0), at)
+		gatherer.AddAggregate(sumFrom("b2", "b", int64(moved)), sumOf(3*moved, moved, 0), at)
 		total, _ := gatherer.Total(zones, at)
 		expect.Expect(total.Report.Engines["e"].Running).To(Equal(30), "after %d moved", moved)
 		expect.Expect(total.Nodes).To(Equal(10))
@@ -118,12 +118,12 @@
 
 func TestTwoGatherersOfAZoneAtOnceAddUp(t *testing.T) {
 	expect := NewWithT(t)
-	first, second := load.NewGatherer("a"), load.NewGatherer("a")
+	first, second := load.NewAggregator("a"), load.NewAggregator("a")
 	tellAll(first, 0, 3, now)
 	tellAll(second, 3, 1, now)
-	first.HearSum(sumFrom("second", "a", 1), second.Own(now), now)
-	second.HearSum(sumFrom("first", "a", 1), first.Own(now), now)
-	for _, gatherer := range []*load.Gatherer{first, second} {
+	first.AddAggregate(sumFrom("second", "a", 1), second.ZoneTotal(now), now)
+	second.AddAggregate(sumFrom("first", "a", 1), first.ZoneTotal(now), now)
+	for _, gatherer := range []*load.Aggregator{first, second} {
 		total, zoneNodes := gatherer.Total(zones, now)
 		expect.Expect(total.Report.Engines["e"].Running).To(Equal(4))
 		expect.Expect(zoneNodes).To(Equal(4))
@@ -132,13 +132,13 @@
 
 func TestAZoneThatIsCutOffLeavesTheSum(t *testing.T) {
 	expect := NewWithT(t)
-	gatherer := load.NewGatherer("a")
+	gatherer := load.NewAggregator("a")
 	tellAll(gatherer, 0, 4, now)
-	gatherer.HearSum(sumFrom("b1", "b", 1), sumOf(30, 10, 0), now)
-	later := now.Add(load.PartAge + time.Millisecond)
+	gatherer.AddAggregate(sumFrom("b1", "b", 1), sumOf(30, 10, 0), now)
+	later := now.Add(load.ReportTTL + time.Millisecond)
 	tellAll(gatherer, 0, 4, later)
 	total, zoneNodes := gatherer.Total(zones, later)
 	expect.Expect(total.Report.Engines["e"].Running).To(Equal(4))
 	expect.Expect(zoneNodes).To(Equal(4))
-	expect.Expect(gatherer.Gatherers(later)).To(BeEmpty())
+	expect.Expect(gatherer.PeerAggregators(later)).To(BeEmpty())
 }
--- a/internal/load/load.go
+++ b/internal/load/load.go
@@ -13,91 +13,91 @@
 type Engine struct {
 	// Running is the number of requests sent that have not ended, Silent that of those
 	// without a byte of an answer.
-	Running int
-	Silent  int
-	// Answered and Failed count requests that ended well, and badly by the engine's own
-	// doing, in the last seconds, older ones for less. In a view Answered is 0 at engines
+	Running           int
+	AwaitingFirstByte int
+	// Succeeded and Failed count requests that ended well, and badly by the engine's own
+	// doing, in the last seconds, older ones for less. In a view Succeeded is 0 at engines
 	// without failures, where it would be sent for nothing.
-	Answered float64
-	Failed   float64
+	Succeeded float64
+	Failed    float64
 }
 
 // add sums two parts.
 func (engine Engine) add(other Engine) Engine {
 	return Engine{
-		Running:  engine.Running + other.Running,
-		Silent:   engine.Silent + other.Silent,
-		Answered: engine.Answered + other.Answered,
-		Failed:   engine.Failed + other.Failed,
+		Running:           engine.Running + other.Running,
+		AwaitingFirstByte: engine.AwaitingFirstByte + other.AwaitingFirstByte,
+		Succeeded:         engine.Succeeded + other.Succeeded,
+		Failed:            engine.Failed + other.Failed,
 	}
 }
 
 // without takes a part out of a sum that holds it.
 func (engine Engine) without(part Engine) Engine {
 	return Engine{
-		Running:  max(engine.Running-part.Running, 0),
-		Silent:   max(engine.Silent-part.Silent, 0),
-		Answered: max(engine.Answered-part.Answered, 0),
-		Failed:   max(engine.Failed-part.Failed, 0),
+		Running:           max(engine.Running-part.Running, 0),
+		AwaitingFirstByte: max(engine.AwaitingFirstByte-part.AwaitingFirstByte, 0),
+		Succeeded:         max(engine.Succeeded-part.Succeeded, 0),
+		Failed:            max(engine.Failed-part.Failed, 0),
 	}
 }
 
-// Queue names the calls of one rank that wait for an engine of a service; rank 0 is the
+// QueueKey names the calls of one rank that wait for an engine of a service; rank 0 is the
 // most urgent.
-type Queue struct {
-	Service string
-	Rank    int
+type QueueKey struct {
+	Service  string
+	Priority int
 }
 
 // Route is what the programs of a route have under way, as their owners know it.
 type Route struct {
-	Service string
-	Rank    int
+	Service  string
+	Priority int
 	// Programs have begun and are not over; Turns is the number of their turns under way.
 	Programs int
 	Turns    int
-	// Begun, Refused and Late count programs that began, that were refused for want of
+	// ProgramsStarted, Refused and Late count programs that began, that were refused for want of
 	// room, and that passed their aim, in the last seconds, older ones for less.
-	Begun   float64
-	Refused float64
-	Late    float64
-	// Tokens is the length of the prompts of the programs under way.
-	Tokens int64
+	ProgramsStarted float64
+	Refused         float64
+	Late            float64
+	// PromptTokens is the length of the prompts of the programs under way.
+	PromptTokens int64
 }
 
 // add sums two parts.
 func (route Route) add(other Route) Route {
 	return Route{
-		Service:  other.Service,
-		Rank:     other.Rank,
-		Programs: route.Programs + other.Programs,
-		Turns:    route.Turns + other.Turns,
-		Begun:    route.Begun + other.Begun,
-		Refused:  route.Refused + other.Refused,
-		Late:     route.Late + other.Late,
-		Tokens:   route.Tokens + other.Tokens,
+		Service:         other.Service,
+		Priority:        other.Priority,
+		Programs:        route.Programs + other.Programs,
+		Turns:           route.Turns + other.Turns,
+		ProgramsStarted: route.ProgramsStarted + other.ProgramsStarted,
+		Refused:         route.Refused + other.Refused,
+		Late:            route.Late + other.Late,
+		PromptTokens:    route.PromptTokens + other.PromptTokens,
 	}
 }
 
-// Holder is a tenant's programs of one rank.
-type Holder struct {
-	Tenant string
-	Rank   int
+// TenantPriority is a tenant's programs of one rank.
+type TenantPriority struct {
+	Tenant   string
+	Priority int
 }
 
 // Report is what one or several nodes have under way.
 type Report struct {
 	Engines map[string]Engine
 	// Waiting counts calls that wait at nodes for an engine.
-	Waiting map[Queue]int
+	Waiting map[QueueKey]int
 	Routes  map[string]Route
 	// Tenants counts the programs under way of each tenant.
-	Tenants map[Holder]int
+	Tenants map[TenantPriority]int
 }
 
 // NewReport returns an empty report.
 func NewReport() Report {
-	return Report{Engines: map[string]Engine{}, Waiting: map[Queue]int{}, Routes: map[string]Route{}, Tenants: map[Holder]int{}}
+	return Report{Engines: map[string]Engine{}, Waiting: map[QueueKey]int{}, Routes: map[string]Route{}, Tenants: map[TenantPriority]int{}}
 }
 
 // Add sums another report into this one.
@@ -116,9 +116,9 @@
 	}
 }
 
-// Trust is how old a view may be to count. Reports go out some times a second; after a
+// MaxViewAge is how old a view may be to count. Reports go out some times a second; after a
 // second the programs that began since outweigh what is known.
-const Trust = time.Second
+const MaxViewAge = time.Second
 
 // View is what a node knows of the load over all nodes. It is safe for concurrent use.
 type View struct {
@@ -132,8 +132,8 @@
 // NewView returns a view that knows nothing.
 func NewView() *View { return &View{total: NewReport(), own: NewReport()} }
 
-// Take takes in the sum over all nodes, of an age, with this node's own part in it.
-func (view *View) Take(total, own Report, age time.Duration, now time.Time) {
+// Update takes in the sum over all nodes, of an age, with this node's own part in it.
+func (view *View) Update(total, own Report, age time.Duration, now time.Time) {
 	view.mutex.Lock()
 	defer view.mutex.Unlock()
 	view.total = total
@@ -141,8 +141,8 @@
 	view.from = now.Add(-age)
 }
 
-// Others returns what the other nodes have at an engine, false where that is not known.
-func (view *View) Others(engine string, now time.Time) (Engine, bool) {
+// RemoteEngine returns what the other nodes have at an engine, false where that is not known.
+func (view *View) RemoteEngine(engine string, now time.Time) (Engine, bool) {
 	view.mutex.RLock()
 	defer view.mutex.RUnlock()
 	if !view.fresh(now) {
@@ -168,5 +168,5 @@
 
 // fresh tells whether the view counts. The caller holds the mutex.
 func (view *View) fresh(now time.Time) bool {
-	return !view.from.IsZero() && now.Sub(view.from) <= Trust
+	return !view.from.IsZero() && now.Sub(view.from) <= MaxViewAge
 }
--- a/internal/load/load_test.go
+++ b/internal/load/load_test.go
@@ -24,12 +24,12 @@
 	total.Add(own)
 	total.Add(reportOf("e", 5))
 	view := load.NewView()
-	view.Take(total, own, 100*time.Millisecond, now)
+	view.Update(total, own, 100*time.Millisecond, now)
 
-	others, known := view.Others("e", now)
+	others, known := view.RemoteEngine("e", now)
 	expect.Expect(known).To(BeTrue())
 	expect.Expect(others.Running).To(Equal(5))
-	others, known = view.Others("f", now)
+	others, known = view.RemoteEngine("f", now)
 	expect.Expect(known).To(BeTrue(), "an engine without requests is known to have none")
 	expect.Expect(others).To(BeZero())
 }
@@ -37,12 +37,12 @@
 func TestAnOldViewCountsAsUnknown(t *testing.T) {
 	expect := NewWithT(t)
 	view := load.NewView()
-	_, known := view.Others("e", now)
+	_, known := view.RemoteEngine("e", now)
 	expect.Expect(known).To(BeFalse(), "nothing was heard yet")
-	view.Take(reportOf("e", 1), load.NewReport(), 0, now)
-	_, known = view.Total(now.Add(load.Trust))
+	view.Update(reportOf("e", 1), load.NewReport(), 0, now)
+	_, known = view.Total(now.Add(load.MaxViewAge))
 	expect.Expect(known).To(BeTrue())
-	_, known = view.Total(now.Add(load.Trust + time.Millisecond))
+	_, known = view.Total(now.Add(load.MaxViewAge + time.Millisecond))
 	expect.Expect(known).To(BeFalse())
 }
 
@@ -51,12 +51,12 @@
 	total := load.NewReport()
 	for range 3 {
 		part := load.NewReport()
-		part.Waiting[load.Queue{Service: "s", Rank: 1}] = 2
-		part.Tenants[load.Holder{Tenant: "t", Rank: 1}] = 4
-		part.Routes["r"] = load.Route{Service: "s", Rank: 1, Programs: 5, Turns: 7, Begun: 1.5, Refused: 0.5, Late: 0.25, Tokens: 100}
+		part.Waiting[load.QueueKey{Service: "s", Priority: 1}] = 2
+		part.Tenants[load.TenantPriority{Tenant: "t", Priority: 1}] = 4
+		part.Routes["r"] = load.Route{Service: "s", Priority: 1, Programs: 5, Turns: 7, ProgramsStarted: 1.5, Refused: 0.5, Late: 0.25, PromptTokens: 100}
 		total.Add(part)
 	}
-	expect.Expect(total.Waiting).To(HaveKeyWithValue(load.Queue{Service: "s", Rank: 1}, 6))
-	expect.Expect(total.Tenants).To(HaveKeyWithValue(load.Holder{Tenant: "t", Rank: 1}, 12))
-	expect.Expect(total.Routes["r"]).To(Equal(load.Route{Service: "s", Rank: 1, Programs: 15, Turns: 21, Begun: 4.5, Refused: 1.5, Late: 0.75, Tokens: 300}))
+	expect.Expect(total.Waiting).To(HaveKeyWithValue(load.QueueKey{Service: "s", Priority: 1}, 6))
+	expect.Expect(total.Tenants).To(HaveKeyWithValue(load.TenantPriority{Tenant: "t", Priority: 1}, 12))
+	expect.Expect(total.Routes["r"]).To(Equal(load.Route{Service: "s", Priority: 1, Programs: 15, Turns: 21, ProgramsStarted: 4.5, Refused: 1.5, Late: 0.75, PromptTokens: 300}))
 }
--- a/internal/load/status.go
+++ b/internal/load/status.go
@@ -7,12 +7,12 @@
 	StatusService = "service"
 )
 
-// MostTenants and MostRoutes bound the tenants and the routes that a Status lists: those
+// MaxStatusTenants and MaxStatusRoutes bound the tenants and the routes that a Status lists: those
 // with the most programs under way, so that an answer stays some tens of KB whatever the
 // configuration names.
 const (
-	MostTenants = 50
-	MostRoutes  = 100
+	MaxStatusTenants = 50
+	MaxStatusRoutes  = 100
 )
 
 // Status is what a node tells operators of the load. Counts over all nodes come from the
@@ -33,10 +33,10 @@
 	OtherRoutes  int            `json:"other_routes"`
 	Tenants      []TenantStatus `json:"tenants"`
 	OtherTenants int            `json:"other_tenants"`
-	// ZonesOutOfReach are other zones that this node does not reach; CutOff says that its
+	// UnreachableZones are other zones that this node does not reach; CutOff says that its
 	// own zone reaches neither the store nor another zone.
-	ZonesOutOfReach []string `json:"zones_out_of_reach"`
-	CutOff          bool     `json:"cut_off"`
+	UnreachableZones []string `json:"zones_out_of_reach"`
+	ZoneIsolated     bool     `json:"cut_off"`
 }
 
 // ViewStatus tells how good the node's view of the load is.
@@ -46,45 +46,45 @@
 	AgeMillis *int64 `json:"age_ms,omitempty"`
 	// Nodes is the number of nodes that are not leaving, GatheredNodes of those that tell
 	// this node their load.
-	Nodes         int `json:"nodes"`
-	GatheredNodes int `json:"gathered_nodes"`
+	Nodes          int `json:"nodes"`
+	ReportingNodes int `json:"gathered_nodes"`
 }
 
 // ServiceStatus is what a service's engines have, and what waits for them.
 type ServiceStatus struct {
 	Service string `json:"service"`
 	Engines int    `json:"engines"`
-	// PassedOver engines get requests only where no other can. SoundSlots are those that
+	// AvoidedEngines engines get requests only where no other can. SoundSlots are those that
 	// admission counts.
-	PassedOver int  `json:"passed_over"`
-	Slots      int  `json:"slots"`
-	SoundSlots int  `json:"sound_slots"`
-	Running    *int `json:"running,omitempty"`
+	AvoidedEngines int  `json:"passed_over"`
+	Slots          int  `json:"slots"`
+	HealthySlots   int  `json:"sound_slots"`
+	Running        *int `json:"running,omitempty"`
 	// Waiting is over all nodes, WaitingHere at this one.
-	Waiting     []RankCalls `json:"waiting,omitempty"`
-	WaitingHere []RankCalls `json:"waiting_here,omitempty"`
+	Waiting        []PriorityCalls `json:"waiting,omitempty"`
+	WaitingLocally []PriorityCalls `json:"waiting_here,omitempty"`
 	// ToolCalls are calls of programs there that are not turns.
 	ToolCalls *int `json:"tool_calls,omitempty"`
 }
 
-// RankCalls counts calls of a rank; rank 0 is the most urgent.
-type RankCalls struct {
-	Rank  int `json:"rank"`
-	Calls int `json:"calls"`
+// PriorityCalls counts calls of a rank; rank 0 is the most urgent.
+type PriorityCalls struct {
+	Priority int `json:"rank"`
+	Calls    int `json:"calls"`
 }
 
 // EngineStatus is one engine.
 type EngineStatus struct {
-	Engine      string `json:"engine"`
-	Service     string `json:"service"`
-	Zone        string `json:"zone"`
-	ZoneReached bool   `json:"zone_reached"`
-	Slots       int    `json:"slots"`
+	Engine        string `json:"engine"`
+	Service       string `json:"service"`
+	Zone          string `json:"zone"`
+	ZoneReachable bool   `json:"zone_reached"`
+	Slots         int    `json:"slots"`
 	// Running is over all nodes, RunningHere this node's own.
-	Running     *int `json:"running,omitempty"`
-	RunningHere int  `json:"running_here"`
-	// PassedOver says why the node passes the engine over; it is empty where it does not.
-	PassedOver []string `json:"passed_over,omitempty"`
+	Running        *int `json:"running,omitempty"`
+	RunningLocally int  `json:"running_here"`
+	// AvoidReasons says why the node passes the engine over; it is empty where it does not.
+	AvoidReasons []string `json:"passed_over,omitempty"`
 }
 
 // AdmissionStatus is one thing that programs share: slots, or memory for prompts in tokens.
@@ -100,11 +100,11 @@
 type RouteStatus struct {
 	Route    string `json:"route"`
 	Service  string `json:"service"`
-	Rank     int    `json:"rank"`
+	Priority int    `json:"rank"`
 	Programs int    `json:"programs"`
 	Turns    int    `json:"turns"`
 	// The rates are those of the last half second or so.
-	BegunPerSecond   float64 `json:"begun_per_second"`
+	StartedPerSecond float64 `json:"begun_per_second"`
 	RefusedPerSecond float64 `json:"refused_per_second"`
 	LatePerSecond    float64 `json:"late_per_second"`
 }
@@ -112,9 +112,9 @@
 // TenantStatus is a tenant's programs of one rank, over all nodes.
 type TenantStatus struct {
 	Tenant   string `json:"tenant"`
-	Rank     int    `json:"rank"`
+	Priority int    `json:"rank"`
 	Programs int    `json:"programs"`
-	// Fair is how many it may have before it is refused for the others' sake, left out
+	// FairShare is how many it may have before it is refused for the others' sake, left out
 	// while there is room for all.
-	Fair *float64 `json:"fair,omitempty"`
+	FairShare *float64 `json:"fair,omitempty"`
 }
--- a/internal/node/admission.go
+++ b/internal/node/admission.go
@@ -41,7 +41,7 @@
 }
 
 func newAdmitter(node *Node) *admitter {
-	options := admission.Options{Shares: feature.Enabled(feature.TenantShares), Memory: feature.Enabled(feature.MemoryRoom)}
+	options := admission.Options{TenantShares: feature.Enabled(feature.TenantShares), MemoryLimit: feature.Enabled(feature.MemoryAdmission)}
 	made := &admitter{node: node, patience: knowsPrograms, table: admission.NewTable(), controller: admission.NewController(options), beginning: map[tenant.Program]int{}}
 	made.metrics = newAdmissionMetrics(made)
 	return made
@@ -50,12 +50,12 @@
 // run learns what programs need, also while none begins here.
 func (admitter *admitter) run(ctx context.Context) {
 	for ctx.Err() == nil {
-		wait.For(ctx, admissionPause)
+		wait.Sleep(ctx, admissionPause)
 		now := time.Now()
 		state := admitter.state(now)
 		admitter.mutex.Lock()
 		admitter.controller.Observe(state, now)
-		admitter.table.Drop(admitter.elsewhere)
+		admitter.table.RemoveWhere(admitter.elsewhere)
 		admitter.mutex.Unlock()
 	}
 }
@@ -67,12 +67,12 @@
 
 // report returns the programs of this node's shards and the calls of tools that it serves,
 // for the load report.
-func (admitter *admitter) report() (map[string]load.Route, map[load.Holder]int) {
+func (admitter *admitter) report() (map[string]load.Route, map[load.TenantPriority]int) {
 	admitter.mutex.Lock()
 	routes, tenants := admitter.table.Report(time.Now())
 	admitter.mutex.Unlock()
 	for service, calls := range admitter.node.service.ToolCalls.Counts() {
-		name, route := admission.ToolRoute(service, calls)
+		name, route := admission.ToolCallRoute(service, calls)
 		routes[name] = route
 	}
 	return routes, tenants
@@ -90,7 +90,7 @@
 
 // goesOn tells whether a program has begun, or was admitted. The caller holds the mutex.
 func (admitter *admitter) goesOn(program tenant.Program) bool {
-	return admitter.table.Knows(program) || admitter.beginning[program] > 0
+	return admitter.table.HasStarted(program) || admitter.beginning[program] > 0
 }
 
 // reserved notes that the reservation of an admitted first turn has ended.
@@ -137,23 +137,23 @@
 	if decision.Admitted {
 		admitter.beginning[order.Program]++
 	} else {
-		admitter.table.Refused(order, now)
+		admitter.table.RecordRefusal(order, now)
 		admitter.metrics.countRefusal(request.Route, request.Rank, string(decision.Reason))
 	}
 	return decision
 }
 
-func orderOf(request *nodev1.ReserveRequest) admission.Order {
+func orderOf(request *nodev1.ReserveRequest) admission.Request {
 	const parts = 1 << 16
-	return admission.Order{
-		Program: programOf(request),
-		Route:   admission.RouteName(request.Route, request.Service, int(request.Rank)),
-		Service: request.Service,
-		Rank:    int(request.Rank),
-		Prompt:  request.Prompt,
-		AimLeft: milliseconds(request.AimLeftMs),
-		HasAim:  request.HasAim,
-		Spread:  float64(xxhash.Sum64String(request.Request)%parts) / parts,
+	return admission.Request{
+		Program:           programOf(request),
+		Route:             admission.RouteName(request.Route, request.Service, int(request.Rank)),
+		Service:           request.Service,
+		Priority:          int(request.Rank),
+		PromptTokens:      request.Prompt,
+		UntilSoftDeadline: milliseconds(request.AimLeftMs),
+		HasSoftDeadline:   request.HasAim,
+		RetryJitter:       float64(xxhash.Sum64String(request.Request)%parts) / parts,
 	}
 }
 
@@ -162,9 +162,9 @@
 	admitter.node.logger.Info("program refused", zap.String("key", request.Request), zap.String("program", request.Program),
 		zap.String("tenant", request.Tenant), zap.String("route", request.Route), zap.Int32("rank", request.Rank),
 		zap.String("reason", string(decision.Reason)), zap.String("service", decision.Service),
-		zap.Float64("demand", decision.Demand), zap.Float64("need", decision.Need), zap.Float64("limit", decision.Limit),
+		zap.Float64("demand", decision.Demand), zap.Float64("need", decision.ProgramDemand), zap.Float64("limit", decision.Limit),
 		zap.Float64("capacity", decision.Capacity), zap.Float64("rate", decision.Rate),
-		zap.Float64("held", decision.Held), zap.Float64("fair", decision.Fair),
+		zap.Float64("held", decision.TenantPrograms), zap.Float64("fair", decision.FairShare),
 		zap.Duration("view_age", age), zap.Duration("retry_after", decision.RetryAfter))
 }
 
@@ -172,29 +172,29 @@
 func (admitter *admitter) turnBegins(request *nodev1.ReserveRequest, until time.Time, begins bool) {
 	now := time.Now()
 	turn := admission.Turn{
-		Program: programOf(request),
-		Request: request.Request,
-		Session: request.Session,
-		Route:   request.Route,
-		Service: request.Service,
-		Rank:    int(request.Rank),
-		Prompt:  request.Prompt,
-		Until:   until,
-		Begins:  begins,
+		Program:      programOf(request),
+		RequestID:    request.Request,
+		Session:      request.Session,
+		Route:        request.Route,
+		Service:      request.Service,
+		Priority:     int(request.Rank),
+		PromptTokens: request.Prompt,
+		ExpiresAt:    until,
+		FirstTurn:    begins,
 	}
 	if request.HasAim {
-		turn.Aim = now.Add(milliseconds(request.AimLeftMs))
+		turn.SoftDeadline = now.Add(milliseconds(request.AimLeftMs))
 	}
 	admitter.mutex.Lock()
 	defer admitter.mutex.Unlock()
-	admitter.table.TurnBegins(turn, now)
+	admitter.table.RecordTurnStart(turn, now)
 }
 
 // turnEnds notes a turn's end.
 func (admitter *admitter) turnEnds(program tenant.Program, request string) {
 	admitter.mutex.Lock()
 	defer admitter.mutex.Unlock()
-	admitter.table.TurnEnds(program, request, time.Now())
+	admitter.table.RecordTurnEnd(program, request, time.Now())
 }
 
 // state puts together what a decision goes by.
@@ -202,7 +202,7 @@
 	node := admitter.node
 	total, known := node.load.Total(now)
 	age, _ := node.load.Age(now)
-	state := &admission.State{Total: total, Known: known, Age: age, Share: admitter.share()}
+	state := &admission.State{Total: total, Known: known, Age: age, OwnerShare: admitter.share()}
 	if !known {
 		return state
 	}
@@ -210,7 +210,7 @@
 		state.Services = append(state.Services, node.serviceState(capacity, total))
 	}
 	if configuration := node.routes.Load(); configuration != nil {
-		state.Weights = configuration.Tenants.Rates()
+		state.TenantWeights = configuration.Tenants.Rates()
 	}
 	return state
 }
--- a/internal/node/admission_metrics.go
+++ b/internal/node/admission_metrics.go
@@ -91,8 +91,8 @@
 	sums := map[labels]float64{}
 	routes, _ := metrics.admitter.table.Report(time.Now())
 	for name, route := range routes {
-		rank := strconv.Itoa(route.Rank)
-		sums[labels{metrics.label(admission.BareRoute(name, route.Service, route.Rank)), rank}] += float64(route.Programs)
+		rank := strconv.Itoa(route.Priority)
+		sums[labels{metrics.label(admission.TrimRouteName(name, route.Service, route.Priority)), rank}] += float64(route.Programs)
 	}
 	for each, programs := range sums {
 		collected <- gauge(metrics.programs, programs, each.route, each.rank)
--- a/internal/node/admission_test.go
+++ b/internal/node/admission_test.go
@@ -36,17 +36,17 @@
 		logger, err := logging.New("error", GinkgoWriter)
 		Expect(err).NotTo(HaveOccurred())
 		node = &Node{settings: Settings{Name: "self", Shards: 1}, members: newMembers(), logger: logger.Bounded(), engines: backend.NewDirectory(),
-			load: load.NewView(), routes: &routing.Current{}, assigner: assignment.New()}
+			load: load.NewView(), routes: &routing.ActiveConfiguration{}, assigner: assignment.New()}
 		node.members.put(Member{Name: "self"})
 		node.peers = newPeers(node.members, &http.Client{})
 		node.ownership = ownership.NewManager(ctx, durable.NewMemory(), logger.Logger, ownership.Identity{Node: "self", Incarnation: "life", Address: "self"}, 1,
-			ownership.Around{LogAway: func() bool { return false }})
+			ownership.Dependencies{LogUnavailable: func() bool { return false }})
 		go node.ownership.Run()
 		node.programs = newPrograms(node)
 		node.service = &forward.Service{ToolCalls: forward.NewToolCalls()}
 		node.admission = newAdmitter(node)
 		for number := range 2 {
-			node.engines.Put(backend.Instance{ID: fmt.Sprint("e", number), Service: "models", Address: fmt.Sprint("10.0.0.", number, ":1"), Slots: 6}, time.Time{})
+			node.engines.Upsert(backend.Instance{ID: fmt.Sprint("e", number), Service: "models", Address: fmt.Sprint("10.0.0.", number, ":1"), Slots: 6}, time.Time{})
 		}
 	})
 
@@ -57,12 +57,12 @@
 	// overload has the view tell of far more than the engines have room for.
 	overload := func() {
 		total := load.NewReport()
-		total.Routes[name] = load.Route{Service: "models", Rank: 2, Programs: 60, Turns: 60, Begun: 15}
+		total.Routes[name] = load.Route{Service: "models", Priority: 2, Programs: 60, Turns: 60, ProgramsStarted: 15}
 		total.Engines["e0"] = load.Engine{Running: 6}
 		total.Engines["e1"] = load.Engine{Running: 6}
-		total.Waiting[load.Queue{Service: "models", Rank: 2}] = 48
+		total.Waiting[load.QueueKey{Service: "models", Priority: 2}] = 48
 		now := time.Now()
-		node.load.Take(total, load.NewReport(), 0, now)
+		node.load.Update(total, load.NewReport(), 0, now)
 		for step := range 20 {
 			node.admission.controller.Observe(node.admission.state(now), now.Add(time.Duration(step-20)*200*time.Millisecond))
 		}
@@ -78,13 +78,13 @@
 		overload()
 		reply := reserve("q", "q/0", "")
 		Expect(reply.Verdict).To(Equal(nodev1.Verdict_VERDICT_NO_ROOM))
-		Expect(reply.Reason).To(Equal(string(admission.NoSlots)))
+		Expect(reply.Reason).To(Equal(string(admission.ReasonSlots)))
 		Expect(reply.RetryAfterMs).To(And(BeNumerically(">=", 150), BeNumerically("<=", 1000)))
-		Expect(node.admission.table.Knows(tenant.Program{Tenant: "t", ID: "q"})).To(BeFalse())
+		Expect(node.admission.table.HasStarted(tenant.Program{Tenant: "t", ID: "q"})).To(BeFalse())
 		routes, _ := node.admission.report()
 		Expect(routes[name].Refused).To(BeNumerically("~", 1, 0.5))
 		Expect(routes[name].Programs).To(Equal(1))
-		node.load.Take(load.NewReport(), load.NewReport(), 0, time.Now())
+		node.load.Update(load.NewReport(), load.NewReport(), 0, time.Now())
 		Expect(reserve("q", "q/1", "").Verdict).To(Equal(nodev1.Verdict_VERDICT_GRANTED), "it comes back once there is room")
 	})
 
@@ -101,7 +101,7 @@
 		first := &nodev1.ReserveRequest{Program: "q", Tenant: "t", Request: "q/0", Route: "r", Rank: 2, Service: "models", Session: "q", Prompt: 700}
 		second := &nodev1.ReserveRequest{Program: "q", Tenant: "t", Request: "q/1", Route: "r", Rank: 2, Service: "models", Session: "helper", Prompt: 700}
 		Expect(node.admission.begins(first)).To(BeTrue())
-		node.load.Take(load.NewReport(), load.NewReport(), 0, time.Now())
+		node.load.Update(load.NewReport(), load.NewReport(), 0, time.Now())
 		Expect(node.admission.admits(0, first, &nodev1.ReserveReply{})).To(BeTrue())
 		overload()
 		Expect(node.admission.begins(second)).To(BeFalse(), "it was admitted")
--- a/internal/node/breaker.go
+++ b/internal/node/breaker.go
@@ -13,8 +13,8 @@
 		event = "engine breaker opened"
 	}
 	node.logger.Info(event, zap.String("engine", change.Engine), zap.String("service", change.Service),
-		zap.Float64("answered", change.Answered), zap.Float64("failed", change.Failed), zap.Bool("others_known", change.Others),
-		zap.Float64("others_answered", change.OthersAnswered), zap.Float64("others_failed", change.OthersFailed))
+		zap.Float64("answered", change.Succeeded), zap.Float64("failed", change.Failed), zap.Bool("others_known", change.RemoteKnown),
+		zap.Float64("others_answered", change.RemoteSucceeded), zap.Float64("others_failed", change.RemoteFailed))
 }
 
 var openBreakers = prometheus.NewDesc("magpielug_open_breakers",
--- a/internal/node/breaker_test.go
+++ b/internal/node/breaker_test.go
@@ -22,10 +22,10 @@
 	engines := []string{"e0", "e1", "e2"}
 
 	BeforeEach(func() {
-		node = &Node{engines: backend.NewDirectory(), assigner: assignment.New(), routes: &routing.Current{}}
-		Expect(node.engines.UsePolicy("")).To(Succeed())
+		node = &Node{engines: backend.NewDirectory(), assigner: assignment.New(), routes: &routing.ActiveConfiguration{}}
+		Expect(node.engines.SetPolicy("")).To(Succeed())
 		for _, id := range engines {
-			node.engines.Put(backend.Instance{ID: id, Service: "models", Zone: "a", Slots: 4}, time.Time{})
+			node.engines.Upsert(backend.Instance{ID: id, Service: "models", Zone: "a", Slots: 4}, time.Time{})
 		}
 	})
 	turn := &nodev1.ReserveRequest{Program: "p", Session: "p", Service: "models", Zone: "a"}
@@ -48,7 +48,7 @@
 	It("gets no lines while its breaker is open, which a line and a gauge tell", func() {
 		core, logs := observer.New(zap.InfoLevel)
 		node.logger = &logging.Logger{Logger: zap.New(core)}
-		node.engines.ObserveBreakers(node.logBreaker)
+		node.engines.OnBreakerChange(node.logBreaker)
 		first := node.assign(turn)
 		now := time.Now()
 		var sent []*backend.Engine
@@ -56,7 +56,7 @@
 			sent = append(sent, node.engines.Pick(&backend.Request{Service: "models", Assigned: first}, now))
 		}
 		for _, engine := range sent {
-			node.engines.Finish(engine, backend.Erred, now)
+			node.engines.Finish(engine, backend.EngineError, now)
 		}
 		Expect(node.assign(turn)).NotTo(Equal(first))
 		opened := logs.FilterMessage("engine breaker opened").All()
@@ -77,8 +77,8 @@
 var _ = Describe("Speeds of engines", func() {
 	It("are told to the node that wants them", func() {
 		node := newReader(0)
-		node.engines.Put(backend.Instance{ID: "e0", Service: "models"}, time.Time{})
-		node.engines.AddPaces(map[string]backend.Pace{"e0": {Weight: 5, Sum: 10}}, time.Now())
+		node.engines.Upsert(backend.Instance{ID: "e0", Service: "models"}, time.Time{})
+		node.engines.AddLatencyStats(map[string]backend.LatencyStats{"e0": {Weight: 5, Sum: 10}}, time.Now())
 		learn := func(wants bool) map[string]float32 {
 			reply, err := (&peerServer{node: node}).Learn(context.Background(), &nodev1.LearnRequest{WantsSpeeds: wants})
 			Expect(err).NotTo(HaveOccurred())
@@ -88,7 +88,7 @@
 		Expect(learn(true)["e0"]).To(BeNumerically("~", 1.5, 0.01))
 
 		other := &learner{node: &Node{engines: backend.NewDirectory()}}
-		other.node.engines.Put(backend.Instance{ID: "e0", Service: "models"}, time.Time{})
+		other.node.engines.Upsert(backend.Instance{ID: "e0", Service: "models"}, time.Time{})
 		other.takeSpeeds(learn(false))
 		Expect(other.speedsAt).To(BeZero())
 		other.takeSpeeds(learn(true))
--- a/internal/node/cold.go
+++ b/internal/node/cold.go
@@ -13,7 +13,7 @@
 	}
 	perSecond := configuration.Services[service].ColdPerSecond
 	tolerance := node.settings.ColdTolerance
-	return backend.ColdLimit{PerSecond: perSecond, Spare: max(tolerance.Factor-1, 0)*perSecond + tolerance.Requests}
+	return backend.ColdLimit{PerSecond: perSecond, Burst: max(tolerance.Factor-1, 0)*perSecond + tolerance.Requests}
 }
 
 // placeAtEngine returns this node's place in the order of an engine's senders and the number
@@ -31,14 +31,14 @@
 func (known *members) placeAt(engine, name string) (place, nodes int) {
 	known.mutex.RLock()
 	defer known.mutex.RUnlock()
-	own := backend.Order(engine, name)
+	own := backend.RendezvousWeight(engine, name)
 	nodes = 1
 	for _, member := range known.byName {
-		if member.Leaving || member.Name == name {
+		if member.Draining || member.Name == name {
 			continue
 		}
 		nodes++
-		if backend.Order(engine, member.Name) > own {
+		if backend.RendezvousWeight(engine, member.Name) > own {
 			place++
 		}
 	}
--- a/internal/node/contact_test.go
+++ b/internal/node/contact_test.go
@@ -84,7 +84,7 @@
 		node := lonelyNode(time.Now(), addresses...)
 		ctx, cancel := context.WithCancel(context.Background())
 		defer cancel()
-		node.ownership = ownership.NewManager(ctx, durable.NewMemory(), zap.NewNop(), ownership.Identity{Node: "self"}, 1, ownership.Around{})
+		node.ownership = ownership.NewManager(ctx, durable.NewMemory(), zap.NewNop(), ownership.Identity{Node: "self"}, 1, ownership.Dependencies{})
 		_, elsewhere := node.programs.ask(ctx, 0, "r", &nodev1.ReserveRequest{Program: "p"})
 		Expect(elsewhere).To(BeTrue())
 		Eventually(asked.Load).Should(BeEquivalentTo(2))
--- a/internal/node/egress.go
+++ b/internal/node/egress.go
@@ -43,9 +43,9 @@
 	return nodes, false
 }
 
-// Siblings implements egress.Topology.
-func (topology *egressTopology) Siblings(engine backend.Instance) int {
-	return topology.node.engines.InZone(engine.Service, engine.Zone)
+// EngineCount implements egress.Topology.
+func (topology *egressTopology) EngineCount(engine backend.Instance) int {
+	return topology.node.engines.CountInZone(engine.Service, engine.Zone)
 }
 
 // of returns the egress nodes of a zone.
@@ -78,7 +78,7 @@
 func inOrderOf(engine string, members []Member) []Member {
 	ordered := slices.Clone(members)
 	slices.SortFunc(ordered, func(left, right Member) int {
-		return cmp.Compare(backend.Order(engine, right.Name), backend.Order(engine, left.Name))
+		return cmp.Compare(backend.RendezvousWeight(engine, right.Name), backend.RendezvousWeight(engine, left.Name))
 	})
 	return ordered
 }
--- a/internal/node/egress_test.go
+++ b/internal/node/egress_test.go
@@ -34,7 +34,7 @@
 		list := known(60)
 		before := list.egressNodes()["zone-0"]
 		left := before[0]
-		left.Leaving = true
+		left.Draining = true
 		list.put(left)
 		after := list.egressNodes()["zone-0"]
 		Expect(names(after)).NotTo(ContainElement(left.Name))
@@ -53,7 +53,7 @@
 		before := topology.of("zone-0")
 		Expect(before).To(HaveLen(1))
 		left := before[0]
-		left.Leaving = true
+		left.Draining = true
 		node.members.put(left)
 		Expect(names(topology.of("zone-0"))).NotTo(ContainElement(left.Name))
 	})
--- a/internal/node/fleet_benchmark_test.go
+++ b/internal/node/fleet_benchmark_test.go
@@ -23,7 +23,7 @@
 
 func fleetMember(number int) Member {
 	return Member{Name: fmt.Sprintf("node-%04d", number), Address: fmt.Sprintf("10.%d.%d.%d:7600", number%fleetZones, number/250, number%250),
-		Zone: fmt.Sprint("zone-", number%fleetZones), Capacity: uint32(200 + number%600), Understands: understandsSecondAllowance}
+		Zone: fmt.Sprint("zone-", number%fleetZones), Capacity: uint32(200 + number%600), ProtocolVersion: understandsSecondAllowance}
 }
 
 // fleetEngineView is a view of all engines' records, each some 250 bytes, in offsets from 0 on.
@@ -31,7 +31,7 @@
 	directory := backend.NewDirectory()
 	view := newRecordView("engines", zap.NewNop(), func(record durable.KeyedRecord) bool {
 		instance := backend.Instance{ID: record.Key, Service: "models", Address: "10.0.0.1:80", Zone: "zone-0", Slots: 6}
-		return directory.Put(instance, time.Time{}) != backend.Unchanged
+		return directory.Upsert(instance, time.Time{}) != backend.Unchanged
 	})
 	view.take(fleetRecords(0), time.Now())
 	return view
--- a/internal/node/follow.go
+++ b/internal/node/follow.go
@@ -33,7 +33,7 @@
 
 // follower reads one keyed topic for as long as the node runs.
 type follower struct {
-	view   *durable.View
+	view   *durable.TopicFollower
 	name   string
 	logger *zap.Logger
 	// resting tells whether another node reads the topic for this one now, and
@@ -52,7 +52,7 @@
 	lost      atomic.Bool
 	failedAsk moment
 	// freezes tells when the process was frozen.
-	freezes *freeze.Watch
+	freezes *freeze.Detector
 	// lastAnswer is when the store last answered.
 	lastAnswer moment
 	// failurePause is the next one.
@@ -110,7 +110,7 @@
 // waitNow is how long the next reading waits for a change. The first one after a freeze does
 // not wait: calls wait for it.
 func (follower *follower) waitNow() time.Duration {
-	if follower.freezes.Since(follower.lastAsk) {
+	if follower.freezes.FrozenSince(follower.lastAsk) {
 		return 0
 	}
 	return follower.wait
@@ -121,7 +121,7 @@
 	if follower.resting == nil || !follower.resting() {
 		return false
 	}
-	wait.For(ctx, restPause)
+	wait.Sleep(ctx, restPause)
 	follower.lastAnswer.set(time.Now())
 	follower.view.SkipTo(follower.reached())
 	return true
@@ -136,11 +136,11 @@
 	follower.lastEnd = max(follower.lastEnd, update.End)
 	if stale {
 		follower.view.Restart()
-		wait.For(ctx, stalePause)
+		wait.Sleep(ctx, stalePause)
 		return
 	}
 	if pause := follower.pause(); pause > 0 {
-		wait.For(ctx, pause)
+		wait.Sleep(ctx, pause)
 	}
 }
 
@@ -153,7 +153,7 @@
 		follower.logger.Warn("view lost", zap.String("view", follower.name), logging.Cause(err))
 	}
 	follower.failurePause = min(max(2*follower.failurePause, firstFailurePause), longestFailurePause)
-	wait.For(ctx, follower.failurePause)
+	wait.Sleep(ctx, follower.failurePause)
 }
 
 func (follower *follower) regained() {
@@ -194,7 +194,7 @@
 
 func (node *Node) newFollower(view *recordView, topic string, wait time.Duration, pause func() time.Duration) *follower {
 	return &follower{
-		view:    durable.NewView(node.around.Log, topic),
+		view:    durable.NewTopicFollower(node.around.Log, topic),
 		name:    view.name,
 		logger:  node.logger.Logger,
 		freezes: node.freezes,
@@ -237,7 +237,7 @@
 	if !sound {
 		return node.removeEngine(record)
 	}
-	change := node.engines.Put(instance, time.Now())
+	change := node.engines.Upsert(instance, time.Now())
 	if change == backend.Unchanged {
 		return false
 	}
@@ -245,8 +245,8 @@
 		node.around.Connections.CloseIdle(instance.Address)
 	}
 	node.logger.Info("engine listed", zap.String("engine", instance.ID), zap.String("address", instance.Address),
-		zap.Bool("leaving", instance.Leaving), zap.Bool("restarted", change == backend.Restarted), zap.Int64("life", instance.Life),
-		zap.Duration("cold_left", instance.ColdLeft), zap.Int64("offset", record.Offset))
+		zap.Bool("leaving", instance.Draining), zap.Bool("restarted", change == backend.Restarted), zap.Int64("life", instance.Incarnation),
+		zap.Duration("cold_left", instance.ColdRemaining), zap.Int64("offset", record.Offset))
 	return true
 }
 
@@ -275,6 +275,6 @@
 		return false
 	}
 	node.logger.Info("node known", zap.String("node", member.Name), zap.String("address", member.Address),
-		zap.String("incarnation", member.Incarnation), zap.Bool("leaving", member.Leaving))
+		zap.String("incarnation", member.Incarnation), zap.Bool("leaving", member.Draining))
 	return true
 }
--- a/internal/node/follow_test.go
+++ b/internal/node/follow_test.go
@@ -21,7 +21,7 @@
 	wholes int
 }
 
-func (log *staleLog) Newest(ctx context.Context, topic string) (durable.Snapshot, error) {
+func (log *staleLog) Latest(ctx context.Context, topic string) (durable.Snapshot, error) {
 	log.mutex.Lock()
 	defer log.mutex.Unlock()
 	log.wholes++
@@ -30,7 +30,7 @@
 		log.stale = log.stale[1:]
 		return snapshot, nil
 	}
-	return log.Memory.Newest(ctx, topic)
+	return log.Memory.Latest(ctx, topic)
 }
 
 func (log *staleLog) readings() int {
@@ -66,7 +66,7 @@
 			seen.Store(record.Key, string(record.Value))
 			return true
 		})
-		reader := &follower{view: durable.NewView(log, "t"), name: "t", logger: zap.NewNop(), apply: view.take,
+		reader := &follower{view: durable.NewTopicFollower(log, "t"), name: "t", logger: zap.NewNop(), apply: view.take,
 			pause: func() time.Duration { return time.Millisecond }}
 		ctx, cancel := context.WithCancel(context.Background())
 		DeferCleanup(cancel)
@@ -81,7 +81,7 @@
 	It("takes a reading that waited for a change in vain for as new as the end of the wait", func() {
 		const waited = 200 * time.Millisecond
 		ages := make(chan time.Duration, 64)
-		waiting := &follower{view: durable.NewView(log, "t"), name: "t", logger: zap.NewNop(), wait: waited, pause: func() time.Duration { return 0 },
+		waiting := &follower{view: durable.NewTopicFollower(log, "t"), name: "t", logger: zap.NewNop(), wait: waited, pause: func() time.Duration { return 0 },
 			apply: func(update durable.Update, asOf time.Time) {
 				if len(update.Records) == 0 {
 					ages <- time.Since(asOf)
@@ -96,7 +96,7 @@
 	})
 
 	It("does not go back to an older state after a compaction, and comes to the newest", func() {
-		old, err := log.Memory.Newest(context.Background(), "t")
+		old, err := log.Memory.Latest(context.Background(), "t")
 		Expect(err).NotTo(HaveOccurred())
 		old.End--
 		put("a", "2")
--- a/internal/node/held.go
+++ b/internal/node/held.go
@@ -18,7 +18,7 @@
 type heldBounds struct {
 	// sent are requests that are not answered yet, unread answers that callers have not
 	// taken, answers those that are held until they are whole.
-	sent, unread, answers *heldbytes.Bound
+	sent, unread, answers *heldbytes.Limiter
 }
 
 // newHeldBounds returns the bounds for a process of a memory, no bounds where that is not
@@ -27,6 +27,6 @@
 	if !feature.Enabled(feature.HeldBytes) {
 		memory = 0
 	}
-	share := func(part float64) *heldbytes.Bound { return heldbytes.New(int64(part * float64(max(memory, 0)))) }
+	share := func(part float64) *heldbytes.Limiter { return heldbytes.New(int64(part * float64(max(memory, 0)))) }
 	return heldBounds{sent: share(sentShare), unread: share(unreadShare), answers: share(answersShare)}
 }
--- a/internal/node/learn.go
+++ b/internal/node/learn.go
@@ -75,7 +75,7 @@
 	node := learner.node
 	silent := false
 	for ctx.Err() == nil {
-		wait.For(ctx, learner.pause())
+		wait.Sleep(ctx, learner.pause())
 		now := time.Now()
 		if anySilent(followers, now) != silent {
 			silent = !silent
@@ -170,15 +170,15 @@
 	node := learner.node
 	request := node.learnRequest()
 	request.Avoided = node.engines.Avoided(time.Now())
-	request.Paces = toPaces(node.engines.TakePaces())
-	request.WantsSpeeds = time.Since(learner.speedsAt) >= backend.SpeedPause
+	request.Paces = toPaces(node.engines.DrainLatencyStats())
+	request.WantsSpeeds = time.Since(learner.speedsAt) >= backend.SpeedPollInterval
 	reply, err := learner.send(ctx, address, request)
 	if err != nil {
 		return false, err
 	}
-	node.engines.Report(reply.Avoided, time.Now())
+	node.engines.AddReported(reply.Avoided, time.Now())
 	if reply.Current {
-		node.engines.TellSlow(reply.Slow, time.Now())
+		node.engines.SetRemoteSlowEngines(reply.Slow, time.Now())
 		learner.takeSpeeds(reply.Speeds)
 	}
 	return reply.Current, nil
@@ -215,7 +215,7 @@
 		return
 	}
 	now := time.Now()
-	learner.node.engines.TellSpeeds(speeds, now)
+	learner.node.engines.SetRemoteSpeeds(speeds, now)
 	learner.speedsAt = now
 }
 
--- a/internal/node/learn_message.go
+++ b/internal/node/learn_message.go
@@ -23,9 +23,9 @@
 func (server *peerServer) Learn(_ context.Context, request *nodev1.LearnRequest) (*nodev1.LearnReply, error) {
 	node := server.node
 	now := time.Now()
-	node.engines.Report(request.Avoided, now)
+	node.engines.AddReported(request.Avoided, now)
 	node.logHealth.hear(request.LogAnswerAgeMs, now)
-	node.engines.AddPaces(fromPaces(request.Paces), now)
+	node.engines.AddLatencyStats(fromPaces(request.Paces), now)
 	reply := &nodev1.LearnReply{
 		ConfigurationAgeMs: node.configurationView.age().Milliseconds(),
 		EnginesAgeMs:       node.engineView.age().Milliseconds(),
@@ -33,7 +33,7 @@
 		Engines:            toRecords(node.engineView.since(request.EnginesEnd)),
 		Nodes:              toRecords(node.memberView.since(request.NodesEnd)),
 		Avoided:            node.engines.AvoidedByAny(now),
-		Slow:               node.engines.Slow(now),
+		Slow:               node.engines.SlowEngines(now),
 		LogAnswerAgeMs:     node.logHealth.ageMilliseconds(now),
 		Current:            node.readsStore(now),
 	}
@@ -43,7 +43,7 @@
 	return reply, nil
 }
 
-func toPaces(paces map[string]backend.Pace) map[string]*nodev1.Pace {
+func toPaces(paces map[string]backend.LatencyStats) map[string]*nodev1.Pace {
 	messages := make(map[string]*nodev1.Pace, len(paces))
 	for engine, pace := range paces {
 		messages[engine] = &nodev1.Pace{Weight: pace.Weight, Sum: pace.Sum}
@@ -51,10 +51,10 @@
 	return messages
 }
 
-func fromPaces(messages map[string]*nodev1.Pace) map[string]backend.Pace {
-	paces := make(map[string]backend.Pace, len(messages))
+func fromPaces(messages map[string]*nodev1.Pace) map[string]backend.LatencyStats {
+	paces := make(map[string]backend.LatencyStats, len(messages))
 	for engine, message := range messages {
-		paces[engine] = backend.Pace{Weight: message.GetWeight(), Sum: message.GetSum()}
+		paces[engine] = backend.LatencyStats{Weight: message.GetWeight(), Sum: message.GetSum()}
 	}
 	return paces
 }
--- a/internal/node/listen.go
+++ b/internal/node/listen.go
@@ -21,13 +21,13 @@
 func (node *Node) listen() error {
 	peerHandler := node.contact.handler(node.peerHandler())
 	listeners := []listenerSettings{
-		{node.settings.PeerAddress, peerHandler, httpserver.Limits{DrainGrace: node.settings.Grace}},
+		{node.settings.PeerAddress, peerHandler, httpserver.Limits{DrainGrace: node.settings.ShutdownTimeout}},
 		{node.settings.MetricsAddress, node.metricsHandler(), httpserver.Limits{}},
-		{node.settings.ReadinessAddress, http.HandlerFunc(node.answerReadiness), httpserver.Limits{DrainGrace: node.settings.Grace}},
+		{node.settings.ReadinessAddress, http.HandlerFunc(node.answerReadiness), httpserver.Limits{DrainGrace: node.settings.ShutdownTimeout}},
 		{node.settings.CallerAddress, node.around.CallerHandler(node.service), node.callerLimits()},
 	}
 	if node.settings.ControlAddress != "" {
-		listeners = append([]listenerSettings{{node.settings.ControlAddress, peerHandler, httpserver.Limits{DrainGrace: node.settings.Grace}}}, listeners...)
+		listeners = append([]listenerSettings{{node.settings.ControlAddress, peerHandler, httpserver.Limits{DrainGrace: node.settings.ShutdownTimeout}}}, listeners...)
 	}
 	for _, listener := range listeners {
 		if listener.address == "" {
@@ -45,14 +45,14 @@
 // peerHandler serves the other nodes.
 func (node *Node) peerHandler() http.Handler {
 	mux := http.NewServeMux()
-	mux.Handle(egress.Path, node.egress)
+	mux.Handle(egress.ExchangePath, node.egress)
 	mux.Handle("/", nodev1.NewNodeServer(&peerServer{node: node}))
 	return mux
 }
 
 func (node *Node) callerLimits() httpserver.Limits {
 	return httpserver.Limits{
-		MaxConnections: node.settings.Connections,
+		MaxConnections: node.settings.MaxConnections,
 		DrainGrace:     drainNotice,
 		MaxBodyBytes:   maxBodyBytes,
 		MaxHeaderBytes: maxHeaderBytes,
--- a/internal/node/load.go
+++ b/internal/node/load.go
@@ -57,7 +57,7 @@
 // nodes; and it gathers, where other nodes tell this one theirs.
 type loadSharing struct {
 	node     *Node
-	gatherer *load.Gatherer
+	gatherer *load.Aggregator
 	suspects *suspects
 	sequence atomic.Int64
 	// chosen is the gatherer last asked with success, known whether the view was fresh
@@ -85,7 +85,7 @@
 }
 
 func newLoadSharing(node *Node) *loadSharing {
-	sharing := &loadSharing{node: node, gatherer: load.NewGatherer(node.settings.Zone), suspects: newSuspects(),
+	sharing := &loadSharing{node: node, gatherer: load.NewAggregator(node.settings.Zone), suspects: newSuspects(),
 		failures: map[string]int{}, lists: map[string]engineList{}}
 	// A node that is started anew goes on above what it has told before.
 	sharing.sequence.Store(time.Now().UnixMicro())
@@ -101,7 +101,7 @@
 	for ctx.Err() == nil {
 		sent := sharing.round(ctx)
 		sharing.noteView(time.Now())
-		wait.For(ctx, paceOf(sent, sharing.bytesAllowed()))
+		wait.Sleep(ctx, paceOf(sent, sharing.bytesAllowed()))
 	}
 }
 
@@ -160,9 +160,9 @@
 
 // gatherHere takes this node's load in as its own gatherer.
 func (sharing *loadSharing) gatherHere(own load.Report, now time.Time) {
-	sharing.gatherer.Hear(load.Origin{Node: sharing.node.settings.Name, Zone: sharing.node.settings.Zone, Sequence: sharing.sequence.Add(1)}, own, now)
+	sharing.gatherer.AddReport(load.Origin{Node: sharing.node.settings.Name, Zone: sharing.node.settings.Zone, Sequence: sharing.sequence.Add(1)}, own, now)
 	sum, zoneNodes := sharing.gatherer.Total(sharing.node.members.zoneSizes(), now)
-	sharing.takeTotal(sum.Report, own, sum.Age, zoneNodes, now)
+	sharing.takeTotal(sum.Report, own, sum.MeanAge, zoneNodes, now)
 	sharing.told = told{}
 }
 
@@ -176,7 +176,7 @@
 	if float64(zoneNodes) < leastZoneShare*float64(size) {
 		return
 	}
-	sharing.node.load.Take(total, own, age, now)
+	sharing.node.load.Update(total, own, age, now)
 	if sharing.node.loadRenewed != nil {
 		sharing.node.loadRenewed()
 	}
--- a/internal/node/load_benchmark_test.go
+++ b/internal/node/load_benchmark_test.go
@@ -17,7 +17,7 @@
 	node := &Node{settings: Settings{Name: "node-000", Zone: "zone-0"}, members: newMembers(), engines: backend.NewDirectory()}
 	list := targetList()
 	for _, name := range list.names {
-		node.engines.Put(backend.Instance{ID: name, Service: "models"}, time.Time{})
+		node.engines.Upsert(backend.Instance{ID: name, Service: "models"}, time.Time{})
 	}
 	var requests []*nodev1.ShareLoadRequest
 	reports := targetReports(list, rand.New(rand.NewPCG(1, 2)))
--- a/internal/node/load_gatherer.go
+++ b/internal/node/load_gatherer.go
@@ -24,7 +24,7 @@
 // gathered is a sum over all nodes, ready to be sent.
 type gathered struct {
 	at        time.Time
-	sum       load.Sum
+	sum       load.Aggregate
 	zoneNodes int
 	list      engineList
 	// whole returns what is sent to nodes that own programs, engines what others get.
@@ -33,7 +33,7 @@
 	names func() []byte
 }
 
-func newGathered(sum load.Sum, zoneNodes int, list engineList, now time.Time) *gathered {
+func newGathered(sum load.Aggregate, zoneNodes int, list engineList, now time.Time) *gathered {
 	return &gathered{
 		at: now, sum: sum, zoneNodes: zoneNodes, list: list,
 		whole:   sync.OnceValue(func() *nodev1.LoadReport { return packed(toLoadReport(sum.Report, list)) }),
@@ -46,17 +46,17 @@
 func (sharing *loadSharing) exchange(ctx context.Context) {
 	for ctx.Err() == nil {
 		sent := 0
-		if sharing.gatherer.Heard(time.Now()) > 0 {
+		if sharing.gatherer.NodeCount(time.Now()) > 0 {
 			sent = sharing.tellGatherers(ctx)
 		}
-		wait.For(ctx, paceOf(sent, exchangeBytes))
+		wait.Sleep(ctx, paceOf(sent, exchangeBytes))
 	}
 }
 
 // tellGatherers sends the sum of what this node hears itself to all other gatherers. It
 // returns the length of the longest message.
 func (sharing *loadSharing) tellGatherers(ctx context.Context) int {
-	sum := sharing.gatherer.Own(time.Now())
+	sum := sharing.gatherer.ZoneTotal(time.Now())
 	targets := sharing.otherGatherers(time.Now())
 	spent := make([]int, len(targets)+1)
 	waiting := sync.WaitGroup{}
@@ -70,7 +70,7 @@
 // otherGatherers are those of all zones as far as this node knows, and those that told it
 // their sums: nodes may for a while disagree who gathers for a zone.
 func (sharing *loadSharing) otherGatherers(now time.Time) []string {
-	names := sharing.gatherer.Gatherers(now)
+	names := sharing.gatherer.PeerAggregators(now)
 	for zone := range sharing.node.members.zoneSizes() {
 		names = append(names, sharing.gathererOf(zone, now))
 	}
@@ -86,7 +86,7 @@
 }
 
 // tellSum sends a sum to another gatherer. It returns the bytes spent.
-func (sharing *loadSharing) tellSum(ctx context.Context, target string, sum load.Sum) int {
+func (sharing *loadSharing) tellSum(ctx context.Context, target string, sum load.Aggregate) int {
 	list := sharing.listOf(target)
 	request := &nodev1.ShareLoadRequest{
 		Node:     sharing.node.settings.Name,
@@ -94,7 +94,7 @@
 		SumsZone: true,
 		Report:   packed(toLoadReport(sum.Report, list)),
 		Nodes:    uint32(sum.Nodes),
-		AgeMs:    sum.Age.Milliseconds(),
+		AgeMs:    sum.MeanAge.Milliseconds(),
 		Sequence: sharing.sequence.Add(1),
 		List:     list.digest,
 	}
@@ -126,7 +126,7 @@
 	if request.GetOwnsPrograms() {
 		reply.Total = total.whole()
 	}
-	reply.AgeMs = (total.sum.Age + now.Sub(total.at)).Milliseconds()
+	reply.AgeMs = (total.sum.MeanAge + now.Sub(total.at)).Milliseconds()
 	reply.ZoneNodes = uint32(total.zoneNodes)
 	return reply, nil
 }
@@ -145,10 +145,10 @@
 	report := fromLoadReport(message, list)
 	origin := load.Origin{Node: request.GetNode(), Zone: request.GetZone(), Sequence: request.GetSequence()}
 	if request.GetSumsZone() {
-		sharing.gatherer.HearSum(origin, load.Sum{Report: report, Nodes: int(request.GetNodes()), Age: milliseconds(request.GetAgeMs())}, now)
+		sharing.gatherer.AddAggregate(origin, load.Aggregate{Report: report, Nodes: int(request.GetNodes()), MeanAge: milliseconds(request.GetAgeMs())}, now)
 		return nil
 	}
-	sharing.gatherer.Hear(origin, report, now)
+	sharing.gatherer.AddReport(origin, report, now)
 	return nil
 }
 
--- a/internal/node/load_message.go
+++ b/internal/node/load_message.go
@@ -70,17 +70,17 @@
 
 func (columns *engineColumns) set(place int, engine load.Engine) {
 	columns.running[place] = uint32(max(engine.Running, 0))
-	columns.silent[place] = uint32(max(engine.Silent, 0))
-	columns.answered[place] = toCount(engine.Answered)
+	columns.silent[place] = uint32(max(engine.AwaitingFirstByte, 0))
+	columns.answered[place] = toCount(engine.Succeeded)
 	columns.failed[place] = toCount(engine.Failed)
 }
 
 func (columns *engineColumns) at(place int) load.Engine {
 	return load.Engine{
-		Running:  int(columns.running[place]),
-		Silent:   int(columns.silent[place]),
-		Answered: countUnit * float64(columns.answered[place]),
-		Failed:   countUnit * float64(columns.failed[place]),
+		Running:           int(columns.running[place]),
+		AwaitingFirstByte: int(columns.silent[place]),
+		Succeeded:         countUnit * float64(columns.answered[place]),
+		Failed:            countUnit * float64(columns.failed[place]),
 	}
 }
 
@@ -93,7 +93,7 @@
 	engines.Waiting = sum.Waiting
 	for id, engine := range sum.Engines {
 		if toCount(engine.Failed) == 0 {
-			engine.Answered = 0
+			engine.Succeeded = 0
 		}
 		engines.Engines[id] = engine
 	}
@@ -110,15 +110,15 @@
 			columns.set(place, engine)
 			continue
 		}
-		message.Engines = append(message.Engines, &nodev1.EngineLoad{Engine: id, Running: int32(engine.Running), Silent: int32(engine.Silent),
-			Answered: engine.Answered, Failed: engine.Failed})
+		message.Engines = append(message.Engines, &nodev1.EngineLoad{Engine: id, Running: int32(engine.Running), Silent: int32(engine.AwaitingFirstByte),
+			Answered: engine.Succeeded, Failed: engine.Failed})
 	}
 	if len(list.names) > 0 {
 		message.Columns = toColumns(columns)
 	}
 	for queue, calls := range report.Waiting {
 		if calls != 0 {
-			message.Waiting = append(message.Waiting, &nodev1.WaitingLoad{Service: queue.Service, Rank: int32(queue.Rank), Calls: int32(calls)})
+			message.Waiting = append(message.Waiting, &nodev1.WaitingLoad{Service: queue.Service, Rank: int32(queue.Priority), Calls: int32(calls)})
 		}
 	}
 	addPrograms(message, report)
@@ -127,12 +127,12 @@
 
 func addPrograms(message *nodev1.LoadReport, report load.Report) {
 	for name, route := range report.Routes {
-		message.Routes = append(message.Routes, &nodev1.RouteLoad{Route: name, Service: route.Service, Rank: int32(route.Rank),
-			Programs: int32(route.Programs), Turns: int32(route.Turns), Begun: route.Begun, Refused: route.Refused, Late: route.Late, Tokens: route.Tokens})
+		message.Routes = append(message.Routes, &nodev1.RouteLoad{Route: name, Service: route.Service, Rank: int32(route.Priority),
+			Programs: int32(route.Programs), Turns: int32(route.Turns), Begun: route.ProgramsStarted, Refused: route.Refused, Late: route.Late, Tokens: route.PromptTokens})
 	}
 	for holder, programs := range report.Tenants {
 		if programs != 0 {
-			message.Tenants = append(message.Tenants, &nodev1.TenantLoad{Tenant: holder.Tenant, Rank: int32(holder.Rank), Programs: int32(programs)})
+			message.Tenants = append(message.Tenants, &nodev1.TenantLoad{Tenant: holder.Tenant, Rank: int32(holder.Priority), Programs: int32(programs)})
 		}
 	}
 }
@@ -148,18 +148,18 @@
 		}
 	}
 	for _, engine := range message.GetEngines() {
-		report.Engines[engine.GetEngine()] = load.Engine{Running: int(engine.GetRunning()), Silent: int(engine.GetSilent()),
-			Answered: engine.GetAnswered(), Failed: engine.GetFailed()}
+		report.Engines[engine.GetEngine()] = load.Engine{Running: int(engine.GetRunning()), AwaitingFirstByte: int(engine.GetSilent()),
+			Succeeded: engine.GetAnswered(), Failed: engine.GetFailed()}
 	}
 	for _, waiting := range message.GetWaiting() {
-		report.Waiting[load.Queue{Service: waiting.GetService(), Rank: int(waiting.GetRank())}] += int(waiting.GetCalls())
+		report.Waiting[load.QueueKey{Service: waiting.GetService(), Priority: int(waiting.GetRank())}] += int(waiting.GetCalls())
 	}
 	for _, route := range message.GetRoutes() {
-		report.Routes[route.GetRoute()] = load.Route{Service: route.GetService(), Rank: int(route.GetRank()), Programs: int(route.GetPrograms()),
-			Turns: int(route.GetTurns()), Begun: route.GetBegun(), Refused: route.GetRefused(), Late: route.GetLate(), Tokens: route.GetTokens()}
+		report.Routes[route.GetRoute()] = load.Route{Service: route.GetService(), Priority: int(route.GetRank()), Programs: int(route.GetPrograms()),
+			Turns: int(route.GetTurns()), ProgramsStarted: route.GetBegun(), Refused: route.GetRefused(), Late: route.GetLate(), PromptTokens: route.GetTokens()}
 	}
 	for _, tenant := range message.GetTenants() {
-		report.Tenants[load.Holder{Tenant: tenant.GetTenant(), Rank: int(tenant.GetRank())}] += int(tenant.GetPrograms())
+		report.Tenants[load.TenantPriority{Tenant: tenant.GetTenant(), Priority: int(tenant.GetRank())}] += int(tenant.GetPrograms())
 	}
 	return report
 }
--- a/internal/node/load_message_test.go
+++ b/internal/node/load_message_test.go
@@ -46,18 +46,18 @@
 		engine := report.Engines[id]
 		engine.Running++
 		if random.IntN(20) == 0 {
-			engine.Silent++
+			engine.AwaitingFirstByte++
 		}
-		engine.Answered += random.Float64() / 2
+		engine.Succeeded += random.Float64() / 2
 		report.Engines[id] = engine
 	}
 	for route := range targetRoutes {
-		reports[route%targetZones].Routes[fmt.Sprintf("route-%02d", route)] = load.Route{Service: "models", Rank: route % 3, Programs: 4350, Turns: 2800,
-			Begun: 170.5, Refused: 3.2, Late: 7.7, Tokens: 370_000_000}
+		reports[route%targetZones].Routes[fmt.Sprintf("route-%02d", route)] = load.Route{Service: "models", Priority: route % 3, Programs: 4350, Turns: 2800,
+			ProgramsStarted: 170.5, Refused: 3.2, Late: 7.7, PromptTokens: 370_000_000}
 	}
 	for tenant := range targetTenants {
 		for owner := range targetZones {
-			reports[owner].Tenants[load.Holder{Tenant: fmt.Sprintf("tenant-%03d", tenant), Rank: tenant % 3}] = 45
+			reports[owner].Tenants[load.TenantPriority{Tenant: fmt.Sprintf("tenant-%03d", tenant), Priority: tenant % 3}] = 45
 		}
 	}
 	return reports
@@ -84,8 +84,8 @@
 
 	It("come back as they were sent, but for counts rounded", func() {
 		report := reports[0]
-		report.Waiting[load.Queue{Service: "models", Rank: 2}] = 5
-		report.Engines["engine-that-is-new"] = load.Engine{Running: 3, Silent: 1, Answered: 1.5, Failed: 0.25}
+		report.Waiting[load.QueueKey{Service: "models", Priority: 2}] = 5
+		report.Engines["engine-that-is-new"] = load.Engine{Running: 3, AwaitingFirstByte: 1, Succeeded: 1.5, Failed: 0.25}
 		message, err := unpacked(packed(toLoadReport(report, list)))
 		Expect(err).NotTo(HaveOccurred())
 		back := fromLoadReport(message, list)
@@ -95,8 +95,8 @@
 		Expect(back.Engines).To(HaveLen(len(report.Engines)))
 		for id, engine := range report.Engines {
 			Expect(back.Engines[id].Running).To(Equal(engine.Running))
-			Expect(back.Engines[id].Silent).To(Equal(engine.Silent))
-			Expect(back.Engines[id].Answered).To(BeNumerically("~", engine.Answered, countUnit/2))
+			Expect(back.Engines[id].AwaitingFirstByte).To(Equal(engine.AwaitingFirstByte))
+			Expect(back.Engines[id].Succeeded).To(BeNumerically("~", engine.Succeeded, countUnit/2))
 			Expect(back.Engines[id].Failed).To(BeNumerically("~", engine.Failed, countUnit/2))
 		}
 	})
@@ -108,9 +108,9 @@
 
 	It("tell nodes that choose engines of answers only where requests fail too", func() {
 		sum := load.NewReport()
-		sum.Engines["sound"] = load.Engine{Running: 3, Answered: 9}
-		sum.Engines["failing"] = load.Engine{Running: 3, Answered: 9, Failed: 2}
-		Expect(forEngines(sum).Engines).To(Equal(map[string]load.Engine{"sound": {Running: 3}, "failing": {Running: 3, Answered: 9, Failed: 2}}))
+		sum.Engines["sound"] = load.Engine{Running: 3, Succeeded: 9}
+		sum.Engines["failing"] = load.Engine{Running: 3, Succeeded: 9, Failed: 2}
+		Expect(forEngines(sum).Engines).To(Equal(map[string]load.Engine{"sound": {Running: 3}, "failing": {Running: 3, Succeeded: 9, Failed: 2}}))
 	})
 
 	It("carry a list of engines, checked by its digest", func() {
@@ -136,7 +136,7 @@
 	})
 
 	It("stay in their bound at the target size, with views that still count", func() {
-		const freshPace = load.PartAge / 2 // Two reports come while a part counts.
+		const freshPace = load.ReportTTL / 2 // Two reports come while a part counts.
 		node := length(reports[100]) + answerLength(forEngines(total))
 		owner := length(reports[0]) + answerLength(total)
 		sum := length(sumOf(reports[:targetNodes/targetZones]))
--- a/internal/node/load_metrics.go
+++ b/internal/node/load_metrics.go
@@ -36,7 +36,7 @@
 	if taken {
 		collected <- prometheus.MustNewConstMetric(loadAge, prometheus.GaugeValue, age.Seconds())
 	}
-	collected <- prometheus.MustNewConstMetric(loadGathered, prometheus.GaugeValue, float64(collector.node.sharing.gatherer.Heard(now)))
+	collected <- prometheus.MustNewConstMetric(loadGathered, prometheus.GaugeValue, float64(collector.node.sharing.gatherer.NodeCount(now)))
 	total, known := collector.node.load.Total(now)
 	if !known {
 		return
--- a/internal/node/load_status.go
+++ b/internal/node/load_status.go
@@ -60,16 +60,16 @@
 func (node *Node) loadStatus(now time.Time) load.Status {
 	total, known := node.load.Total(now)
 	status := load.Status{
-		Node:            node.settings.Name,
-		Zone:            node.settings.Zone,
-		View:            node.viewStatus(known, now),
-		OwnedShare:      node.admission.share(),
-		ZonesOutOfReach: []string{},
-		CutOff:          node.zoneCutOff(now),
+		Node:             node.settings.Name,
+		Zone:             node.settings.Zone,
+		View:             node.viewStatus(known, now),
+		OwnedShare:       node.admission.share(),
+		UnreachableZones: []string{},
+		ZoneIsolated:     node.zoneCutOff(now),
 	}
 	for _, zone := range node.otherZones() {
-		if !node.zones.Reached(zone, now) {
-			status.ZonesOutOfReach = append(status.ZonesOutOfReach, zone)
+		if !node.zones.Reachable(zone, now) {
+			status.UnreachableZones = append(status.UnreachableZones, zone)
 		}
 	}
 	engines := node.engines.Statuses(now)
@@ -81,7 +81,7 @@
 }
 
 func (node *Node) viewStatus(known bool, now time.Time) load.ViewStatus {
-	status := load.ViewStatus{Known: known, Nodes: node.members.staying(), GatheredNodes: node.sharing.gatherer.Heard(now)}
+	status := load.ViewStatus{Known: known, Nodes: node.members.staying(), ReportingNodes: node.sharing.gatherer.NodeCount(now)}
 	if age, taken := node.load.Age(now); taken {
 		milliseconds := age.Milliseconds()
 		status.AgeMillis = &milliseconds
@@ -93,19 +93,19 @@
 	statuses := make([]load.EngineStatus, 0, len(engines))
 	for _, engine := range engines {
 		status := load.EngineStatus{
-			Engine:      engine.ID,
-			Service:     engine.Service,
-			Zone:        engine.Zone,
-			ZoneReached: engine.ZoneReached,
-			Slots:       engine.Slots,
-			RunningHere: engine.Running,
+			Engine:         engine.ID,
+			Service:        engine.Service,
+			Zone:           engine.Zone,
+			ZoneReachable:  engine.ZoneReachable,
+			Slots:          engine.Slots,
+			RunningLocally: engine.Running,
 		}
 		if known {
 			running := total.Engines[engine.ID].Running
 			status.Running = &running
 		}
-		for _, reason := range engine.PassedOver {
-			status.PassedOver = append(status.PassedOver, string(reason))
+		for _, reason := range engine.AvoidReasons {
+			status.AvoidReasons = append(status.AvoidReasons, string(reason))
 		}
 		statuses = append(statuses, status)
 	}
@@ -122,10 +122,10 @@
 			sums[engine.Service] = sum
 		}
 		sum.Engines++
-		if len(engine.PassedOver) > 0 {
-			sum.PassedOver++
+		if len(engine.AvoidReasons) > 0 {
+			sum.AvoidedEngines++
 		}
-		if !engine.Leaving {
+		if !engine.Draining {
 			sum.Slots += engine.Slots
 		}
 		if known {
@@ -134,14 +134,14 @@
 	}
 	for _, capacity := range node.engines.Capacities(now) {
 		if sum := sums[capacity.Service]; sum != nil {
-			sum.SoundSlots = capacity.Slots
+			sum.HealthySlots = capacity.Slots
 		}
 	}
-	here := node.service.Waiting.Waiting()
+	here := node.service.WaitQueue.Counts()
 	statuses := make([]load.ServiceStatus, 0, len(sums))
 	for _, service := range slices.Sorted(maps.Keys(sums)) {
 		status := *sums[service]
-		status.WaitingHere = waitingByRank(here, service)
+		status.WaitingLocally = waitingByRank(here, service)
 		statuses = append(statuses, status)
 	}
 	return statuses
@@ -154,7 +154,7 @@
 	}
 	status.Running = new(int)
 	status.Waiting = waitingByRank(total.Waiting, service)
-	if name, _ := admission.ToolRoute(service, 0); total.Routes[name].Turns > 0 {
+	if name, _ := admission.ToolCallRoute(service, 0); total.Routes[name].Turns > 0 {
 		calls := total.Routes[name].Turns
 		status.ToolCalls = &calls
 	}
@@ -162,14 +162,14 @@
 }
 
 // waitingByRank lists the calls that wait for a service, the most urgent first.
-func waitingByRank(waiting map[load.Queue]int, service string) []load.RankCalls {
-	var counts []load.RankCalls
+func waitingByRank(waiting map[load.QueueKey]int, service string) []load.PriorityCalls {
+	var counts []load.PriorityCalls
 	for queue, calls := range waiting {
 		if queue.Service == service && calls > 0 {
-			counts = append(counts, load.RankCalls{Rank: queue.Rank, Calls: calls})
+			counts = append(counts, load.PriorityCalls{Priority: queue.Priority, Calls: calls})
 		}
 	}
-	slices.SortFunc(counts, func(left, right load.RankCalls) int { return left.Rank - right.Rank })
+	slices.SortFunc(counts, func(left, right load.PriorityCalls) int { return left.Priority - right.Priority })
 	return counts
 }
 
@@ -181,23 +181,23 @@
 	}
 	for _, name := range slices.Sorted(maps.Keys(total.Routes)) {
 		route := total.Routes[name]
-		bare := admission.BareRoute(name, route.Service, route.Rank)
+		bare := admission.TrimRouteName(name, route.Service, route.Priority)
 		if bare == "" {
 			continue // Calls of tools.
 		}
 		statuses = append(statuses, load.RouteStatus{
 			Route:            bare,
 			Service:          route.Service,
-			Rank:             route.Rank,
+			Priority:         route.Priority,
 			Programs:         route.Programs,
 			Turns:            route.Turns,
-			BegunPerSecond:   admission.PerSecond(route.Begun),
-			RefusedPerSecond: admission.PerSecond(route.Refused),
-			LatePerSecond:    admission.PerSecond(route.Late),
+			StartedPerSecond: admission.DecayedRate(route.ProgramsStarted),
+			RefusedPerSecond: admission.DecayedRate(route.Refused),
+			LatePerSecond:    admission.DecayedRate(route.Late),
 		})
 	}
 	slices.SortStableFunc(statuses, func(left, right load.RouteStatus) int { return right.Programs - left.Programs })
-	listed := min(len(statuses), load.MostRoutes)
+	listed := min(len(statuses), load.MaxStatusRoutes)
 	return statuses[:listed], len(statuses) - listed
 }
 
@@ -221,7 +221,7 @@
 		})
 	}
 	shares := admitter.controller.TenantShares(state)
-	listed := min(len(shares), load.MostTenants)
+	listed := min(len(shares), load.MaxStatusTenants)
 	for _, share := range shares[:listed] {
 		tenants = append(tenants, tenantStatus(share))
 	}
@@ -237,9 +237,9 @@
 }
 
 func tenantStatus(share admission.TenantShare) load.TenantStatus {
-	status := load.TenantStatus{Tenant: share.Tenant, Rank: share.Rank, Programs: share.Programs}
-	if !math.IsInf(share.Fair, 1) {
-		status.Fair = &share.Fair
+	status := load.TenantStatus{Tenant: share.Tenant, Priority: share.Priority, Programs: share.Programs}
+	if !math.IsInf(share.FairShare, 1) {
+		status.FairShare = &share.FairShare
 	}
 	return status
 }
--- a/internal/node/load_status_test.go
+++ b/internal/node/load_status_test.go
@@ -30,19 +30,19 @@
 		logger, err := logging.New("error", GinkgoWriter)
 		Expect(err).NotTo(HaveOccurred())
 		node = &Node{settings: Settings{Name: "self", Zone: "a", Shards: 1}, members: newMembers(), logger: logger.Bounded(), engines: backend.NewDirectory(),
-			load: load.NewView(), routes: &routing.Current{}, zones: reach.NewZones("a")}
+			load: load.NewView(), routes: &routing.ActiveConfiguration{}, zones: reach.NewZones("a")}
 		node.members.put(Member{Name: "self", Zone: "a"})
 		node.members.put(Member{Name: "other", Zone: "b"})
-		node.ownership = ownership.NewManager(context.Background(), durable.NewMemory(), logger.Logger, ownership.Identity{Node: "self"}, 1, ownership.Around{})
-		node.service = &forward.Service{ToolCalls: forward.NewToolCalls(), Waiting: backend.NewWaitQueue()}
+		node.ownership = ownership.NewManager(context.Background(), durable.NewMemory(), logger.Logger, ownership.Identity{Node: "self"}, 1, ownership.Dependencies{})
+		node.service = &forward.Service{ToolCalls: forward.NewToolCalls(), WaitQueue: backend.NewWaitQueue()}
 		node.sharing = newLoadSharing(node)
 		node.admission = newAdmitter(node)
-		node.engines.UseZones(node.zones)
-		node.engines.UseLoad(node.load)
+		node.engines.SetZones(node.zones)
+		node.engines.SetLoadView(node.load)
 		for number := range 2 {
-			node.engines.Put(backend.Instance{ID: fmt.Sprint("e", number), Service: "models", Zone: "a", Slots: 6}, time.Time{})
+			node.engines.Upsert(backend.Instance{ID: fmt.Sprint("e", number), Service: "models", Zone: "a", Slots: 6}, time.Time{})
 		}
-		node.engines.Put(backend.Instance{ID: "tool", Service: "tools", Zone: "b", Slots: 4}, time.Time{})
+		node.engines.Upsert(backend.Instance{ID: "tool", Service: "tools", Zone: "b", Slots: 4}, time.Time{})
 	})
 
 	ask := func(method, target string) *httptest.ResponseRecorder {
@@ -62,15 +62,15 @@
 		total := load.NewReport()
 		total.Engines["e0"] = load.Engine{Running: 9}
 		total.Engines["e1"] = load.Engine{Running: 7}
-		total.Waiting[load.Queue{Service: "models", Rank: 2}] = 48
-		total.Waiting[load.Queue{Service: "models", Rank: 0}] = 3
-		total.Routes[admission.RouteName("r", "models", 2)] = load.Route{Service: "models", Rank: 2, Programs: 60, Turns: 50, Begun: 15, Refused: 4}
-		name, calls := admission.ToolRoute("tools", 5)
+		total.Waiting[load.QueueKey{Service: "models", Priority: 2}] = 48
+		total.Waiting[load.QueueKey{Service: "models", Priority: 0}] = 3
+		total.Routes[admission.RouteName("r", "models", 2)] = load.Route{Service: "models", Priority: 2, Programs: 60, Turns: 50, ProgramsStarted: 15, Refused: 4}
+		name, calls := admission.ToolCallRoute("tools", 5)
 		total.Routes[name] = calls
 		for number := range tenants {
-			total.Tenants[load.Holder{Tenant: fmt.Sprint("t", number), Rank: 2}] = number + 1
+			total.Tenants[load.TenantPriority{Tenant: fmt.Sprint("t", number), Priority: 2}] = number + 1
 		}
-		node.load.Take(total, load.NewReport(), 200*time.Millisecond, time.Now())
+		node.load.Update(total, load.NewReport(), 200*time.Millisecond, time.Now())
 	}
 
 	It("tells what all nodes have at engines and services, and who waits by rank", func() {
@@ -82,28 +82,28 @@
 		Expect(status.View.Nodes).To(Equal(2))
 		Expect(status.Engines).To(HaveLen(3))
 		Expect(*status.Engines[0].Running).To(Equal(9))
-		Expect(status.Engines[0].ZoneReached).To(BeTrue())
+		Expect(status.Engines[0].ZoneReachable).To(BeTrue())
 		Expect(status.Services).To(HaveLen(2))
 		models, tools := status.Services[0], status.Services[1]
 		Expect(models.Slots).To(Equal(12))
-		Expect(models.SoundSlots).To(Equal(12))
+		Expect(models.HealthySlots).To(Equal(12))
 		Expect(*models.Running).To(Equal(16))
-		Expect(models.Waiting).To(Equal([]load.RankCalls{{Rank: 0, Calls: 3}, {Rank: 2, Calls: 48}}))
+		Expect(models.Waiting).To(Equal([]load.PriorityCalls{{Priority: 0, Calls: 3}, {Priority: 2, Calls: 48}}))
 		Expect(models.ToolCalls).To(BeNil())
 		Expect(*tools.ToolCalls).To(Equal(5))
 		Expect(status.Routes).To(HaveLen(1), "calls of tools are no programs")
 		Expect(status.Routes[0].Route).To(Equal("r"))
-		Expect(status.Routes[0].BegunPerSecond).To(BeNumerically("~", 30, 0.1))
+		Expect(status.Routes[0].StartedPerSecond).To(BeNumerically("~", 30, 0.1))
 		Expect(status.Routes[0].RefusedPerSecond).To(BeNumerically("~", 8, 0.1))
 		Expect(status.Admission).NotTo(BeEmpty())
 		Expect(status.Admission[0].Resource).To(Equal("slots"))
-		Expect(status.ZonesOutOfReach).To(BeEmpty())
+		Expect(status.UnreachableZones).To(BeEmpty())
 	})
 
 	It("lists the tenants with the most programs, and counts the others", func() {
 		busy(70)
 		status := statusOf("/load")
-		Expect(status.Tenants).To(HaveLen(load.MostTenants))
+		Expect(status.Tenants).To(HaveLen(load.MaxStatusTenants))
 		Expect(status.Tenants[0].Tenant).To(Equal("t69"))
 		Expect(status.Tenants[0].Programs).To(Equal(70))
 		Expect(status.OtherTenants).To(Equal(20))
@@ -113,7 +113,7 @@
 		const engines, most = 600, 200_000
 		busy(320)
 		for number := range engines {
-			node.engines.Put(backend.Instance{ID: fmt.Sprint("i-0123456", number), Service: "models", Zone: "a", Slots: 90}, time.Time{})
+			node.engines.Upsert(backend.Instance{ID: fmt.Sprint("i-0123456", number), Service: "models", Zone: "a", Slots: 90}, time.Time{})
 		}
 		answer := ask(http.MethodGet, "/load")
 		GinkgoWriter.Println(answer.Body.Len(), "bytes")
@@ -135,15 +135,15 @@
 	It("names zones out of reach, and their engines", func() {
 		now := time.Now()
 		node.logHealth.answered.set(now.Add(-2 * storeSilentAfter))
-		node.zones.Unanswered("b", now, now)
-		node.zones.Unanswered("b", now, now)
+		node.zones.RecordProbeTimeout("b", now, now)
+		node.zones.RecordProbeTimeout("b", now, now)
 		status := statusOf("/load")
-		Expect(status.ZonesOutOfReach).To(Equal([]string{"b"}))
-		Expect(status.CutOff).To(BeTrue(), "the store is silent too")
+		Expect(status.UnreachableZones).To(Equal([]string{"b"}))
+		Expect(status.ZoneIsolated).To(BeTrue(), "the store is silent too")
 		Expect(status.Engines[2].Engine).To(Equal("tool"))
-		Expect(status.Engines[2].ZoneReached).To(BeFalse())
-		Expect(status.Engines[2].PassedOver).To(ContainElement(string(backend.PassOverZone)))
-		Expect(status.Services[1].PassedOver).To(Equal(1))
+		Expect(status.Engines[2].ZoneReachable).To(BeFalse())
+		Expect(status.Engines[2].AvoidReasons).To(ContainElement(string(backend.AvoidUnreachableZone)))
+		Expect(status.Services[1].AvoidedEngines).To(Equal(1))
 	})
 
 	It("limits the answer to one service", func() {
--- a/internal/node/load_test.go
+++ b/internal/node/load_test.go
@@ -85,15 +85,15 @@
 			name := "node-" + strconv.Itoa(number)
 			node := &Node{settings: Settings{Name: name, Zone: "zone-" + strconv.Itoa(number%zones), Shards: 4}, members: newMembers(), meter: newMeter(),
 				logger: logger.Bounded(), engines: backend.NewDirectory(), load: load.NewView(),
-				ownership: ownership.NewManager(context.Background(), nil, logger.Logger, ownership.Identity{}, 4, ownership.Around{})}
+				ownership: ownership.NewManager(context.Background(), nil, logger.Logger, ownership.Identity{}, 4, ownership.Dependencies{})}
 			node.peers = newPeers(node.members, lines.clientOf(name))
 			node.sharing = newLoadSharing(node)
 			node.memberView = newRecordView("nodes", logger.Logger, func(durable.KeyedRecord) bool { return false })
 			node.memberView.take(durable.Update{End: 1}, time.Now())
 			for engine := range count {
-				node.engines.Put(backend.Instance{ID: "engine-" + strconv.Itoa(engine), Service: "s"}, time.Time{})
+				node.engines.Upsert(backend.Instance{ID: "engine-" + strconv.Itoa(engine), Service: "s"}, time.Time{})
 			}
-			node.engines.Put(backend.Instance{ID: "e", Service: "t"}, time.Time{})
+			node.engines.Upsert(backend.Instance{ID: "e", Service: "t"}, time.Time{})
 			node.engines.Pick(&backend.Request{Service: "t"}, time.Now())
 			node.engines.Pick(&backend.Request{Service: "s", Assigned: "engine-" + strconv.Itoa(number)}, time.Now())
 			lines.nodes[name] = nodev1.NewNodeServer(&peerServer{node: node})
@@ -116,7 +116,7 @@
 
 	othersAt := func(node *Node, engine string) func() int {
 		return func() int {
-			others, known := node.load.Others(engine, time.Now())
+			others, known := node.load.RemoteEngine(engine, time.Now())
 			if !known {
 				return -1
 			}
@@ -203,7 +203,7 @@
 		for _, node := range nodes {
 			Eventually(othersAt(node, "e"), patience).Should(Equal(3))
 		}
-		nodes[1].engines.Put(backend.Instance{ID: "new", Service: "n"}, time.Time{})
+		nodes[1].engines.Upsert(backend.Instance{ID: "new", Service: "n"}, time.Time{})
 		nodes[1].engines.Pick(&backend.Request{Service: "n"}, time.Now())
 		for _, node := range nodes {
 			if node.settings.Name != "node-1" {
@@ -214,10 +214,10 @@
 
 	It("tells owners of programs, and waiting calls to all", func() {
 		start(3, 1)
-		queue := load.Queue{Service: "s", Rank: 1}
-		nodes[2].waitingCalls = func() map[load.Queue]int { return map[load.Queue]int{queue: 4} }
-		nodes[2].programLoad = func() (map[string]load.Route, map[load.Holder]int) {
-			return map[string]load.Route{"r": {Service: "s", Programs: 2}}, map[load.Holder]int{{Tenant: "t"}: 2}
+		queue := load.QueueKey{Service: "s", Priority: 1}
+		nodes[2].waitingCalls = func() map[load.QueueKey]int { return map[load.QueueKey]int{queue: 4} }
+		nodes[2].programLoad = func() (map[string]load.Route, map[load.TenantPriority]int) {
+			return map[string]load.Route{"r": {Service: "s", Programs: 2}}, map[load.TenantPriority]int{{Tenant: "t"}: 2}
 		}
 		answer := func(owns bool) load.Report {
 			gatherer := nodes[0]
--- a/internal/node/log_health.go
+++ b/internal/node/log_health.go
@@ -27,7 +27,7 @@
 // observe notes the outcome of a call of the log. It implements durable.Observe but for
 // what does not count here.
 func (health *logHealth) observe(err error) {
-	if durable.Answered(err) {
+	if durable.LogResponded(err) {
 		health.answered.advance(time.Now())
 	}
 }
@@ -57,5 +57,5 @@
 
 func (node *Node) recordingAwayAt(now time.Time) bool {
 	age := node.awakeAge(&node.logHealth.answered, now)
-	return age > logAwayAfter || (age > unrecordedAfter && node.recorder.Waiting(now) > unrecordedAfter)
+	return age > logAwayAfter || (age > unrecordedAfter && node.recorder.StalledFor(now) > unrecordedAfter)
 }
--- a/internal/node/log_health_test.go
+++ b/internal/node/log_health_test.go
@@ -27,7 +27,7 @@
 	})
 
 	It("is known from answers, refusals among them, and not from failures", func() {
-		for _, answer := range []error{nil, durable.ErrConflict, durable.ErrFenced, durable.ErrSequence, &durable.TrimmedError{}} {
+		for _, answer := range []error{nil, durable.ErrConflict, durable.ErrFenced, durable.ErrOutOfSequence, &durable.TrimmedError{}} {
 			node := waitingNode(longAgo)
 			node.logHealth.observe(answer)
 			Expect(node.recordingAway()).To(BeFalse(), "%v", answer)
--- a/internal/node/members.go
+++ b/internal/node/members.go
@@ -34,11 +34,11 @@
 	Address     string
 	Zone        string
 	Incarnation string
-	Leaving     bool
+	Draining    bool
 	// Capacity is the node's share of a processor, thousandths of a core.
 	Capacity uint32
-	// Understands is what the node's version understands, see understandsSecondAllowance.
-	Understands uint32
+	// ProtocolVersion is what the node's version understands, see understandsSecondAllowance.
+	ProtocolVersion uint32
 }
 
 // understandsSecondAllowance is the least Member.Understands of nodes that count a second
@@ -104,7 +104,7 @@
 	defer known.mutex.RUnlock()
 	list := make([]Member, 0, len(known.byName))
 	for _, member := range known.byName {
-		if member.Name != name && !member.Leaving {
+		if member.Name != name && !member.Draining {
 			list = append(list, member)
 		}
 	}
@@ -116,7 +116,7 @@
 	known.mutex.RLock()
 	defer known.mutex.RUnlock()
 	for _, member := range known.byName {
-		if !member.Leaving && member.Understands < version {
+		if !member.Draining && member.ProtocolVersion < version {
 			return false
 		}
 	}
@@ -129,7 +129,7 @@
 	defer known.mutex.RUnlock()
 	count := 0
 	for _, member := range known.byName {
-		if !member.Leaving {
+		if !member.Draining {
 			count++
 		}
 	}
@@ -149,7 +149,7 @@
 	defer known.mutex.RUnlock()
 	var list []Member
 	for _, member := range known.byName {
-		if member.Zone == zone && member.Name != but && !member.Leaving {
+		if member.Zone == zone && member.Name != but && !member.Draining {
 			list = append(list, member)
 		}
 	}
@@ -165,7 +165,7 @@
 	defer known.mutex.RUnlock()
 	sizes := map[string]int{}
 	for _, member := range known.byName {
-		if !member.Leaving {
+		if !member.Draining {
 			sizes[member.Zone]++
 		}
 	}
@@ -186,7 +186,7 @@
 	}
 	list := make([]Member, 0, len(known.byName))
 	for _, member := range known.byName {
-		if !member.Leaving {
+		if !member.Draining {
 			list = append(list, member)
 		}
 	}
@@ -274,12 +274,12 @@
 		return Member{}, false
 	}
 	return Member{
-		Name:        record.Key,
-		Address:     message.Address,
-		Zone:        message.Zone,
-		Incarnation: message.Incarnation,
-		Leaving:     message.Leaving,
-		Capacity:    message.Capacity,
-		Understands: message.Understands,
+		Name:            record.Key,
+		Address:         message.Address,
+		Zone:            message.Zone,
+		Incarnation:     message.Incarnation,
+		Draining:        message.Leaving,
+		Capacity:        message.Capacity,
+		ProtocolVersion: message.Understands,
 	}, true
 }
--- a/internal/node/members_test.go
+++ b/internal/node/members_test.go
@@ -46,7 +46,7 @@
 		for shard := range shards {
 			before[shard] = known.candidates(shard)[0].Name
 		}
-		known.put(Member{Name: "node-0", Capacity: 800, Leaving: true})
+		known.put(Member{Name: "node-0", Capacity: 800, Draining: true})
 		for shard := range shards {
 			if before[shard] != "node-0" {
 				Expect(known.candidates(shard)[0].Name).To(Equal(before[shard]))
--- a/internal/node/meter.go
+++ b/internal/node/meter.go
@@ -103,9 +103,9 @@
 const otherTenants = "other"
 
 var verdictNames = map[forward.AdmissionVerdict]string{
-	forward.Admitted:     "admitted",
-	forward.OverLimit:    "over_limit",
-	forward.LimitUnknown: "unknown",
+	forward.Admitted:         "admitted",
+	forward.OverLimit:        "over_limit",
+	forward.LimitUnavailable: "unknown",
 }
 
 // admitted counts a request of a tenant with a limit.
@@ -205,8 +205,8 @@
 // FirstEvent implements forward.Meter.
 func (meter *meter) FirstEvent(took time.Duration) { meter.firstEvent.Observe(took.Seconds()) }
 
-// RefusedForRoom implements forward.Meter.
-func (meter *meter) RefusedForRoom(service string, reason forward.RoomReason) {
+// RefusedForCapacity implements forward.Meter.
+func (meter *meter) RefusedForCapacity(service string, reason forward.CapacityRefusal) {
 	meter.noRoom.WithLabelValues(service, string(reason)).Inc()
 }
 
@@ -223,9 +223,9 @@
 
 // Collect implements prometheus.Collector.
 func (waiting waitingCalls) Collect(metrics chan<- prometheus.Metric) {
-	for queue, calls := range waiting.queue.Waiting() {
+	for queue, calls := range waiting.queue.Counts() {
 		metrics <- prometheus.MustNewConstMetric(waitingDescription, prometheus.GaugeValue, float64(calls),
-			queue.Service, strconv.Itoa(queue.Rank))
+			queue.Service, strconv.Itoa(queue.Priority))
 	}
 }
 
@@ -234,23 +234,23 @@
 	meter := node.meter
 	registry := prometheus.NewRegistry()
 	registry.MustRegister(meter.calls, meter.duration, meter.firstEvent, meter.storeCalls, meter.storeTime, meter.handedOver, meter.admissions,
-		meter.loadMessages, meter.noRoom, meter.peerTraffic, waitingCalls{queue: node.service.Waiting}, breakerCollector{engines: node.engines})
+		meter.loadMessages, meter.noRoom, meter.peerTraffic, waitingCalls{queue: node.service.WaitQueue}, breakerCollector{engines: node.engines})
 	registry.MustRegister(node.admission.metrics)
 	gauges := []struct {
 		name, help string
 		value      func() float64
 	}{
 		{"magpielug_in_flight", "Requests under way.", func() float64 { return float64(node.inFlight()) }},
-		{"magpielug_engines", "Engines known.", func() float64 { return float64(node.engines.Known()) }},
+		{"magpielug_engines", "Engines known.", func() float64 { return float64(node.engines.EngineCount()) }},
 		{"magpielug_nodes", "Nodes known that are not leaving.", func() float64 { return float64(node.members.staying()) }},
 		{"magpielug_turns", "Turns held in memory.", func() float64 { turns, _ := node.turns.Size(); return float64(turns) }},
 		{"magpielug_turn_bytes", "Bytes of turns held in memory.", func() float64 { _, bytes := node.turns.Size(); return float64(bytes) }},
-		{"magpielug_held_request_bytes", "Bytes held of callers' requests.", func() float64 { return float64(node.held.sent.Held()) }},
-		{"magpielug_unread_bytes", "Bytes of answers that callers have not taken.", func() float64 { return float64(node.held.unread.Held()) }},
-		{"magpielug_held_answer_bytes", "Bytes of answers held until they are whole.", func() float64 { return float64(node.held.answers.Held()) }},
-		{"magpielug_engine_connections_opened", "Connections opened to engines.", func() float64 { return float64(node.around.Connections.Opened()) }},
-		{"magpielug_retry_budget", "Asks of engines after a refusal that are left.", func() float64 { return node.service.Retries.Left(time.Now()) }},
-		{"magpielug_retry_denials", "Asks of engines after a refusal that were denied.", func() float64 { return float64(node.service.Retries.Denied()) }},
+		{"magpielug_held_request_bytes", "Bytes held of callers' requests.", func() float64 { return float64(node.held.sent.InUse()) }},
+		{"magpielug_unread_bytes", "Bytes of answers that callers have not taken.", func() float64 { return float64(node.held.unread.InUse()) }},
+		{"magpielug_held_answer_bytes", "Bytes of answers held until they are whole.", func() float64 { return float64(node.held.answers.InUse()) }},
+		{"magpielug_engine_connections_opened", "Connections opened to engines.", func() float64 { return float64(node.around.Connections.OpenedCount()) }},
+		{"magpielug_retry_budget", "Asks of engines after a refusal that are left.", func() float64 { return node.service.RetryBudget.Remaining(time.Now()) }},
+		{"magpielug_retry_denials", "Asks of engines after a refusal that were denied.", func() float64 { return float64(node.service.RetryBudget.DeniedCount()) }},
 	}
 	registry.MustRegister(&loadCollector{node: node})
 	for _, gauge := range gauges {
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -66,10 +66,10 @@
 // Node is a running node.
 type Node struct {
 	settings    Settings
-	around      Surroundings
+	around      Dependencies
 	logger      *logging.Logger
 	incarnation string
-	routes      *routing.Current
+	routes      *routing.ActiveConfiguration
 	engines     *backend.Directory
 	// load is what all nodes have under way, sharing keeps it current.
 	load    *load.View
@@ -77,8 +77,8 @@
 	held    heldBounds
 	// waitingCalls counts the calls that wait here for engines, programLoad tells what the
 	// programs that this node owns have under way. Either may be nil.
-	waitingCalls func() map[load.Queue]int
-	programLoad  func() (map[string]load.Route, map[load.Holder]int)
+	waitingCalls func() map[load.QueueKey]int
+	programLoad  func() (map[string]load.Route, map[load.TenantPriority]int)
 	// loadRenewed is called after each new view of the load; it may be nil.
 	loadRenewed func()
 	members     *members
@@ -94,7 +94,7 @@
 
 	contact contact
 	// freezes tells when the process was frozen.
-	freezes *freeze.Watch
+	freezes *freeze.Detector
 	// zones tells which zones are reached.
 	zones *reach.Zones
 	// logHealth tells when the log last answered a node.
@@ -123,12 +123,12 @@
 }
 
 // Run runs a node until it is told to stop.
-func Run(ctx context.Context, version string, settings Settings, around Surroundings) error {
+func Run(ctx context.Context, version string, settings Settings, around Dependencies) error {
 	err := settings.Check()
 	if err != nil {
 		return err
 	}
-	err = feature.Disable(settings.Disabled)
+	err = feature.Disable(settings.DisabledFeatures)
 	if err != nil {
 		return err
 	}
@@ -146,14 +146,14 @@
 	if err != nil {
 		return err
 	}
-	logger.Info("node starts", zap.String("node", settings.Name), zap.String("features_off", settings.Disabled), zap.String("zone", settings.Zone),
+	logger.Info("node starts", zap.String("node", settings.Name), zap.String("features_off", settings.DisabledFeatures), zap.String("zone", settings.Zone),
 		zap.String("incarnation", node.incarnation), zap.String("version", version),
 		zap.String("callers", settings.CallerAddress), zap.String("peers", settings.PeerAddress), zap.Int("shards", settings.Shards))
 	node.logOutput = output
 	return node.run(ctx)
 }
 
-func build(ctx context.Context, settings Settings, around Surroundings, logger *logging.Logger) (*Node, error) {
+func build(ctx context.Context, settings Settings, around Dependencies, logger *logging.Logger) (*Node, error) {
 	client, err := httpclient.New(httpclient.Options{DialTimeout: peerDialTimeout, SilenceTimeout: peerSilence})
 	if err != nil {
 		return nil, err
@@ -165,9 +165,9 @@
 		around:      around,
 		logger:      logger,
 		incarnation: strconv.FormatUint(rand.Uint64(), 36),
-		routes:      &routing.Current{},
+		routes:      &routing.ActiveConfiguration{},
 		assigner:    assignment.New(),
-		freezes:     freeze.NewWatch(),
+		freezes:     freeze.NewDetector(),
 		engines:     backend.NewDirectory(),
 		load:        load.NewView(),
 		held:        newHeldBounds(settings.MemoryBytes),
@@ -175,7 +175,7 @@
 		members:     newMembers(),
 		turns:       history.NewStore(historyBytes(settings.MemoryBytes)),
 	}
-	around.Log = &durable.Rereading{Log: &durable.Counted{Log: around.Log, Observe: node.storeCall}}
+	around.Log = &durable.HedgedReads{Log: &durable.Instrumented{Log: around.Log, Observe: node.storeCall}}
 	node.around = around
 	node.recorder = history.NewRecorder(around.Log, settings.Shards)
 	err = node.prepareChoices()
@@ -194,59 +194,59 @@
 		Node:        settings.Name,
 		Incarnation: node.incarnation,
 		Address:     settings.PeerAddress,
-	}, settings.Shards, ownership.Around{Yield: node.askToYield, Freezes: node.freezes, LogAway: node.logAway, CountsSecondAllowance: node.countsSecondAllowance})
+	}, settings.Shards, ownership.Dependencies{RequestHandover: node.askToYield, FreezeDetector: node.freezes, LogUnavailable: node.logAway, CountsSecondAllowance: node.countsSecondAllowance})
 	node.programs = newPrograms(node)
 	node.admission = newAdmitter(node)
 	node.quotas = newQuotas(node)
 	node.sharing = newLoadSharing(node)
-	node.reader.Delegate(node.lineElsewhere)
-	if feature.Enabled(feature.RecordingElsewhere) {
-		node.recorder.RelayBy(node.recordElsewhere)
+	node.reader.SetRemoteLookup(node.lineElsewhere)
+	if feature.Enabled(feature.RemoteRecording) {
+		node.recorder.SetRelay(node.recordElsewhere)
 	}
 	node.egress = &egress.Handler{Engines: node.engines, Sender: around.Sender, Logger: logger.Logger, Stopping: node.stopping.Load,
-		Views: callViews{node}, Freezes: node.freezes}
+		Views: callViews{node}, FreezeDetector: node.freezes}
 	node.service = node.newService(egress.NewSender(around.Sender, &egressTopology{node: node}, client, logger.Logger, meter.handed))
-	node.waitingCalls = node.service.Waiting.Waiting
+	node.waitingCalls = node.service.WaitQueue.Counts
 	node.programLoad = node.admission.report
-	node.loadRenewed = node.service.Waiting.Renewed
+	node.loadRenewed = node.service.WaitQueue.WakeForLoadUpdate
 	return node, nil
 }
 
 // prepareChoices tells those who choose engines what to go by.
 func (node *Node) prepareChoices() error {
-	node.engines.UseLoad(node.load)
-	if feature.Enabled(feature.ZoneReach) {
-		node.engines.UseZones(node.zones)
+	node.engines.SetLoadView(node.load)
+	if feature.Enabled(feature.ZoneReachability) {
+		node.engines.SetZones(node.zones)
 	}
-	node.engines.UseNodes(node.members.staying)
-	node.engines.UseColdShares(node.coldLimit, node.placeAtEngine)
-	node.engines.ObserveBreakers(node.logBreaker)
-	return node.engines.UsePolicy(node.settings.Placement)
+	node.engines.SetNodeCount(node.members.staying)
+	node.engines.SetColdLimits(node.coldLimit, node.placeAtEngine)
+	node.engines.OnBreakerChange(node.logBreaker)
+	return node.engines.SetPolicy(node.settings.Placement)
 }
 
 // newService makes what takes calls their way.
 func (node *Node) newService(sender forward.Sender) *forward.Service {
 	waiting := backend.NewWaitQueue()
-	waiting.UseRooms(node.engines)
+	waiting.SetCapacitySource(node.engines)
 	return &forward.Service{
-		Routes:   node.routes,
-		Engines:  node.engines,
-		Waiting:  waiting,
-		Sender:   sender,
-		Programs: node.programs,
-		Quotas:   node.quotas,
-		Meter:    node.meter,
-		Logger:   node.logger.Logger,
-		Zone:     node.settings.Zone,
-		Regions:  node.settings.Regions,
-		Nodes:    node.members.staying,
-		ViewAge:  node.engineView.age,
-		Views:    callViews{node},
-		Freezes:  node.freezes,
-		LogAway:  node.recordingAway,
-		Started:  time.Now(),
-		Answers:  node.held.answers,
-		CutOff:   func() bool { return node.zoneCutOff(time.Now()) },
+		Routes:         node.routes,
+		Engines:        node.engines,
+		WaitQueue:      waiting,
+		Sender:         sender,
+		Programs:       node.programs,
+		Quotas:         node.quotas,
+		Meter:          node.meter,
+		Logger:         node.logger.Logger,
+		Zone:           node.settings.Zone,
+		Regions:        node.settings.Regions,
+		Nodes:          node.members.staying,
+		ViewAge:        node.engineView.age,
+		Views:          callViews{node},
+		FreezeDetector: node.freezes,
+		LogUnavailable: node.recordingAway,
+		Started:        time.Now(),
+		HeldResponses:  node.held.answers,
+		ZoneIsolated:   func() bool { return node.zoneCutOff(time.Now()) },
 
 		ToolCalls: forward.NewToolCalls(),
 	}
@@ -271,13 +271,13 @@
 // self is this node's own record.
 func (node *Node) self() Member {
 	return Member{
-		Name:        node.settings.Name,
-		Address:     node.settings.PeerAddress,
-		Zone:        node.settings.Zone,
-		Incarnation: node.incarnation,
-		Leaving:     node.stopping.Load(),
-		Capacity:    uint32(capacityUnit * node.settings.Capacity),
-		Understands: understandsSecondAllowance,
+		Name:            node.settings.Name,
+		Address:         node.settings.PeerAddress,
+		Zone:            node.settings.Zone,
+		Incarnation:     node.incarnation,
+		Draining:        node.stopping.Load(),
+		Capacity:        uint32(capacityUnit * node.settings.Capacity),
+		ProtocolVersion: understandsSecondAllowance,
 	}
 }
 
@@ -341,14 +341,14 @@
 // ready tells whether the node can serve: it knows a configuration and engines, and
 // is not cut off from all else.
 func (node *Node) ready() bool {
-	return !node.stopping.Load() && node.routes.Load() != nil && node.engines.Known() > 0 && !node.isolated()
+	return !node.stopping.Load() && node.routes.Load() != nil && node.engines.EngineCount() > 0 && !node.isolated()
 }
 
 func (node *Node) keepHouse(ctx context.Context) {
 	summary := time.Now()
 	woken := time.Time{}
 	for ctx.Err() == nil {
-		wait.For(ctx, housekeepingPause)
+		wait.Sleep(ctx, housekeepingPause)
 		now := time.Now()
 		woken = node.logFreeze(woken)
 		if now.Sub(summary) >= summaryPause {
@@ -364,7 +364,7 @@
 // logSummary writes what the process holds and has done since the last one.
 func (node *Node) logSummary() {
 	turns, bytes := node.turns.Size()
-	node.logger.Info("summary", zap.Int("in_flight", node.inFlight()), zap.Int("engines", node.engines.Known()),
+	node.logger.Info("summary", zap.Int("in_flight", node.inFlight()), zap.Int("engines", node.engines.EngineCount()),
 		zap.Int("nodes", node.members.staying()), zap.Int("turns", turns), zap.Int("turn_bytes", bytes),
 		zap.Int64("lines_dropped", node.logOutput.Dropped()), zap.String("store_calls", node.meter.takeRecent()), zap.String("peer_bytes", node.meter.takePeerBytes()))
 }
@@ -375,7 +375,7 @@
 	began := time.Now()
 	node.stopping.Store(true)
 	node.logger.Info("node stops", zap.Int("in_flight", node.inFlight()))
-	ctx, cancel := context.WithTimeout(context.Background(), node.settings.Grace-stopMargin)
+	ctx, cancel := context.WithTimeout(context.Background(), node.settings.ShutdownTimeout-stopMargin)
 	defer cancel()
 	node.members.put(node.self())
 	node.registration.check()
@@ -384,7 +384,7 @@
 	err := callers.Shutdown(ctx)
 	node.awaitEgress(ctx)
 	node.logger.Info("node stopped", zap.Duration("took", time.Since(began)), zap.Int("in_flight", callers.InFlight()),
-		zap.Int("for_others", node.egress.UnderWay()), logging.Cause(err))
+		zap.Int("for_others", node.egress.InFlight()), logging.Cause(err))
 }
 
 // egressLook separates two looks whether requests for other nodes are under way.
@@ -392,8 +392,8 @@
 
 // awaitEgress waits for the requests that this node sends for others; it takes no more.
 func (node *Node) awaitEgress(ctx context.Context) {
-	for node.egress.UnderWay() > 0 && ctx.Err() == nil {
-		wait.For(ctx, egressLook)
+	for node.egress.InFlight() > 0 && ctx.Err() == nil {
+		wait.Sleep(ctx, egressLook)
 	}
 }
 
--- a/internal/node/peer_server.go
+++ b/internal/node/peer_server.go
@@ -24,7 +24,7 @@
 func (server *peerServer) Settle(_ context.Context, request *nodev1.SettleRequest) (*nodev1.SettleReply, error) {
 	for _, settlement := range request.Settlements {
 		if settlement.Turn != nil {
-			server.node.turns.Add(history.FromMessage(settlement.Turn))
+			server.node.turns.Add(history.FromProto(settlement.Turn))
 		}
 		server.node.settle(settlement, request.PassedOn)
 	}
@@ -48,7 +48,7 @@
 	if int(request.Shard) >= server.node.settings.Shards {
 		return nil, errUnknownShard
 	}
-	return server.node.ownership.Yielded(ctx, int(request.Shard), request.Epoch), nil
+	return server.node.ownership.HandleHandover(ctx, int(request.Shard), request.Epoch), nil
 }
 
 // askToYield asks the node that made a claim whether it keeps the shard.
--- a/internal/node/programs.go
+++ b/internal/node/programs.go
@@ -58,19 +58,19 @@
 }
 
 // Reserve implements forward.Programs.
-func (programs *programs) Reserve(ctx context.Context, order *forward.ReservationOrder) forward.Reservation {
+func (programs *programs) Reserve(ctx context.Context, order *forward.ReservationRequest) forward.Reservation {
 	call := order.Call
 	request := &nodev1.ReserveRequest{
 		Program:  call.Program,
 		Tenant:   call.Tenant,
 		Budget:   call.Turn.Budget,
-		Most:     call.Turn.Most,
-		Prompt:   call.Turn.Prompt,
+		Most:     call.Turn.MaxTokens,
+		Prompt:   call.Turn.PromptTokens,
 		Previous: call.Turn.Previous,
 		Session:  call.Session,
 		Service:  order.Service,
 		Route:    order.Route,
-		Rank:     int32(order.Rank),
+		Rank:     int32(order.Priority),
 		Node:     programs.node.settings.Name,
 		Zone:     programs.node.settings.Zone,
 		Zones:    order.Zones,
@@ -80,9 +80,9 @@
 	if until, bounded := ctx.Deadline(); bounded {
 		request.TimeLeftMs = time.Until(until).Milliseconds()
 	}
-	if !call.Aim.IsZero() {
+	if !call.SoftDeadline.IsZero() {
 		request.HasAim = true
-		request.AimLeftMs = time.Until(call.Aim).Milliseconds()
+		request.AimLeftMs = time.Until(call.SoftDeadline).Milliseconds()
 	}
 	var chain []*history.Turn
 	if request.Previous != "" {
@@ -102,7 +102,7 @@
 	if request.NeedsChain {
 		chain = programs.takeChain(reply.Chain)
 	}
-	return forward.Reservation{Verdict: reply.Verdict, Chain: chain, Reason: reply.Reason, Engine: reply.Engine, Elsewhere: elsewhere,
+	return forward.Reservation{Verdict: reply.Verdict, Chain: chain, Reason: reply.Reason, Engine: reply.Engine, TryOtherNode: elsewhere,
 		RetryAfter: milliseconds(reply.RetryAfterMs),
 		Grant:      forward.Grant{Owner: reply.Owner, Epoch: reply.Epoch, Key: request.Request}}
 }
@@ -115,7 +115,7 @@
 	switch {
 	case err != nil:
 		return nil, &forward.Reservation{Verdict: nodev1.Verdict_VERDICT_UNSURE, Reason: err.Error()}
-	case !found.Exists:
+	case !found.Found:
 		return nil, &forward.Reservation{Verdict: nodev1.Verdict_VERDICT_NO_SUCH_TURN}
 	}
 	return found.Chain, nil
@@ -123,7 +123,7 @@
 
 // takeChain keeps turns that another node sent.
 func (programs *programs) takeChain(messages []*nodev1.Turn) []*history.Turn {
-	chain := history.FromMessages(messages)
+	chain := history.FromProtos(messages)
 	for _, turn := range chain {
 		programs.node.turns.Add(turn)
 	}
@@ -137,7 +137,7 @@
 	if end.Turn != nil {
 		programs.node.turns.Add(end.Turn)
 		if programs.node.mayGet(grant.Owner, end.Turn) {
-			settlement.Turn = history.ToMessage(end.Turn)
+			settlement.Turn = history.ToProto(end.Turn)
 		}
 	}
 	if grant.Owner == programs.node.settings.Name {
--- a/internal/node/quota_keeper.go
+++ b/internal/node/quota_keeper.go
@@ -12,24 +12,24 @@
 
 // decide answers as the keeper of a group.
 func (quotas *quotas) decide(request *nodev1.AdmitRequest) *nodev1.AdmitReply {
-	answer := quotas.keeper.Decide(quota.Ask{
+	answer := quotas.keeper.Decide(quota.Request{
 		Node:          request.Node,
 		Nodes:         int(request.Nodes),
 		Group:         int(request.Group),
-		Lent:          fromClock(request.Lent),
-		Held:          milliseconds(request.HeldMs),
+		LeaseStart:    fromClock(request.Lent),
+		LeasedFor:     milliseconds(request.HeldMs),
 		Tenant:        request.Tenant,
 		Limit:         tenant.Limit{PerSecond: request.PerSecond, Burst: request.Burst},
 		Configuration: request.Configuration,
 		Program:       request.Program,
 		Continues:     request.Continues,
-		Patience:      milliseconds(request.PatienceMs),
+		MaxWait:       milliseconds(request.PatienceMs),
 	}, time.Now())
 	if answer.Verdict == quota.Refused {
 		quotas.node.logger.Info("request over limit", zap.String("request", request.Request), zap.String("tenant", request.Tenant),
 			zap.String("program", request.Program), zap.Bool("continues", request.Continues), zap.String("asker", request.Node),
 			zap.Int64("configuration", request.Configuration), zap.Float64("per_second", request.PerSecond), zap.Float64("burst", request.Burst),
-			zap.Float64("share", answer.Share), zap.Float64("room", answer.Room),
+			zap.Float64("share", answer.Share), zap.Float64("room", answer.Available),
 			zap.Duration("retry_after", answer.RetryAfter))
 	}
 	return &nodev1.AdmitReply{
@@ -42,20 +42,20 @@
 }
 
 var admissions = map[quota.Verdict]nodev1.Admission{
-	quota.Granted:   nodev1.Admission_ADMISSION_GRANTED,
-	quota.Refused:   nodev1.Admission_ADMISSION_REFUSED,
-	quota.Unsettled: nodev1.Admission_ADMISSION_UNSETTLED,
+	quota.Granted:      nodev1.Admission_ADMISSION_GRANTED,
+	quota.Refused:      nodev1.Admission_ADMISSION_REFUSED,
+	quota.Undetermined: nodev1.Admission_ADMISSION_UNSETTLED,
 }
 
-func toClock(clock quota.Clock) *nodev1.KeeperClock {
-	if clock == (quota.Clock{}) {
+func toClock(clock quota.CoordinatorTime) *nodev1.KeeperClock {
+	if clock == (quota.CoordinatorTime{}) {
 		return nil
 	}
-	return &nodev1.KeeperClock{Incarnation: clock.Incarnation, Micros: clock.Since.Microseconds()}
+	return &nodev1.KeeperClock{Incarnation: clock.Incarnation, Micros: clock.Elapsed.Microseconds()}
 }
 
-func fromClock(message *nodev1.KeeperClock) quota.Clock {
-	return quota.Clock{Incarnation: message.GetIncarnation(), Since: time.Duration(message.GetMicros()) * time.Microsecond}
+func fromClock(message *nodev1.KeeperClock) quota.CoordinatorTime {
+	return quota.CoordinatorTime{Incarnation: message.GetIncarnation(), Elapsed: time.Duration(message.GetMicros()) * time.Microsecond}
 }
 
 // Admit implements nodev1.Node.
--- a/internal/node/quotas.go
+++ b/internal/node/quotas.go
@@ -29,7 +29,7 @@
 	quotaAsks = 3
 	// unsettledPatience is how long a request waits while its keeper has been lent too
 	// little: the time that a lost keeper's loans last and others take to notice.
-	unsettledPatience = 2*quota.LentFor + quotaTimeout
+	unsettledPatience = 2*quota.LeaseDuration + quotaTimeout
 	// unsettledPause separates two asks of such a keeper.
 	unsettledPause = 50 * time.Millisecond
 	// lendPause is how long after its last ask a node lends again: twice that and the
@@ -46,7 +46,7 @@
 // itself, and lends this node's share to those of all groups.
 type quotas struct {
 	node     *Node
-	keeper   *quota.Keeper
+	keeper   *quota.Coordinator
 	groups   []*lending
 	suspects *suspects
 }
@@ -56,7 +56,7 @@
 	group int
 	// mutex guards the fields below.
 	mutex  sync.Mutex
-	lender quota.Lender
+	lender quota.Lessor
 	// asked is when a keeper was last asked.
 	asked time.Time
 }
@@ -64,7 +64,7 @@
 func newQuotas(node *Node) *quotas {
 	made := &quotas{
 		node: node,
-		keeper: quota.NewKeeper(node.incarnation, time.Now(), quota.Options{
+		keeper: quota.NewCoordinator(node.incarnation, time.Now(), quota.Options{
 			Tolerance: node.settings.QuotaTolerance, ProgramsFirst: feature.Enabled(feature.ProgramsFirst)}),
 		suspects: newSuspects(),
 	}
@@ -80,13 +80,13 @@
 }
 
 // Admit implements forward.Quotas.
-func (quotas *quotas) Admit(ctx context.Context, order *forward.AdmissionOrder) forward.Admission {
+func (quotas *quotas) Admit(ctx context.Context, order *forward.AdmissionRequest) forward.Admission {
 	admission := quotas.admit(ctx, order)
 	quotas.node.meter.admitted(order.Holder.Name, admission.Verdict)
 	return admission
 }
 
-func (quotas *quotas) admit(ctx context.Context, order *forward.AdmissionOrder) forward.Admission {
+func (quotas *quotas) admit(ctx context.Context, order *forward.AdmissionRequest) forward.Admission {
 	began := time.Now()
 	lent := quotas.groupOf(order.Holder.Name)
 	request := quotas.request(lent, order)
@@ -99,24 +99,24 @@
 		case err != nil:
 			unanswered++
 		case reply.Admission == nodev1.Admission_ADMISSION_GRANTED:
-			wait.For(ctx, milliseconds(reply.DelayMs))
+			wait.Sleep(ctx, milliseconds(reply.DelayMs))
 			return forward.Admission{Verdict: forward.Admitted}
 		case reply.Admission == nodev1.Admission_ADMISSION_REFUSED:
 			return forward.Admission{Verdict: forward.OverLimit, RetryAfter: milliseconds(reply.RetryAfterMs)}
 		default:
 			unanswered = 0
 			share = reply.Share
-			wait.For(ctx, unsettledPause)
+			wait.Sleep(ctx, unsettledPause)
 		}
 	}
 	quotas.node.logger.Info("limit not known", zap.String("request", order.Call.ID), zap.String("tenant", order.Holder.Name),
 		zap.Int("group", lent.group), zap.String("keeper", lent.keeperAsked()), zap.Float64("share", share), zap.Duration("took", time.Since(began)))
-	return forward.Admission{Verdict: forward.LimitUnknown}
+	return forward.Admission{Verdict: forward.LimitUnavailable}
 }
 
 func milliseconds(count int64) time.Duration { return time.Duration(count) * time.Millisecond }
 
-func (quotas *quotas) request(lent *lending, order *forward.AdmissionOrder) *nodev1.AdmitRequest {
+func (quotas *quotas) request(lent *lending, order *forward.AdmissionRequest) *nodev1.AdmitRequest {
 	request := quotas.loan(lent)
 	request.Tenant = order.Holder.Name
 	request.Configuration = order.Configuration
@@ -124,7 +124,7 @@
 	request.Burst = order.Holder.Limit.Burst
 	request.Program = order.Call.Program
 	request.Continues = order.Continues
-	request.PatienceMs = order.Patience.Milliseconds()
+	request.PatienceMs = order.MaxWait.Milliseconds()
 	request.Request = order.Call.ID
 	return request
 }
@@ -152,19 +152,19 @@
 	}
 	lent.mutex.Lock()
 	defer lent.mutex.Unlock()
-	lent.lender.Heard(target, fromClock(reply.Clock), time.Now())
+	lent.lender.ObserveCoordinator(target, fromClock(reply.Clock), time.Now())
 	return reply, nil
 }
 
 // target returns the keeper to ask, the moment from which on the share is lent, and for how
 // long it was lent to no other keeper.
-func (quotas *quotas) target(lent *lending, now time.Time) (string, quota.Clock, time.Duration) {
+func (quotas *quotas) target(lent *lending, now time.Time) (string, quota.CoordinatorTime, time.Duration) {
 	lent.mutex.Lock()
 	defer lent.mutex.Unlock()
 	lent.asked = now
 	wanted := quotas.choose(lent.group, now)
-	present, clock := lent.lender.Target(wanted, !quotas.suspects.holds(lent.lender.Keeper(), now), now)
-	return present, clock, lent.lender.Held(now)
+	present, clock := lent.lender.Target(wanted, !quotas.suspects.holds(lent.lender.Coordinator(), now), now)
+	return present, clock, lent.lender.LeasedFor(now)
 }
 
 // choose returns the first candidate that answers.
@@ -200,9 +200,9 @@
 // limits, also while it has nothing to ask: a keeper grants only what it was lent.
 func (quotas *quotas) lend(ctx context.Context) {
 	for ctx.Err() == nil {
-		wait.For(ctx, lendLook)
+		wait.Sleep(ctx, lendLook)
 		configuration := quotas.node.routes.Load()
-		if configuration == nil || !configuration.Tenants.Limited() {
+		if configuration == nil || !configuration.Tenants.HasLimits() {
 			continue
 		}
 		now := time.Now()
@@ -218,7 +218,7 @@
 func (lent *lending) keeperAsked() string {
 	lent.mutex.Lock()
 	defer lent.mutex.Unlock()
-	return lent.lender.Keeper()
+	return lent.lender.Coordinator()
 }
 
 // due tells whether it is time to lend again.
--- a/internal/node/quotas_test.go
+++ b/internal/node/quotas_test.go
@@ -26,8 +26,8 @@
 		return node
 	}
 
-	order := func() *forward.AdmissionOrder {
-		return &forward.AdmissionOrder{Call: &forward.Call{ID: "r"}, Holder: holder, Patience: time.Second}
+	order := func() *forward.AdmissionRequest {
+		return &forward.AdmissionRequest{Call: &forward.Call{ID: "r"}, Holder: holder, MaxWait: time.Second}
 	}
 
 	It("are kept by the node itself where it is alone", func() {
@@ -51,6 +51,6 @@
 		node := newAlone()
 		ctx, leave := context.WithCancel(context.Background())
 		leave()
-		Expect(node.quotas.Admit(ctx, order()).Verdict).To(Equal(forward.LimitUnknown))
+		Expect(node.quotas.Admit(ctx, order()).Verdict).To(Equal(forward.LimitUnavailable))
 	})
 })
--- a/internal/node/registration.go
+++ b/internal/node/registration.go
@@ -83,7 +83,7 @@
 	registration.awaitRead(ctx)
 	for ctx.Err() == nil {
 		if registration.due() && !registration.write(ctx) {
-			wait.For(ctx, registerPause)
+			wait.Sleep(ctx, registerPause)
 			continue
 		}
 		timer := time.NewTimer(registerCheck)
@@ -100,7 +100,7 @@
 func (registration *registration) awaitRead(ctx context.Context) {
 	until := time.Now().Add(registerUnread)
 	for !registration.read() && time.Now().Before(until) && ctx.Err() == nil {
-		wait.For(ctx, registerPause)
+		wait.Sleep(ctx, registerPause)
 	}
 }
 
@@ -111,9 +111,9 @@
 		Address:     member.Address,
 		Zone:        member.Zone,
 		Incarnation: member.Incarnation,
-		Leaving:     member.Leaving,
+		Leaving:     member.Draining,
 		Capacity:    member.Capacity,
-		Understands: member.Understands,
+		Understands: member.ProtocolVersion,
 	})
 	if err != nil {
 		registration.logger.Error("node record not encoded", logging.Cause(err))
@@ -128,6 +128,6 @@
 		return false
 	}
 	registration.observe(member)
-	registration.logger.Info("node registered", zap.String("incarnation", member.Incarnation), zap.Bool("leaving", member.Leaving))
+	registration.logger.Info("node registered", zap.String("incarnation", member.Incarnation), zap.Bool("leaving", member.Draining))
 	return true
 }
--- a/internal/node/registration_test.go
+++ b/internal/node/registration_test.go
@@ -33,7 +33,7 @@
 			Eventually(ended, patience).Should(BeClosed())
 		})
 		return func() int64 {
-			snapshot, err := log.Newest(context.Background(), topic)
+			snapshot, err := log.Latest(context.Background(), topic)
 			Expect(err).NotTo(HaveOccurred())
 			return snapshot.End
 		}
@@ -55,7 +55,7 @@
 		moved.Address = "10.0.0.9:7000"
 		Eventually(writer(durable.NewMemory(), before, moved), patience).Should(BeEquivalentTo(1))
 		left := before
-		left.Leaving = true
+		left.Draining = true
 		Eventually(writer(durable.NewMemory(), left, before), patience).Should(BeEquivalentTo(1))
 	})
 
@@ -65,7 +65,7 @@
 		registration.observe(before)
 		Expect(registration.due()).To(BeFalse())
 		late := before
-		late.Leaving = true
+		late.Draining = true
 		Expect(registration.observe(late)).To(BeTrue())
 		Expect(registration.due()).To(BeTrue())
 		Expect(registration.write(context.Background())).To(BeTrue())
--- a/internal/node/reserve.go
+++ b/internal/node/reserve.go
@@ -48,7 +48,7 @@
 	reply.OwnerAddress = answer.Owner.Address
 	reply.Epoch = answer.Owner.Epoch
 	if answer.Verdict == nodev1.Verdict_VERDICT_GRANTED {
-		node.admission.turnBegins(request, ask.Until, begins)
+		node.admission.turnBegins(request, ask.ExpiresAt, begins)
 		node.complete(ctx, shard, request, reply)
 		return reply
 	}
@@ -57,14 +57,14 @@
 	return reply
 }
 
-func askOf(request *nodev1.ReserveRequest) ownership.Ask {
-	return ownership.Ask{
-		Program: programOf(request),
-		Request: request.Request,
-		Budget:  request.Budget,
-		Most:    request.Most,
-		Until:   time.Now().Add(milliseconds(request.TimeLeftMs)),
-		Claim:   request.TakeOver,
+func askOf(request *nodev1.ReserveRequest) ownership.ReserveRequest {
+	return ownership.ReserveRequest{
+		Program:   programOf(request),
+		RequestID: request.Request,
+		Budget:    request.Budget,
+		MaxTokens: request.Most,
+		ExpiresAt: time.Now().Add(milliseconds(request.TimeLeftMs)),
+		Claim:     request.TakeOver,
 	}
 }
 
@@ -107,7 +107,7 @@
 // shared of the load over all nodes. With owners that placed lines by the shared load, 147 of
 // 734 programs of a burst on 344 slots were late, 50 with these.
 func (node *Node) running() map[string]int32 {
-	if !node.engines.Assigns() {
+	if !node.engines.UsesAssignment() {
 		return nil
 	}
 	running := node.engines.Running()
@@ -121,7 +121,7 @@
 // assign chooses the engine that keeps a line of turns of a program that this
 // node owns.
 func (node *Node) assign(request *nodev1.ReserveRequest) string {
-	if !node.engines.Assigns() || request.Session == "" {
+	if !node.engines.UsesAssignment() || request.Session == "" {
 		return ""
 	}
 	now := time.Now()
@@ -130,27 +130,27 @@
 		for engine, count := range request.Running {
 			running[engine] = int(count)
 		}
-		node.assigner.Report(request.Node, running, now)
+		node.assigner.UpdateRunning(request.Node, running, now)
 	}
-	node.engines.Report(request.Avoided, now)
-	instances := node.engines.Sound(request.Service, zonesOf(request), now)
+	node.engines.AddReported(request.Avoided, now)
+	instances := node.engines.Healthy(request.Service, zonesOf(request), now)
 	memory := node.memoryOf(request.Service)
 	own := node.ownMemory(memory)
 	candidates := make([]assignment.Candidate, 0, len(instances))
 	for _, instance := range instances {
 		candidates = append(candidates, assignment.Candidate{
-			ID:        instance.ID,
-			Life:      instance.Life,
-			Zone:      instance.Zone,
-			Slots:     instance.Slots,
-			Memory:    memory,
-			OwnMemory: own,
-			Order:     backend.Order(request.Session, instance.ID),
-			Slowness:  node.engines.Slowness(instance.ID, now),
+			ID:                instance.ID,
+			Incarnation:       instance.Incarnation,
+			Zone:              instance.Zone,
+			Slots:             instance.Slots,
+			MemoryTokens:      memory,
+			OwnerMemoryTokens: own,
+			TieBreak:          backend.RendezvousWeight(request.Session, instance.ID),
+			Slowness:          node.engines.Slowness(instance.ID, now),
 		})
 	}
-	line := assignment.Line{Program: programOf(request), Session: request.Session, Zone: request.Zone, Prompt: int(request.Prompt)}
-	return node.assigner.Choose(line, candidates, now)
+	line := assignment.Session{Program: programOf(request), ID: request.Session, Zone: request.Zone, PromptTokens: int(request.Prompt)}
+	return node.assigner.Assign(line, candidates, now)
 }
 
 // zonesOf returns the zones in which a turn may be served.
@@ -163,7 +163,7 @@
 
 // ownMemory is the part of an engine's memory that goes to programs of this node's shards.
 func (node *Node) ownMemory(memory int) int {
-	if memory == 0 || !feature.Enabled(feature.MemoryRoom) {
+	if memory == 0 || !feature.Enabled(feature.MemoryAdmission) {
 		return 0
 	}
 	return int(node.admission.share() * float64(memory))
@@ -174,8 +174,8 @@
 	if settlement.FailedEngine == "" || !feature.Enabled(feature.EngineBreaker) {
 		return
 	}
-	line := assignment.Line{Program: tenant.Program{Tenant: settlement.Tenant, ID: settlement.Program}, Session: settlement.Session}
-	node.assigner.Failed(line, settlement.FailedEngine, time.Now())
+	line := assignment.Session{Program: tenant.Program{Tenant: settlement.Tenant, ID: settlement.Program}, ID: settlement.Session}
+	node.assigner.RecordFailure(line, settlement.FailedEngine, time.Now())
 }
 
 // memoryOf returns how many tokens an engine of a service holds, 0 where the configuration
@@ -219,10 +219,10 @@
 		reply.Reason = err.Error()
 		return false
 	}
-	if !found.Exists {
+	if !found.Found {
 		reply.Verdict = nodev1.Verdict_VERDICT_NO_SUCH_TURN
 		return false
 	}
-	reply.Chain = history.ToMessages(found.Chain)
+	reply.Chain = history.ToProtos(found.Chain)
 	return true
 }
--- a/internal/node/search.go
+++ b/internal/node/search.go
@@ -28,7 +28,7 @@
 		if decided || ctx.Err() != nil || time.Now().After(until) || search.cutOff() {
 			return reply, search.cutOff()
 		}
-		wait.For(ctx, searchPause)
+		wait.Sleep(ctx, searchPause)
 		search.asked = map[string]bool{}
 		request.Failed = nil
 	}
@@ -45,7 +45,7 @@
 	if owner != "" && programs.node.reaches(owner, now) {
 		return nil
 	}
-	return &nodev1.ReserveReply{Verdict: nodev1.Verdict_VERDICT_UNSURE, RetryAfterMs: forward.CutOffRetry.Milliseconds(),
+	return &nodev1.ReserveReply{Verdict: nodev1.Verdict_VERDICT_UNSURE, RetryAfterMs: forward.IsolatedRetryAfter.Milliseconds(),
 		Reason: "this zone is cut off from the others and the store"}
 }
 
--- a/internal/node/settings.go
+++ b/internal/node/settings.go
@@ -39,20 +39,20 @@
 	// Capacity is the share of a processor that the process has, in cores; 0
 	// where it is not known.
 	Capacity float64
-	// Connections is how many callers' connections may be open.
-	Connections int
+	// MaxConnections is how many callers' connections may be open.
+	MaxConnections int
 	// Shards is the number of partitions of the store's topics.
 	Shards int
 	// QuotaTolerance is how the operators judge tenants' limits.
 	QuotaTolerance quota.Tolerance
 	// ColdTolerance is how operators judge what cold engines get.
 	ColdTolerance ColdTolerance
-	// Grace is how long a planned stop may take.
-	Grace time.Duration
+	// ShutdownTimeout is how long a planned stop may take.
+	ShutdownTimeout time.Duration
 	// Placement names the policy that chooses engines; empty is the default.
 	Placement string
-	// Disabled names features that are off, with commas; see package feature.
-	Disabled string
+	// DisabledFeatures names features that are off, with commas; see package feature.
+	DisabledFeatures string
 	// LogLevel is debug, info, warn or error.
 	LogLevel string
 }
@@ -84,8 +84,8 @@
 	return nil
 }
 
-// Surroundings are what a node meets through translations.
-type Surroundings struct {
+// Dependencies are what a node meets through translations.
+type Dependencies struct {
 	Log durable.Log
 	// ConfigurationTopic, EngineTopic and MemberTopic are keyed topics of the
 	// store; the nodes write the last one themselves.
@@ -101,7 +101,7 @@
 	DecodeEngine func(durable.KeyedRecord) (backend.Instance, bool)
 	Sender       forward.Sender
 	// Connections are those that Sender uses.
-	Connections *backend.Connections
+	Connections *backend.ConnectionPool
 	// CallerHandler serves callers by taking their requests to the service.
 	CallerHandler func(service *forward.Service) http.Handler
 	// ReadinessPath is where the readiness address is asked.
--- a/internal/node/settings_file.go
+++ b/internal/node/settings_file.go
@@ -6,9 +6,9 @@
 	"github.com/magpielug/magpielug/internal/settings"
 )
 
-// FromFile returns the settings of a node that was started with a settings file of the
+// SettingsFromFile returns the settings of a node that was started with a settings file of the
 // product's own. It has no seeds: it finds the other nodes in the store.
-func FromFile(loaded settings.NodeSettings) Settings {
+func SettingsFromFile(loaded settings.NodeSettings) Settings {
 	regions, _ := region.Parse(loaded.Node.Regions) // The settings were checked.
 	return Settings{
 		Name:             loaded.Node.Name,
@@ -20,17 +20,17 @@
 		MetricsAddress:   loaded.Listen.Metrics,
 		MemoryBytes:      int64(loaded.Limits.Memory),
 		Capacity:         loaded.Limits.Cores,
-		Connections:      loaded.Limits.Connections,
+		MaxConnections:   loaded.Limits.Connections,
 		Shards:           loaded.Store.Partitions,
 		QuotaTolerance: quota.Tolerance{
-			Window:   loaded.Quota.Window,
-			Share:    loaded.Quota.Overage,
-			Requests: loaded.Quota.Slack,
+			Window:         loaded.Quota.Window,
+			ExcessFraction: loaded.Quota.Overage,
+			ExcessRequests: loaded.Quota.Slack,
 		},
-		ColdTolerance: ColdTolerance{Factor: loaded.Cold.Overage, Requests: loaded.Cold.Slack},
-		Grace:         loaded.Limits.DrainTimeout,
-		Placement:     loaded.Node.Placement,
-		Disabled:      loaded.Node.Disabled,
-		LogLevel:      loaded.Log.Level,
+		ColdTolerance:    ColdTolerance{Factor: loaded.Cold.Overage, Requests: loaded.Cold.Slack},
+		ShutdownTimeout:  loaded.Limits.DrainTimeout,
+		Placement:        loaded.Node.Placement,
+		DisabledFeatures: loaded.Node.Disabled,
+		LogLevel:         loaded.Log.Level,
 	}
 }
--- a/internal/node/settings_file_test.go
+++ b/internal/node/settings_file_test.go
@@ -12,7 +12,7 @@
 
 var _ = Describe("The settings of a node's own file", func() {
 	It("are all taken, and name no other node", func() {
-		taken := FromFile(settings.NodeSettings{
+		taken := SettingsFromFile(settings.NodeSettings{
 			Node:   settings.NodeIdentity{Name: "node-1", Zone: "zone-1", Regions: "zone-1=north,zone-2=south", Placement: "least", Disabled: "egress"},
 			Listen: settings.NodeListen{Callers: "127.0.0.1:1", Readiness: "127.0.0.1:2", Peers: "127.0.0.1:3", Metrics: "127.0.0.1:4"},
 			Store:  settings.NodeStore{Address: "127.0.0.1:5", Partitions: 6},
@@ -31,14 +31,14 @@
 			MetricsAddress:   "127.0.0.1:4",
 			MemoryBytes:      256 << 20,
 			Capacity:         0.5,
-			Connections:      700,
+			MaxConnections:   700,
 			Shards:           6,
-			QuotaTolerance:   quota.Tolerance{Window: 5 * time.Second, Share: 0.1, Requests: 20},
+			QuotaTolerance:   quota.Tolerance{Window: 5 * time.Second, ExcessFraction: 0.1, ExcessRequests: 20},
 			Regions:          region.Map{"zone-1": "north", "zone-2": "south"},
 			ColdTolerance:    ColdTolerance{Factor: 1.5, Requests: 5},
-			Grace:            8 * time.Second,
+			ShutdownTimeout:  8 * time.Second,
 			Placement:        "least",
-			Disabled:         "egress",
+			DisabledFeatures: "egress",
 			LogLevel:         "warn",
 		}))
 	})
--- a/internal/node/turns.go
+++ b/internal/node/turns.go
@@ -89,9 +89,9 @@
 // all shards asks for each at once, and would else be refused all but one each time.
 func (node *Node) lineHere(ctx context.Context, shard int, key history.Key, patience time.Duration) ([]*history.Turn, error) {
 	if node.ownership.Owns(shard) {
-		return node.reader.Line(ctx, shard, key)
+		return node.reader.PartialChain(ctx, shard, key)
 	}
-	line := node.turns.Line(key)
+	line := node.turns.PartialChain(key)
 	if len(line) > 0 {
 		return line, nil
 	}
@@ -99,7 +99,7 @@
 		return nil, errStillReading
 	}
 	defer func() { <-node.foreign }()
-	return node.reader.Line(ctx, shard, key)
+	return node.reader.PartialChain(ctx, shard, key)
 }
 
 // takeForeign takes a place for reading another node's partition, and tells whether there was
@@ -131,7 +131,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return history.FromMessages(reply.Line), nil
+	return history.FromProtos(reply.Line), nil
 }
 
 // Line implements nodev1.Node. The reading outlasts an asker that gives up, so
@@ -146,7 +146,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return &nodev1.LineReply{Line: history.ToMessages(line)}, nil
+	return &nodev1.LineReply{Line: history.ToProtos(line)}, nil
 }
 
 // recordElsewhere has another node record a turn. The shard's owner is asked
@@ -155,7 +155,7 @@
 func (node *Node) recordElsewhere(ctx context.Context, shard int, turn *history.Turn) error {
 	others := node.members.others(node.settings.Name)
 	rand.Shuffle(len(others), func(left, right int) { others[left], others[right] = others[right], others[left] })
-	others = slices.DeleteFunc(others, func(other Member) bool { return !turn.Zones.Holds(other.Zone) })
+	others = slices.DeleteFunc(others, func(other Member) bool { return !turn.Zones.Contains(other.Zone) })
 	owner := node.programs.believedOwner(shard).Node
 	preferred := slices.IndexFunc(others, func(other Member) bool { return other.Name == owner })
 	if preferred > 0 {
@@ -164,7 +164,7 @@
 	failure := errUnknownNode
 	for _, other := range others[:min(recordAsks, len(others))] {
 		bounded, cancel := context.WithTimeout(ctx, recordTimeout)
-		_, err := node.peers.at(other.Address).Record(bounded, &nodev1.RecordRequest{Shard: uint32(shard), Turn: history.ToMessage(turn)})
+		_, err := node.peers.at(other.Address).Record(bounded, &nodev1.RecordRequest{Shard: uint32(shard), Turn: history.ToProto(turn)})
 		cancel()
 		if err == nil {
 			node.logger.Info("turn recorded elsewhere", zap.String("request", turn.ID), zap.String("program", turn.Program), zap.String("node", other.Name))
@@ -185,7 +185,7 @@
 		return true
 	}
 	member, known := node.members.get(name)
-	return known && turn.Zones.Holds(member.Zone)
+	return known && turn.Zones.Contains(member.Zone)
 }
 
 // Record implements nodev1.Node.
@@ -193,12 +193,12 @@
 	if int(request.Shard) >= server.node.settings.Shards || request.Turn == nil {
 		return nil, errUnknownShard
 	}
-	if server.node.recorder.Refused() {
+	if server.node.recorder.RecentlyRefused() {
 		return nil, errLogRefuses
 	}
 	bounded, cancel := context.WithTimeout(ctx, recordTimeout)
 	defer cancel()
-	err := server.node.recorder.RecordHere(bounded, int(request.Shard), history.FromMessage(request.Turn))
+	err := server.node.recorder.RecordLocally(bounded, int(request.Shard), history.FromProto(request.Turn))
 	if err != nil {
 		return nil, err
 	}
--- a/internal/node/turns_test.go
+++ b/internal/node/turns_test.go
@@ -39,8 +39,8 @@
 	node.members.put(Member{Name: "self"})
 	node.programs = newPrograms(node)
 	node.reader = history.NewReader(log, node.turns, shards)
-	node.reader.Delegate(node.lineElsewhere)
-	node.ownership = ownership.NewManager(ctx, log, zap.NewNop(), ownership.Identity{Node: "self"}, shards, ownership.Around{})
+	node.reader.SetRemoteLookup(node.lineElsewhere)
+	node.ownership = ownership.NewManager(ctx, log, zap.NewNop(), ownership.Identity{Node: "self"}, shards, ownership.Dependencies{})
 	return node, ctx
 }
 
@@ -76,7 +76,7 @@
 		go func() {
 			defer GinkgoRecover()
 			lookup, err := node.reader.Find(ctx, 0, history.Key{ID: "never was"})
-			Expect(lookup.Exists).To(BeFalse())
+			Expect(lookup.Found).To(BeFalse())
 			found <- err
 		}()
 		Eventually(log.reading.Load, patience).Should(BeEquivalentTo(1))
@@ -88,11 +88,11 @@
 var _ = Describe("A second allowance", func() {
 	It("is claimed only once all nodes say that they count it", func() {
 		known := newMembers()
-		known.put(Member{Name: "new", Understands: understandsSecondAllowance})
+		known.put(Member{Name: "new", ProtocolVersion: understandsSecondAllowance})
 		Expect(known.allUnderstand(understandsSecondAllowance)).To(BeTrue())
 		known.put(Member{Name: "old"})
 		Expect(known.allUnderstand(understandsSecondAllowance)).To(BeFalse())
-		known.put(Member{Name: "old", Leaving: true})
+		known.put(Member{Name: "old", Draining: true})
 		Expect(known.allUnderstand(understandsSecondAllowance)).To(BeTrue(), "one that leaves owns nothing more")
 	})
 })
--- a/internal/node/zones.go
+++ b/internal/node/zones.go
@@ -29,9 +29,9 @@
 		zone := node.members.zoneAt(request.URL.Host)
 		switch {
 		case err == nil:
-			node.zones.Heard(zone, time.Now())
+			node.zones.RecordNodeResponse(zone, time.Now())
 		case request.Context().Err() == nil || isTimeout(request.Context()):
-			node.zones.Failed(zone, time.Now())
+			node.zones.RecordNodeFailure(zone, time.Now())
 		}
 		return response, err
 	})
@@ -42,15 +42,15 @@
 
 // probeZones asks nodes of zones that may be cut off for as long as the node runs.
 func (node *Node) probeZones(ctx context.Context) {
-	if !feature.Enabled(feature.ZoneReach) {
+	if !feature.Enabled(feature.ZoneReachability) {
 		return
 	}
 	unreached := map[string]bool{}
 	alone := false
 	for ctx.Err() == nil {
-		wait.For(ctx, probePause)
+		wait.Sleep(ctx, probePause)
 		now := time.Now()
-		for _, zone := range node.zones.Due(node.otherZones(), node.storeSilent(now), now) {
+		for _, zone := range node.zones.ProbeTargets(node.otherZones(), node.storeSilent(now), now) {
 			go node.probeZone(ctx, zone)
 		}
 		node.logZones(unreached, now)
@@ -64,7 +64,7 @@
 // logZones logs which zones are lost and reached again.
 func (node *Node) logZones(unreached map[string]bool, now time.Time) {
 	for _, zone := range node.otherZones() {
-		lost := !node.zones.Reached(zone, now)
+		lost := !node.zones.Reachable(zone, now)
 		if lost != unreached[zone] {
 			unreached[zone] = lost
 			node.logger.Warn("zone out of reach", zap.String("zone", zone), zap.Bool("active", lost))
@@ -84,7 +84,7 @@
 	defer cancel()
 	_, err := node.peers.at(member.Address).Learn(bounded, node.probeRequest())
 	if err != nil && !node.mayBeLostAlone(zone) {
-		node.zones.Unanswered(zone, sent, time.Now())
+		node.zones.RecordProbeTimeout(zone, sent, time.Now())
 	}
 }
 
@@ -103,7 +103,7 @@
 // mayBeLostAlone tells whether the silence of a zone's nodes says nothing of the zone: there
 // is a single one, and the zone's engines answered last. Where it is lost they go on working.
 func (node *Node) mayBeLostAlone(zone string) bool {
-	return node.members.zoneSizes()[zone] == 1 && node.zones.EnginesAnswer(zone)
+	return node.members.zoneSizes()[zone] == 1 && node.zones.EnginesRespond(zone)
 }
 
 // otherZones returns the zones of the other nodes known, in order.
@@ -126,14 +126,14 @@
 // zoneCutOff tells whether this node's zone reaches neither the store nor another zone. Its
 // callers are better off in another zone.
 func (node *Node) zoneCutOff(now time.Time) bool {
-	return feature.Enabled(feature.ZoneReach) && node.storeSilent(now) && node.zones.Alone(node.otherZones(), now)
+	return feature.Enabled(feature.ZoneReachability) && node.storeSilent(now) && node.zones.Isolated(node.otherZones(), now)
 }
 
 // reaches tells whether a node's zone is reached.
 func (node *Node) reaches(name string, now time.Time) bool {
-	if !feature.Enabled(feature.ZoneReach) {
+	if !feature.Enabled(feature.ZoneReachability) {
 		return true
 	}
 	member, known := node.members.get(name)
-	return !known || node.zones.Reached(member.Zone, now)
+	return !known || node.zones.Reachable(member.Zone, now)
 }
--- a/internal/node/zones_test.go
+++ b/internal/node/zones_test.go
@@ -27,7 +27,7 @@
 	node.settings.Zone = "a"
 	node.zones = reach.NewZones("a")
 	node.engines = backend.NewDirectory()
-	node.engines.UseZones(node.zones)
+	node.engines.SetZones(node.zones)
 	node.members.put(Member{Name: "near", Address: "near", Zone: "a"})
 	node.members.put(Member{Name: "far", Address: beyond, Zone: "b"})
 	node.peers = newPeers(node.members, &http.Client{Transport: node.zoneTransport(http.DefaultTransport)})
@@ -51,7 +51,7 @@
 	go func() {
 		for ctx.Err() == nil {
 			node.contact.note()
-			wait.For(ctx, isolatedAfter/10)
+			wait.Sleep(ctx, isolatedAfter/10)
 		}
 	}()
 }
@@ -82,17 +82,17 @@
 
 	It("is not one whose only node is silent while its engines answer", func() {
 		node := zonedNode(deafListener().Listener.Addr().String())
-		node.engines.Put(backend.Instance{ID: "e", Service: "s", Zone: "b"}, time.Time{})
+		node.engines.Upsert(backend.Instance{ID: "e", Service: "s", Zone: "b"}, time.Time{})
 		end := func(outcome backend.Outcome) {
 			node.engines.Finish(node.engines.Pick(&backend.Request{Service: "s"}, time.Now()), outcome, time.Now())
 		}
-		end(backend.Answered)
+		end(backend.Succeeded)
 		ctx, cancel := context.WithCancel(context.Background())
 		defer cancel()
 		go node.probeZones(ctx)
 		reached := func() bool { return node.reaches("far", time.Now()) }
 		Consistently(reached, "2s").Should(BeTrue(), "an engine there has answered")
-		end(backend.Silent)
+		end(backend.NoResponse)
 		Eventually(reached, "10s").Should(BeFalse())
 	})
 
@@ -118,14 +118,14 @@
 		node := zonedNode("beyond")
 		ctx, cancel := context.WithCancel(context.Background())
 		defer cancel()
-		node.ownership = ownership.NewManager(ctx, durable.NewMemory(), zap.NewNop(), ownership.Identity{Node: "self"}, 1, ownership.Around{})
+		node.ownership = ownership.NewManager(ctx, durable.NewMemory(), zap.NewNop(), ownership.Identity{Node: "self"}, 1, ownership.Dependencies{})
 		node.programs.owners[0] = ownership.Owner{Node: "far", Epoch: 1}
-		node.zones.Unanswered("b", time.Now(), time.Now())
-		node.zones.Unanswered("b", time.Now(), time.Now())
+		node.zones.RecordProbeTimeout("b", time.Now(), time.Now())
+		node.zones.RecordProbeTimeout("b", time.Now(), time.Now())
 		reply, elsewhere := node.programs.ask(ctx, 0, "r", &nodev1.ReserveRequest{Program: "p"})
 		Expect(elsewhere).To(BeFalse(), "no other node of the zone does better")
 		Expect(reply.Verdict).To(Equal(nodev1.Verdict_VERDICT_UNSURE))
-		Expect(reply.RetryAfterMs).To(Equal(forward.CutOffRetry.Milliseconds()))
+		Expect(reply.RetryAfterMs).To(Equal(forward.IsolatedRetryAfter.Milliseconds()))
 		node.programs.owners[0] = ownership.Owner{Node: "near", Epoch: 1}
 		Expect(node.programs.cutOff(0)).To(BeNil(), "an owner in the zone is asked")
 	})
@@ -134,8 +134,8 @@
 		node := zonedNode("beyond")
 		node.logHealth.observe(nil)
 		Expect(node.reaches("far", time.Now())).To(BeTrue())
-		node.zones.Unanswered("b", time.Now(), time.Now())
-		node.zones.Unanswered("b", time.Now(), time.Now())
+		node.zones.RecordProbeTimeout("b", time.Now(), time.Now())
+		node.zones.RecordProbeTimeout("b", time.Now(), time.Now())
 		Expect(node.reaches("far", time.Now())).To(BeFalse())
 		Expect(node.reaches("near", time.Now())).To(BeTrue())
 		Expect(node.zoneCutOff(time.Now())).To(BeFalse(), "the store answers this zone")
--- a/internal/ownership/claim.go
+++ b/internal/ownership/claim.go
@@ -68,19 +68,19 @@
 			zap.String("owner", elsewhere.owner.Node), zap.Int64("epoch", elsewhere.owner.Epoch))
 		manager.fire(shard, charts.OwnershipEventClaimFailed)
 		shard.owner = elsewhere.owner
-		manager.refuseWaiters(shard, Answer{Verdict: nodev1.Verdict_VERDICT_NOT_OWNER, Owner: elsewhere.owner, Reason: "another node owns the shard"})
+		manager.refuseWaiters(shard, ReserveResult{Verdict: nodev1.Verdict_VERDICT_NOT_OWNER, Owner: elsewhere.owner, Reason: "another node owns the shard"})
 		return
 	}
 	if err != nil {
 		manager.logger.Warn("claim failed", zap.Int("shard", shard.number), zap.Duration("took", took), logging.Cause(err))
 		manager.fire(shard, charts.OwnershipEventClaimFailed)
 		manager.claimFailed = time.Now()
-		manager.refuseWaiters(shard, Answer{Verdict: nodev1.Verdict_VERDICT_UNABLE, Reason: "the log fails this node's claim"})
+		manager.refuseWaiters(shard, ReserveResult{Verdict: nodev1.Verdict_VERDICT_UNABLE, Reason: "the log fails this node's claim"})
 		return
 	}
 	manager.logger.Info("shard claimed", zap.Int("shard", shard.number), zap.Int64("epoch", won.epoch),
 		zap.Int("records", won.records), zap.Int("handed_over", won.handedOver),
-		zap.Int64("allowance_permille", won.allowance.Permille), zap.Int64("least_budget", won.allowance.LeastBudget), zap.Duration("took", took))
+		zap.Int64("allowance_permille", won.allowance.Permille), zap.Int64("least_budget", won.allowance.MinBudget), zap.Duration("took", took))
 	manager.fire(shard, charts.OwnershipEventClaimWon)
 	shard.epoch = won.epoch
 	shard.sequence = won.sequence
@@ -108,7 +108,7 @@
 			break
 		}
 		if !errors.Is(err, durable.ErrConflict) {
-			wait.For(ctx, claimPause)
+			wait.Sleep(ctx, claimPause)
 		}
 	}
 	return claimed{}, failure
@@ -137,10 +137,10 @@
 	fence := durable.Fence{Producer: producer, Epoch: epoch, Sequence: sequence}
 	reading.claimedHere = true
 	err = durable.Hedge(ctx, &manager.pace, func(ctx context.Context) error {
-		_, err := manager.log.Append(ctx, reading.partition, records, durable.Condition{At: &at, Fence: &fence})
+		_, err := manager.log.Append(ctx, reading.partition, records, durable.Condition{ExpectedEnd: &at, Fence: &fence})
 		return err
 	})
-	if errors.Is(err, durable.ErrFenced) || errors.Is(err, durable.ErrSequence) {
+	if errors.Is(err, durable.ErrFenced) || errors.Is(err, durable.ErrOutOfSequence) {
 		// A claim that is not in the records yet; go beyond it.
 		reading.refused = epoch
 	}
@@ -158,14 +158,14 @@
 	if reading.yieldedEpoch != 0 && reading.yieldedEpoch == reading.owner.GetEpoch() {
 		closes = reading.yieldedEpoch
 		outstanding = without(outstanding, closes)
-		ledger.Adopt(reading.accounts, time.Now())
+		ledger.ImportAccounts(reading.accounts, time.Now())
 		handed = ledger.Checkpoint()
 	}
 	allowance := spending.Allowance{}
 	if feature.Enabled(feature.Allowances) {
 		allowance = spending.ClaimAllowance(epoch, largest, outstanding, manager.around.CountsSecondAllowance())
 	}
-	ledger.Allow(allowance, outstanding)
+	ledger.SetAllowances(allowance, outstanding)
 	records := append([]*nodev1.SpendingRecord{encodeClaim(manager.self, epoch, sequence, allowance, closes)}, encodeCeilings(handed)...)
 	won := claimed{epoch: epoch, sequence: sequence, ledger: ledger, records: reading.records, handedOver: len(handed), allowance: allowance}
 	return won, marshal(records...)
@@ -180,7 +180,7 @@
 	}
 	bounded, cancel := context.WithTimeout(ctx, yieldTimeout)
 	defer cancel()
-	reply, err := manager.around.Yield(bounded, owner, reading.partition.Number)
+	reply, err := manager.around.RequestHandover(bounded, owner, reading.partition.Number)
 	if err != nil || reply.Incarnation != owner.Incarnation {
 		return false
 	}
--- a/internal/ownership/claim_test.go
+++ b/internal/ownership/claim_test.go
@@ -47,21 +47,21 @@
 			if unreachable[claim.Node] {
 				return nil, errUnreachable
 			}
-			return managers[claim.Node].Yielded(ctx, shard, claim.Epoch), nil
+			return managers[claim.Node].HandleHandover(ctx, shard, claim.Epoch), nil
 		}
-		freezes := freeze.NewWatchOf(func() time.Time { return time.Now().Add(time.Duration(frozen.Load())) })
+		freezes := freeze.NewDetectorWithClock(func() time.Time { return time.Now().Add(time.Duration(frozen.Load())) })
 		manager := ownership.NewManager(ctx, store, zap.NewNop(), identity, 1,
-			ownership.Around{Yield: yield, LogAway: func() bool { return away[name] }, Freezes: freezes})
+			ownership.Dependencies{RequestHandover: yield, LogUnavailable: func() bool { return away[name] }, FreezeDetector: freezes})
 		managers[name] = manager
 		go manager.Run()
 		return manager
 	}
-	ask := func(manager *ownership.Manager, request string, budget, most int64) ownership.Answer {
+	ask := func(manager *ownership.Manager, request string, budget, most int64) ownership.ReserveResult {
 		bounded, cancel := context.WithTimeout(ctx, patience)
 		defer cancel()
-		return manager.Reserve(bounded, 0, ownership.Ask{
-			Program: program, Request: request, Budget: budget, Most: most, Claim: true,
-			Until: time.Now().Add(patience),
+		return manager.Reserve(bounded, 0, ownership.ReserveRequest{
+			Program: program, RequestID: request, Budget: budget, MaxTokens: most, Claim: true,
+			ExpiresAt: time.Now().Add(patience),
 		})
 	}
 
@@ -262,10 +262,10 @@
 }
 
 // Append implements durable.Log.
-func (log *cutLog) Append(ctx context.Context, partition durable.Partition, records [][]byte, condition durable.Condition) (durable.Appended, error) {
+func (log *cutLog) Append(ctx context.Context, partition durable.Partition, records [][]byte, condition durable.Condition) (durable.AppendResult, error) {
 	if log.silent.Load() {
 		<-ctx.Done()
-		return durable.Appended{}, ctx.Err()
+		return durable.AppendResult{}, ctx.Err()
 	}
 	return log.Memory.Append(ctx, partition, records, condition)
 }
@@ -277,7 +277,7 @@
 }
 
 // Append implements durable.Log.
-func (log *racingLog) Append(ctx context.Context, partition durable.Partition, records [][]byte, condition durable.Condition) (durable.Appended, error) {
+func (log *racingLog) Append(ctx context.Context, partition durable.Partition, records [][]byte, condition durable.Condition) (durable.AppendResult, error) {
 	if log.beforeAppend != nil {
 		race := log.beforeAppend
 		log.beforeAppend = nil
--- a/internal/ownership/handover.go
+++ b/internal/ownership/handover.go
@@ -11,10 +11,10 @@
 	"go.uber.org/zap"
 )
 
-// Yielded answers another node that wants to claim a shard of which this one
+// HandleHandover answers another node that wants to claim a shard of which this one
 // made the newest claim. It keeps a shard while it can write to the log;
 // otherwise it hands its accounts over.
-func (manager *Manager) Yielded(ctx context.Context, number int, epoch int64) *nodev1.YieldReply {
+func (manager *Manager) HandleHandover(ctx context.Context, number int, epoch int64) *nodev1.YieldReply {
 	reply := make(chan *nodev1.YieldReply, 1)
 	manager.post(func() { reply <- manager.yielded(manager.shards[number], epoch) })
 	select {
@@ -34,19 +34,19 @@
 	if shard.phase != charts.OwnershipStateOwned || shard.epoch != epoch {
 		return answer
 	}
-	if !shard.unable(time.Now()) || !feature.Enabled(feature.Yielding) {
+	if !shard.unable(time.Now()) || !feature.Enabled(feature.OwnershipHandover) {
 		answer.Keeps = true
 		return answer
 	}
 	answer.Yielded = true
-	for _, account := range shard.ledger.Accounts() {
+	for _, account := range shard.ledger.ExportAccounts() {
 		answer.Accounts = append(answer.Accounts, encodeAccount(account))
 	}
 	manager.logger.Info("shard yielded", zap.Int("shard", shard.number), zap.Int64("epoch", epoch), zap.Int("programs", len(answer.Accounts)))
 	manager.fire(shard, charts.OwnershipEventYielded)
 	shard.ledger = nil
 	shard.owner = Owner{}
-	manager.refuseWaiters(shard, Answer{Verdict: nodev1.Verdict_VERDICT_NOT_OWNER, Reason: "the shard was yielded"})
+	manager.refuseWaiters(shard, ReserveResult{Verdict: nodev1.Verdict_VERDICT_NOT_OWNER, Reason: "the shard was yielded"})
 	return answer
 }
 
@@ -75,7 +75,7 @@
 		return
 	}
 	manager.fire(shard, charts.OwnershipEventStopping)
-	manager.refuseWaiters(shard, Answer{Verdict: nodev1.Verdict_VERDICT_NOT_OWNER, Reason: "the node is leaving"})
+	manager.refuseWaiters(shard, ReserveResult{Verdict: nodev1.Verdict_VERDICT_NOT_OWNER, Reason: "the node is leaving"})
 	shard.owner = Owner{}
 	shard.closed = done
 	if !shard.writing {
--- a/internal/ownership/manager.go
+++ b/internal/ownership/manager.go
@@ -16,11 +16,11 @@
 	log    durable.Log
 	logger *zap.Logger
 	self   Identity
-	around Around
+	around Dependencies
 	events chan func()
 	shards []*shard
 	// pace is that of the store's appends.
-	pace durable.Pace
+	pace durable.AppendLatency
 	// largestTurn is the most that a turn was asked for, tokens. Only the control
 	// goroutine touches it.
 	largestTurn int64
@@ -39,7 +39,7 @@
 
 // NewManager returns a manager for a number of shards that works until ctx
 // ends. Run must be called.
-func NewManager(ctx context.Context, log durable.Log, logger *zap.Logger, self Identity, shards int, around Around) *Manager {
+func NewManager(ctx context.Context, log durable.Log, logger *zap.Logger, self Identity, shards int, around Dependencies) *Manager {
 	manager := &Manager{
 		context: ctx,
 		log:     log,
@@ -96,8 +96,8 @@
 
 // Reserve asks for tokens of a program in a shard. It waits for the log where
 // that is needed, and until ctx ends.
-func (manager *Manager) Reserve(ctx context.Context, number int, ask Ask) Answer {
-	reply := make(chan Answer, 1)
+func (manager *Manager) Reserve(ctx context.Context, number int, ask ReserveRequest) ReserveResult {
+	reply := make(chan ReserveResult, 1)
 	manager.post(func() {
 		manager.reserve(manager.shards[number], waiter{ask: ask, since: time.Now(), reply: reply})
 	})
--- a/internal/ownership/record.go
+++ b/internal/ownership/record.go
@@ -41,7 +41,7 @@
 		Epoch:             epoch,
 		Sequence:          sequence,
 		AllowancePermille: allowance.Permille,
-		LeastBudget:       allowance.LeastBudget,
+		LeastBudget:       allowance.MinBudget,
 		SecondAllowance:   allowance.Second,
 		ClosesEpoch:       closes,
 	}}
@@ -50,10 +50,10 @@
 // allowanceOf returns what a claim allows its owner.
 func allowanceOf(claim *nodev1.Claim) spending.Allowance {
 	return spending.Allowance{
-		Epoch:       claim.Epoch,
-		Permille:    claim.AllowancePermille,
-		LeastBudget: claim.LeastBudget,
-		Second:      claim.SecondAllowance,
+		Epoch:     claim.Epoch,
+		Permille:  claim.AllowancePermille,
+		MinBudget: claim.LeastBudget,
+		Second:    claim.SecondAllowance,
 	}
 }
 
@@ -62,14 +62,14 @@
 		Program: account.Program.ID,
 		Tenant:  account.Program.Tenant,
 		Spent:   account.Spent,
-		Doubt:   account.Doubt,
+		Doubt:   account.Uncertain,
 		Ceiling: account.Ceiling,
 	}
-	for _, turn := range account.Open {
+	for _, turn := range account.OpenTurns {
 		message.Open = append(message.Open, &nodev1.OpenTurn{
-			Key:        turn.Request,
-			Most:       turn.Most,
-			TimeLeftMs: time.Until(turn.Until).Milliseconds(),
+			Key:        turn.RequestID,
+			Most:       turn.MaxTokens,
+			TimeLeftMs: time.Until(turn.ExpiresAt).Milliseconds(),
 		})
 	}
 	return message
@@ -79,16 +79,16 @@
 	accounts := make([]spending.Account, 0, len(messages))
 	for _, message := range messages {
 		account := spending.Account{
-			Program: tenant.Program{Tenant: message.Tenant, ID: message.Program},
-			Spent:   message.Spent,
-			Doubt:   message.Doubt,
-			Ceiling: message.Ceiling,
+			Program:   tenant.Program{Tenant: message.Tenant, ID: message.Program},
+			Spent:     message.Spent,
+			Uncertain: message.Doubt,
+			Ceiling:   message.Ceiling,
 		}
 		for _, turn := range message.Open {
-			account.Open = append(account.Open, spending.OpenTurn{
-				Request: turn.Key,
-				Most:    turn.Most,
-				Until:   time.Now().Add(time.Duration(turn.TimeLeftMs) * time.Millisecond),
+			account.OpenTurns = append(account.OpenTurns, spending.OpenTurn{
+				RequestID: turn.Key,
+				MaxTokens: turn.Most,
+				ExpiresAt: time.Now().Add(time.Duration(turn.TimeLeftMs) * time.Millisecond),
 			})
 		}
 		accounts = append(accounts, account)
--- a/internal/ownership/record_test.go
+++ b/internal/ownership/record_test.go
@@ -21,7 +21,7 @@
 			reading.apply(record)
 		}
 		Expect(reading.ceilings[owned].Tokens).To(Equal(int64(7)))
-		Expect(reading.ceilings[owned.Unowned()].Tokens).To(Equal(int64(9)))
+		Expect(reading.ceilings[owned.WithoutTenant()].Tokens).To(Equal(int64(9)))
 	})
 
 	It("keep the program's name apart, as nodes read it that know no tenants", func() {
--- a/internal/ownership/replay.go
+++ b/internal/ownership/replay.go
@@ -41,7 +41,7 @@
 func (reading *replay) won(claim *nodev1.Claim) claimed {
 	allowance := allowanceOf(claim)
 	ledger := spending.NewLedger(reading.ceilings, time.Now())
-	ledger.Allow(allowance, without(reading.allowances, claim.Epoch))
+	ledger.SetAllowances(allowance, without(reading.allowances, claim.Epoch))
 	return claimed{epoch: claim.Epoch, sequence: claim.Sequence, ledger: ledger, records: reading.records, allowance: allowance}
 }
 
--- a/internal/ownership/shard.go
+++ b/internal/ownership/shard.go
@@ -62,25 +62,25 @@
 	Address string
 }
 
-// Ask is a request for tokens.
-type Ask struct {
-	Program tenant.Program
-	Request string
-	Budget  int64
-	Most    int64
-	// Until is when the turn's time is over.
-	Until time.Time
+// ReserveRequest is a request for tokens.
+type ReserveRequest struct {
+	Program   tenant.Program
+	RequestID string
+	Budget    int64
+	MaxTokens int64
+	// ExpiresAt is when the turn's time is over.
+	ExpiresAt time.Time
 	// Claim tells the node to take the shard over where the log names no owner
 	// that may be left in place.
 	Claim bool
 }
 
-func (ask Ask) order() spending.Order {
-	return spending.Order{Program: ask.Program, Request: ask.Request, Budget: ask.Budget, Most: ask.Most, Until: ask.Until.Add(overdueMargin)}
+func (ask ReserveRequest) order() spending.ReserveRequest {
+	return spending.ReserveRequest{Program: ask.Program, RequestID: ask.RequestID, Budget: ask.Budget, MaxTokens: ask.MaxTokens, ExpiresAt: ask.ExpiresAt.Add(overdueMargin)}
 }
 
-// Answer is the outcome of an Ask.
-type Answer struct {
+// ReserveResult is the outcome of an Ask.
+type ReserveResult struct {
 	Verdict nodev1.Verdict
 	Owner   Owner
 	Reason  string
@@ -88,9 +88,9 @@
 
 // waiter is an Ask that waits for the log or for a claim.
 type waiter struct {
-	ask   Ask
+	ask   ReserveRequest
 	since time.Time
-	reply chan<- Answer
+	reply chan<- ReserveResult
 }
 
 // shard is one shard's state. Only the control goroutine touches it.
@@ -120,16 +120,16 @@
 	closed chan<- struct{}
 }
 
-// Around is what a manager asks of its node.
-type Around struct {
-	// Yield asks the owner that a claim names whether it keeps a shard; see the
+// Dependencies is what a manager asks of its node.
+type Dependencies struct {
+	// RequestHandover asks the owner that a claim names whether it keeps a shard; see the
 	// call of that name. An error says that it does not answer.
-	Yield func(ctx context.Context, claim *nodev1.Claim, shard int) (*nodev1.YieldReply, error)
-	// Freezes tells when the process was frozen.
-	Freezes *freeze.Watch
-	// LogAway tells whether the log has not answered this node for a while. It
+	RequestHandover func(ctx context.Context, claim *nodev1.Claim, shard int) (*nodev1.YieldReply, error)
+	// FreezeDetector tells when the process was frozen.
+	FreezeDetector *freeze.Detector
+	// LogUnavailable tells whether the log has not answered this node for a while. It
 	// claims nothing then: another node may reach the log.
-	LogAway func() bool
+	LogUnavailable func() bool
 	// CountsSecondAllowance tells whether all nodes that may own shards count a second
 	// allowance beside an outstanding one; nodes of a version before don't. Nil for no.
 	CountsSecondAllowance func() bool
@@ -142,24 +142,24 @@
 	Address     string
 }
 
-func unsure(reason string) Answer {
-	return Answer{Verdict: nodev1.Verdict_VERDICT_UNSURE, Reason: reason}
+func unsure(reason string) ReserveResult {
+	return ReserveResult{Verdict: nodev1.Verdict_VERDICT_UNSURE, Reason: reason}
 }
 
 func (manager *Manager) reserve(shard *shard, asked waiter) {
-	manager.largestTurn = max(manager.largestTurn, asked.ask.Most)
+	manager.largestTurn = max(manager.largestTurn, asked.ask.MaxTokens)
 	switch {
 	case shard.phase == charts.OwnershipStateOwned:
 		manager.decide(shard, asked)
 	case shard.phase == charts.OwnershipStateClaiming:
 		shard.waiters = append(shard.waiters, asked)
 	case shard.phase == charts.OwnershipStateElsewhere && asked.ask.Claim && manager.logAway(time.Now()):
-		asked.reply <- Answer{Verdict: nodev1.Verdict_VERDICT_UNABLE, Reason: "the log does not answer this node"}
+		asked.reply <- ReserveResult{Verdict: nodev1.Verdict_VERDICT_UNABLE, Reason: "the log does not answer this node"}
 	case shard.phase == charts.OwnershipStateElsewhere && asked.ask.Claim:
 		shard.waiters = append(shard.waiters, asked)
 		manager.claim(shard)
 	default:
-		asked.reply <- Answer{Verdict: nodev1.Verdict_VERDICT_NOT_OWNER, Owner: shard.owner, Reason: "another node owns the shard"}
+		asked.reply <- ReserveResult{Verdict: nodev1.Verdict_VERDICT_NOT_OWNER, Owner: shard.owner, Reason: "another node owns the shard"}
 	}
 }
 
@@ -169,34 +169,34 @@
 	if !feature.Enabled(feature.ClaimRefusal) {
 		return false
 	}
-	return now.Sub(manager.claimFailed) < claimRest || manager.around.LogAway()
+	return now.Sub(manager.claimFailed) < claimRest || manager.around.LogUnavailable()
 }
 
 // decide answers a request for tokens, or lets it wait for a ceiling.
 func (manager *Manager) decide(shard *shard, asked waiter) {
-	if _, ended := shard.ended[asked.ask.Request]; ended {
-		asked.reply <- Answer{Verdict: nodev1.Verdict_VERDICT_UNSURE, Owner: shard.owner, Reason: "the asker has given up"}
+	if _, ended := shard.ended[asked.ask.RequestID]; ended {
+		asked.reply <- ReserveResult{Verdict: nodev1.Verdict_VERDICT_UNSURE, Owner: shard.owner, Reason: "the asker has given up"}
 		return
 	}
 	verdict := shard.ledger.Reserve(asked.ask.order(), time.Now())
 	switch verdict {
 	case spending.Granted:
-		asked.reply <- Answer{Verdict: nodev1.Verdict_VERDICT_GRANTED, Owner: shard.owner}
-	case spending.Spent:
-		if manager.around.Freezes.Since(shard.confirmedAt) {
+		asked.reply <- ReserveResult{Verdict: nodev1.Verdict_VERDICT_GRANTED, Owner: shard.owner}
+	case spending.BudgetExhausted:
+		if manager.around.FreezeDetector.FrozenSince(shard.confirmedAt) {
 			// Another node may own the shard by now and know how turns have ended since.
-			shard.ledger.WriteAgain(asked.ask.Program)
+			shard.ledger.RequeueCeiling(asked.ask.Program)
 			shard.waiters = append(shard.waiters, asked)
 			break
 		}
 		manager.logRefusal(shard, asked.ask, "spent")
-		asked.reply <- Answer{Verdict: nodev1.Verdict_VERDICT_SPENT, Owner: shard.owner, Reason: "the budget leaves no room"}
-	case spending.Unsure:
+		asked.reply <- ReserveResult{Verdict: nodev1.Verdict_VERDICT_SPENT, Owner: shard.owner, Reason: "the budget leaves no room"}
+	case spending.Undetermined:
 		manager.logRefusal(shard, asked.ask, "unsure")
-		asked.reply <- Answer{Verdict: nodev1.Verdict_VERDICT_UNSURE, Owner: shard.owner, Reason: "a former owner may have used the room left"}
+		asked.reply <- ReserveResult{Verdict: nodev1.Verdict_VERDICT_UNSURE, Owner: shard.owner, Reason: "a former owner may have used the room left"}
 	case spending.AwaitCeiling:
 		if shard.unable(time.Now()) {
-			asked.reply <- Answer{Verdict: nodev1.Verdict_VERDICT_UNABLE, Owner: shard.owner, Reason: "the log does not answer the owner"}
+			asked.reply <- ReserveResult{Verdict: nodev1.Verdict_VERDICT_UNABLE, Owner: shard.owner, Reason: "the log does not answer the owner"}
 			return
 		}
 		shard.waiters = append(shard.waiters, asked)
@@ -205,12 +205,12 @@
 }
 
 // logRefusal writes on what a program was refused.
-func (manager *Manager) logRefusal(shard *shard, ask Ask, verdict string) {
+func (manager *Manager) logRefusal(shard *shard, ask ReserveRequest, verdict string) {
 	balance := shard.ledger.Balance(ask.Program)
-	manager.logger.Info("turn refused", zap.String("key", ask.Request), zap.String("program", ask.Program.ID), zap.String("tenant", ask.Program.Tenant),
+	manager.logger.Info("turn refused", zap.String("key", ask.RequestID), zap.String("program", ask.Program.ID), zap.String("tenant", ask.Program.Tenant),
 		zap.String("verdict", verdict), zap.Int("shard", shard.number), zap.Int64("epoch", shard.epoch),
-		zap.Int64("budget", ask.Budget), zap.Int64("most", ask.Most), zap.Int64("spent", balance.Spent),
-		zap.Int64("doubt", balance.Doubt), zap.Int64("open", balance.Open), zap.Int64("ceiling", balance.Ceiling))
+		zap.Int64("budget", ask.Budget), zap.Int64("most", ask.MaxTokens), zap.Int64("spent", balance.Spent),
+		zap.Int64("doubt", balance.Uncertain), zap.Int64("open", balance.Reserved), zap.Int64("ceiling", balance.Ceiling))
 }
 
 // unable tells whether the log has been silent too long.
@@ -239,7 +239,7 @@
 	}
 }
 
-func (manager *Manager) refuseWaiters(shard *shard, answer Answer) {
+func (manager *Manager) refuseWaiters(shard *shard, answer ReserveResult) {
 	for _, asked := range shard.waiters {
 		asked.reply <- answer
 	}
@@ -263,11 +263,11 @@
 
 // stillWaiting is the answer to one that has waited for the log too long. Where a
 // claim has waited for longer than an owner may, another node may try.
-func (shard *shard) stillWaiting(now time.Time) Answer {
+func (shard *shard) stillWaiting(now time.Time) ReserveResult {
 	if shard.phase == charts.OwnershipStateClaiming && feature.Enabled(feature.ClaimRefusal) && now.Sub(shard.claimBegan) > unableAfter {
-		return Answer{Verdict: nodev1.Verdict_VERDICT_UNABLE, Reason: "the log does not answer this node's claim"}
+		return ReserveResult{Verdict: nodev1.Verdict_VERDICT_UNABLE, Reason: "the log does not answer this node's claim"}
 	}
-	return Answer{Verdict: nodev1.Verdict_VERDICT_WAITING, Owner: shard.owner, Reason: "the log does not answer"}
+	return ReserveResult{Verdict: nodev1.Verdict_VERDICT_WAITING, Owner: shard.owner, Reason: "the log does not answer"}
 }
 
 // settle ends a turn, or remembers its end where its request has not come yet:
@@ -283,7 +283,7 @@
 func (manager *Manager) expireTurns(now time.Time) {
 	for _, shard := range manager.shards {
 		if shard.ledger != nil {
-			shard.ledger.Overdue(now)
+			shard.ledger.ExpireTurns(now)
 		}
 	}
 }
--- a/internal/ownership/write.go
+++ b/internal/ownership/write.go
@@ -18,7 +18,7 @@
 	if shard.writing || shard.phase != charts.OwnershipStateOwned {
 		return
 	}
-	ceilings := shard.ledger.Wanted()
+	ceilings := shard.ledger.DrainPendingCeilings()
 	if len(ceilings) == 0 {
 		return
 	}
@@ -43,13 +43,13 @@
 			return err
 		})
 		cancel()
-		if err == nil || errors.Is(err, durable.ErrFenced) || errors.Is(err, durable.ErrSequence) {
+		if err == nil || errors.Is(err, durable.ErrFenced) || errors.Is(err, durable.ErrOutOfSequence) {
 			return err
 		}
 		if manager.context.Err() != nil {
 			return err
 		}
-		wait.For(manager.context, delay)
+		wait.Sleep(manager.context, delay)
 	}
 }
 
@@ -67,7 +67,7 @@
 		return
 	}
 	shard.confirmedAt = shard.silentSince
-	shard.ledger.Written(ceilings)
+	shard.ledger.AcknowledgeCeilings(ceilings)
 	manager.decideWaiters(shard)
 	manager.write(shard)
 }
--- a/internal/quota/bucket.go
+++ b/internal/quota/bucket.go
@@ -47,7 +47,7 @@
 func newBucket(now time.Time) *bucket { return &bucket{programs: newPrograms(now)} }
 
 // decide grants a request or refuses it.
-func (bucket *bucket) decide(ask Ask, lent credit, programsFirst bool) (verdict Verdict, delay, retryAfter time.Duration) {
+func (bucket *bucket) decide(ask Request, lent credit, programsFirst bool) (verdict Verdict, delay, retryAfter time.Duration) {
 	bucket.forget(lent.now)
 	requests := 1.0
 	begins := bucket.programs.begins(ask)
@@ -58,7 +58,7 @@
 	if !begins && wait > 0 {
 		bucket.scarceUntil = lent.now.Add(scarceFor)
 	}
-	if wait > min(ask.Patience, mostDelay) {
+	if wait > min(ask.MaxWait, mostDelay) {
 		return Refused, 0, bucket.promise(wait, lent)
 	}
 	bucket.add(mark{at: lent.now.Add(wait), lent: lent.sum + wait.Seconds()*lent.share})
--- a/internal/quota/keeper.go
+++ b/internal/quota/keeper.go
@@ -9,8 +9,8 @@
 // is likely that nodes are about to change keepers, and that another one could tell.
 const settledShare = 0.5
 
-// Keeper keeps the limits of groups of tenants. It is safe for concurrent use.
-type Keeper struct {
+// Coordinator keeps the limits of groups of tenants. It is safe for concurrent use.
+type Coordinator struct {
 	incarnation string
 	started     time.Time
 	options     Options
@@ -27,36 +27,36 @@
 	ProgramsFirst bool
 }
 
-// NewKeeper returns a keeper that has been lent nothing. Its incarnation tells it from
+// NewCoordinator returns a keeper that has been lent nothing. Its incarnation tells it from
 // every other process.
-func NewKeeper(incarnation string, now time.Time, options Options) *Keeper {
-	return &Keeper{incarnation: incarnation, started: now, options: options, groups: map[int]*group{}}
+func NewCoordinator(incarnation string, now time.Time, options Options) *Coordinator {
+	return &Coordinator{incarnation: incarnation, started: now, options: options, groups: map[int]*group{}}
 }
 
 // Decide takes in what a node lends and answers for its request. now must come from a
 // clock that does not jump.
-func (keeper *Keeper) Decide(ask Ask, now time.Time) Answer {
+func (keeper *Coordinator) Decide(ask Request, now time.Time) Response {
 	keeper.mutex.Lock()
 	defer keeper.mutex.Unlock()
 	asked := keeper.group(ask.Group, now)
 	asked.advance(now)
 	keeper.borrow(asked, ask, now)
-	answer := Answer{Clock: Clock{Incarnation: keeper.incarnation, Since: now.Sub(keeper.started)}}
+	answer := Response{Clock: CoordinatorTime{Incarnation: keeper.incarnation, Elapsed: now.Sub(keeper.started)}}
 	if ask.Tenant == "" {
 		return answer
 	}
 	lent := asked.credit(now)
 	answer.Share = lent.share
 	if lent.share == 0 {
-		answer.Verdict = Unsettled
+		answer.Verdict = Undetermined
 		return answer
 	}
 	held := asked.bucket(ask, now)
 	answer.Verdict, answer.Delay, answer.RetryAfter = held.decide(ask, lent, keeper.options.ProgramsFirst)
 	if answer.Verdict == Refused {
-		answer.Room = held.room(lent)
+		answer.Available = held.room(lent)
 		if lent.share < settledShare {
-			answer.Verdict = Unsettled
+			answer.Verdict = Undetermined
 		}
 	}
 	return answer
@@ -64,11 +64,11 @@
 
 // borrow notes the asker's share. It counts for LentFor from the moment that the asker
 // names, and not from the ask's arrival, which may come at any time after.
-func (keeper *Keeper) borrow(asked *group, ask Ask, now time.Time) {
-	if ask.Lent.Incarnation != keeper.incarnation {
+func (keeper *Coordinator) borrow(asked *group, ask Request, now time.Time) {
+	if ask.LeaseStart.Incarnation != keeper.incarnation {
 		return
 	}
-	until := keeper.started.Add(ask.Lent.Since + LentFor)
+	until := keeper.started.Add(ask.LeaseStart.Elapsed + LeaseDuration)
 	if !until.After(now) {
 		return
 	}
@@ -76,12 +76,12 @@
 	if until.After(held.until) {
 		held.until = until
 	}
-	held.since = now.Add(-ask.Held)
+	held.since = now.Add(-ask.LeasedFor)
 	held.nodes = max(ask.Nodes, 1)
 	asked.loans[ask.Node] = held
 }
 
-func (keeper *Keeper) group(number int, now time.Time) *group {
+func (keeper *Coordinator) group(number int, now time.Time) *group {
 	found := keeper.groups[number]
 	if found == nil {
 		found = &group{tolerance: keeper.options.Tolerance, advanced: now, loans: map[string]loan{}, buckets: map[string]*bucket{}}
@@ -192,7 +192,7 @@
 }
 
 // bucket returns the tenant's bucket, with the newest limit seen.
-func (group *group) bucket(ask Ask, now time.Time) *bucket {
+func (group *group) bucket(ask Request, now time.Time) *bucket {
 	found := group.buckets[ask.Tenant]
 	if found == nil {
 		found = newBucket(now)
--- a/internal/quota/keeper_test.go
+++ b/internal/quota/keeper_test.go
@@ -17,7 +17,7 @@
 
 // world is one keeper to which some nodes lend.
 type world struct {
-	keeper *quota.Keeper
+	keeper *quota.Coordinator
 	now    time.Time
 	nodes  int
 	limit  tenant.Limit
@@ -26,7 +26,7 @@
 }
 
 func newWorld(nodes int, limit tenant.Limit, options quota.Options) *world {
-	return &world{keeper: quota.NewKeeper("k", start, options), now: start, nodes: nodes, limit: limit, since: start}
+	return &world{keeper: quota.NewCoordinator("k", start, options), now: start, nodes: nodes, limit: limit, since: start}
 }
 
 // pass lets time go by while the first lenders of the nodes lend.
@@ -39,17 +39,17 @@
 
 func (world *world) lend(lenders int) {
 	for number := range lenders {
-		ask := quota.Ask{Node: fmt.Sprint(number), Nodes: world.nodes}
-		ask.Lent = world.keeper.Decide(ask, world.now).Clock
-		ask.Held = world.now.Sub(world.since)
+		ask := quota.Request{Node: fmt.Sprint(number), Nodes: world.nodes}
+		ask.LeaseStart = world.keeper.Decide(ask, world.now).Clock
+		ask.LeasedFor = world.now.Sub(world.since)
 		world.keeper.Decide(ask, world.now)
 	}
 }
 
 // ask asks for a request of a program.
-func (world *world) ask(program string, patience time.Duration) quota.Answer {
-	return world.keeper.Decide(quota.Ask{Node: "0", Nodes: world.nodes, Held: world.now.Sub(world.since), Tenant: "t", Limit: world.limit,
-		Program: program, Patience: patience}, world.now)
+func (world *world) ask(program string, patience time.Duration) quota.Response {
+	return world.keeper.Decide(quota.Request{Node: "0", Nodes: world.nodes, LeasedFor: world.now.Sub(world.since), Tenant: "t", Limit: world.limit,
+		Program: program, MaxWait: patience}, world.now)
 }
 
 // granted asks until a request is not granted, and returns how many were.
@@ -83,7 +83,7 @@
 	})
 
 	It("grants more for what the operators tolerate", func() {
-		tolerance := quota.Tolerance{Window: window, Share: 0.1, Requests: 20}
+		tolerance := quota.Tolerance{Window: window, ExcessFraction: 0.1, ExcessRequests: 20}
 		world := newWorld(1, ten, quota.Options{Tolerance: tolerance})
 		world.pass(window, 1)
 		Expect(world.granted()).To(Equal(20 + 7 + 20))
@@ -91,7 +91,7 @@
 
 	It("begins empty, at a part of the rate, until it was lent to for a window", func() {
 		world := newWorld(2, ten, quota.Options{})
-		Expect(world.ask("", 0).Verdict).To(Equal(quota.Unsettled))
+		Expect(world.ask("", 0).Verdict).To(Equal(quota.Undetermined))
 		world.lend(2)
 		Expect(world.granted()).To(BeZero())
 		world.pass(2*time.Second, 2)
@@ -114,7 +114,7 @@
 		world := newWorld(2, ten, quota.Options{})
 		world.pass(4*window, 2)
 		world.now = world.now.Add(window)
-		Expect(world.ask("", 0).Verdict).To(Equal(quota.Unsettled))
+		Expect(world.ask("", 0).Verdict).To(Equal(quota.Undetermined))
 		world.since = world.now
 		world.lend(2)
 		Expect(world.granted()).To(BeNumerically("<=", 4), "what the last loans gave in half a second of the window")
@@ -123,17 +123,17 @@
 	It("counts nothing for a clock of another process, nor for one that is too old", func() {
 		world := newWorld(1, ten, quota.Options{})
 		world.now = start.Add(10 * time.Second)
-		for _, clock := range []quota.Clock{{}, {Incarnation: "other", Since: 10 * time.Second}, {Incarnation: "k", Since: 9 * time.Second}} {
-			world.keeper.Decide(quota.Ask{Node: "0", Nodes: 1, Lent: clock}, world.now)
-			Expect(world.ask("", 0).Verdict).To(Equal(quota.Unsettled))
+		for _, clock := range []quota.CoordinatorTime{{}, {Incarnation: "other", Elapsed: 10 * time.Second}, {Incarnation: "k", Elapsed: 9 * time.Second}} {
+			world.keeper.Decide(quota.Request{Node: "0", Nodes: 1, LeaseStart: clock}, world.now)
+			Expect(world.ask("", 0).Verdict).To(Equal(quota.Undetermined))
 		}
 	})
 
 	It("takes the number of nodes from the lender that knows most", func() {
 		world := newWorld(2, ten, quota.Options{})
 		world.pass(window, 2)
-		late := quota.Ask{Node: "late", Nodes: 10}
-		late.Lent = world.keeper.Decide(late, world.now).Clock
+		late := quota.Request{Node: "late", Nodes: 10}
+		late.LeaseStart = world.keeper.Decide(late, world.now).Clock
 		world.keeper.Decide(late, world.now)
 		Expect(world.granted()).To(Equal(6), "three of ten nodes")
 	})
@@ -153,7 +153,7 @@
 	It("takes a lower limit from the newest configuration, and no older one after it", func() {
 		world := newWorld(1, tenant.Limit{PerSecond: 100, Burst: 100}, quota.Options{})
 		world.pass(window, 1)
-		lower := quota.Ask{Node: "0", Nodes: 1, Tenant: "t", Limit: tenant.Limit{PerSecond: 1, Burst: 2}, Configuration: 2}
+		lower := quota.Request{Node: "0", Nodes: 1, Tenant: "t", Limit: tenant.Limit{PerSecond: 1, Burst: 2}, Configuration: 2}
 		Expect(world.keeper.Decide(lower, world.now).Verdict).To(Equal(quota.Granted))
 		Expect(world.granted()).To(BeNumerically("<=", 3))
 	})
--- a/internal/quota/lender.go
+++ b/internal/quota/lender.go
@@ -2,13 +2,13 @@
 
 import "time"
 
-// Lender is a node's side for one group of tenants: to whom it lends its share. It is
+// Lessor is a node's side for one group of tenants: to whom it lends its share. It is
 // not safe for concurrent use.
-type Lender struct {
+type Lessor struct {
 	// keeper has the share, or is to get it with the first ask that names its clock.
 	keeper string
 	// clock is the keeper's newest moment heard, zero where none was; heard is when.
-	clock Clock
+	clock CoordinatorTime
 	heard time.Time
 	// since is from when on the share was lent to no other keeper.
 	since time.Time
@@ -16,46 +16,46 @@
 	until time.Time
 }
 
-// Keeper returns who has the share or is to get it, empty where nobody is.
-func (lender *Lender) Keeper() string { return lender.keeper }
+// Coordinator returns who has the share or is to get it, empty where nobody is.
+func (lender *Lessor) Coordinator() string { return lender.keeper }
 
 // Target returns whom to ask, and the moment from which on the share is lent by that ask.
 // wanted is the keeper that the node would choose now, sound tells whether the present one
 // answers. A share that a former keeper may still count is not lent to another one.
-func (lender *Lender) Target(wanted string, sound bool, now time.Time) (keeper string, lent Clock) {
+func (lender *Lessor) Target(wanted string, sound bool, now time.Time) (keeper string, lent CoordinatorTime) {
 	if lender.keeper != wanted && !now.Before(lender.until) {
 		lender.keeper = wanted
-		lender.clock = Clock{}
+		lender.clock = CoordinatorTime{}
 		lender.since = time.Time{}
 	}
 	switch {
-	case lender.keeper == wanted && lender.clock != Clock{}:
+	case lender.keeper == wanted && lender.clock != CoordinatorTime{}:
 		if lender.since.IsZero() {
 			lender.since = now
 		}
 		// The clock was read before it was heard.
-		lender.until = lender.heard.Add(LentFor)
+		lender.until = lender.heard.Add(LeaseDuration)
 		return wanted, lender.clock
 	case lender.keeper != wanted && sound:
-		return lender.keeper, Clock{}
+		return lender.keeper, CoordinatorTime{}
 	}
-	return wanted, Clock{}
+	return wanted, CoordinatorTime{}
 }
 
-// Held is for how long the share was lent to no other keeper than the present one.
-func (lender *Lender) Held(now time.Time) time.Duration {
+// LeasedFor is for how long the share was lent to no other keeper than the present one.
+func (lender *Lessor) LeasedFor(now time.Time) time.Duration {
 	if lender.since.IsZero() {
 		return 0
 	}
 	return now.Sub(lender.since)
 }
 
-// Heard notes a keeper's clock.
-func (lender *Lender) Heard(keeper string, clock Clock, now time.Time) {
+// ObserveCoordinator notes a keeper's clock.
+func (lender *Lessor) ObserveCoordinator(keeper string, clock CoordinatorTime, now time.Time) {
 	if keeper != lender.keeper {
 		return
 	}
-	if clock.Incarnation == lender.clock.Incarnation && clock.Since <= lender.clock.Since {
+	if clock.Incarnation == lender.clock.Incarnation && clock.Elapsed <= lender.clock.Elapsed {
 		return
 	}
 	lender.clock = clock
--- a/internal/quota/programs.go
+++ b/internal/quota/programs.go
@@ -21,7 +21,7 @@
 }
 
 // begins tells whether a request is a new program's first one.
-func (programs *programs) begins(ask Ask) bool {
+func (programs *programs) begins(ask Request) bool {
 	if ask.Program == "" || ask.Continues {
 		return false
 	}
@@ -30,7 +30,7 @@
 }
 
 // note counts a granted request of a program.
-func (programs *programs) note(ask Ask, now time.Time) {
+func (programs *programs) note(ask Request, now time.Time) {
 	if ask.Program != "" {
 		programs.seen[ask.Program] = now
 	}
--- a/internal/quota/quota.go
+++ b/internal/quota/quota.go
@@ -25,10 +25,10 @@
 	"github.com/magpielug/magpielug/internal/tenant"
 )
 
-// LentFor is how long a share counts from the keeper's moment that its lender names. It
+// LeaseDuration is how long a share counts from the keeper's moment that its lender names. It
 // bounds what nodes that are all started anew may grant too much, in seconds of a
 // limit, and how long a limit is held up when its keeper is lost.
-const LentFor = 500 * time.Millisecond
+const LeaseDuration = 500 * time.Millisecond
 
 const (
 	// defaultWindow is the span over which requests are counted where the operators name
@@ -45,9 +45,9 @@
 type Tolerance struct {
 	// Window is the span over which requests are counted, 0 where it is not known.
 	Window time.Duration
-	// Share of a window's limit, and Requests beside it, may run above it.
-	Share    float64
-	Requests float64
+	// ExcessFraction of a window's limit, and Requests beside it, may run above it.
+	ExcessFraction float64
+	ExcessRequests float64
 }
 
 // window is the span over which requests are counted.
@@ -71,29 +71,29 @@
 // one request at once however small it is.
 func (tolerance Tolerance) envelope(limit tenant.Limit) envelope {
 	window := tolerance.window()
-	most := (limit.PerSecond*window.Seconds()+limit.Burst)*(1+tolerance.Share) + tolerance.Requests
+	most := (limit.PerSecond*window.Seconds()+limit.Burst)*(1+tolerance.ExcessFraction) + tolerance.ExcessRequests
 	rate := successorShare * limit.PerSecond
-	return envelope{depth: max(most-rate*(window+LentFor).Seconds(), 1), rate: rate, window: window}
+	return envelope{depth: max(most-rate*(window+LeaseDuration).Seconds(), 1), rate: rate, window: window}
 }
 
-// Clock is a moment by the clock of one keeper's process. The zero value is none.
-type Clock struct {
+// CoordinatorTime is a moment by the clock of one keeper's process. The zero value is none.
+type CoordinatorTime struct {
 	Incarnation string
-	Since       time.Duration
+	Elapsed     time.Duration
 }
 
-// Ask is a request of a node to a keeper. Without a tenant it only lends.
-type Ask struct {
+// Request is a request of a node to a keeper. Without a tenant it only lends.
+type Request struct {
 	// Node asks, and knows of Nodes nodes, itself included.
 	Node  string
 	Nodes int
 	// Group is the group of tenants that is asked for.
 	Group int
-	// Lent is the keeper's moment from which on the node's share is lent; zero lends
+	// LeaseStart is the keeper's moment from which on the node's share is lent; zero lends
 	// nothing.
-	Lent Clock
-	// Held is for how long the node has lent its share to no other keeper.
-	Held time.Duration
+	LeaseStart CoordinatorTime
+	// LeasedFor is for how long the node has lent its share to no other keeper.
+	LeasedFor time.Duration
 	// Tenant sends the request, under a limit that stands in a version of the
 	// configuration.
 	Tenant        string
@@ -103,8 +103,8 @@
 	// request is known to go on with what the program has begun.
 	Program   string
 	Continues bool
-	// Patience is how long the request may wait for room.
-	Patience time.Duration
+	// MaxWait is how long the request may wait for room.
+	MaxWait time.Duration
 }
 
 // Verdict is a keeper's answer.
@@ -116,18 +116,18 @@
 	Granted Verdict = iota + 1
 	// Refused: the limit has no room. Answer.RetryAfter says when it will have.
 	Refused
-	// Unsettled: the keeper was lent too little to tell, as while nodes change keepers.
-	Unsettled
+	// Undetermined: the keeper was lent too little to tell, as while nodes change keepers.
+	Undetermined
 )
 
-// Answer is a keeper's answer to an Ask.
-type Answer struct {
-	Clock      Clock
+// Response is a keeper's answer to an Ask.
+type Response struct {
+	Clock      CoordinatorTime
 	Verdict    Verdict
 	Delay      time.Duration
 	RetryAfter time.Duration
 	// What decided: the part of the limit that is lent and, of a refusal, the requests
 	// that might run at once.
-	Share float64
-	Room  float64
+	Share     float64
+	Available float64
 }
--- a/internal/quota/schedule_test.go
+++ b/internal/quota/schedule_test.go
@@ -27,8 +27,8 @@
 	from, to int
 	at       time.Time
 	sent     time.Time
-	ask      *quota.Ask
-	answer   *quota.Answer
+	ask      *quota.Request
+	answer   *quota.Response
 }
 
 // schedule is one run of nodes that ask as much as they can while links are cut, messages
@@ -38,8 +38,8 @@
 	now      time.Time
 	limit    tenant.Limit
 	lives    int
-	keepers  []*quota.Keeper
-	lenders  []*quota.Lender
+	keepers  []*quota.Coordinator
+	lenders  []*quota.Lessor
 	suspects [][]time.Time
 	frozen   []time.Time
 	// cut holds the time up to which a pair of nodes is cut.
@@ -65,8 +65,8 @@
 
 func (run *schedule) startNode(node int) {
 	run.lives++
-	run.keepers[node] = quota.NewKeeper(fmt.Sprint("life-", run.lives), run.now, quota.Options{})
-	run.lenders[node] = &quota.Lender{}
+	run.keepers[node] = quota.NewCoordinator(fmt.Sprint("life-", run.lives), run.now, quota.Options{})
+	run.lenders[node] = &quota.Lessor{}
 }
 
 func (run *schedule) disturb() {
@@ -106,9 +106,9 @@
 func (run *schedule) askFrom(asker int) {
 	lender := run.lenders[asker]
 	wanted := run.choose(asker)
-	sound := lender.Keeper() != "" && run.now.After(run.suspects[asker][nodeNumber(lender.Keeper())])
+	sound := lender.Coordinator() != "" && run.now.After(run.suspects[asker][nodeNumber(lender.Coordinator())])
 	target, lent := lender.Target(fmt.Sprint(wanted), sound, run.now)
-	ask := &quota.Ask{Node: fmt.Sprint(asker), Nodes: len(run.keepers), Lent: lent, Held: lender.Held(run.now), Tenant: "t", Limit: run.limit}
+	ask := &quota.Request{Node: fmt.Sprint(asker), Nodes: len(run.keepers), LeaseStart: lent, LeasedFor: lender.LeasedFor(run.now), Tenant: "t", Limit: run.limit}
 	run.send(message{from: asker, to: nodeNumber(target), sent: run.now, ask: ask})
 }
 
@@ -151,7 +151,7 @@
 	if run.now.Sub(answered.sent) > askTime {
 		return
 	}
-	run.lenders[answered.to].Heard(fmt.Sprint(answered.from), answered.answer.Clock, run.now)
+	run.lenders[answered.to].ObserveCoordinator(fmt.Sprint(answered.from), answered.answer.Clock, run.now)
 	if answered.answer.Verdict == quota.Granted {
 		run.used = append(run.used, run.now)
 	}
@@ -180,7 +180,7 @@
 // suspectOne has a node give a keeper up that it does not reach, and now and then one that
 // it does reach.
 func (run *schedule) suspectOne(node int) {
-	target := nodeNumber(run.lenders[node].Keeper())
+	target := nodeNumber(run.lenders[node].Coordinator())
 	cut := run.now.Before(run.cut[[2]int{node, target}]) || run.now.Before(run.cut[[2]int{target, node}]) || run.now.Before(run.frozen[target])
 	if (cut && run.random.IntN(20) == 0) || run.random.IntN(1000) == 0 {
 		run.suspects[node][target] = run.now.Add(3 * time.Second)
--- a/internal/reach/reach.go
+++ b/internal/reach/reach.go
@@ -68,8 +68,8 @@
 	return found
 }
 
-// Heard notes an answer of a node.
-func (zones *Zones) Heard(name string, now time.Time) {
+// RecordNodeResponse notes an answer of a node.
+func (zones *Zones) RecordNodeResponse(name string, now time.Time) {
 	zones.mutex.Lock()
 	defer zones.mutex.Unlock()
 	if found := zones.of(name); found != nil {
@@ -78,8 +78,8 @@
 	}
 }
 
-// Failed notes that a node did not answer.
-func (zones *Zones) Failed(name string, now time.Time) {
+// RecordNodeFailure notes that a node did not answer.
+func (zones *Zones) RecordNodeFailure(name string, now time.Time) {
 	zones.mutex.Lock()
 	defer zones.mutex.Unlock()
 	if found := zones.of(name); found != nil {
@@ -87,17 +87,21 @@
 	}
 }
 
-// EngineHeard notes an answer of an engine.
-func (zones *Zones) EngineHeard(name string, now time.Time) { zones.noteEngine(name, true, now) }
+// RecordEngineResponse notes an answer of an engine.
+func (zones *Zones) RecordEngineResponse(name string, now time.Time) {
+	zones.noteEngine(name, true, now)
+}
 
-// EngineFailed notes that an engine did not answer.
-func (zones *Zones) EngineFailed(name string, now time.Time) { zones.noteEngine(name, false, now) }
+// RecordEngineFailure notes that an engine did not answer.
+func (zones *Zones) RecordEngineFailure(name string, now time.Time) {
+	zones.noteEngine(name, false, now)
+}
 
 func (zones *Zones) noteEngine(name string, answers bool, now time.Time) {
 	if answers {
-		zones.Heard(name, now)
+		zones.RecordNodeResponse(name, now)
 	} else {
-		zones.Failed(name, now)
+		zones.RecordNodeFailure(name, now)
 	}
 	zones.mutex.Lock()
 	defer zones.mutex.Unlock()
@@ -106,17 +110,17 @@
 	}
 }
 
-// EnginesAnswer tells whether the engine of a zone that was asked last has answered.
-func (zones *Zones) EnginesAnswer(name string) bool {
+// EnginesRespond tells whether the engine of a zone that was asked last has answered.
+func (zones *Zones) EnginesRespond(name string) bool {
 	zones.mutex.Lock()
 	defer zones.mutex.Unlock()
 	found := zones.zones[name]
 	return found != nil && found.enginesAnswer
 }
 
-// Unanswered notes that a probe sent at a time was not answered. It says nothing where the
+// RecordProbeTimeout notes that a probe sent at a time was not answered. It says nothing where the
 // zone was heard since.
-func (zones *Zones) Unanswered(name string, sent, now time.Time) {
+func (zones *Zones) RecordProbeTimeout(name string, sent, now time.Time) {
 	zones.mutex.Lock()
 	defer zones.mutex.Unlock()
 	if found := zones.of(name); found != nil && !found.heard.After(sent) {
@@ -125,22 +129,22 @@
 	}
 }
 
-// Reached tells whether a zone is reached as far as is known.
-func (zones *Zones) Reached(name string, now time.Time) bool {
+// Reachable tells whether a zone is reached as far as is known.
+func (zones *Zones) Reachable(name string, now time.Time) bool {
 	zones.mutex.Lock()
 	defer zones.mutex.Unlock()
 	found := zones.zones[name]
 	return found == nil || !found.unreached(now)
 }
 
-// Alone tells whether none of the other zones named is reached, false where there is none.
-func (zones *Zones) Alone(others []string, now time.Time) bool {
-	return len(others) > 0 && !slices.ContainsFunc(others, func(name string) bool { return zones.Reached(name, now) })
+// Isolated tells whether none of the other zones named is reached, false where there is none.
+func (zones *Zones) Isolated(others []string, now time.Time) bool {
+	return len(others) > 0 && !slices.ContainsFunc(others, func(name string) bool { return zones.Reachable(name, now) })
 }
 
-// Due returns those of the zones named that are to be probed now. all has each probed that
+// ProbeTargets returns those of the zones named that are to be probed now. all has each probed that
 // was not heard just now, whether calls there failed or not.
-func (zones *Zones) Due(others []string, all bool, now time.Time) []string {
+func (zones *Zones) ProbeTargets(others []string, all bool, now time.Time) []string {
 	zones.mutex.Lock()
 	defer zones.mutex.Unlock()
 	var due []string
