--- a/internal/reach/reach_test.go
+++ b/internal/reach/reach_test.go
@@ -17,73 +17,73 @@
 	expect := NewWithT(t)
 	zones := reach.NewZones("a")
 	others := []string{"b", "c"}
-	zones.Heard("b", start)
-	zones.Heard("c", start)
+	zones.RecordNodeResponse("b", start)
+	zones.RecordNodeResponse("c", start)
 	known := 0
 	for now := 0; now <= 2000 && known == 0; now += 150 {
-		zones.Heard("c", at(now)) // Goes on answering.
+		zones.RecordNodeResponse("c", at(now)) // Goes on answering.
 		if now == 150 {
-			zones.Failed("b", at(now))
+			zones.RecordNodeFailure("b", at(now))
 		}
-		for _, due := range zones.Due(others, false, at(now)) {
+		for _, due := range zones.ProbeTargets(others, false, at(now)) {
 			expect.Expect(due).To(Equal("b"))
-			zones.Unanswered(due, at(now), at(now))
+			zones.RecordProbeTimeout(due, at(now), at(now))
 		}
-		if !zones.Reached("b", at(now)) {
+		if !zones.Reachable("b", at(now)) {
 			known = now
 		}
 	}
 	expect.Expect(known).To(BeNumerically(">", 700))
 	expect.Expect(known).To(BeNumerically("<=", 1000))
-	expect.Expect(zones.Alone(others, at(known))).To(BeFalse(), "the other zone answers")
-	expect.Expect(zones.Due(others, false, at(known+150))).To(Equal([]string{"b"}), "probed until it is back")
-	zones.Heard("b", at(known+200))
-	expect.Expect(zones.Reached("b", at(known+200))).To(BeTrue())
+	expect.Expect(zones.Isolated(others, at(known))).To(BeFalse(), "the other zone answers")
+	expect.Expect(zones.ProbeTargets(others, false, at(known+150))).To(Equal([]string{"b"}), "probed until it is back")
+	zones.RecordNodeResponse("b", at(known+200))
+	expect.Expect(zones.Reachable("b", at(known+200))).To(BeTrue())
 }
 
 func TestANodeThatHearsNoOtherZoneIsAlone(t *testing.T) {
 	expect := NewWithT(t)
 	zones := reach.NewZones("a")
 	others := []string{"b", "c"}
-	expect.Expect(zones.Alone(nil, start)).To(BeFalse(), "there is no other zone")
+	expect.Expect(zones.Isolated(nil, start)).To(BeFalse(), "there is no other zone")
 	for now := 0; now <= 900; now += 150 {
-		for _, due := range zones.Due(others, true, at(now)) {
-			zones.Unanswered(due, at(now), at(now))
+		for _, due := range zones.ProbeTargets(others, true, at(now)) {
+			zones.RecordProbeTimeout(due, at(now), at(now))
 		}
 	}
-	expect.Expect(zones.Alone(others, at(901))).To(BeTrue())
-	zones.Heard("c", at(950))
-	expect.Expect(zones.Alone(others, at(951))).To(BeFalse())
+	expect.Expect(zones.Isolated(others, at(901))).To(BeTrue())
+	zones.RecordNodeResponse("c", at(950))
+	expect.Expect(zones.Isolated(others, at(951))).To(BeFalse())
 }
 
 func TestQuietZonesAreNeitherProbedNorTakenForCutOff(t *testing.T) {
 	expect := NewWithT(t)
 	zones := reach.NewZones("a")
 	others := []string{"b"}
-	zones.Heard("b", start)
-	expect.Expect(zones.Due(others, false, at(60_000))).To(BeEmpty(), "nothing failed there")
-	expect.Expect(zones.Reached("b", at(60_000))).To(BeTrue())
-	zones.Failed("b", at(60_000))
-	expect.Expect(zones.Reached("b", at(60_001))).To(BeTrue(), "one call that fails is no cut")
-	expect.Expect(zones.Due(others, false, at(60_001))).To(Equal([]string{"b"}))
-	zones.Heard("b", at(60_010))
-	expect.Expect(zones.Due(others, false, at(62_000))).To(BeEmpty())
+	zones.RecordNodeResponse("b", start)
+	expect.Expect(zones.ProbeTargets(others, false, at(60_000))).To(BeEmpty(), "nothing failed there")
+	expect.Expect(zones.Reachable("b", at(60_000))).To(BeTrue())
+	zones.RecordNodeFailure("b", at(60_000))
+	expect.Expect(zones.Reachable("b", at(60_001))).To(BeTrue(), "one call that fails is no cut")
+	expect.Expect(zones.ProbeTargets(others, false, at(60_001))).To(Equal([]string{"b"}))
+	zones.RecordNodeResponse("b", at(60_010))
+	expect.Expect(zones.ProbeTargets(others, false, at(62_000))).To(BeEmpty())
 }
 
 func TestTheOwnZoneIsAlwaysReached(t *testing.T) {
 	expect := NewWithT(t)
 	zones := reach.NewZones("a")
-	zones.Unanswered("a", start, start)
-	zones.Unanswered("a", start, start)
-	expect.Expect(zones.Reached("a", at(5000))).To(BeTrue())
-	expect.Expect(zones.Due([]string{"a"}, true, at(5000))).To(BeEmpty())
+	zones.RecordProbeTimeout("a", start, start)
+	zones.RecordProbeTimeout("a", start, start)
+	expect.Expect(zones.Reachable("a", at(5000))).To(BeTrue())
+	expect.Expect(zones.ProbeTargets([]string{"a"}, true, at(5000))).To(BeEmpty())
 }
 
 func TestAZoneThatNobodyProbesAnyMoreCountsAsReached(t *testing.T) {
 	expect := NewWithT(t)
 	zones := reach.NewZones("a")
-	zones.Unanswered("b", start, start)
-	zones.Unanswered("b", at(200), at(200))
-	expect.Expect(zones.Reached("b", at(400))).To(BeFalse())
-	expect.Expect(zones.Reached("b", at(60_000))).To(BeTrue(), "its nodes have left; its engines may be well")
+	zones.RecordProbeTimeout("b", start, start)
+	zones.RecordProbeTimeout("b", at(200), at(200))
+	expect.Expect(zones.Reachable("b", at(400))).To(BeFalse())
+	expect.Expect(zones.Reachable("b", at(60_000))).To(BeTrue(), "its nodes have left; its engines may be well")
 }
--- a/internal/region/region.go
+++ b/internal/region/region.go
@@ -12,8 +12,8 @@
 // empty one none.
 type ZoneSet []string
 
-// Holds tells whether a call may be served in a zone.
-func (zones ZoneSet) Holds(zone string) bool {
+// Contains tells whether a call may be served in a zone.
+func (zones ZoneSet) Contains(zone string) bool {
 	return zones == nil || slices.Contains(zones, zone)
 }
 
@@ -37,10 +37,10 @@
 	return regions, nil
 }
 
-// Allowed returns the zones that lie in a region of each of several lists. A list without
+// AllowedZones returns the zones that lie in a region of each of several lists. A list without
 // entries binds nothing; with no other the set is nil. A zone whose region is not known
 // lies in none.
-func (regions Map) Allowed(lists ...[]string) ZoneSet {
+func (regions Map) AllowedZones(lists ...[]string) ZoneSet {
 	binding := slices.DeleteFunc(slices.Clone(lists), func(list []string) bool { return len(list) == 0 })
 	if len(binding) == 0 {
 		return nil
--- a/internal/routing/routing.go
+++ b/internal/routing/routing.go
@@ -40,8 +40,8 @@
 	Kind   Kind
 	// Shares has at least one entry.
 	Shares []Share
-	// Attempts is the most engines that may run one request, at least 1.
-	Attempts int
+	// MaxAttempts is the most engines that may run one request, at least 1.
+	MaxAttempts int
 	// Timeout is how long a request may be held; zero is no bound.
 	Timeout time.Duration
 	// Objective is the time within which an answer is in time.
@@ -50,11 +50,11 @@
 	Priority int
 	// Resumable streams may go on at another engine.
 	Resumable bool
-	// KeepsTurns says that the system keeps what was said, for Retention.
-	KeepsTurns bool
-	Retention  time.Duration
-	// Open routes take calls without a key, also where there are tenants.
-	Open bool
+	// StoresTurns says that the system keeps what was said, for Retention.
+	StoresTurns bool
+	Retention   time.Duration
+	// AllowsAnonymous routes take calls without a key, also where there are tenants.
+	AllowsAnonymous bool
 	// Regions are those in which the route's requests may be served and kept; none for all.
 	Regions []string
 
@@ -174,17 +174,17 @@
 	return host[:colon]
 }
 
-// Current holds the configuration in force. It never goes back to an older
+// ActiveConfiguration holds the configuration in force. It never goes back to an older
 // version. It is safe for concurrent use.
-type Current struct {
+type ActiveConfiguration struct {
 	pointer atomic.Pointer[Configuration]
 }
 
 // Load returns the configuration in force, nil where none is known yet.
-func (current *Current) Load() *Configuration { return current.pointer.Load() }
+func (current *ActiveConfiguration) Load() *Configuration { return current.pointer.Load() }
 
 // Apply puts a newer version in force and tells whether it was newer.
-func (current *Current) Apply(next *Configuration) bool {
+func (current *ActiveConfiguration) Apply(next *Configuration) bool {
 	for {
 		present := current.pointer.Load()
 		if present != nil && present.Version >= next.Version {
--- a/internal/routing/routing_test.go
+++ b/internal/routing/routing_test.go
@@ -22,7 +22,7 @@
 	})
 
 	It("never goes back to an older version", func() {
-		var current routing.Current
+		var current routing.ActiveConfiguration
 		Expect(current.Apply(configuration)).To(BeTrue())
 		Expect(current.Apply(routing.New(2, nil, nil, routing.Limits{}))).To(BeFalse())
 		Expect(current.Apply(routing.New(3, nil, nil, routing.Limits{}))).To(BeFalse())
--- a/internal/scheduler/call_handler.go
+++ b/internal/scheduler/call_handler.go
@@ -47,7 +47,7 @@
 		return
 	}
 	events := &eventWriter{writer: writer}
-	if scheduler.arrivals.Late(request.Header, time.Since(scheduler.begun)) {
+	if scheduler.arrivals.Expired(request.Header, time.Since(scheduler.begun)) {
 		events.fail(wireError(resultcode.New(resultcode.NoLeader, "the request was held up on its way")))
 		return
 	}
--- a/internal/scheduler/late_call_test.go
+++ b/internal/scheduler/late_call_test.go
@@ -20,7 +20,7 @@
 		held := httptest.NewRequest(http.MethodPost, CallPath, http.NoBody)
 		arrival.NewSender().Stamp(held.Header, 2*time.Second)
 		// The same stamp came at once on another request.
-		Expect(scheduler.arrivals.Late(held.Header, time.Since(scheduler.begun))).To(BeFalse())
+		Expect(scheduler.arrivals.Expired(held.Header, time.Since(scheduler.begun))).To(BeFalse())
 		scheduler.begun = scheduler.begun.Add(-8 * time.Second)
 		recorder := httptest.NewRecorder()
 		scheduler.serveCall(recorder, held)
--- a/internal/spending/allowance.go
+++ b/internal/spending/allowance.go
@@ -11,9 +11,9 @@
 	Epoch int64
 	// Permille is the part of a budget, thousandths.
 	Permille int64
-	// LeastBudget bounds the programs that it holds for: smaller budgets leave a
+	// MinBudget bounds the programs that it holds for: smaller budgets leave a
 	// successor no room for a whole turn beside it.
-	LeastBudget int64
+	MinBudget int64
 	// Second is true for one beside another that is outstanding. It holds only for programs
 	// that the log names under its epoch or a later one: to all others it has granted nothing.
 	Second bool
@@ -30,9 +30,9 @@
 // tokens: a turn of that size fits beside it.
 func NewAllowance(epoch, largest int64) Allowance {
 	return Allowance{
-		Epoch:       epoch,
-		Permille:    allowedPermille,
-		LeastBudget: largest*wholeBudget/(wholeBudget-allowedPermille) + 1,
+		Epoch:     epoch,
+		Permille:  allowedPermille,
+		MinBudget: largest*wholeBudget/(wholeBudget-allowedPermille) + 1,
 	}
 }
 
@@ -57,24 +57,24 @@
 	case len(outstanding) == 0:
 		return NewAllowance(epoch, largest)
 	case len(outstanding) == 1 && second:
-		return Allowance{Epoch: epoch, Permille: allowedPermille, LeastBudget: max(largestFitsTimes*largest+1, outstanding[0].LeastBudget), Second: true}
+		return Allowance{Epoch: epoch, Permille: allowedPermille, MinBudget: max(largestFitsTimes*largest+1, outstanding[0].MinBudget), Second: true}
 	}
 	return Allowance{}
 }
 
 // of returns what is allowed of a budget.
 func (allowance Allowance) of(budget int64) int64 {
-	if allowance.Permille == 0 || budget < allowance.LeastBudget {
+	if allowance.Permille == 0 || budget < allowance.MinBudget {
 		return 0
 	}
 	// In two parts: a budget without a bound is too large to multiply.
 	return budget/wholeBudget*allowance.Permille + budget%wholeBudget*allowance.Permille/wholeBudget
 }
 
-// Allow tells a ledger that has granted nothing yet what its owner's claim
+// SetAllowances tells a ledger that has granted nothing yet what its owner's claim
 // allows, and which allowances of former owners are not known to be unused. The
 // first must be what ClaimAllowance returned for the second.
-func (ledger *Ledger) Allow(own Allowance, outstanding []Allowance) {
+func (ledger *Ledger) SetAllowances(own Allowance, outstanding []Allowance) {
 	ledger.own = own
 	ledger.outstanding = outstanding
 }
--- a/internal/spending/allowance_test.go
+++ b/internal/spending/allowance_test.go
@@ -19,14 +19,14 @@
 func firstOwner(largest int64) (*spending.Ledger, spending.Allowance) {
 	own := spending.NewAllowance(1, largest)
 	ledger := spending.NewLedger(nil, start)
-	ledger.Allow(own, nil)
+	ledger.SetAllowances(own, nil)
 	return ledger, own
 }
 
 // successor returns the ledger of an owner that knows of an allowance only.
 func successor(outstanding spending.Allowance) *spending.Ledger {
 	ledger := spending.NewLedger(nil, start)
-	ledger.Allow(spending.Allowance{}, []spending.Allowance{outstanding})
+	ledger.SetAllowances(spending.Allowance{}, []spending.Allowance{outstanding})
 	return ledger
 }
 
@@ -47,7 +47,7 @@
 		Expect(reserve(ledger, "a", 1800, 576)).To(Equal(spending.Granted))
 		ledger.Settle(program, "a", 100, start)
 		Expect(reserve(ledger, "b", 1800, 576)).To(Equal(spending.Granted))
-		Expect(ledger.Wanted()).To(BeEmpty())
+		Expect(ledger.DrainPendingCeilings()).To(BeEmpty())
 	})
 
 	It("is not given where no whole turn would fit beside it", func() {
@@ -85,27 +85,27 @@
 		Expect(reserve(next, "a", 1000, 900)).To(Equal(spending.AwaitCeiling))
 		write(next, logged)
 		Expect(reserve(next, "a", 1000, 900)).To(Equal(spending.Granted))
-		Expect(reserve(next, "b", 1000, 100)).To(Equal(spending.Unsure))
+		Expect(reserve(next, "b", 1000, 100)).To(Equal(spending.Undetermined))
 		next.Settle(program, "a", 900, start)
-		Expect(reserve(next, "b", 1000, 100)).To(Equal(spending.Unsure))
-		Expect(reserve(next, "c", 1000, 101)).To(Equal(spending.Spent))
+		Expect(reserve(next, "b", 1000, 100)).To(Equal(spending.Undetermined))
+		Expect(reserve(next, "c", 1000, 101)).To(Equal(spending.BudgetExhausted))
 		for name, ceiling := range logged {
 			ceiling.Epoch = own.Epoch + 1
 			logged[name] = ceiling
 		}
 		third := spending.NewLedger(logged, start)
-		third.Allow(spending.Allowance{}, []spending.Allowance{own})
-		Expect(reserve(third, "b", 1000, 100)).To(Equal(spending.Unsure))
+		third.SetAllowances(spending.Allowance{}, []spending.Allowance{own})
+		Expect(reserve(third, "b", 1000, 100)).To(Equal(spending.Undetermined))
 	})
 
 	It("leaves a successor a turn also of a program that used most of its budget", func() {
 		_, own := firstOwner(20)
 		next := spending.NewLedger(map[tenant.Program]spending.Ceiling{program: {Program: program, Tokens: 900, Settled: 600, Epoch: own.Epoch}}, start)
-		next.Allow(spending.Allowance{}, []spending.Allowance{own})
+		next.SetAllowances(spending.Allowance{}, []spending.Allowance{own})
 		Expect(reserve(next, "a", 1000, 300)).To(Equal(spending.AwaitCeiling))
 		write(next, map[tenant.Program]spending.Ceiling{})
 		Expect(reserve(next, "a", 1000, 300)).To(Equal(spending.Granted))
-		Expect(reserve(next, "b", 1000, 100)).To(Equal(spending.Unsure))
+		Expect(reserve(next, "b", 1000, 100)).To(Equal(spending.Undetermined))
 	})
 
 	It("leaves no turn beyond the budget to a successor that has granted another", func() {
@@ -114,12 +114,12 @@
 		Expect(reserve(next, "a", 1000, 300)).To(Equal(spending.AwaitCeiling))
 		write(next, map[tenant.Program]spending.Ceiling{})
 		Expect(reserve(next, "a", 1000, 300)).To(Equal(spending.Granted))
-		Expect(reserve(next, "b", 1000, 600)).To(Equal(spending.Unsure))
+		Expect(reserve(next, "b", 1000, 600)).To(Equal(spending.Undetermined))
 	})
 
 	It("lets the log name a turn beyond the budget first, also where there is an allowance", func() {
 		ledger := spending.NewLedger(map[tenant.Program]spending.Ceiling{program: {Program: program, Tokens: 700, Settled: 100}}, start)
-		ledger.Allow(spending.NewAllowance(1, 100), nil)
+		ledger.SetAllowances(spending.NewAllowance(1, 100), nil)
 		Expect(reserve(ledger, "a", 1000, 400)).To(Equal(spending.AwaitCeiling))
 		logged := map[tenant.Program]spending.Ceiling{}
 		write(ledger, logged)
@@ -131,7 +131,7 @@
 		_, lost := firstOwner(100)
 		second := spending.ClaimAllowance(2, 100, []spending.Allowance{lost}, true)
 		ledger := spending.NewLedger(nil, start)
-		ledger.Allow(second, []spending.Allowance{lost})
+		ledger.SetAllowances(second, []spending.Allowance{lost})
 		logged := map[tenant.Program]spending.Ceiling{}
 		Expect(reserve(ledger, "a", 900, 100)).To(Equal(spending.AwaitCeiling), "the program is named first")
 		write(ledger, logged)
@@ -149,11 +149,11 @@
 			logged[ceiling.Program] = ceiling
 		}
 		third := spending.NewLedger(logged, start)
-		third.Allow(spending.Allowance{}, []spending.Allowance{lost, second})
+		third.SetAllowances(spending.Allowance{}, []spending.Allowance{lost, second})
 		reserve(third, "f", 900, 10)
 		Expect(third.Balance(program).Spent).To(BeNumerically(">=", 600), "a successor counts both for a program that is named")
 		fresh := tenant.Program{ID: "begins under the third owner"}
-		third.Reserve(spending.Order{Program: fresh, Request: "g", Budget: 900, Most: 10, Until: start}, start)
+		third.Reserve(spending.ReserveRequest{Program: fresh, RequestID: "g", Budget: 900, MaxTokens: 10, ExpiresAt: start}, start)
 		Expect(third.Balance(fresh).Spent).To(BeNumerically("<=", 300), "and the first one for any other")
 	})
 
@@ -164,7 +164,7 @@
 		Expect(spending.ClaimAllowance(3, 100, []spending.Allowance{lost, second}, true)).To(BeZero())
 		Expect(spending.ClaimAllowance(2, 100, []spending.Allowance{lost}, false)).To(BeZero())
 		ledger := spending.NewLedger(nil, start)
-		ledger.Allow(second, []spending.Allowance{lost})
+		ledger.SetAllowances(second, []spending.Allowance{lost})
 		Expect(reserve(ledger, "a", 300, 100)).To(Equal(spending.AwaitCeiling))
 	})
 
@@ -217,13 +217,13 @@
 // claim adds an owner that starts from the log.
 func (model *shardModel) claim(largest int64, accounts []spending.Account) {
 	ledger := spending.NewLedger(maps.Clone(model.ceilings), start)
-	ledger.Adopt(accounts, start)
+	ledger.ImportAccounts(accounts, start)
 	former := model.outstanding
 	own := spending.ClaimAllowance(model.epoch()+1, largest, former, model.second)
 	if own.Permille > 0 {
 		model.outstanding = append(slices.Clone(former), own)
 	}
-	ledger.Allow(own, former)
+	ledger.SetAllowances(own, former)
 	model.owners = append(model.owners, &modelOwner{ledger: ledger, own: own})
 	if accounts != nil {
 		model.write(ledger.Checkpoint())
@@ -263,9 +263,9 @@
 				largest = max(largest, spent)
 				open = append(open, turn{owner, fmt.Sprint(step), spent})
 			case 4: // Only the newest owner's appends are taken.
-				wanted := newest.ledger.Wanted()
+				wanted := newest.ledger.DrainPendingCeilings()
 				model.write(wanted)
-				newest.ledger.Written(wanted)
+				newest.ledger.AcknowledgeCeilings(wanted)
 			case 5: // A turn ends, or its end never comes to its owner.
 				if len(open) == 0 {
 					continue
@@ -284,11 +284,11 @@
 				model.claim(largestKnown, nil)
 			case 8: // It yields; its accounts are written with the claim.
 				newest.stopped = true
-				accounts := newest.ledger.Accounts()
+				accounts := newest.ledger.ExportAccounts()
 				model.close()
 				model.claim(largestKnown, append([]spending.Account{}, accounts...))
 			case 9: // An owner hears of no end until the turns' time is over.
-				rapid.SampledFrom(model.owners).Draw(t, "owner").ledger.Overdue(start.Add(turnTime + time.Second))
+				rapid.SampledFrom(model.owners).Draw(t, "owner").ledger.ExpireTurns(start.Add(turnTime + time.Second))
 			}
 			if given > budget+largest {
 				t.Fatalf("%d tokens given, budget %d and one turn of %d", given, budget, largest)
--- a/internal/spending/spending.go
+++ b/internal/spending/spending.go
@@ -21,10 +21,10 @@
 const (
 	// Granted: the tokens are reserved.
 	Granted Verdict = iota
-	// Spent: the budget leaves no room for the turn at its most.
-	Spent
-	// Unsure: the budget may leave room, but a former owner may have used it.
-	Unsure
+	// BudgetExhausted: the budget leaves no room for the turn at its most.
+	BudgetExhausted
+	// Undetermined: the budget may leave room, but a former owner may have used it.
+	Undetermined
 	// AwaitCeiling: granted as soon as a higher ceiling is acknowledged.
 	AwaitCeiling
 )
@@ -126,7 +126,7 @@
 func (ledger *Ledger) account(program tenant.Program) *account {
 	found := ledger.accounts[program]
 	if found == nil {
-		found = ledger.accounts[program.Unowned()].continued()
+		found = ledger.accounts[program.WithoutTenant()].continued()
 		ledger.accounts[program] = found
 	}
 	return found
@@ -151,28 +151,28 @@
 	return fresh
 }
 
-// Order is a request for a turn's tokens.
-type Order struct {
-	Program tenant.Program
-	Request string
+// ReserveRequest is a request for a turn's tokens.
+type ReserveRequest struct {
+	Program   tenant.Program
+	RequestID string
 	// Budget is the program's, Most what the turn may spend, tokens.
-	Budget int64
-	Most   int64
-	// Until is when the turn's time is over.
-	Until time.Time
+	Budget    int64
+	MaxTokens int64
+	// ExpiresAt is when the turn's time is over.
+	ExpiresAt time.Time
 }
 
 // Reserve asks for a turn's most tokens under the program's budget. The same
 // request may ask again; it reserves once.
-func (ledger *Ledger) Reserve(order Order, now time.Time) Verdict {
-	program, budget, most := order.Program, order.Budget, order.Most
+func (ledger *Ledger) Reserve(order ReserveRequest, now time.Time) Verdict {
+	program, budget, most := order.Program, order.Budget, order.MaxTokens
 	account := ledger.account(program)
 	account.used = now
 	account.budget = budget
 	if ledger.countOutstanding(account, budget) > 0 {
 		account.doubtSince = now
 	}
-	if _, open := account.open[order.Request]; open {
+	if _, open := account.open[order.RequestID]; open {
 		return Granted
 	}
 	needed := account.total() + most
@@ -192,7 +192,7 @@
 		ledger.raise(program, account, needed, most)
 		return AwaitCeiling
 	}
-	account.open[order.Request] = reservation{most: most, until: order.Until}
+	account.open[order.RequestID] = reservation{most: most, until: order.ExpiresAt}
 	account.openTotal += most
 	if account.ceiling < needed+most {
 		ledger.raise(program, account, needed, most)
@@ -208,13 +208,13 @@
 func (ledger *Ledger) overBudget(account *account, needed int64, now time.Time) Verdict {
 	switch {
 	case needed-account.doubt > account.budget:
-		return Spent
+		return BudgetExhausted
 	case ledger.firstBeyond(account):
 		return Granted
 	case now.Sub(account.toldSince(now)) > doubtPatience:
-		return Spent
+		return BudgetExhausted
 	}
-	return Unsure
+	return Undetermined
 }
 
 // toldSince is when the program was first told of its newest doubt, now where it was not. The
@@ -248,8 +248,8 @@
 	}
 }
 
-// WriteAgain has a program's ceiling written once more, as it is.
-func (ledger *Ledger) WriteAgain(program tenant.Program) {
+// RequeueCeiling has a program's ceiling written once more, as it is.
+func (ledger *Ledger) RequeueCeiling(program tenant.Program) {
 	if ledger.accounts[program] != nil {
 		ledger.changed[program] = true
 	}
@@ -274,10 +274,10 @@
 	return true
 }
 
-// Overdue ends the turns whose time is over and of which no end was heard, at
+// ExpireTurns ends the turns whose time is over and of which no end was heard, at
 // their most. What they have spent is in doubt from then on: their node may be
 // gone, or may have been answered nothing.
-func (ledger *Ledger) Overdue(now time.Time) {
+func (ledger *Ledger) ExpireTurns(now time.Time) {
 	for _, account := range ledger.accounts {
 		for request, turn := range account.open {
 			if now.After(turn.until) {
@@ -292,8 +292,8 @@
 	}
 }
 
-// Wanted returns the ceilings to write and forgets that they are wanted.
-func (ledger *Ledger) Wanted() []Ceiling {
+// DrainPendingCeilings returns the ceilings to write and forgets that they are wanted.
+func (ledger *Ledger) DrainPendingCeilings() []Ceiling {
 	if len(ledger.changed) == 0 {
 		return nil
 	}
@@ -306,8 +306,8 @@
 	return wanted
 }
 
-// Written notes that the log has acknowledged ceilings.
-func (ledger *Ledger) Written(ceilings []Ceiling) {
+// AcknowledgeCeilings notes that the log has acknowledged ceilings.
+func (ledger *Ledger) AcknowledgeCeilings(ceilings []Ceiling) {
 	for _, written := range ceilings {
 		account := ledger.accounts[written.Program]
 		if account != nil {
@@ -330,10 +330,10 @@
 type Balance struct {
 	// Spent is counted beside the open turns, Doubt the part of it that may not
 	// have been used, Open what open turns may use.
-	Spent   int64
-	Doubt   int64
-	Open    int64
-	Ceiling int64
+	Spent     int64
+	Uncertain int64
+	Reserved  int64
+	Ceiling   int64
 }
 
 // Balance returns a program's, zero for one without an account.
@@ -342,5 +342,5 @@
 	if account == nil {
 		return Balance{}
 	}
-	return Balance{Spent: account.base + account.settled, Doubt: account.doubt, Open: account.openTotal, Ceiling: account.ceiling}
+	return Balance{Spent: account.base + account.settled, Uncertain: account.doubt, Reserved: account.openTotal, Ceiling: account.ceiling}
 }
--- a/internal/spending/spending_test.go
+++ b/internal/spending/spending_test.go
@@ -21,17 +21,17 @@
 
 // reserve asks a ledger for a turn's tokens at the start of the test.
 func reserve(ledger *spending.Ledger, request string, budget, most int64) spending.Verdict {
-	order := spending.Order{Program: program, Request: request, Budget: budget, Most: most, Until: start.Add(turnTime)}
+	order := spending.ReserveRequest{Program: program, RequestID: request, Budget: budget, MaxTokens: most, ExpiresAt: start.Add(turnTime)}
 	return ledger.Reserve(order, start)
 }
 
 // write acknowledges what the ledger wants written.
 func write(ledger *spending.Ledger, logged map[tenant.Program]spending.Ceiling) {
-	wanted := ledger.Wanted()
+	wanted := ledger.DrainPendingCeilings()
 	for _, ceiling := range wanted {
 		logged[ceiling.Program] = ceiling
 	}
-	ledger.Written(wanted)
+	ledger.AcknowledgeCeilings(wanted)
 }
 
 var _ = Describe("Ledger", func() {
@@ -49,9 +49,9 @@
 		reserve(ledger, "a", 500, 288)
 		write(ledger, map[tenant.Program]spending.Ceiling{})
 		Expect(reserve(ledger, "a", 500, 288)).To(Equal(spending.Granted))
-		Expect(reserve(ledger, "b", 500, 288)).To(Equal(spending.Spent))
+		Expect(reserve(ledger, "b", 500, 288)).To(Equal(spending.BudgetExhausted))
 		ledger.Settle(program, "a", 9, start)
-		Expect(reserve(ledger, "b", 500, 288)).NotTo(Equal(spending.Spent))
+		Expect(reserve(ledger, "b", 500, 288)).NotTo(Equal(spending.BudgetExhausted))
 	})
 
 	It("leaves a successor the room of a last turn", func() {
@@ -69,10 +69,10 @@
 
 	It("says that it is unsure where only a former owner may have spent the room", func() {
 		ledger := spending.NewLedger(map[tenant.Program]spending.Ceiling{program: {Program: program, Tokens: 700, Settled: 100}}, start)
-		Expect(reserve(ledger, "a", 500, 288)).To(Equal(spending.Unsure))
-		later := spending.Order{Program: program, Request: "a", Budget: 500, Most: 288, Until: start.Add(turnTime)}
-		Expect(ledger.Reserve(later, start.Add(2*time.Second))).To(Equal(spending.Unsure))
-		Expect(ledger.Reserve(later, start.Add(4*time.Second))).To(Equal(spending.Spent))
+		Expect(reserve(ledger, "a", 500, 288)).To(Equal(spending.Undetermined))
+		later := spending.ReserveRequest{Program: program, RequestID: "a", Budget: 500, MaxTokens: 288, ExpiresAt: start.Add(turnTime)}
+		Expect(ledger.Reserve(later, start.Add(2*time.Second))).To(Equal(spending.Undetermined))
+		Expect(ledger.Reserve(later, start.Add(4*time.Second))).To(Equal(spending.BudgetExhausted))
 	})
 
 	// A program with room for 72 of its 112 tokens was told that its budget is spent, for its
@@ -82,11 +82,11 @@
 	// which a doubt is told as such began with the account, and was over unseen.
 	It("says that it is unsure before it refuses, however late it is asked", func() {
 		ledger := spending.NewLedger(map[tenant.Program]spending.Ceiling{program: {Program: program, Tokens: 700, Settled: 100}}, start)
-		later := spending.Order{Program: program, Request: "a", Budget: 500, Most: 288, Until: start.Add(turnTime)}
-		Expect(ledger.Reserve(later, start.Add(3300*time.Millisecond))).To(Equal(spending.Unsure))
-		Expect(ledger.Reserve(later, start.Add(6*time.Second))).To(Equal(spending.Unsure))
-		Expect(ledger.Reserve(later, start.Add(7*time.Second))).To(Equal(spending.Spent))
-		Expect(ledger.Reserve(later, start.Add(time.Minute))).To(Equal(spending.Spent))
+		later := spending.ReserveRequest{Program: program, RequestID: "a", Budget: 500, MaxTokens: 288, ExpiresAt: start.Add(turnTime)}
+		Expect(ledger.Reserve(later, start.Add(3300*time.Millisecond))).To(Equal(spending.Undetermined))
+		Expect(ledger.Reserve(later, start.Add(6*time.Second))).To(Equal(spending.Undetermined))
+		Expect(ledger.Reserve(later, start.Add(7*time.Second))).To(Equal(spending.BudgetExhausted))
+		Expect(ledger.Reserve(later, start.Add(time.Minute))).To(Equal(spending.BudgetExhausted))
 	})
 
 	It("holds the room of a turn whose end it never hears of only as long as the turn may take", func() {
@@ -95,9 +95,9 @@
 		reserve(ledger, "a", 500, 288)
 		write(ledger, logged)
 		Expect(reserve(ledger, "a", 500, 288)).To(Equal(spending.Granted))
-		ledger.Overdue(start.Add(turnTime))
-		Expect(reserve(ledger, "b", 500, 288)).To(Equal(spending.Spent))
-		ledger.Overdue(start.Add(turnTime + time.Millisecond))
+		ledger.ExpireTurns(start.Add(turnTime))
+		Expect(reserve(ledger, "b", 500, 288)).To(Equal(spending.BudgetExhausted))
+		ledger.ExpireTurns(start.Add(turnTime + time.Millisecond))
 		Expect(ledger.Settle(program, "a", 9, start)).To(BeFalse())
 		Expect(reserve(ledger, "b", 500, 288)).To(Equal(spending.AwaitCeiling))
 		write(ledger, logged)
@@ -118,7 +118,7 @@
 		}
 		// Turn b has spent 36, which came too late for the predecessor.
 		successor := spending.NewLedger(logged, start)
-		Expect(reserve(successor, "c", 112, 40)).NotTo(Equal(spending.Spent))
+		Expect(reserve(successor, "c", 112, 40)).NotTo(Equal(spending.BudgetExhausted))
 	})
 
 	It("is exact for a successor that it hands its accounts to", func() {
@@ -127,7 +127,7 @@
 		write(ledger, map[tenant.Program]spending.Ceiling{})
 		reserve(ledger, "a", 1000, 288)
 		successor := spending.NewLedger(map[tenant.Program]spending.Ceiling{program: {Program: program, Tokens: 900}}, start)
-		successor.Adopt(ledger.Accounts(), start)
+		successor.ImportAccounts(ledger.ExportAccounts(), start)
 		successor.Settle(program, "a", 9, start)
 		Expect(reserve(successor, "b", 1000, 700)).To(Equal(spending.Granted))
 	})
@@ -179,7 +179,7 @@
 				owners = append(owners, spending.NewLedger(copied, start))
 			case 7: // An owner hears of no end until the turns' time is over.
 				owner := rapid.IntRange(0, newest).Draw(t, "owner")
-				owners[owner].Overdue(start.Add(turnTime + time.Second))
+				owners[owner].ExpireTurns(start.Add(turnTime + time.Second))
 			}
 			if given > budget+most {
 				t.Fatalf("%d tokens given, budget %d and one turn of %d", given, budget, most)
--- a/internal/spending/tenant_test.go
+++ b/internal/spending/tenant_test.go
@@ -8,8 +8,8 @@
 )
 
 var _ = Describe("Programs of tenants", func() {
-	order := func(holder, request string) spending.Order {
-		return spending.Order{Program: tenant.Program{Tenant: holder, ID: "p"}, Request: request, Budget: 500, Most: 288, Until: start.Add(turnTime)}
+	order := func(holder, request string) spending.ReserveRequest {
+		return spending.ReserveRequest{Program: tenant.Program{Tenant: holder, ID: "p"}, RequestID: request, Budget: 500, MaxTokens: 288, ExpiresAt: start.Add(turnTime)}
 	}
 
 	granted := func(ledger *spending.Ledger, logged map[tenant.Program]spending.Ceiling, holder, request string) spending.Verdict {
@@ -25,17 +25,17 @@
 		logged := map[tenant.Program]spending.Ceiling{}
 		ledger := spending.NewLedger(logged, start)
 		Expect(granted(ledger, logged, "a", "1")).To(Equal(spending.Granted))
-		Expect(granted(ledger, logged, "a", "2")).To(Equal(spending.Spent))
+		Expect(granted(ledger, logged, "a", "2")).To(Equal(spending.BudgetExhausted))
 		Expect(granted(ledger, logged, "b", "3")).To(Equal(spending.Granted))
 		ledger.Settle(tenant.Program{Tenant: "b", ID: "p"}, "1", 0, start)
-		Expect(granted(ledger, logged, "a", "4")).To(Equal(spending.Spent), "another tenant can't end a turn")
+		Expect(granted(ledger, logged, "a", "4")).To(Equal(spending.BudgetExhausted), "another tenant can't end a turn")
 	})
 
 	It("count what was spent at a node that knew no tenants", func() {
 		// Its record names the program alone.
 		logged := map[tenant.Program]spending.Ceiling{{ID: "p"}: {Program: tenant.Program{ID: "p"}, Tokens: 400, Settled: 400}}
 		ledger := spending.NewLedger(logged, start)
-		Expect(granted(ledger, logged, "a", "1")).To(Equal(spending.Spent))
+		Expect(granted(ledger, logged, "a", "1")).To(Equal(spending.BudgetExhausted))
 		Expect(ledger.Balance(tenant.Program{Tenant: "a", ID: "p"}).Spent).To(Equal(int64(400)))
 	})
 })
--- a/internal/tenant/tenant.go
+++ b/internal/tenant/tenant.go
@@ -27,8 +27,8 @@
 	Burst float64
 }
 
-// Bounded tells whether there is a limit at all.
-func (limit Limit) Bounded() bool { return limit.PerSecond > 0 }
+// Limited tells whether there is a limit at all.
+func (limit Limit) Limited() bool { return limit.PerSecond > 0 }
 
 // Program names an agent program: two tenants may use the same id.
 type Program struct {
@@ -37,8 +37,8 @@
 	ID     string
 }
 
-// Unowned is the program of the same id as a node names it that knows no tenants.
-func (program Program) Unowned() Program { return Program{ID: program.ID} }
+// WithoutTenant is the program of the same id as a node names it that knows no tenants.
+func (program Program) WithoutTenant() Program { return Program{ID: program.ID} }
 
 // digest stands for a key, so that a copy of the memory or a log line gives none away.
 type digest [sha256.Size]byte
@@ -55,19 +55,19 @@
 	rates map[string]float64
 }
 
-// Holder is a tenant with its keys.
-type Holder struct {
+// TenantKeys is a tenant with its keys.
+type TenantKeys struct {
 	Tenant Tenant
 	Keys   []string
 }
 
 // NewDirectory builds a directory. Of two tenants with one key the first holds it.
-func NewDirectory(holders []Holder) Directory {
+func NewDirectory(holders []TenantKeys) Directory {
 	built := Directory{byKey: map[digest]*Tenant{}, configured: true, rates: map[string]float64{}}
 	for index := range holders {
 		holder := &holders[index]
-		built.limited = built.limited || holder.Tenant.Limit.Bounded()
-		if holder.Tenant.Limit.Bounded() {
+		built.limited = built.limited || holder.Tenant.Limit.Limited()
+		if holder.Tenant.Limit.Limited() {
 			built.rates[holder.Tenant.Name] = holder.Tenant.Limit.PerSecond
 		}
 		for _, key := range holder.Keys {
@@ -80,11 +80,11 @@
 	return built
 }
 
-// Configured tells whether calls need a key at all.
-func (directory Directory) Configured() bool { return directory.configured }
+// RequiresKey tells whether calls need a key at all.
+func (directory Directory) RequiresKey() bool { return directory.configured }
 
-// HolderOf returns the tenant that holds a key, nil for a key that nobody holds.
-func (directory Directory) HolderOf(key string) *Tenant {
+// TenantForKey returns the tenant that holds a key, nil for a key that nobody holds.
+func (directory Directory) TenantForKey(key string) *Tenant {
 	if key == "" {
 		return nil
 	}
@@ -95,15 +95,15 @@
 // operators say of the tenants' sizes. The caller must not change it.
 func (directory Directory) Rates() map[string]float64 { return directory.rates }
 
-// Limited tells whether any tenant has a limit.
-func (directory Directory) Limited() bool { return directory.limited }
+// HasLimits tells whether any tenant has a limit.
+func (directory Directory) HasLimits() bool { return directory.limited }
 
 // shortDigestBytes is how much of a key's digest names it in a log: enough to compare
 // with the digest of a key at hand, too little to find the key.
 const shortDigestBytes = 4
 
-// ShortDigest names a key for logs.
-func ShortDigest(key string) string {
+// KeyFingerprint names a key for logs.
+func KeyFingerprint(key string) string {
 	sum := sha256.Sum256([]byte(key))
 	return hex.EncodeToString(sum[:shortDigestBytes])
 }
--- a/internal/tenant/tenant_test.go
+++ b/internal/tenant/tenant_test.go
@@ -9,27 +9,27 @@
 )
 
 var _ = Describe("Directory", func() {
-	directory := tenant.NewDirectory([]tenant.Holder{
+	directory := tenant.NewDirectory([]tenant.TenantKeys{
 		{Tenant: tenant.Tenant{Name: "a", Limit: tenant.Limit{PerSecond: 3}}, Keys: []string{"key-1", "key-2"}},
 		{Tenant: tenant.Tenant{Name: "b"}, Keys: []string{"key-3", "key-1", ""}},
 		{Tenant: tenant.Tenant{Name: "c"}},
 	})
 
 	It("finds who holds a key, and nobody for any other one", func() {
-		Expect(directory.HolderOf("key-2").Name).To(Equal("a"))
-		Expect(directory.HolderOf("key-3").Name).To(Equal("b"))
-		Expect(directory.HolderOf("key-1").Name).To(Equal("a"), "the first of two that name it")
+		Expect(directory.TenantForKey("key-2").Name).To(Equal("a"))
+		Expect(directory.TenantForKey("key-3").Name).To(Equal("b"))
+		Expect(directory.TenantForKey("key-1").Name).To(Equal("a"), "the first of two that name it")
 		for _, unknown := range []string{"", "key", "key-11", "KEY-1"} {
-			Expect(directory.HolderOf(unknown)).To(BeNil())
+			Expect(directory.TenantForKey(unknown)).To(BeNil())
 		}
 	})
 
 	It("tells no tenants from tenants without keys", func() {
-		Expect(tenant.Directory{}.Configured()).To(BeFalse())
-		Expect(tenant.NewDirectory(nil).Configured()).To(BeTrue())
-		Expect(tenant.NewDirectory(nil).HolderOf("key-1")).To(BeNil())
-		Expect(directory.Limited()).To(BeTrue())
-		Expect(tenant.NewDirectory(nil).Limited()).To(BeFalse())
+		Expect(tenant.Directory{}.RequiresKey()).To(BeFalse())
+		Expect(tenant.NewDirectory(nil).RequiresKey()).To(BeTrue())
+		Expect(tenant.NewDirectory(nil).TenantForKey("key-1")).To(BeNil())
+		Expect(directory.HasLimits()).To(BeTrue())
+		Expect(tenant.NewDirectory(nil).HasLimits()).To(BeFalse())
 	})
 
 	It("tells the rates of the tenants that have a limit", func() {
@@ -39,6 +39,6 @@
 
 	It("holds no key that a dump of it would show", func() {
 		Expect(fmt.Sprintf("%+v", directory)).NotTo(ContainSubstring("key-2"))
-		Expect(tenant.ShortDigest("key-2")).To(HaveLen(8))
+		Expect(tenant.KeyFingerprint("key-2")).To(HaveLen(8))
 	})
 })
--- a/internal/wait/wait.go
+++ b/internal/wait/wait.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// For waits for a duration, or until ctx ends.
-func For(ctx context.Context, duration time.Duration) {
+// Sleep waits for a duration, or until ctx ends.
+func Sleep(ctx context.Context, duration time.Duration) {
 	timer := time.NewTimer(duration)
 	defer timer.Stop()
 	select {
--- a/rehearsal/command/standin.go
+++ b/rehearsal/command/standin.go
@@ -111,7 +111,7 @@
 	bounded, cancel := context.WithTimeout(ctx, standInDrain)
 	defer cancel()
 	if listed.write(bounded, records.StateDraining) == nil {
-		wait.For(bounded, leaveNotice)
+		wait.Sleep(bounded, leaveNotice)
 	}
 	err := engine.Drain(bounded)
 	if err != nil {
@@ -149,6 +149,6 @@
 			return
 		}
 		fmt.Fprintf(os.Stderr, "event=\"not listed yet\" id=%s error=%q\n", listing.id, err)
-		wait.For(ctx, announceRetry)
+		wait.Sleep(ctx, announceRetry)
 	}
 }
--- a/rehearsal/command/standin_test.go
+++ b/rehearsal/command/standin_test.go
@@ -83,7 +83,7 @@
 		command.Store, command.ID, command.Zone = store.Address(), "engine-1", "zone-2"
 		go func() { ended <- command.Run(ctx) }()
 		state := func() string {
-			snapshot, err := store.Log.Newest(context.Background(), records.TopicEngines)
+			snapshot, err := store.Log.Latest(context.Background(), records.TopicEngines)
 			Expect(err).NotTo(HaveOccurred())
 			if len(snapshot.Records) == 0 || len(snapshot.Records[0].Value) == 0 {
 				return "gone"
--- a/rehearsal/soak/caller.go
+++ b/rehearsal/soak/caller.go
@@ -130,7 +130,7 @@
 		if decided {
 			return end
 		}
-		wait.For(ctx, attemptPause)
+		wait.Sleep(ctx, attemptPause)
 	}
 	return turnFailed
 }
--- a/rehearsal/soak/faults.go
+++ b/rehearsal/soak/faults.go
@@ -81,7 +81,7 @@
 			thrower.thrown++
 			thrower.mutex.Unlock()
 		}
-		wait.For(ctx, between(random, 0, calmMost))
+		wait.Sleep(ctx, between(random, 0, calmMost))
 	}
 }
 
@@ -129,7 +129,7 @@
 	}
 	defer thrower.release(target.name)
 	target.stop(syscall.SIGKILL, time.Second)
-	wait.For(ctx, down)
+	wait.Sleep(ctx, down)
 	_ = target.start()
 	return fmt.Sprintf("%s for %s", target.name, down)
 }
@@ -149,7 +149,7 @@
 		killing.Go(func() { target.stop(syscall.SIGKILL, time.Second) })
 	}
 	killing.Wait()
-	wait.For(ctx, down)
+	wait.Sleep(ctx, down)
 	for _, target := range thrower.world.nodes {
 		_ = target.start()
 	}
@@ -164,7 +164,7 @@
 	}
 	defer thrower.release(target.name)
 	target.freeze()
-	wait.For(ctx, lasts)
+	wait.Sleep(ctx, lasts)
 	target.wake()
 	return fmt.Sprintf("%s for %s", target.name, lasts)
 }
@@ -197,7 +197,7 @@
 	}
 	defer thrower.release(storeThing)
 	thrower.world.store.SetFaults(chosen)
-	wait.For(ctx, lasts)
+	wait.Sleep(ctx, lasts)
 	thrower.world.store.SetFaults(logstore.Faults{})
 	return fmt.Sprintf("%+v for %s", chosen, lasts)
 }
@@ -205,7 +205,7 @@
 // compactStore drops the history of the keyed topics; the newest records stay.
 func (thrower *thrower) compactStore(ctx context.Context, _ *rand.Rand) string {
 	for _, topic := range []string{records.TopicOperator, records.TopicEngines} {
-		snapshot, err := thrower.world.store.Log.Newest(ctx, topic)
+		snapshot, err := thrower.world.store.Log.Latest(ctx, topic)
 		if err == nil {
 			thrower.world.store.Log.Trim(durable.Partition{Topic: topic}, snapshot.End)
 		}
@@ -240,7 +240,7 @@
 	}
 	defer thrower.release(thing)
 	door.Set(mode)
-	wait.For(ctx, lasts)
+	wait.Sleep(ctx, lasts)
 	door.Set(relay.Mode{})
 	return fmt.Sprintf("%s %+v for %s", thing, mode, lasts)
 }
@@ -260,7 +260,7 @@
 	}
 	defer thrower.release(target.ID)
 	target.SetFaults(chosen)
-	wait.For(ctx, lasts)
+	wait.Sleep(ctx, lasts)
 	target.SetFaults(agentengine.Faults{})
 	return fmt.Sprintf("%s %+v for %s", target.ID, chosen, lasts)
 }
--- a/rehearsal/soak/load_faults.go
+++ b/rehearsal/soak/load_faults.go
@@ -111,7 +111,7 @@
 	callers.ledger.checkLarge(attempt)
 	attempt.body = "" // The ledger keeps every attempt.
 	if attempt.status != http.StatusOK {
-		wait.For(ctx, attemptPause)
+		wait.Sleep(ctx, attemptPause)
 	}
 }
 
@@ -136,7 +136,7 @@
 	}
 	defer thrower.release(target.ID)
 	target.SetFaults(agentengine.Faults{Fail: true})
-	wait.For(ctx, lasts)
+	wait.Sleep(ctx, lasts)
 	target.SetFaults(agentengine.Faults{})
 	return fmt.Sprintf("%s for %s", target.ID, lasts)
 }
@@ -162,7 +162,7 @@
 	for _, door := range doors {
 		door.Set(relay.Mode{Silent: true})
 	}
-	wait.For(ctx, lasts)
+	wait.Sleep(ctx, lasts)
 	for _, door := range doors {
 		door.Set(relay.Mode{})
 	}
--- a/rehearsal/soak/run.go
+++ b/rehearsal/soak/run.go
@@ -153,7 +153,7 @@
 			if bounded.Err() != nil {
 				return eris.Errorf("%s is not ready after %s", each.name, startTimeout)
 			}
-			wait.For(bounded, readyPause)
+			wait.Sleep(bounded, readyPause)
 		}
 	}
 	return nil
@@ -232,7 +232,7 @@
 	defer cancel()
 	for number, turns := range run.progress {
 		for turns.Load() == before[number] && bounded.Err() == nil {
-			wait.For(bounded, readyPause)
+			wait.Sleep(bounded, readyPause)
 		}
 		if turns.Load() == before[number] && ctx.Err() == nil {
 			run.ledger.violated(promiseRecovery, "caller %d had no turn in %s", number, recoveryBound)
@@ -281,7 +281,7 @@
 		if older > 0 && run.takesKey(ctx, target, older) && target.lives() == present.number {
 			run.ledger.violated(promiseKey, "%s took the key of version %d after %d", target.name, older, seen[present])
 		}
-		wait.For(ctx, probePause)
+		wait.Sleep(ctx, probePause)
 	}
 }
 
--- a/rehearsal/soak/staged.go
+++ b/rehearsal/soak/staged.go
@@ -194,14 +194,14 @@
 func (staged *staged) throwFaults(ctx context.Context) {
 	over := staged.options.Over.Seconds()
 	at := func(share float64) {
-		wait.For(ctx, time.Until(staged.began.Add(time.Duration(share*over*float64(time.Second)))))
+		wait.Sleep(ctx, time.Until(staged.began.Add(time.Duration(share*over*float64(time.Second)))))
 	}
 	at(killAt)
 	killed := staged.world.nodes[staged.random(faultStream).IntN(len(staged.world.nodes))]
 	staged.logf("%s is killed for %s", killed.name, killedFor)
 	staged.lost.Add(1)
 	killed.stop(syscall.SIGKILL, time.Second)
-	wait.For(ctx, killedFor)
+	wait.Sleep(ctx, killedFor)
 	err := killed.start()
 	if err != nil {
 		staged.logf("%s does not start again: %v", killed.name, err)
@@ -211,7 +211,7 @@
 	staged.logf("%s, owner of %d shards, is frozen for %s", owner.name, shards, frozenFor)
 	staged.lost.Add(1)
 	owner.freeze()
-	wait.For(ctx, frozenFor)
+	wait.Sleep(ctx, frozenFor)
 	owner.wake()
 	at(configureAt)
 	staged.logf("version %d of the configuration is published", staged.world.configure())
@@ -219,7 +219,7 @@
 
 func (staged *staged) showProgress(ctx context.Context) {
 	for {
-		wait.For(ctx, progressPause)
+		wait.Sleep(ctx, progressPause)
 		if ctx.Err() != nil {
 			return
 		}
@@ -230,7 +230,7 @@
 
 // runProgram runs one program from its arrival to its end, and judges the end.
 func (staged *staged) runProgram(ctx context.Context, plan *workload.Program) {
-	wait.For(ctx, time.Until(staged.began.Add(plan.Arrival)))
+	wait.Sleep(ctx, time.Until(staged.began.Add(plan.Arrival)))
 	begun := time.Now()
 	shared := &program{name: plan.ID, tenant: plan.Tier, budget: stagedBudget}
 	if aim := staged.options.Aims[plan.Tier]; aim > 0 {
@@ -288,7 +288,7 @@
 		if index%toolEvery == toolEvery-1 {
 			staged.callers.tool(ctx, running)
 		}
-		wait.For(ctx, staged.pause(plan, turn))
+		wait.Sleep(ctx, staged.pause(plan, turn))
 	}
 }
 
--- a/rehearsal/standin/logstore/logstore.go
+++ b/rehearsal/standin/logstore/logstore.go
@@ -131,7 +131,7 @@
 	var condition durable.Condition
 	if text := query.Get("At"); text != "" {
 		at, _ := strconv.ParseInt(text, 10, 64)
-		condition.At = &at
+		condition.ExpectedEnd = &at
 	}
 	if producer := query.Get("producer"); producer != "" {
 		epoch, _ := strconv.ParseInt(query.Get("epoch"), 10, 64)
@@ -224,8 +224,8 @@
 	if err != nil {
 		return
 	}
-	content := binary.BigEndian.AppendUint64(nil, uint64(batch.End))
-	content = binary.BigEndian.AppendUint64(content, uint64(batch.First))
+	content := binary.BigEndian.AppendUint64(nil, uint64(batch.EndOffset))
+	content = binary.BigEndian.AppendUint64(content, uint64(batch.FirstOffset))
 	for _, record := range batch.Records {
 		content = binary.BigEndian.AppendUint32(content, uint32(len(record)))
 		content = append(content, record...)
@@ -246,7 +246,7 @@
 }
 
 func (store *Store) newest(writer http.ResponseWriter, request *http.Request) {
-	snapshot, err := store.Log.Newest(request.Context(), request.URL.Query().Get("topic"))
+	snapshot, err := store.Log.Latest(request.Context(), request.URL.Query().Get("topic"))
 	if err != nil {
 		return
 	}
