--- a/internal/node/admission.go
+++ b/internal/node/admission.go
@@ -17,56 +17,56 @@
 )
 
 const (
-	// knowsPrograms is how long an owner has to own a shard to know its programs. Before
-	// that it refuses nobody there: it takes a program that goes on for one that begins. Within this time nearly
-	// every program under way has shown itself by a turn; a turn lasts 3 s at most.
-	knowsPrograms = 4 * time.Second
-	// admissionPause separates two looks at the load.
-	admissionPause = 200 * time.Millisecond
+	// ownershipWarmUp is how long a new owner admits every program of a shard: until it has seen a
+	// turn of nearly every active program, it cannot tell a new program from a running one.
+	ownershipWarmUp = 4 * time.Second
+	// admissionInterval is the interval at which the controller observes the load.
+	admissionInterval = 200 * time.Millisecond
 )
 
-// admitter decides for this node which programs of its shards may begin.
+// admitter decides which new programs of this node's shards may start.
 type admitter struct {
 	node *Node
-	// patience is how long after it has come to own a shard this node refuses nobody there.
-	patience time.Duration
-	// mutex guards table and controller.
+	// warmUp is the time after acquiring a shard in which every program is admitted.
+	warmUp time.Duration
+	// mutex guards table, controller and pendingFirstTurns.
 	mutex      sync.Mutex
 	table      *admission.Table
 	controller *admission.Controller
-	// beginning counts, by program, the first turns that were admitted and whose tokens are
-	// being reserved: that may take a write to the log, and sub-agents come meanwhile.
-	beginning map[tenant.Program]int
-	metrics   *admissionMetrics
+	// pendingFirstTurns counts admitted first turns, by program, whose token reservation is still
+	// in progress. Sub-agents of the program may send turns in the meantime.
+	pendingFirstTurns map[tenant.Program]int
+	metrics           *admissionMetrics
 }
 
 func newAdmitter(node *Node) *admitter {
 	options := admission.Options{TenantShares: feature.Enabled(feature.TenantShares), MemoryLimit: feature.Enabled(feature.MemoryAdmission)}
-	made := &admitter{node: node, patience: knowsPrograms, table: admission.NewTable(), controller: admission.NewController(options), beginning: map[tenant.Program]int{}}
-	made.metrics = newAdmissionMetrics(made)
-	return made
+	created := &admitter{node: node, warmUp: ownershipWarmUp, table: admission.NewTable(), controller: admission.NewController(options), pendingFirstTurns: map[tenant.Program]int{}}
+	created.metrics = newAdmissionMetrics(created)
+	return created
 }
 
-// run learns what programs need, also while none begins here.
+// run feeds the controller with load observations and drops programs of shards that this node no
+// longer owns.
 func (admitter *admitter) run(ctx context.Context) {
 	for ctx.Err() == nil {
-		wait.Sleep(ctx, admissionPause)
+		wait.Sleep(ctx, admissionInterval)
 		now := time.Now()
 		state := admitter.state(now)
 		admitter.mutex.Lock()
 		admitter.controller.Observe(state, now)
-		admitter.table.RemoveWhere(admitter.elsewhere)
+		admitter.table.RemoveWhere(admitter.ownedElsewhere)
 		admitter.mutex.Unlock()
 	}
 }
 
-// elsewhere tells whether another node owns a program's shard.
-func (admitter *admitter) elsewhere(program tenant.Program) bool {
+// ownedElsewhere reports whether this node does not own a program's shard.
+func (admitter *admitter) ownedElsewhere(program tenant.Program) bool {
 	return !admitter.node.ownership.Owns(admitter.node.programs.shardOf(program.ID))
 }
 
-// report returns the programs of this node's shards and the calls of tools that it serves,
-// for the load report.
+// report returns the load of the programs of this node's shards and of the tool calls that it
+// serves.
 func (admitter *admitter) report() (map[string]load.Route, map[load.TenantPriority]int) {
 	admitter.mutex.Lock()
 	routes, tenants := admitter.table.Report(time.Now())
@@ -78,38 +78,39 @@
 	return routes, tenants
 }
 
-// begins tells whether a turn is the first of its program, as far as this node knows.
-func (admitter *admitter) begins(request *nodev1.ReserveRequest) bool {
+// isFirstTurn reports whether a turn is the first of its program, as far as this node knows.
+func (admitter *admitter) isFirstTurn(request *nodev1.ReserveRequest) bool {
 	if request.Previous != "" {
 		return false
 	}
 	admitter.mutex.Lock()
 	defer admitter.mutex.Unlock()
-	return !admitter.goesOn(programOf(request))
+	return !admitter.hasStarted(programOf(request))
 }
 
-// goesOn tells whether a program has begun, or was admitted. The caller holds the mutex.
-func (admitter *admitter) goesOn(program tenant.Program) bool {
-	return admitter.table.HasStarted(program) || admitter.beginning[program] > 0
+// hasStarted reports whether a program has started or has a pending first turn. The caller holds the
+// mutex.
+func (admitter *admitter) hasStarted(program tenant.Program) bool {
+	return admitter.table.HasStarted(program) || admitter.pendingFirstTurns[program] > 0
 }
 
-// reserved notes that the reservation of an admitted first turn has ended.
-func (admitter *admitter) reserved(request *nodev1.ReserveRequest) {
+// finishFirstTurn records that the reservation of an admitted first turn has ended.
+func (admitter *admitter) finishFirstTurn(request *nodev1.ReserveRequest) {
 	program := programOf(request)
 	admitter.mutex.Lock()
 	defer admitter.mutex.Unlock()
-	admitter.beginning[program]--
-	if admitter.beginning[program] <= 0 {
-		delete(admitter.beginning, program)
+	admitter.pendingFirstTurns[program]--
+	if admitter.pendingFirstTurns[program] <= 0 {
+		delete(admitter.pendingFirstTurns, program)
 	}
 }
 
-// admits tells whether a program may begin; reserved ends what it notes. Where it may not,
-// the reply says so.
-func (admitter *admitter) admits(shard int, request *nodev1.ReserveRequest, reply *nodev1.ReserveReply) bool {
+// admit reports whether a program may start, and fills in the reply if not. After admission the
+// caller must call finishFirstTurn.
+func (admitter *admitter) admit(shard int, request *nodev1.ReserveRequest, reply *nodev1.ReserveReply) bool {
 	now := time.Now()
 	since, owned := admitter.node.ownership.OwnedSince(shard)
-	if !feature.Enabled(feature.Admission) || !owned || now.Sub(since) < admitter.patience {
+	if !feature.Enabled(feature.Admission) || !owned || now.Sub(since) < admitter.warmUp {
 		return true
 	}
 	state := admitter.state(now)
@@ -125,26 +126,27 @@
 	return false
 }
 
-// decide asks the controller, unless another turn of the program was admitted meanwhile.
+// decide asks the controller, unless another turn of the program has been admitted in the
+// meantime.
 func (admitter *admitter) decide(request *nodev1.ReserveRequest, state *admission.State, now time.Time) admission.Decision {
-	order := orderOf(request)
+	candidate := admissionRequest(request)
 	admitter.mutex.Lock()
 	defer admitter.mutex.Unlock()
 	decision := admission.Decision{Admitted: true}
-	if !admitter.goesOn(order.Program) {
-		decision = admitter.controller.Decide(order, state, now)
+	if !admitter.hasStarted(candidate.Program) {
+		decision = admitter.controller.Decide(candidate, state, now)
 	}
 	if decision.Admitted {
-		admitter.beginning[order.Program]++
+		admitter.pendingFirstTurns[candidate.Program]++
 	} else {
-		admitter.table.RecordRefusal(order, now)
+		admitter.table.RecordRefusal(candidate, now)
 		admitter.metrics.countRefusal(request.Route, request.Rank, string(decision.Reason))
 	}
 	return decision
 }
 
-func orderOf(request *nodev1.ReserveRequest) admission.Request {
-	const parts = 1 << 16
+func admissionRequest(request *nodev1.ReserveRequest) admission.Request {
+	const jitterSteps = 1 << 16
 	return admission.Request{
 		Program:           programOf(request),
 		Route:             admission.RouteName(request.Route, request.Service, int(request.Rank)),
@@ -153,11 +155,11 @@
 		PromptTokens:      request.Prompt,
 		UntilSoftDeadline: milliseconds(request.AimLeftMs),
 		HasSoftDeadline:   request.HasAim,
-		RetryJitter:       float64(xxhash.Sum64String(request.Request)%parts) / parts,
+		RetryJitter:       float64(xxhash.Sum64String(request.Request)%jitterSteps) / jitterSteps,
 	}
 }
 
-// logRefusal writes what decided.
+// logRefusal logs a refusal and the figures it is based on.
 func (admitter *admitter) logRefusal(request *nodev1.ReserveRequest, decision admission.Decision, age time.Duration) {
 	admitter.node.logger.Info("program refused", zap.String("key", request.Request), zap.String("program", request.Program),
 		zap.String("tenant", request.Tenant), zap.String("route", request.Route), zap.Int32("rank", request.Rank),
@@ -168,8 +170,8 @@
 		zap.Duration("view_age", age), zap.Duration("retry_after", decision.RetryAfter))
 }
 
-// turnBegins notes a turn whose tokens were reserved.
-func (admitter *admitter) turnBegins(request *nodev1.ReserveRequest, until time.Time, begins bool) {
+// recordTurnStart records a turn whose tokens have been reserved.
+func (admitter *admitter) recordTurnStart(request *nodev1.ReserveRequest, expiresAt time.Time, firstTurn bool) {
 	now := time.Now()
 	turn := admission.Turn{
 		Program:      programOf(request),
@@ -179,8 +181,8 @@
 		Service:      request.Service,
 		Priority:     int(request.Rank),
 		PromptTokens: request.Prompt,
-		ExpiresAt:    until,
-		FirstTurn:    begins,
+		ExpiresAt:    expiresAt,
+		FirstTurn:    firstTurn,
 	}
 	if request.HasAim {
 		turn.SoftDeadline = now.Add(milliseconds(request.AimLeftMs))
@@ -190,19 +192,19 @@
 	admitter.table.RecordTurnStart(turn, now)
 }
 
-// turnEnds notes a turn's end.
-func (admitter *admitter) turnEnds(program tenant.Program, request string) {
+// recordTurnEnd records the end of a turn.
+func (admitter *admitter) recordTurnEnd(program tenant.Program, request string) {
 	admitter.mutex.Lock()
 	defer admitter.mutex.Unlock()
 	admitter.table.RecordTurnEnd(program, request, time.Now())
 }
 
-// state puts together what a decision goes by.
+// state returns the inputs for an admission decision.
 func (admitter *admitter) state(now time.Time) *admission.State {
 	node := admitter.node
 	total, known := node.load.Total(now)
 	age, _ := node.load.Age(now)
-	state := &admission.State{Total: total, Known: known, Age: age, OwnerShare: admitter.share()}
+	state := &admission.State{Total: total, Known: known, Age: age, OwnerShare: admitter.ownedShardShare()}
 	if !known {
 		return state
 	}
@@ -215,17 +217,17 @@
 	return state
 }
 
-// serviceState tells what a service's engines have, and what runs there.
+// serviceState returns the capacity and the running requests of a service.
 func (node *Node) serviceState(capacity backend.Capacity, total load.Report) admission.Service {
-	service := admission.Service{Name: capacity.Service, Slots: capacity.Slots, Engines: len(capacity.Engines), MemoryTokens: node.memoryOf(capacity.Service)}
+	service := admission.Service{Name: capacity.Service, Slots: capacity.Slots, Engines: len(capacity.Engines), MemoryTokens: node.engineMemoryTokens(capacity.Service)}
 	for _, engine := range capacity.Engines {
 		service.Running += total.Engines[engine].Running
 	}
 	return service
 }
 
-// share is the part of all shards that this node owns.
-func (admitter *admitter) share() float64 {
+// ownedShardShare returns the fraction of all shards that this node owns.
+func (admitter *admitter) ownedShardShare() float64 {
 	owned := 0
 	for shard := range admitter.node.settings.Shards {
 		if _, owns := admitter.node.ownership.OwnedSince(shard); owns {
--- a/internal/node/admission_metrics.go
+++ b/internal/node/admission_metrics.go
@@ -8,14 +8,14 @@
 	"github.com/prometheus/client_golang/prometheus"
 )
 
-// mostRouteLabels bounds the routes that the metrics of admission tell apart, and
-// otherRoutes stands for those beyond them.
+// maxRouteLabels bounds the route labels in admission metrics; further routes count as
+// otherRouteLabel.
 const (
-	mostRouteLabels = 100
-	otherRoutes     = "other"
+	maxRouteLabels  = 100
+	otherRouteLabel = "other"
 )
 
-// admissionMetrics show what admission decides by, and what it decides.
+// admissionMetrics exports the inputs and outcomes of admission decisions.
 type admissionMetrics struct {
 	admitter *admitter
 	refused  *prometheus.CounterVec
@@ -23,7 +23,7 @@
 	limit    *prometheus.Desc
 	demand   *prometheus.Desc
 	programs *prometheus.Desc
-	// routes are those that have labels of their own. The admitter's mutex guards it.
+	// routes holds the routes that have their own label. Guarded by the admitter's mutex.
 	routes map[string]bool
 }
 
@@ -43,20 +43,20 @@
 	}
 }
 
-// label bounds the labels whatever the configurations name. The caller holds the
+// label returns the label of a route, bounding the number of labels. The caller holds the
 // admitter's mutex.
 func (metrics *admissionMetrics) label(route string) string {
 	if metrics.routes[route] {
 		return route
 	}
-	if len(metrics.routes) >= mostRouteLabels {
-		return otherRoutes
+	if len(metrics.routes) >= maxRouteLabels {
+		return otherRouteLabel
 	}
 	metrics.routes[route] = true
 	return route
 }
 
-// countRefusal counts a refusal. The caller holds the admitter's mutex.
+// countRefusal counts a refused program. The caller holds the admitter's mutex.
 func (metrics *admissionMetrics) countRefusal(route string, rank int32, reason string) {
 	metrics.refused.WithLabelValues(metrics.label(route), strconv.Itoa(int(rank)), reason).Inc()
 }
@@ -84,8 +84,8 @@
 	metrics.collectPrograms(collected)
 }
 
-// collectPrograms sums the routes that share a label. The caller holds the admitter's
-// mutex.
+// collectPrograms sums active programs by label, since several routes may share one. The caller
+// holds the admitter's mutex.
 func (metrics *admissionMetrics) collectPrograms(collected chan<- prometheus.Metric) {
 	type labels struct{ route, rank string }
 	sums := map[labels]float64{}
--- a/internal/node/admission_test.go
+++ b/internal/node/admission_test.go
@@ -25,7 +25,7 @@
 	"github.com/prometheus/client_golang/prometheus/promhttp"
 )
 
-var _ = Describe("Admission at an owner", func() {
+var _ = Describe("Admission at a shard owner", func() {
 	const program = "p"
 	name := admission.RouteName("r", "models", 2)
 	var node *Node
@@ -51,10 +51,10 @@
 	})
 
 	reserve := func(id, request, previous string) *nodev1.ReserveReply {
-		return node.reserveHere(context.Background(), 0, &nodev1.ReserveRequest{Program: id, Tenant: "t", Request: request, Previous: previous, Route: "r", Rank: 2,
+		return node.handleReserve(context.Background(), 0, &nodev1.ReserveRequest{Program: id, Tenant: "t", Request: request, Previous: previous, Route: "r", Rank: 2,
 			Service: "models", Session: id, Budget: 10_000, Most: 100, Prompt: 700, TimeLeftMs: 3000, TakeOver: true})
 	}
-	// overload has the view tell of far more than the engines have room for.
+	// overload sets a load view far above the engines' capacity.
 	overload := func() {
 		total := load.NewReport()
 		total.Routes[name] = load.Route{Service: "models", Priority: 2, Programs: 60, Turns: 60, ProgramsStarted: 15}
@@ -67,13 +67,13 @@
 			node.admission.controller.Observe(node.admission.state(now), now.Add(time.Duration(step-20)*200*time.Millisecond))
 		}
 	}
-	// own has the node own the shard for long enough.
+	// own makes the node the shard's owner and skips the warm-up.
 	own := func() {
 		Expect(reserve(program, program+"/0", "").Verdict).To(Equal(nodev1.Verdict_VERDICT_GRANTED))
-		node.admission.patience = 0
+		node.admission.warmUp = 0
 	}
 
-	It("refuses a program that would begin, reserves nothing, and says when to come back", func() {
+	It("refuses a new program without reserving tokens, with a retry delay", func() {
 		own()
 		overload()
 		reply := reserve("q", "q/0", "")
@@ -85,37 +85,37 @@
 		Expect(routes[name].Refused).To(BeNumerically("~", 1, 0.5))
 		Expect(routes[name].Programs).To(Equal(1))
 		node.load.Update(load.NewReport(), load.NewReport(), 0, time.Now())
-		Expect(reserve("q", "q/1", "").Verdict).To(Equal(nodev1.Verdict_VERDICT_GRANTED), "it comes back once there is room")
+		Expect(reserve("q", "q/1", "").Verdict).To(Equal(nodev1.Verdict_VERDICT_GRANTED), "admitted on retry once there is capacity")
 	})
 
-	It("lets a program go on that has begun, whatever the load", func() {
+	It("admits further turns of a started program regardless of the load", func() {
 		own()
 		overload()
-		Expect(reserve(program, program+"/1", "").Verdict).To(Equal(nodev1.Verdict_VERDICT_GRANTED), "a program of which no turns are kept")
-		Expect(reserve("elsewhere", "elsewhere/1", "turn-1").Verdict).To(Equal(nodev1.Verdict_VERDICT_GRANTED), "one that names its turn before")
+		Expect(reserve(program, program+"/1", "").Verdict).To(Equal(nodev1.Verdict_VERDICT_GRANTED), "a program without recorded turns")
+		Expect(reserve("elsewhere", "elsewhere/1", "turn-1").Verdict).To(Equal(nodev1.Verdict_VERDICT_GRANTED), "a program whose turn names a previous one")
 	})
 
-	It("lets a program's other turns go on while its first one is being reserved", func() {
+	It("admits a program's other turns while its first one is being reserved", func() {
 		own()
 		overload()
 		first := &nodev1.ReserveRequest{Program: "q", Tenant: "t", Request: "q/0", Route: "r", Rank: 2, Service: "models", Session: "q", Prompt: 700}
 		second := &nodev1.ReserveRequest{Program: "q", Tenant: "t", Request: "q/1", Route: "r", Rank: 2, Service: "models", Session: "helper", Prompt: 700}
-		Expect(node.admission.begins(first)).To(BeTrue())
+		Expect(node.admission.isFirstTurn(first)).To(BeTrue())
 		node.load.Update(load.NewReport(), load.NewReport(), 0, time.Now())
-		Expect(node.admission.admits(0, first, &nodev1.ReserveReply{})).To(BeTrue())
+		Expect(node.admission.admit(0, first, &nodev1.ReserveReply{})).To(BeTrue())
 		overload()
-		Expect(node.admission.begins(second)).To(BeFalse(), "it was admitted")
-		node.admission.reserved(first)
-		Expect(node.admission.begins(second)).To(BeTrue(), "nothing was reserved for it")
+		Expect(node.admission.isFirstTurn(second)).To(BeFalse(), "it was admitted")
+		node.admission.finishFirstTurn(first)
+		Expect(node.admission.isFirstTurn(second)).To(BeTrue(), "its reservation ended without a turn")
 	})
 
-	It("refuses nobody as a new owner, which does not know the programs under way", func() {
+	It("admits every program during the warm-up after acquiring a shard", func() {
 		Expect(reserve(program, program+"/0", "").Verdict).To(Equal(nodev1.Verdict_VERDICT_GRANTED))
 		overload()
 		Expect(reserve("q", "q/0", "").Verdict).To(Equal(nodev1.Verdict_VERDICT_GRANTED))
 	})
 
-	It("refuses nobody while the load over all nodes is not known, and while its gate is off", func() {
+	It("admits every program without a load view or with the feature disabled", func() {
 		own()
 		Expect(reserve("q", "q/0", "").Verdict).To(Equal(nodev1.Verdict_VERDICT_GRANTED))
 		overload()
@@ -124,7 +124,7 @@
 		Expect(reserve("s", "s/0", "").Verdict).To(Equal(nodev1.Verdict_VERDICT_GRANTED))
 	})
 
-	It("counts turns from their reservation to their settlement", func() {
+	It("counts turns from reservation to settlement", func() {
 		own()
 		turns := func() int {
 			routes, _ := node.admission.report()
@@ -135,7 +135,7 @@
 		Expect(turns()).To(BeZero())
 	})
 
-	It("shows what it decides by", func() {
+	It("exports its inputs and outcomes as metrics", func() {
 		own()
 		overload()
 		reserve("q", "q/0", "")
--- a/internal/node/breaker.go
+++ b/internal/node/breaker.go
@@ -6,8 +6,8 @@
 	"go.uber.org/zap"
 )
 
-// logBreaker writes the line of an engine breaker that has opened or closed.
-func (node *Node) logBreaker(change backend.BreakerChange) {
+// logBreakerChange logs that an engine's circuit breaker opened or closed.
+func (node *Node) logBreakerChange(change backend.BreakerChange) {
 	event := "engine breaker closed"
 	if change.Open {
 		event = "engine breaker opened"
@@ -20,7 +20,7 @@
 var openBreakers = prometheus.NewDesc("magpielug_open_breakers",
 	"Engines that get nothing but probes, by service.", []string{"service"}, nil)
 
-// breakerCollector implements prometheus.Collector over the services known.
+// breakerCollector exports the number of open circuit breakers by service.
 type breakerCollector struct{ engines *backend.Directory }
 
 // Describe implements prometheus.Collector.
--- a/internal/node/breaker_test.go
+++ b/internal/node/breaker_test.go
@@ -17,7 +17,7 @@
 	"go.uber.org/zap/zaptest/observer"
 )
 
-var _ = Describe("An engine that fails", func() {
+var _ = Describe("A failing engine", func() {
 	var node *Node
 	engines := []string{"e0", "e1", "e2"}
 
@@ -30,26 +30,26 @@
 	})
 	turn := &nodev1.ReserveRequest{Program: "p", Session: "p", Service: "models", Zone: "a"}
 
-	It("loses the program whose turn it failed, as its settlement says, where the gate is on", func() {
-		first := node.assign(turn)
-		Expect(node.assign(turn)).To(Equal(first))
+	It("loses a program's session after a settlement reports a failed turn, if the feature is enabled", func() {
+		first := node.assignEngine(turn)
+		Expect(node.assignEngine(turn)).To(Equal(first))
 		settlement := &nodev1.Settlement{Program: "p", Session: "p", FailedEngine: first}
 		Expect(feature.Disable(string(feature.EngineBreaker))).To(Succeed())
 		DeferCleanup(func() { _ = feature.Disable("") })
-		node.noteFailedEngine(settlement)
-		Expect(node.assign(turn)).To(Equal(first))
+		node.recordFailedEngine(settlement)
+		Expect(node.assignEngine(turn)).To(Equal(first))
 		Expect(feature.Disable("")).To(Succeed())
-		node.noteFailedEngine(&nodev1.Settlement{Program: "p", Session: "p"})
-		Expect(node.assign(turn)).To(Equal(first))
-		node.noteFailedEngine(settlement)
-		Expect(node.assign(turn)).NotTo(Equal(first))
+		node.recordFailedEngine(&nodev1.Settlement{Program: "p", Session: "p"})
+		Expect(node.assignEngine(turn)).To(Equal(first))
+		node.recordFailedEngine(settlement)
+		Expect(node.assignEngine(turn)).NotTo(Equal(first))
 	})
 
-	It("gets no lines while its breaker is open, which a line and a gauge tell", func() {
+	It("is assigned no sessions while its breaker is open, which is logged and exported", func() {
 		core, logs := observer.New(zap.InfoLevel)
 		node.logger = &logging.Logger{Logger: zap.New(core)}
-		node.engines.OnBreakerChange(node.logBreaker)
-		first := node.assign(turn)
+		node.engines.OnBreakerChange(node.logBreakerChange)
+		first := node.assignEngine(turn)
 		now := time.Now()
 		var sent []*backend.Engine
 		for range 3 {
@@ -58,7 +58,7 @@
 		for _, engine := range sent {
 			node.engines.Finish(engine, backend.EngineError, now)
 		}
-		Expect(node.assign(turn)).NotTo(Equal(first))
+		Expect(node.assignEngine(turn)).NotTo(Equal(first))
 		opened := logs.FilterMessage("engine breaker opened").All()
 		Expect(opened).To(HaveLen(1))
 		Expect(opened[0].ContextMap()).To(HaveKeyWithValue("engine", first))
@@ -74,8 +74,8 @@
 	})
 })
 
-var _ = Describe("Speeds of engines", func() {
-	It("are told to the node that wants them", func() {
+var _ = Describe("Engine speeds", func() {
+	It("are sent to nodes that request them", func() {
 		node := newReader(0)
 		node.engines.Upsert(backend.Instance{ID: "e0", Service: "models"}, time.Time{})
 		node.engines.AddLatencyStats(map[string]backend.LatencyStats{"e0": {Weight: 5, Sum: 10}}, time.Now())
@@ -89,9 +89,9 @@
 
 		other := &learner{node: &Node{engines: backend.NewDirectory()}}
 		other.node.engines.Upsert(backend.Instance{ID: "e0", Service: "models"}, time.Time{})
-		other.takeSpeeds(learn(false))
+		other.applySpeeds(learn(false))
 		Expect(other.speedsAt).To(BeZero())
-		other.takeSpeeds(learn(true))
+		other.applySpeeds(learn(true))
 		Expect(other.speedsAt).NotTo(BeZero())
 		Expect(other.node.engines.Slowness("e0", time.Now())).To(BeNumerically("~", 1.5, 0.01))
 	})
--- a/internal/node/cold.go
+++ b/internal/node/cold.go
@@ -4,8 +4,8 @@
 	"github.com/magpielug/magpielug/internal/backend"
 )
 
-// coldLimit returns what cold engines of a service bear over all nodes, zero where nothing
-// bounds it.
+// coldLimit returns the request rate that a service's cold engines may receive from all nodes; the
+// zero value is unlimited.
 func (node *Node) coldLimit(service string) backend.ColdLimit {
 	configuration := node.routes.Load()
 	if configuration == nil {
@@ -16,31 +16,31 @@
 	return backend.ColdLimit{PerSecond: perSecond, Burst: max(tolerance.Factor-1, 0)*perSecond + tolerance.Requests}
 }
 
-// placeAtEngine returns this node's place in the order of an engine's senders and the number
-// of nodes; known is false until the nodes' records were read.
-func (node *Node) placeAtEngine(engine string) (place, nodes int, known bool) {
-	if !node.memberView.read() {
+// senderRank returns this node's rank among the senders to an engine and the number of nodes.
+// known is false until the nodes' records have been read.
+func (node *Node) senderRank(engine string) (rank, nodes int, members bool) {
+	if !node.memberView.loaded() {
 		return 0, 0, false
 	}
-	place, nodes = node.members.placeAt(engine, node.settings.Name)
-	return place, nodes, true
+	rank, nodes = node.members.senderRank(engine, node.settings.Name)
+	return rank, nodes, true
 }
 
-// placeAt returns a node's place in the order of an engine's senders (rendezvous hashing),
-// and the number of nodes that are not leaving, that node included.
-func (known *members) placeAt(engine, name string) (place, nodes int) {
-	known.mutex.RLock()
-	defer known.mutex.RUnlock()
+// senderRank returns a node's rank among the senders to an engine, by rendezvous hashing, and the
+// number of active nodes including itself.
+func (members *members) senderRank(engine, name string) (rank, nodes int) {
+	members.mutex.RLock()
+	defer members.mutex.RUnlock()
 	own := backend.RendezvousWeight(engine, name)
 	nodes = 1
-	for _, member := range known.byName {
+	for _, member := range members.byName {
 		if member.Draining || member.Name == name {
 			continue
 		}
 		nodes++
 		if backend.RendezvousWeight(engine, member.Name) > own {
-			place++
+			rank++
 		}
 	}
-	return place, nodes
+	return rank, nodes
 }
--- a/internal/node/egress.go
+++ b/internal/node/egress.go
@@ -10,18 +10,18 @@
 )
 
 const (
-	// nodesPerEgress is how many nodes of a zone share an egress node: few enough nodes
-	// for their connections to stay in use, and enough for one lost to take little.
+	// nodesPerEgress is the number of nodes of a zone per egress node. Fewer egress nodes reuse
+	// connections better; more of them limit the effect of losing one.
 	nodesPerEgress = 12
-	// egressShard stands for the sending to engines in the order of candidates.
-	egressShard = -2
+	// egressPseudoShard is the candidate-order key for egress nodes.
+	egressPseudoShard = -2
 )
 
-// egressTopology implements egress.Topology over the nodes known.
+// egressTopology implements egress.Topology on top of the membership.
 type egressTopology struct {
 	node *Node
 
-	// mutex guards the egress nodes by zone, made from a version of the members.
+	// mutex guards byZone, which is computed from a version of the membership.
 	mutex   sync.Mutex
 	version int64
 	byZone  map[string][]Member
@@ -30,7 +30,7 @@
 // EgressNodes implements egress.Topology.
 func (topology *egressTopology) EgressNodes(engine backend.Instance) ([]egress.Node, bool) {
 	own := topology.node.settings.Name
-	ordered := inOrderOf(engine.ID, topology.of(engine.Zone))
+	ordered := rankForEngine(engine.ID, topology.nodesIn(engine.Zone))
 	if len(ordered) > 0 && ordered[0].Name == own {
 		return nil, true
 	}
@@ -48,8 +48,8 @@
 	return topology.node.engines.CountInZone(engine.Service, engine.Zone)
 }
 
-// of returns the egress nodes of a zone.
-func (topology *egressTopology) of(zone string) []Member {
+// nodesIn returns the egress nodes of a zone.
+func (topology *egressTopology) nodesIn(zone string) []Member {
 	topology.mutex.Lock()
 	defer topology.mutex.Unlock()
 	version := topology.node.members.version.Load()
@@ -60,11 +60,11 @@
 	return topology.byZone[zone]
 }
 
-// egressNodes returns the egress nodes of each zone: the first choices of a shard that
-// no program has, and so mostly strong machines.
-func (known *members) egressNodes() map[string][]Member {
+// egressNodes returns the egress nodes of each zone, in candidate order, which prefers nodes of
+// high capacity.
+func (members *members) egressNodes() map[string][]Member {
 	zones := map[string][]Member{}
-	for _, candidate := range known.candidates(egressShard) {
+	for _, candidate := range members.candidates(egressPseudoShard) {
 		zones[candidate.Zone] = append(zones[candidate.Zone], candidate)
 	}
 	for zone, nodes := range zones {
@@ -73,9 +73,9 @@
 	return zones
 }
 
-// inOrderOf returns members in the order in which they send to an engine (rendezvous
-// hashing: an egress node that is lost moves its own engines only).
-func inOrderOf(engine string, members []Member) []Member {
+// rankForEngine returns members in rendezvous order for an engine, so that losing an egress node
+// reassigns only its own engines.
+func rankForEngine(engine string, members []Member) []Member {
 	ordered := slices.Clone(members)
 	slices.SortFunc(ordered, func(left, right Member) int {
 		return cmp.Compare(backend.RendezvousWeight(engine, right.Name), backend.RendezvousWeight(engine, left.Name))
--- a/internal/node/egress_test.go
+++ b/internal/node/egress_test.go
@@ -8,7 +8,7 @@
 )
 
 var _ = Describe("Egress nodes", func() {
-	known := func(nodes int) *members {
+	newMembersWith := func(nodes int) *members {
 		list := newMembers()
 		for number := range nodes {
 			list.put(Member{Name: "node-" + strconv.Itoa(number), Address: strconv.Itoa(number), Zone: "zone-" + strconv.Itoa(number%2), Capacity: 800})
@@ -23,38 +23,38 @@
 		return list
 	}
 
-	It("are a few of each zone, one at least", func() {
-		zones := known(60).egressNodes()
+	It("are a few nodes of each zone, at least one", func() {
+		zones := newMembersWith(60).egressNodes()
 		Expect(zones["zone-0"]).To(HaveLen(3))
 		Expect(zones["zone-1"]).To(HaveLen(3))
-		Expect(known(2).egressNodes()["zone-1"]).To(HaveLen(1))
+		Expect(newMembersWith(2).egressNodes()["zone-1"]).To(HaveLen(1))
 	})
 
-	It("keep their engines when another one leaves", func() {
-		list := known(60)
+	It("keep their engines when another egress node leaves", func() {
+		list := newMembersWith(60)
 		before := list.egressNodes()["zone-0"]
-		left := before[0]
-		left.Draining = true
-		list.put(left)
+		draining := before[0]
+		draining.Draining = true
+		list.put(draining)
 		after := list.egressNodes()["zone-0"]
-		Expect(names(after)).NotTo(ContainElement(left.Name))
+		Expect(names(after)).NotTo(ContainElement(draining.Name))
 		for number := range 50 {
 			engine := "engine-" + strconv.Itoa(number)
-			first := inOrderOf(engine, before)[0]
-			if first.Name != left.Name && len(names(after)) > 0 {
-				Expect(inOrderOf(engine, after)[0].Name).To(Or(Equal(first.Name), Not(BeElementOf(names(before)))))
+			first := rankForEngine(engine, before)[0]
+			if first.Name != draining.Name && len(names(after)) > 0 {
+				Expect(rankForEngine(engine, after)[0].Name).To(Or(Equal(first.Name), Not(BeElementOf(names(before)))))
 			}
 		}
 	})
 
-	It("are found anew once the nodes change", func() {
-		node := &Node{members: known(4)}
+	It("are recomputed when the membership changes", func() {
+		node := &Node{members: newMembersWith(4)}
 		topology := &egressTopology{node: node}
-		before := topology.of("zone-0")
+		before := topology.nodesIn("zone-0")
 		Expect(before).To(HaveLen(1))
-		left := before[0]
-		left.Draining = true
-		node.members.put(left)
-		Expect(names(topology.of("zone-0"))).NotTo(ContainElement(left.Name))
+		draining := before[0]
+		draining.Draining = true
+		node.members.put(draining)
+		Expect(names(topology.nodesIn("zone-0"))).NotTo(ContainElement(draining.Name))
 	})
 })
--- a/internal/node/engine_source.go
+++ b/internal/node/engine_source.go
@@ -10,87 +10,87 @@
 )
 
 const (
-	// startPatience is how long a node that has just started leaves its first list of engines
-	// to the nodes that tell it of them.
-	startPatience = 1500 * time.Millisecond
-	// stalePatience is how long a node makes do with a list of engines that its sources can't
-	// renew. They read the store for the whole zone: what holds them up would hold up all, and
-	// more readers on a full link let nobody through.
-	stalePatience = 3 * time.Second
+	// firstListTimeout is how long a newly started node waits for its first engine list from its
+	// sources before reading it from the durable log.
+	firstListTimeout = 1500 * time.Millisecond
+	// staleListTolerance is how long a node keeps an engine list that its sources cannot refresh.
+	// The sources read the log for the whole zone; additional readers would only add load to a
+	// link that delays them.
+	staleListTolerance = 3 * time.Second
 )
 
-// engineSource keeps a node's list of engines current from other nodes of its zone. Engines
-// repeat their records all the time, so that two nodes of a zone read them at the most: its
-// first reader, and its second one while the first is not current.
+// engineSource keeps a node's engine list current from other nodes of its zone. Engines renew
+// their records continuously, so at most two nodes of a zone read them from the log: its first
+// reader, and the second while the first is not current.
 type engineSource struct {
 	learner *learner
-	// until is the time up to which the engines' records need not be read from the store.
-	until moment
-	// staleSince is since when no source was current, zero while one is.
+	// trustedUntil is when the engine records have to be read from the durable log again.
+	trustedUntil atomicTime
+	// staleSince is when the sources stopped being current, zero while one is.
 	staleSince time.Time
-	// unreached is true once no source was reached.
+	// unreached is true if no source answered the last refresh.
 	unreached atomic.Bool
-	// source is the node last relied on, for the log.
-	source string
+	// currentSource is the source in use, kept to log changes.
+	currentSource string
 }
 
-// sparesStore tells whether another node tells this one of the engines now, or is about to.
-func (source *engineSource) sparesStore() bool {
-	return source.learner.learns() || source.until.age(time.Now()) < 0 || source.awaited()
+// skipsLog reports whether another node supplies the engine list now, or is about to.
+func (source *engineSource) skipsLog() bool {
+	return source.learner.hasReader() || source.trustedUntil.age(time.Now()) < 0 || source.awaitsFirstList()
 }
 
-// awaited tells whether a node that has just started waits for its first list. Where all nodes
-// start at once and each reads the whole list, the links to the store carry nothing else.
-func (source *engineSource) awaited() bool {
+// awaitsFirstList reports whether a newly started node is waiting for its first engine list. If
+// all nodes started at once and read the list from the log, they would saturate its links.
+func (source *engineSource) awaitsFirstList() bool {
 	node := source.learner.node
-	if node.engineView.read() || time.Since(source.learner.started) > startPatience || source.unreached.Load() || !feature.Enabled(feature.SharedReader) {
+	if node.engineView.loaded() || time.Since(source.learner.started) > firstListTimeout || source.unreached.Load() || !feature.Enabled(feature.SharedReader) {
 		return false
 	}
-	return !node.memberView.read() || len(node.members.engineSources(node.self())) > 0
+	return !node.memberView.loaded() || len(node.members.engineSources(node.self())) > 0
 }
 
-// hold spares the store while the next sources are asked.
-func (source *engineSource) hold() { source.until.set(time.Now().Add(learnTrust)) }
+// extendTrust defers reading the durable log by learnTTL.
+func (source *engineSource) extendTrust() { source.trustedUntil.set(time.Now().Add(learnTTL)) }
 
-// ask takes in the engines that the first current source knows, or the newest of those that
-// are reached, and decides whether this node has to read the store.
-func (source *engineSource) ask(ctx context.Context, now time.Time) {
+// refresh merges the engine records of the first current source, or of those reached if none is
+// current, and decides whether this node has to read the durable log itself.
+func (source *engineSource) refresh(ctx context.Context, now time.Time) {
 	node := source.learner.node
 	sources := node.members.engineSources(node.self())
 	if len(sources) == 0 || !feature.Enabled(feature.SharedReader) {
-		source.until.set(now)
-		source.note("")
+		source.trustedUntil.set(now)
+		source.setSource("")
 		return
 	}
 	reached := false
 	for _, member := range sources {
-		current, err := source.learner.askRecords(ctx, member.Address)
+		current, err := source.learner.learnRecordsFrom(ctx, member.Address)
 		reached = reached || err == nil
 		if err == nil && current {
 			source.staleSince = time.Time{}
-			source.note(member.Name)
-			source.hold()
+			source.setSource(member.Name)
+			source.extendTrust()
 			return
 		}
 	}
-	source.note("")
+	source.setSource("")
 	source.unreached.Store(!reached)
 	if source.staleSince.IsZero() {
 		source.staleSince = now
 	}
-	// With a single source this node is the zone's second reader, or has nobody else.
-	if reached && len(sources) > 1 && now.Sub(source.staleSince) < stalePatience {
-		source.hold()
+	// A node with a single source is the zone's second reader or has no alternative.
+	if reached && len(sources) > 1 && now.Sub(source.staleSince) < staleListTolerance {
+		source.extendTrust()
 		return
 	}
-	source.until.set(now)
+	source.trustedUntil.set(now)
 }
 
-// note logs a change of the node that tells of the engines.
-func (source *engineSource) note(name string) {
-	if source.source == name {
+// setSource records the source in use and logs a change.
+func (source *engineSource) setSource(name string) {
+	if source.currentSource == name {
 		return
 	}
-	source.source = name
-	source.learner.node.logger.Info("engines told by", zap.String("node", name))
+	source.currentSource = name
+	source.learner.node.logger.Info("engine source changed", zap.String("node", name))
 }
--- a/internal/node/engine_source_test.go
+++ b/internal/node/engine_source_test.go
@@ -15,38 +15,37 @@
 	"go.uber.org/zap"
 )
 
-// zoneOfReaders is a zone of 24 nodes: three of them are readers, the first two of which are
-// served, or named by a dead address.
-type zoneOfReaders struct {
+// readerZone is a zone of 24 nodes with three log readers, of which the first two may be served.
+type readerZone struct {
 	members *members
 	readers []Member
 }
 
-func newZoneOfReaders(first, second *Node) *zoneOfReaders {
-	zone := &zoneOfReaders{members: newMembers()}
+func newReaderZone(first, second *Node) *readerZone {
+	zone := &readerZone{members: newMembers()}
 	for number := range 3 * nodesPerReader {
 		zone.members.put(Member{Name: "node-" + strconv.Itoa(number), Zone: "zone", Capacity: 800, Address: deadAddress})
 	}
-	zone.readers = zone.members.readersOf("zone")
-	for place, served := range []*Node{first, second} {
+	zone.readers = zone.members.logReaders("zone")
+	for index, served := range []*Node{first, second} {
 		if served == nil {
 			continue
 		}
 		server := httptest.NewServer(nodev1.NewNodeServer(&peerServer{node: served}))
 		DeferCleanup(server.Close)
-		reader := zone.readers[place]
+		reader := zone.readers[index]
 		reader.Address = server.Listener.Addr().String()
 		zone.members.put(reader)
 	}
-	zone.readers = zone.members.readersOf("zone")
+	zone.readers = zone.members.logReaders("zone")
 	return zone
 }
 
-// deadAddress is one that nobody listens on.
+// deadAddress has no listener.
 const deadAddress = "127.0.0.1:1"
 
-// member is a node of the zone.
-func (zone *zoneOfReaders) member(self Member) *Node {
+// member returns a node of the zone.
+func (zone *readerZone) member(self Member) *Node {
 	node := newReader(0)
 	node.members = zone.members
 	node.settings = Settings{Name: self.Name, Zone: self.Zone}
@@ -55,64 +54,64 @@
 	return node
 }
 
-// current and stale are readers whose list of engines is new, or too old to rely on.
-func current() *Node { return newReader(0) }
-func stale() *Node {
+// newCurrentReader and newStaleReader return readers with a current and an outdated engine list.
+func newCurrentReader() *Node { return newReader(0) }
+func newStaleReader() *Node {
 	node := newReader(0)
-	node.engineView.checked.set(time.Now().Add(-time.Minute))
+	node.engineView.confirmedAt.set(time.Now().Add(-time.Minute))
 	return node
 }
 
-// Readers that found the one before them not current read the store themselves: on a full link
-// 17 nodes read 6 MB a second instead of three, and nobody was current any more.
-var _ = Describe("The engines of a node", func() {
-	// reads tells whether a member has to read the store after an ask.
+// Guards against readers that all fall back to reading the log when the reader before them is not
+// current, which saturates a slow link.
+var _ = Describe("The engine records of a zone", func() {
+	// reads reports whether a member has to read the log after a refresh.
 	reads := func(member *Node) bool {
-		member.learner.engines.ask(context.Background(), time.Now())
-		return !member.learner.engines.sparesStore()
+		member.learner.engineSource.refresh(context.Background(), time.Now())
+		return !member.learner.engineSource.skipsLog()
 	}
 
-	It("are read by the zone's first reader, and told to the others", func() {
-		zone := newZoneOfReaders(current(), nil)
+	It("are read from the log by the first reader and passed on to the others", func() {
+		zone := newReaderZone(newCurrentReader(), nil)
 		Expect(reads(zone.member(zone.readers[0]))).To(BeTrue())
 		Expect(reads(zone.member(zone.readers[1]))).To(BeFalse())
 		Expect(reads(zone.member(zone.readers[2]))).To(BeFalse())
 	})
 
-	It("are read by the second reader too while the first is not current, and by no other", func() {
-		zone := newZoneOfReaders(stale(), current())
+	It("are read by the second reader, and no other, while the first is not current", func() {
+		zone := newReaderZone(newStaleReader(), newCurrentReader())
 		Expect(reads(zone.member(zone.readers[1]))).To(BeTrue())
 		Expect(reads(zone.member(zone.readers[2]))).To(BeFalse())
 	})
 
-	It("are not read by the others for a while where neither is current: they are held up by what holds up all", func() {
-		zone := newZoneOfReaders(stale(), stale())
+	It("are not read by further nodes until staleListTolerance has passed if no source is current", func() {
+		zone := newReaderZone(newStaleReader(), newStaleReader())
 		third := zone.member(zone.readers[2])
 		Expect(reads(third)).To(BeFalse())
 		Expect(reads(third)).To(BeFalse())
-		third.learner.engines.staleSince = time.Now().Add(-stalePatience)
+		third.learner.engineSource.staleSince = time.Now().Add(-staleListTolerance)
 		Expect(reads(third)).To(BeTrue())
 	})
 
-	It("are read by a node that reaches neither", func() {
-		zone := newZoneOfReaders(nil, nil)
+	It("are read by a node that reaches neither source", func() {
+		zone := newReaderZone(nil, nil)
 		Expect(reads(zone.member(zone.readers[2]))).To(BeTrue())
 	})
 
-	It("are not read by a node that has just started and knows its sources, and not before it knows the nodes", func() {
-		zone := newZoneOfReaders(current(), current())
+	It("are not read by a newly started node with sources before firstListTimeout", func() {
+		zone := newReaderZone(newCurrentReader(), newCurrentReader())
 		started := zone.member(zone.readers[2])
 		started.engineView = newRecordView("engines", zap.NewNop(), func(durable.KeyedRecord) bool { return false })
 		started.learner.started = time.Now()
-		Expect(started.learner.engines.sparesStore()).To(BeTrue())
-		started.memberView.take(durable.Update{End: 1}, time.Now())
-		Expect(started.learner.engines.sparesStore()).To(BeTrue())
+		Expect(started.learner.engineSource.skipsLog()).To(BeTrue())
+		started.memberView.merge(durable.Update{End: 1}, time.Now())
+		Expect(started.learner.engineSource.skipsLog()).To(BeTrue())
 		first := zone.member(zone.readers[0])
 		first.engineView = newRecordView("engines", zap.NewNop(), func(durable.KeyedRecord) bool { return false })
 		first.learner.started = time.Now()
-		first.memberView.take(durable.Update{End: 1}, time.Now())
-		Expect(first.learner.engines.sparesStore()).To(BeFalse())
-		started.learner.started = time.Now().Add(-startPatience)
-		Expect(started.learner.engines.sparesStore()).To(BeFalse())
+		first.memberView.merge(durable.Update{End: 1}, time.Now())
+		Expect(first.learner.engineSource.skipsLog()).To(BeFalse())
+		started.learner.started = time.Now().Add(-firstListTimeout)
+		Expect(started.learner.engineSource.skipsLog()).To(BeFalse())
 	})
 })
--- a/internal/node/fleet_benchmark_test.go
+++ b/internal/node/fleet_benchmark_test.go
@@ -12,8 +12,7 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// What one node pays for the size of a fleet of some hundred to a thousand nodes and some
-// thousand engines: each of these counts must cease to grow with it.
+// The costs of fleet size to a single node; they must not keep growing with the fleet.
 const (
 	fleetNodes   = 1000
 	fleetEngines = 10000
@@ -23,21 +22,21 @@
 
 func fleetMember(number int) Member {
 	return Member{Name: fmt.Sprintf("node-%04d", number), Address: fmt.Sprintf("10.%d.%d.%d:7600", number%fleetZones, number/250, number%250),
-		Zone: fmt.Sprint("zone-", number%fleetZones), Capacity: uint32(200 + number%600), ProtocolVersion: understandsSecondAllowance}
+		Zone: fmt.Sprint("zone-", number%fleetZones), Capacity: uint32(200 + number%600), ProtocolVersion: protocolSecondAllowance}
 }
 
-// fleetEngineView is a view of all engines' records, each some 250 bytes, in offsets from 0 on.
+// fleetEngineView returns a view of all engines' records, with offsets from 0.
 func fleetEngineView() *recordView {
 	directory := backend.NewDirectory()
 	view := newRecordView("engines", zap.NewNop(), func(record durable.KeyedRecord) bool {
 		instance := backend.Instance{ID: record.Key, Service: "models", Address: "10.0.0.1:80", Zone: "zone-0", Slots: 6}
 		return directory.Upsert(instance, time.Time{}) != backend.Unchanged
 	})
-	view.take(fleetRecords(0), time.Now())
+	view.merge(fleetRecords(0), time.Now())
 	return view
 }
 
-// fleetRecords is a record of each engine, from an offset on.
+// fleetRecords returns an update with one record of each engine, with offsets from the given one.
 func fleetRecords(offset int64) durable.Update {
 	const recordBytes = 250
 	update := durable.Update{End: offset + fleetEngines}
@@ -47,8 +46,8 @@
 	return update
 }
 
-// BenchmarkFleetNodesBecomeKnown has a node hear of all others one by one, as at a start, and
-// ask after each for the owners of all shards.
+// BenchmarkFleetNodesBecomeKnown adds all nodes one by one, as at a start, and computes the
+// candidates of all shards after each.
 func BenchmarkFleetNodesBecomeKnown(b *testing.B) {
 	for b.Loop() {
 		known := newMembers()
@@ -61,33 +60,33 @@
 	}
 }
 
-// BenchmarkFleetHeartbeats takes in one record of each engine that says nothing new: what a
-// node that reads the log does each 1.2 s.
+// BenchmarkFleetHeartbeats merges one unchanged record of each engine, as a log reader does on
+// each heartbeat interval.
 func BenchmarkFleetHeartbeats(b *testing.B) {
 	view := fleetEngineView()
 	offset := int64(fleetEngines)
 	for b.Loop() {
-		view.take(fleetRecords(offset), time.Now())
+		view.merge(fleetRecords(offset), time.Now())
 		offset += fleetEngines
 	}
 }
 
-// BenchmarkFleetLearnsNothingNew answers a node that knows all but the newest heartbeats: what
-// a node that reads the log does for each node that it reads for, each 0.3 s.
+// BenchmarkFleetLearnsNothingNew answers a node that lacks only the newest heartbeats, as a log
+// reader does for each of its nodes on each learnInterval.
 func BenchmarkFleetLearnsNothingNew(b *testing.B) {
 	view := fleetEngineView()
-	view.take(fleetRecords(fleetEngines), time.Now())
+	view.merge(fleetRecords(fleetEngines), time.Now())
 	for b.Loop() {
-		view.since(2*fleetEngines - 1)
+		view.changedSince(2*fleetEngines - 1)
 	}
 }
 
-// BenchmarkFleetLearnsAll answers a node that has just started, and counts the answer's bytes.
+// BenchmarkFleetLearnsAll answers a newly started node, and reports the size of the reply.
 func BenchmarkFleetLearnsAll(b *testing.B) {
 	view := fleetEngineView()
 	size := 0
 	for b.Loop() {
-		size = proto.Size(&nodev1.LearnReply{Engines: toRecords(view.since(0))})
+		size = proto.Size(&nodev1.LearnReply{Engines: toRecords(view.changedSince(0))})
 	}
 	b.ReportMetric(float64(size), "bytes/answer")
 }
--- a/internal/node/follow.go
+++ b/internal/node/follow.go
@@ -14,227 +14,225 @@
 )
 
 const (
-	// enginePoll separates two readings of the engines' records: engines write
-	// all the time, and a waiting read would return at each record.
-	enginePoll = 400 * time.Millisecond
-	// configurationWait is how long a read waits for a change.
-	configurationWait = 1500 * time.Millisecond
-	// firstFailurePause follows a failed read; it doubles up to
-	// longestFailurePause.
-	firstFailurePause   = 100 * time.Millisecond
-	longestFailurePause = 400 * time.Millisecond
-	// stalePause separates two whole readings while the store serves an older
-	// state than was seen, as it may after its history was dropped.
-	stalePause = 700 * time.Millisecond
-	// restPause separates two looks whether another node still reads a topic for
-	// this one.
-	restPause = 60 * time.Millisecond
+	// enginePollInterval is the interval between reads of the engine records. They are polled
+	// because a waiting read would return on every heartbeat.
+	enginePollInterval = 400 * time.Millisecond
+	// configurationMaxWait is how long a read waits for a configuration change.
+	configurationMaxWait = 1500 * time.Millisecond
+	// minRetryDelay follows a first failed read; the delay doubles up to maxRetryDelay.
+	minRetryDelay = 100 * time.Millisecond
+	maxRetryDelay = 400 * time.Millisecond
+	// staleRereadDelay is the delay before a full reread while the log serves an older state than
+	// seen before, which can happen after its history was trimmed.
+	staleRereadDelay = 700 * time.Millisecond
+	// delegatedPollInterval is how often a follower checks whether another node still reads the
+	// topic on its behalf.
+	delegatedPollInterval = 60 * time.Millisecond
 )
 
-// follower reads one keyed topic for as long as the node runs.
+// follower reads one keyed topic for the node's lifetime.
 type follower struct {
-	view   *durable.TopicFollower
+	topic  *durable.TopicFollower
 	name   string
 	logger *zap.Logger
-	// resting tells whether another node reads the topic for this one now, and
-	// reached how far that has come.
-	resting func() bool
-	reached func() int64
-	// restsFirst lets another node read it also before this one has.
-	restsFirst bool
-	// wait is passed to the view, pause follows each reading.
-	wait  time.Duration
-	pause func() time.Duration
-	// apply is told of each reading, with the time at which what it tells was so at least.
+	// delegated reports whether another node currently reads the topic for this one, delegatedEnd
+	// the offset that the view has reached through it. delegated may be nil.
+	delegated    func() bool
+	delegatedEnd func() int64
+	// delegateInitialRead allows delegation before this node's own first read.
+	delegateInitialRead bool
+	// maxWait is passed to the topic follower; interval follows each read.
+	maxWait  time.Duration
+	interval func() time.Duration
+	// apply receives each update with a time as of which it was valid.
 	apply func(update durable.Update, asOf time.Time)
-	// lost is true while the store does not answer, failedAsk when the last reading was begun
-	// that failed.
-	lost      atomic.Bool
-	failedAsk moment
-	// freezes tells when the process was frozen.
+	// lost is true while the log does not answer. lastFailedReadStart is when the last failed read
+	// began.
+	lost                atomic.Bool
+	lastFailedReadStart atomicTime
+	// freezes detects intervals in which the process did not run.
 	freezes *freeze.Detector
-	// lastAnswer is when the store last answered.
-	lastAnswer moment
-	// failurePause is the next one.
-	failurePause time.Duration
-	// lastAsk is when the newest reading was begun that has come.
-	lastAsk time.Time
-	// lastEnd is the furthest end seen.
+	// lastResponse is when the log last answered this follower.
+	lastResponse atomicTime
+	// retryDelay is the delay after the last failed read, zero after a success.
+	retryDelay time.Duration
+	// lastReadStart is when the last successful read began.
+	lastReadStart time.Time
+	// lastEnd is the highest end offset seen.
 	lastEnd int64
 }
 
-// silent tells whether the store has not answered for longer than it may take.
+// silent reports whether the log has not answered for longer than a read may take.
 func (follower *follower) silent(now time.Time) bool {
-	allowed := learnAfter + follower.wait
+	allowed := learnSilenceThreshold + follower.maxWait
 	if follower.lost.Load() {
-		allowed = learnAfter
+		allowed = learnSilenceThreshold
 	}
-	return follower.lastAnswer.age(now) > allowed+follower.pause()
+	return follower.lastResponse.age(now) > allowed+follower.interval()
 }
 
 func (follower *follower) run(ctx context.Context) {
 	first := true
 	for ctx.Err() == nil {
-		if (!first || follower.restsFirst) && follower.rests(ctx) {
+		if (!first || follower.delegateInitialRead) && follower.waitIfDelegated(ctx) {
 			continue
 		}
-		wait := follower.waitNow()
-		bounded, cancel := context.WithTimeout(ctx, storeTimeout+wait)
-		askedAt := time.Now()
-		update, err := follower.view.Next(bounded, wait)
+		wait := follower.nextMaxWait()
+		bounded, cancel := context.WithTimeout(ctx, logTimeout+wait)
+		requestedAt := time.Now()
+		update, err := follower.topic.Next(bounded, wait)
 		cancel()
 		if err != nil {
-			follower.failed(ctx, askedAt, err)
+			follower.recordFailure(ctx, requestedAt, err)
 			continue
 		}
-		follower.lastAsk = askedAt
-		follower.regained()
+		follower.lastReadStart = requestedAt
+		follower.recordSuccess()
 		if update.Full && !first {
-			follower.logger.Info("view read anew", zap.String("view", follower.name), zap.Int64("end", update.End), zap.Int64("before", follower.lastEnd))
+			follower.logger.Info("view reread in full", zap.String("view", follower.name), zap.Int64("end", update.End), zap.Int64("before", follower.lastEnd))
 		}
 		first = false
-		follower.apply(update, asOf(update, askedAt, wait))
-		follower.rest(ctx, update)
+		follower.apply(update, validAsOf(update, requestedAt, wait))
+		follower.pauseAfterRead(ctx, update)
 	}
 }
 
-// asOf is the time at which what a reading tells was so at least. The store answers a reading
-// that waits without a record only once the wait is over.
-func asOf(update durable.Update, askedAt time.Time, waited time.Duration) time.Time {
+// validAsOf returns the latest time as of which an update is known to be valid. A waiting read
+// returns without records only after its full wait.
+func validAsOf(update durable.Update, requestedAt time.Time, maxWait time.Duration) time.Time {
 	if len(update.Records) == 0 && !update.Full {
-		return askedAt.Add(min(waited, time.Since(askedAt)))
+		return requestedAt.Add(min(maxWait, time.Since(requestedAt)))
 	}
-	return askedAt
+	return requestedAt
 }
 
-// waitNow is how long the next reading waits for a change. The first one after a freeze does
-// not wait: calls wait for it.
-func (follower *follower) waitNow() time.Duration {
-	if follower.freezes.FrozenSince(follower.lastAsk) {
+// nextMaxWait returns how long the next read waits for a change. The first read after a freeze
+// does not wait, since calls depend on its result.
+func (follower *follower) nextMaxWait() time.Duration {
+	if follower.freezes.FrozenSince(follower.lastReadStart) {
 		return 0
 	}
-	return follower.wait
+	return follower.maxWait
 }
 
-// rests waits a moment where another node reads the topic for this one.
-func (follower *follower) rests(ctx context.Context) bool {
-	if follower.resting == nil || !follower.resting() {
+// waitIfDelegated pauses and returns true if another node reads the topic for this one.
+func (follower *follower) waitIfDelegated(ctx context.Context) bool {
+	if follower.delegated == nil || !follower.delegated() {
 		return false
 	}
-	wait.Sleep(ctx, restPause)
-	follower.lastAnswer.set(time.Now())
-	follower.view.SkipTo(follower.reached())
+	wait.Sleep(ctx, delegatedPollInterval)
+	follower.lastResponse.set(time.Now())
+	follower.topic.SkipTo(follower.delegatedEnd())
 	return true
 }
 
-// rest pauses before the next reading. A reading that ends before what was seen
-// is of an old state: going on from its end would repeat what is known, so the
-// view is read as a whole again. One that ends later is completed by the records
-// that follow it.
-func (follower *follower) rest(ctx context.Context, update durable.Update) {
+// pauseAfterRead pauses before the next read. A full read that ends before the highest end seen
+// returned an old state; it is restarted, since continuing from its end would only repeat known
+// records.
+func (follower *follower) pauseAfterRead(ctx context.Context, update durable.Update) {
 	stale := update.Full && update.End < follower.lastEnd
 	follower.lastEnd = max(follower.lastEnd, update.End)
 	if stale {
-		follower.view.Restart()
-		wait.Sleep(ctx, stalePause)
+		follower.topic.Restart()
+		wait.Sleep(ctx, staleRereadDelay)
 		return
 	}
-	if pause := follower.pause(); pause > 0 {
-		wait.Sleep(ctx, pause)
+	if interval := follower.interval(); interval > 0 {
+		wait.Sleep(ctx, interval)
 	}
 }
 
-func (follower *follower) failed(ctx context.Context, askedAt time.Time, err error) {
+func (follower *follower) recordFailure(ctx context.Context, requestedAt time.Time, err error) {
 	if ctx.Err() != nil {
 		return
 	}
-	follower.failedAsk.advance(askedAt)
+	follower.lastFailedReadStart.advance(requestedAt)
 	if !follower.lost.Swap(true) {
-		follower.logger.Warn("view lost", zap.String("view", follower.name), logging.Cause(err))
+		follower.logger.Warn("view update failed", zap.String("view", follower.name), logging.Cause(err))
 	}
-	follower.failurePause = min(max(2*follower.failurePause, firstFailurePause), longestFailurePause)
-	wait.Sleep(ctx, follower.failurePause)
+	follower.retryDelay = min(max(2*follower.retryDelay, minRetryDelay), maxRetryDelay)
+	wait.Sleep(ctx, follower.retryDelay)
 }
 
-func (follower *follower) regained() {
-	follower.lastAnswer.set(time.Now())
+func (follower *follower) recordSuccess() {
+	follower.lastResponse.set(time.Now())
 	if follower.lost.Swap(false) {
-		follower.logger.Info("view regained", zap.String("view", follower.name))
+		follower.logger.Info("view update recovered", zap.String("view", follower.name))
 	}
-	follower.failurePause = 0
+	follower.retryDelay = 0
 }
 
-// newViews makes the views of configuration, engines and nodes.
-func (node *Node) newViews() {
+// createViews creates the views of configuration, engines and nodes.
+func (node *Node) createViews() {
 	logger := node.logger.Logger
 	node.configurationView = newRecordView("configuration", logger, node.applyConfiguration)
 	node.engineView = newRecordView("engines", logger, node.applyEngine)
 	node.memberView = newRecordView("nodes", logger, node.applyMember)
 }
 
-// followers read the views from the store.
-func (node *Node) followers() []*follower {
-	always := func(pause time.Duration) func() time.Duration { return func() time.Duration { return pause } }
-	began := time.Now()
-	memberPause := func() time.Duration {
-		if time.Since(began) < memberEarly {
-			return memberPollEarly
+// newFollowers creates the followers that read the views from the durable log.
+func (node *Node) newFollowers() []*follower {
+	constant := func(interval time.Duration) func() time.Duration { return func() time.Duration { return interval } }
+	started := time.Now()
+	memberInterval := func() time.Duration {
+		if time.Since(started) < memberStartupPeriod {
+			return memberStartupPollInterval
 		}
-		return memberPollLate
+		return memberPollInterval
 	}
-	engines := node.newFollower(node.engineView, node.around.EngineTopic, 0, always(enginePoll))
-	engines.resting = node.learner.engines.sparesStore
-	engines.restsFirst = true
+	engines := node.newFollower(node.engineView, node.dependencies.EngineTopic, 0, constant(enginePollInterval))
+	engines.delegated = node.learner.engineSource.skipsLog
+	engines.delegateInitialRead = true
 	return []*follower{
-		node.newFollower(node.configurationView, node.around.ConfigurationTopic, configurationWait, always(0)),
+		node.newFollower(node.configurationView, node.dependencies.ConfigurationTopic, configurationMaxWait, constant(0)),
 		engines,
-		node.newFollower(node.memberView, node.around.MemberTopic, 0, memberPause),
+		node.newFollower(node.memberView, node.dependencies.MemberTopic, 0, memberInterval),
 	}
 }
 
-func (node *Node) newFollower(view *recordView, topic string, wait time.Duration, pause func() time.Duration) *follower {
+func (node *Node) newFollower(view *recordView, topic string, wait time.Duration, interval func() time.Duration) *follower {
 	return &follower{
-		view:    durable.NewTopicFollower(node.around.Log, topic),
-		name:    view.name,
-		logger:  node.logger.Logger,
-		freezes: node.freezes,
-		wait:    wait,
-		pause:   pause,
-		apply:   view.take,
-		resting: node.learner.learns,
-		reached: view.reached,
+		topic:        durable.NewTopicFollower(node.dependencies.Log, topic),
+		name:         view.name,
+		logger:       node.logger.Logger,
+		freezes:      node.freezes,
+		maxWait:      wait,
+		interval:     interval,
+		apply:        view.merge,
+		delegated:    node.learner.hasReader,
+		delegatedEnd: view.endOffset,
 	}
 }
 
-// applyConfiguration puts a newer version in force, or evacuates a zone or takes it back.
+// applyConfiguration applies a newer configuration version, or a zone evacuation record.
 func (node *Node) applyConfiguration(record durable.KeyedRecord) bool {
-	if zone, found := node.around.DecodeEvacuation(record); found {
+	if zone, found := node.dependencies.DecodeEvacuation(record); found {
 		return node.applyEvacuation(zone, record)
 	}
-	decoded, sound := node.around.DecodeConfiguration(record)
-	if !sound || !node.routes.Apply(decoded) {
+	decoded, valid := node.dependencies.DecodeConfiguration(record)
+	if !valid || !node.routes.Apply(decoded) {
 		return false
 	}
-	node.adjustCallers(decoded.Limits)
+	node.applyCallerLimits(decoded.Limits)
 	node.logger.Info("configuration applied", zap.Int64("version", decoded.Version), zap.Int64("offset", record.Offset))
 	return true
 }
 
-// applyEvacuation notes whether a zone is evacuated.
+// applyEvacuation starts or ends the evacuation of a zone.
 func (node *Node) applyEvacuation(zone string, record durable.KeyedRecord) bool {
 	evacuated := len(record.Value) > 0
 	if !node.engines.SetEvacuated(zone, evacuated) {
 		return false
 	}
-	node.logger.Info("zone evacuated", zap.String("zone", zone), zap.Bool("active", evacuated), zap.Int64("offset", record.Offset))
+	node.logger.Info("zone evacuation changed", zap.String("zone", zone), zap.Bool("active", evacuated), zap.Int64("offset", record.Offset))
 	return true
 }
 
-// applyEngine notes an engine's newest record. One that names no engine to use counts as
-// none: the engine writes its record again within a heartbeat, if it lives.
+// applyEngine adds or updates an engine. An unusable record removes the engine; a live engine
+// writes its record again within a heartbeat.
 func (node *Node) applyEngine(record durable.KeyedRecord) bool {
-	instance, sound := node.around.DecodeEngine(record)
-	if !sound {
+	instance, valid := node.dependencies.DecodeEngine(record)
+	if !valid {
 		return node.removeEngine(record)
 	}
 	change := node.engines.Upsert(instance, time.Now())
@@ -242,30 +240,30 @@
 		return false
 	}
 	if change == backend.Restarted {
-		node.around.Connections.CloseIdle(instance.Address)
+		node.dependencies.Connections.CloseIdle(instance.Address)
 	}
-	node.logger.Info("engine listed", zap.String("engine", instance.ID), zap.String("address", instance.Address),
+	node.logger.Info("engine added or updated", zap.String("engine", instance.ID), zap.String("address", instance.Address),
 		zap.Bool("leaving", instance.Draining), zap.Bool("restarted", change == backend.Restarted), zap.Int64("life", instance.Incarnation),
 		zap.Duration("cold_left", instance.ColdRemaining), zap.Int64("offset", record.Offset))
 	return true
 }
 
-// removeEngine notes that a key names no engine any more.
+// removeEngine removes the engine of a record that is empty or unusable.
 func (node *Node) removeEngine(record durable.KeyedRecord) bool {
 	if len(record.Value) > 0 {
-		node.logger.Warn("engine record not usable", zap.String("engine", record.Key), zap.Int("bytes", len(record.Value)), zap.Int64("offset", record.Offset))
+		node.logger.Warn("engine record unusable", zap.String("engine", record.Key), zap.Int("bytes", len(record.Value)), zap.Int64("offset", record.Offset))
 	}
 	removed := node.engines.Remove(record.Key)
 	if removed {
-		node.logger.Info("engine gone", zap.String("engine", record.Key), zap.Int64("offset", record.Offset))
+		node.logger.Info("engine removed", zap.String("engine", record.Key), zap.Int64("offset", record.Offset))
 	}
 	return removed
 }
 
-// applyMember notes a node's newest record.
+// applyMember updates the membership from a node's record.
 func (node *Node) applyMember(record durable.KeyedRecord) bool {
-	member, sound := decodeMember(record)
-	if !sound {
+	member, valid := decodeMember(record)
+	if !valid {
 		return false
 	}
 	if member.Name == node.settings.Name {
@@ -274,7 +272,7 @@
 	if !node.members.put(member) {
 		return false
 	}
-	node.logger.Info("node known", zap.String("node", member.Name), zap.String("address", member.Address),
+	node.logger.Info("node added or updated", zap.String("node", member.Name), zap.String("address", member.Address),
 		zap.String("incarnation", member.Incarnation), zap.Bool("leaving", member.Draining))
 	return true
 }
--- a/internal/node/follow_test.go
+++ b/internal/node/follow_test.go
@@ -11,20 +11,20 @@
 	"go.uber.org/zap"
 )
 
-const patience = 10 * time.Second
+const eventuallyTimeout = 10 * time.Second
 
-// staleLog serves an old snapshot for a while after its history was dropped.
+// staleLog returns queued old snapshots before current ones, as a log may after trimming.
 type staleLog struct {
 	*durable.Memory
-	mutex  sync.Mutex
-	stale  []durable.Snapshot
-	wholes int
+	mutex     sync.Mutex
+	stale     []durable.Snapshot
+	fullReads int
 }
 
 func (log *staleLog) Latest(ctx context.Context, topic string) (durable.Snapshot, error) {
 	log.mutex.Lock()
 	defer log.mutex.Unlock()
-	log.wholes++
+	log.fullReads++
 	if len(log.stale) > 0 {
 		snapshot := log.stale[0]
 		log.stale = log.stale[1:]
@@ -33,10 +33,10 @@
 	return log.Memory.Latest(ctx, topic)
 }
 
-func (log *staleLog) readings() int {
+func (log *staleLog) fullReadCount() int {
 	log.mutex.Lock()
 	defer log.mutex.Unlock()
-	return log.wholes
+	return log.fullReads
 }
 
 var _ = Describe("A follower", func() {
@@ -66,22 +66,22 @@
 			seen.Store(record.Key, string(record.Value))
 			return true
 		})
-		reader := &follower{view: durable.NewTopicFollower(log, "t"), name: "t", logger: zap.NewNop(), apply: view.take,
-			pause: func() time.Duration { return time.Millisecond }}
+		reader := &follower{topic: durable.NewTopicFollower(log, "t"), name: "t", logger: zap.NewNop(), apply: view.merge,
+			interval: func() time.Duration { return time.Millisecond }}
 		ctx, cancel := context.WithCancel(context.Background())
 		DeferCleanup(cancel)
 		put("a", "1")
 		put("b", "1")
 		go reader.run(ctx)
-		Eventually(value("b"), patience).Should(Equal("1"))
+		Eventually(value("b"), eventuallyTimeout).Should(Equal("1"))
 	})
 
-	// Nodes answered 503 for routes that never were, by a configuration last confirmed 2.7 to 3.2 s
-	// ago: a reading that waits 1.5 s for a change and finds none counted as old as its beginning.
-	It("takes a reading that waited for a change in vain for as new as the end of the wait", func() {
+	// Guards against counting a wait without changes as age, which made confirmed configurations
+	// look out of date.
+	It("dates a read that waited without a change to the end of the wait", func() {
 		const waited = 200 * time.Millisecond
 		ages := make(chan time.Duration, 64)
-		waiting := &follower{view: durable.NewTopicFollower(log, "t"), name: "t", logger: zap.NewNop(), wait: waited, pause: func() time.Duration { return 0 },
+		waiting := &follower{topic: durable.NewTopicFollower(log, "t"), name: "t", logger: zap.NewNop(), maxWait: waited, interval: func() time.Duration { return 0 },
 			apply: func(update durable.Update, asOf time.Time) {
 				if len(update.Records) == 0 {
 					ages <- time.Since(asOf)
@@ -91,42 +91,42 @@
 		defer cancel()
 		go waiting.run(ctx)
 		var age time.Duration
-		Eventually(ages, patience).Should(Receive(&age))
+		Eventually(ages, eventuallyTimeout).Should(Receive(&age))
 		Expect(age).To(BeNumerically("<", waited))
 	})
 
-	It("does not go back to an older state after a compaction, and comes to the newest", func() {
+	It("does not revert to an older state after trimming, and reaches the newest", func() {
 		old, err := log.Memory.Latest(context.Background(), "t")
 		Expect(err).NotTo(HaveOccurred())
 		old.End--
 		put("a", "2")
-		Eventually(value("a"), patience).Should(Equal("2"))
+		Eventually(value("a"), eventuallyTimeout).Should(Equal("2"))
 		log.mutex.Lock()
 		log.stale = []durable.Snapshot{old}
 		log.mutex.Unlock()
 		put("a", "3")
 		put("b", "3")
 		log.Trim(partition, 5)
-		Eventually(value("b"), patience).Should(Equal("3"))
-		Eventually(value("a"), patience).Should(Equal("3"))
+		Eventually(value("b"), eventuallyTimeout).Should(Equal("3"))
+		Eventually(value("a"), eventuallyTimeout).Should(Equal("3"))
 	})
 
-	It("reads the whole once after a compaction that hides nothing", func() {
-		before := log.readings()
+	It("rereads the topic at most once after trimming", func() {
+		before := log.fullReadCount()
 		put("a", "2")
 		put("a", "3")
 		log.Trim(partition, 4)
-		Eventually(value("a"), patience).Should(Equal("3"))
+		Eventually(value("a"), eventuallyTimeout).Should(Equal("3"))
 		put("b", "4")
-		Eventually(value("b"), patience).Should(Equal("4"))
-		Expect(log.readings() - before).To(BeNumerically("<=", 1))
+		Eventually(value("b"), eventuallyTimeout).Should(Equal("4"))
+		Expect(log.fullReadCount() - before).To(BeNumerically("<=", 1))
 	})
 
-	It("drops a key that a whole reading no longer lists", func() {
+	It("deletes a key missing from a full read", func() {
 		log.mutex.Lock()
 		log.stale = []durable.Snapshot{{Records: []durable.KeyedRecord{{Key: "a", Value: []byte("1"), Offset: 0}}, End: 9}}
 		log.mutex.Unlock()
-		view.take(durable.Update{Full: true, Records: []durable.KeyedRecord{{Key: "a", Value: []byte("1")}}, End: 9}, time.Now())
+		view.merge(durable.Update{Full: true, Records: []durable.KeyedRecord{{Key: "a", Value: []byte("1")}}, End: 9}, time.Now())
 		Expect(value("b")()).To(BeEmpty())
 		Expect(value("a")()).To(Equal("1"))
 	})
--- a/internal/node/freeze.go
+++ b/internal/node/freeze.go
@@ -6,44 +6,45 @@
 	"go.uber.org/zap"
 )
 
-// callViews implements forward.Views: how much calls may rely on what the node knows.
+// callViews implements forward.Views.
 type callViews struct{ node *Node }
 
-// Current implements forward.Views. A reading that failed since the wake tells that no newer
-// one is to be had soon.
+// Current implements forward.Views. After a freeze, a view counts as current once it was read
+// again or a read has failed, since no newer state is available then.
 func (views callViews) Current() bool {
-	woken, frozen := views.node.freezes.LastResume()
-	return !frozen || views.checkedSince(views.node.configurationView, woken) && views.checkedSince(views.node.engineView, woken)
+	resumedAt, frozen := views.node.freezes.LastResume()
+	return !frozen || views.confirmedSince(views.node.configurationView, resumedAt) && views.confirmedSince(views.node.engineView, resumedAt)
 }
 
 // ConfigurationAge implements forward.Views.
 func (views callViews) ConfigurationAge() time.Duration { return views.node.configurationView.age() }
 
-func (views callViews) checkedSince(view *recordView, woken time.Time) bool {
-	if view.checkedSince(woken) {
+func (views callViews) confirmedSince(view *recordView, resumedAt time.Time) bool {
+	if view.confirmedSince(resumedAt) {
 		return true
 	}
-	for _, follower := range views.node.following {
-		if follower.name == view.name && follower.failedAsk.since(woken) {
+	for _, follower := range views.node.followers {
+		if follower.name == view.name && follower.lastFailedReadStart.notBefore(resumedAt) {
 			return true
 		}
 	}
 	return false
 }
 
-// awakeAge is the age of a moment without what passed before the process last went on: while it
-// was frozen it could hear of nothing, and its silence says nothing of others.
-func (node *Node) awakeAge(moment *moment, now time.Time) time.Duration {
-	return node.freezes.ClampAge(moment.age(now), now)
+// ageExcludingFreeze returns the age of a recorded time, not counting the time before the process
+// last resumed: silence during a freeze says nothing about other nodes.
+func (node *Node) ageExcludingFreeze(recorded *atomicTime, now time.Time) time.Duration {
+	return node.freezes.ClampAge(recorded.age(now), now)
 }
 
-// logFreeze writes that the process was frozen, once for each freeze.
+// logFreeze logs each freeze once. seen is the resume time of the last freeze logged; it returns
+// the new one.
 func (node *Node) logFreeze(seen time.Time) time.Time {
-	woken, frozen := node.freezes.LastResume()
-	if frozen && woken.After(seen) {
-		node.logger.Warn("process was frozen", zap.Time("woken", woken),
+	resumedAt, frozen := node.freezes.LastResume()
+	if frozen && resumedAt.After(seen) {
+		node.logger.Warn("process resumed after a freeze", zap.Time("woken", resumedAt),
 			zap.Duration("configuration_age", node.configurationView.age()), zap.Duration("engines_age", node.engineView.age()))
-		return woken
+		return resumedAt
 	}
 	return seen
 }
--- a/internal/node/freeze_test.go
+++ b/internal/node/freeze_test.go
@@ -14,67 +14,66 @@
 	"go.uber.org/zap"
 )
 
-// frozenFor is how long the nodes of these tests were frozen, up to now.
+// frozenFor is the length of the freeze that has just ended.
 const frozenFor = 3 * time.Second
 
-// wokenNode is a node that was frozen until now, with views that it read before the freeze.
-func wokenNode() *Node {
+// newResumedNode returns a node that has just resumed from a freeze, with views read before it.
+func newResumedNode() *Node {
 	node := newReader(0)
 	before := time.Now().Add(-frozenFor)
-	node.configurationView.checked.set(before)
-	node.engineView.checked.set(before)
+	node.configurationView.confirmedAt.set(before)
+	node.engineView.confirmedAt.set(before)
 	node.freezes = freezetest.JustWoken(frozenFor)
 	return node
 }
 
-var _ = Describe("A node that was frozen", func() {
-	It("has no current views before configuration and engines were asked for anew", func() {
-		node := wokenNode()
+var _ = Describe("A node resumed from a freeze", func() {
+	It("has no current views until configuration and engines are read again", func() {
+		node := newResumedNode()
 		views := callViews{node}
 		Expect(views.Current()).To(BeFalse())
-		heldUp := time.Now().Add(-frozenFor / 2)
-		node.engineView.take(durable.Update{End: 1}, heldUp)
-		node.configurationView.take(durable.Update{End: 1}, heldUp)
-		Expect(views.Current()).To(BeFalse(), "answers that lay in the sockets are from before the wake")
-		node.engineView.take(durable.Update{End: 1}, time.Now())
+		beforeResume := time.Now().Add(-frozenFor / 2)
+		node.engineView.merge(durable.Update{End: 1}, beforeResume)
+		node.configurationView.merge(durable.Update{End: 1}, beforeResume)
+		Expect(views.Current()).To(BeFalse(), "responses requested before the resume do not count")
+		node.engineView.merge(durable.Update{End: 1}, time.Now())
 		Expect(views.Current()).To(BeFalse())
-		node.configurationView.take(durable.Update{End: 1}, time.Now())
+		node.configurationView.merge(durable.Update{End: 1}, time.Now())
 		Expect(views.Current()).To(BeTrue())
 	})
 
-	It("does without what a reading after the wake did not get", func() {
-		node := wokenNode()
+	It("treats a view as current after a read since the resume has failed", func() {
+		node := newResumedNode()
 		failing := &follower{name: "configuration", logger: zap.NewNop()}
-		node.following = append(node.following, failing)
-		node.engineView.take(durable.Update{End: 1}, time.Now())
-		failing.failed(context.Background(), time.Now().Add(-frozenFor/2), errors.New("of a reading from before"))
+		node.followers = append(node.followers, failing)
+		node.engineView.merge(durable.Update{End: 1}, time.Now())
+		failing.recordFailure(context.Background(), time.Now().Add(-frozenFor/2), errors.New("read begun before the resume"))
 		Expect(callViews{node}.Current()).To(BeFalse())
-		failing.failed(context.Background(), time.Now(), errors.New("no answer"))
+		failing.recordFailure(context.Background(), time.Now(), errors.New("no answer"))
 		Expect(callViews{node}.Current()).To(BeTrue())
 	})
 
-	It("asks for a view at once, and does not wait for a change of it", func() {
-		following := &follower{wait: configurationWait, freezes: freezetest.JustWoken(frozenFor), lastAsk: time.Now().Add(-frozenFor)}
-		Expect(following.waitNow()).To(BeZero())
-		following.lastAsk = time.Now()
-		Expect(following.waitNow()).To(Equal(configurationWait))
+	It("reads at once without waiting for a change", func() {
+		reader := &follower{maxWait: configurationMaxWait, freezes: freezetest.JustWoken(frozenFor), lastReadStart: time.Now().Add(-frozenFor)}
+		Expect(reader.nextMaxWait()).To(BeZero())
+		reader.lastReadStart = time.Now()
+		Expect(reader.nextMaxWait()).To(Equal(configurationMaxWait))
 	})
 
-	// At the wake everything that the node had heard was as old as the freeze was long. A kept
-	// turn that came then was refused with LOG_AWAY, and the node took itself for cut off.
-	It("takes its own silence neither for the log's nor for the other nodes'", func() {
+	// Guards against mistaking the node's own freeze for an unavailable log or for isolation.
+	It("does not take its own freeze for silence of the log or of other nodes", func() {
 		longAgo := time.Now().Add(-frozenFor)
-		node := lonelyNode(longAgo, "a")
+		node := newSilentNode(longAgo, "a")
 		node.recorder = history.NewRecorder(durable.NewMemory(), 1)
 		node.zones = reach.NewZones("")
-		node.logHealth.answered.set(longAgo)
-		Expect(node.recordingAway()).To(BeTrue())
-		Expect(node.storeSilent(time.Now())).To(BeTrue())
+		node.logHealth.lastResponse.set(longAgo)
+		Expect(node.recordingUnavailable()).To(BeTrue())
+		Expect(node.logSilent(time.Now())).To(BeTrue())
 		Expect(node.isolated()).To(BeTrue())
 		node.freezes = freezetest.JustWoken(frozenFor)
-		Expect(node.recordingAway()).To(BeFalse())
-		Expect(node.storeSilent(time.Now())).To(BeFalse())
+		Expect(node.recordingUnavailable()).To(BeFalse())
+		Expect(node.logSilent(time.Now())).To(BeFalse())
 		Expect(node.isolated()).To(BeFalse())
-		Expect(node.recordingAwayAt(time.Now().Add(logAwayAfter + time.Second))).To(BeTrue())
+		Expect(node.recordingUnavailableAt(time.Now().Add(logUnavailableAfter + time.Second))).To(BeTrue())
 	})
 })
--- a/internal/node/learn.go
+++ b/internal/node/learn.go
@@ -15,202 +15,200 @@
 )
 
 const (
-	// learnAfter is how long the store may be silent before other nodes are
-	// asked; learnPause separates two asks.
-	learnAfter = 700 * time.Millisecond
-	learnPause = 300 * time.Millisecond
-	// learnTimeout bounds one ask.
+	// learnSilenceThreshold is how long the durable log may be silent before other nodes are
+	// asked; learnInterval is the interval between requests.
+	learnSilenceThreshold = 700 * time.Millisecond
+	learnInterval         = 300 * time.Millisecond
+	// learnTimeout bounds one request.
 	learnTimeout = 250 * time.Millisecond
-	// learnTrust is how long an answer of the zone's reader spares reading the
-	// store: an answer's time and pause, and a little.
-	learnTrust = learnPause + learnTimeout + 100*time.Millisecond
-	// readerPause is how long a node reads the store itself after its reader did
-	// not answer, or was not current.
-	readerPause = 3 * time.Second
-	// currentAge is how old a reader's list of engines may be for others to rely
-	// on it: twice the poll of the node that reads it from the store, and an ask of that one.
-	currentAge = 2*enginePoll + learnPause + learnTimeout
-	// wholeTimeout bounds the ask that brings the whole list of engines.
-	wholeTimeout = 1500 * time.Millisecond
-	// neighbourPatience is how long a node that has just started asks within its zone only.
-	neighbourPatience = 4 * time.Second
-	// startLook separates the asks of a node that has just started.
-	startLook = 60 * time.Millisecond
-	// nodesPerReader is how many nodes of a zone share one that reads the store.
+	// learnTTL is how long a reply from the zone's reader makes reading the log unnecessary: one
+	// interval and one timeout, plus a margin.
+	learnTTL = learnInterval + learnTimeout + 100*time.Millisecond
+	// readerRetryDelay is how long a node reads the log itself after its reader failed to answer
+	// or was not current.
+	readerRetryDelay = 3 * time.Second
+	// maxCurrentAge is the maximum age of a reader's engine list for others to rely on it: two
+	// polls of the node that reads it from the log, plus one request to that node.
+	maxCurrentAge = 2*enginePollInterval + learnInterval + learnTimeout
+	// fullListTimeout bounds a request that transfers the full engine list.
+	fullListTimeout = 1500 * time.Millisecond
+	// sameZoneStartupPeriod is how long a newly started node asks only nodes of its own zone.
+	sameZoneStartupPeriod = 4 * time.Second
+	// startupLearnInterval is the interval between requests of a newly started node.
+	startupLearnInterval = 60 * time.Millisecond
+	// nodesPerReader is the number of nodes of a zone per log reader.
 	nodesPerReader = 8
 )
 
-// learner learns configuration, engines and nodes from other nodes: from a node
-// of its zone that reads the store for several, and from any other one while the
-// store does not answer.
+// learner obtains configuration, engine and node records from other nodes: from the log reader of
+// its zone, or from any node while the log does not answer.
 type learner struct {
-	node *Node
-	// started is when the node started.
+	node    *Node
 	started time.Time
-	// until is the time up to which the store need not be read.
-	until moment
-	// engines tells the engines where the store need not be read for them alone.
-	engines engineSource
-	// retry is when the zone's reader is asked again after a failure.
-	retry time.Time
-	// reader is the one last asked, for the log.
-	reader string
-	// speedsAt is when the speeds of engines were last learned.
+	// trustedUntil is when the log has to be read again.
+	trustedUntil atomicTime
+	// engineSource obtains engine records when this node reads the other topics itself.
+	engineSource engineSource
+	// retryReaderAt is when to ask the zone's reader again after a failure.
+	retryReaderAt time.Time
+	// currentReader is the reader in use, kept to log changes.
+	currentReader string
+	// speedsAt is when engine speeds were last received.
 	speedsAt time.Time
 }
 
 func newLearner(node *Node) *learner {
-	made := &learner{node: node, started: time.Now()}
-	made.engines.learner = made
-	return made
+	created := &learner{node: node, started: time.Now()}
+	created.engineSource.learner = created
+	return created
 }
 
-// learns tells whether another node reads the store for this one now.
-func (learner *learner) learns() bool {
-	return learner.until.age(time.Now()) < 0
+// hasReader reports whether another node currently reads the log for this one.
+func (learner *learner) hasReader() bool {
+	return learner.trustedUntil.age(time.Now()) < 0
 }
 
-// run asks for as long as the node runs.
+// run requests records until ctx ends.
 func (learner *learner) run(ctx context.Context, followers []*follower) {
 	node := learner.node
-	silent := false
+	logSilent := false
 	for ctx.Err() == nil {
-		wait.Sleep(ctx, learner.pause())
+		wait.Sleep(ctx, learner.interval())
 		now := time.Now()
-		if anySilent(followers, now) != silent {
-			silent = !silent
-			node.logger.Info("learning from other nodes", zap.Bool("active", silent))
+		if anyFollowerSilent(followers, now) != logSilent {
+			logSilent = !logSilent
+			node.logger.Info("learning from other nodes", zap.Bool("active", logSilent))
 		}
 		switch {
-		case silent:
-			learner.fromAny(ctx)
-		case now.After(learner.retry):
-			learner.fromReader(ctx, now)
+		case logSilent:
+			learner.learnFromRandomPeer(ctx)
+		case now.After(learner.retryReaderAt):
+			learner.learnFromReader(ctx, now)
 		}
-		if !learner.learns() {
-			learner.engines.ask(ctx, now)
+		if !learner.hasReader() {
+			learner.engineSource.refresh(ctx, now)
 		}
 	}
 }
 
-// pause separates two asks.
-func (learner *learner) pause() time.Duration {
-	if learner.engines.awaited() {
-		return startLook
+// interval returns the pause between two requests.
+func (learner *learner) interval() time.Duration {
+	if learner.engineSource.awaitsFirstList() {
+		return startupLearnInterval
 	}
-	return learnPause
+	return learnInterval
 }
 
-// fromAny asks one node drawn from all while the store does not answer this one: it may refuse
-// single nodes while it serves the operators and the others.
-func (learner *learner) fromAny(ctx context.Context) {
-	address, found := learner.anyAddress()
+// learnFromRandomPeer asks a random node while the log does not answer this one. The log may
+// reject single nodes while it serves others.
+func (learner *learner) learnFromRandomPeer(ctx context.Context) {
+	address, found := learner.choosePeer()
 	if found && feature.Enabled(feature.LearningFromPeers) {
-		_, _ = learner.ask(ctx, address)
+		_, _ = learner.learnFrom(ctx, address)
 	}
 }
 
-// anyAddress draws the node to ask. One that has just started and knows no engine yet asks within
-// its zone where it knows a neighbour: where many ask others for their whole lists, the links
-// between zones carry nothing else.
-func (learner *learner) anyAddress() (string, bool) {
+// choosePeer returns the address of a random node to ask. A newly started node without engines
+// prefers its own zone: full engine lists sent between zones could saturate those links.
+func (learner *learner) choosePeer() (string, bool) {
 	node := learner.node
-	if !node.engineView.read() && time.Since(learner.started) < neighbourPatience {
-		neighbour, found := node.members.someOf(node.settings.Zone, node.settings.Name)
+	if !node.engineView.loaded() && time.Since(learner.started) < sameZoneStartupPeriod {
+		peer, found := node.members.randomInZone(node.settings.Zone, node.settings.Name)
 		if found {
-			return neighbour.Address, true
+			return peer.Address, true
 		}
 	}
-	return node.someAddress()
+	return node.randomPeerAddress()
 }
 
-// fromReader asks the node that reads the store for this one, if another does. One that does
-// not answer, or is not current, is not asked again for a while.
-func (learner *learner) fromReader(ctx context.Context, now time.Time) {
+// learnFromReader asks the zone's log reader if that is another node. A reader that fails to
+// answer, or is not current, is not asked again for readerRetryDelay.
+func (learner *learner) learnFromReader(ctx context.Context, now time.Time) {
 	node := learner.node
-	reader := node.members.readerFor(node.self())
+	reader := node.members.logReaderFor(node.self())
 	if reader.Name == "" || reader.Name == node.settings.Name || !feature.Enabled(feature.SharedReader) {
-		learner.until.set(now)
-		learner.note("")
+		learner.trustedUntil.set(now)
+		learner.setReader("")
 		return
 	}
-	current, err := learner.ask(ctx, reader.Address)
+	current, err := learner.learnFrom(ctx, reader.Address)
 	if err == nil && current {
-		learner.note(reader.Name)
-		learner.until.set(time.Now().Add(learnTrust))
+		learner.setReader(reader.Name)
+		learner.trustedUntil.set(time.Now().Add(learnTTL))
 		return
 	}
-	learner.engines.hold()
-	learner.until.set(now)
-	learner.note("")
-	if !learner.engines.awaited() {
-		learner.retry = now.Add(readerPause)
+	learner.engineSource.extendTrust()
+	learner.trustedUntil.set(now)
+	learner.setReader("")
+	if !learner.engineSource.awaitsFirstList() {
+		learner.retryReaderAt = now.Add(readerRetryDelay)
 	}
 }
 
-// patience is how long an ask may take.
-func (learner *learner) patience() time.Duration {
-	if learner.node.engineView.reached() == 0 {
-		return wholeTimeout
+// timeout returns the timeout of a request.
+func (learner *learner) timeout() time.Duration {
+	if learner.node.engineView.endOffset() == 0 {
+		return fullListTimeout
 	}
 	return learnTimeout
 }
 
-// note logs a change of the node that reads the store for this one.
-func (learner *learner) note(reader string) {
-	if learner.reader == reader {
+// setReader records the reader in use and logs a change.
+func (learner *learner) setReader(reader string) {
+	if learner.currentReader == reader {
 		return
 	}
-	learner.reader = reader
-	learner.node.logger.Info("views read by", zap.String("node", reader))
+	learner.currentReader = reader
+	learner.node.logger.Info("log reader changed", zap.String("node", reader))
 }
 
-// ask takes in what a node knows, and tells whether that is current.
-func (learner *learner) ask(ctx context.Context, address string) (bool, error) {
+// learnFrom merges a node's records and engine observations, and reports whether its views are
+// current.
+func (learner *learner) learnFrom(ctx context.Context, address string) (bool, error) {
 	node := learner.node
 	request := node.learnRequest()
 	request.Avoided = node.engines.Avoided(time.Now())
-	request.Paces = toPaces(node.engines.DrainLatencyStats())
+	request.Paces = toPaceMessages(node.engines.DrainLatencyStats())
 	request.WantsSpeeds = time.Since(learner.speedsAt) >= backend.SpeedPollInterval
-	reply, err := learner.send(ctx, address, request)
+	reply, err := learner.sendLearn(ctx, address, request)
 	if err != nil {
 		return false, err
 	}
 	node.engines.AddReported(reply.Avoided, time.Now())
 	if reply.Current {
 		node.engines.SetRemoteSlowEngines(reply.Slow, time.Now())
-		learner.takeSpeeds(reply.Speeds)
+		learner.applySpeeds(reply.Speeds)
 	}
 	return reply.Current, nil
 }
 
-// askRecords takes in the records that a node knows, and tells whether they are current. What
-// is seen of the engines each reader gathers for itself.
-func (learner *learner) askRecords(ctx context.Context, address string) (bool, error) {
-	reply, err := learner.send(ctx, address, learner.node.learnRequest())
+// learnRecordsFrom merges a node's records, and reports whether its views are current. It
+// exchanges no engine observations, which each reader collects for its own nodes.
+func (learner *learner) learnRecordsFrom(ctx context.Context, address string) (bool, error) {
+	reply, err := learner.sendLearn(ctx, address, learner.node.learnRequest())
 	return reply.GetCurrent(), err
 }
 
-// send asks a node, and takes in the records of its answer.
-func (learner *learner) send(ctx context.Context, address string, request *nodev1.LearnRequest) (*nodev1.LearnReply, error) {
+// sendLearn sends a request and merges the records in the reply.
+func (learner *learner) sendLearn(ctx context.Context, address string, request *nodev1.LearnRequest) (*nodev1.LearnReply, error) {
 	node := learner.node
-	bounded, cancel := context.WithTimeout(ctx, learner.patience())
+	bounded, cancel := context.WithTimeout(ctx, learner.timeout())
 	defer cancel()
-	askedAt := time.Now()
+	requestedAt := time.Now()
 	reply, err := node.peers.at(address).Learn(bounded, request)
 	if err != nil {
-		node.logger.Debug("nothing learned", zap.String("address", address), logging.Cause(err))
+		node.logger.Debug("learn request failed", zap.String("address", address), logging.Cause(err))
 		return nil, err
 	}
-	node.configurationView.take(fromRecords(reply.Configuration), askedAt.Add(-milliseconds(reply.ConfigurationAgeMs)))
-	node.engineView.take(fromRecords(reply.Engines), askedAt.Add(-milliseconds(reply.EnginesAgeMs)))
-	node.memberView.take(fromRecords(reply.Nodes), askedAt)
-	node.logHealth.hear(reply.LogAnswerAgeMs, time.Now())
+	node.configurationView.merge(fromRecords(reply.Configuration), requestedAt.Add(-milliseconds(reply.ConfigurationAgeMs)))
+	node.engineView.merge(fromRecords(reply.Engines), requestedAt.Add(-milliseconds(reply.EnginesAgeMs)))
+	node.memberView.merge(fromRecords(reply.Nodes), requestedAt)
+	node.logHealth.observeRemote(reply.LogAnswerAgeMs, time.Now())
 	return reply, nil
 }
 
-// takeSpeeds takes in the speeds of engines, where the reader has sent some.
-func (learner *learner) takeSpeeds(speeds map[string]float32) {
+// applySpeeds applies the engine speeds in a reply, if there are any.
+func (learner *learner) applySpeeds(speeds map[string]float32) {
 	if len(speeds) == 0 {
 		return
 	}
@@ -219,34 +217,33 @@
 	learner.speedsAt = now
 }
 
-// anySilent tells whether the store has not answered a follower for a while.
-func anySilent(followers []*follower, now time.Time) bool {
+// anyFollowerSilent reports whether the log has not answered some follower for too long.
+func anyFollowerSilent(followers []*follower, now time.Time) bool {
 	return slices.ContainsFunc(followers, func(follower *follower) bool { return follower.silent(now) })
 }
 
-// readsStore tells whether this node's views come from the store itself and are recent, so
-// that others may rely on them; its engines may come from its zone's first reader. Views that
-// it learned from any node are as recent, and may have come over nodes that know less: those
-// who rely on them would add their delays.
-func (node *Node) readsStore(now time.Time) bool {
-	return !node.learner.learns() && !anySilent(node.following, now) && node.engineView.read() && node.engineView.age() < currentAge
+// readsLog reports whether others may rely on this node's views: it reads them from the log, its
+// engines possibly through the zone's first reader, and they are recent. Views learned from
+// arbitrary nodes do not qualify, since delays would add up from node to node.
+func (node *Node) readsLog(now time.Time) bool {
+	return !node.learner.hasReader() && !anyFollowerSilent(node.followers, now) && node.engineView.loaded() && node.engineView.age() < maxCurrentAge
 }
 
-// logAway tells whether the store has answered none of the followers for a while.
-func (node *Node) logAway() bool {
+// logUnavailable reports whether the log has answered none of the followers for too long.
+func (node *Node) logUnavailable() bool {
 	now := time.Now()
-	for _, follower := range node.following {
+	for _, follower := range node.followers {
 		if !follower.silent(now) {
 			return false
 		}
 	}
-	return len(node.following) > 0
+	return len(node.followers) > 0
 }
 
-// someAddress draws another node, or a seed of the settings.
-func (node *Node) someAddress() (string, bool) {
+// randomPeerAddress returns the address of a random active node or configured seed.
+func (node *Node) randomPeerAddress() (string, bool) {
 	addresses := append([]string(nil), node.settings.Seeds...)
-	for _, member := range node.members.others(node.settings.Name) {
+	for _, member := range node.members.activePeers(node.settings.Name) {
 		addresses = append(addresses, member.Address)
 	}
 	if len(addresses) == 0 {
--- a/internal/node/learn_message.go
+++ b/internal/node/learn_message.go
@@ -9,12 +9,12 @@
 	"github.com/magpielug/magpielug/internal/durable"
 )
 
-// learnRequest asks for the records that this node lacks.
+// learnRequest returns a request for the records that this node does not have.
 func (node *Node) learnRequest() *nodev1.LearnRequest {
 	return &nodev1.LearnRequest{
-		ConfigurationEnd: node.configurationView.reached(),
-		EnginesEnd:       node.engineView.reached(),
-		NodesEnd:         node.memberView.reached(),
+		ConfigurationEnd: node.configurationView.endOffset(),
+		EnginesEnd:       node.engineView.endOffset(),
+		NodesEnd:         node.memberView.endOffset(),
 		LogAnswerAgeMs:   node.logHealth.ageMilliseconds(time.Now()),
 	}
 }
@@ -24,18 +24,18 @@
 	node := server.node
 	now := time.Now()
 	node.engines.AddReported(request.Avoided, now)
-	node.logHealth.hear(request.LogAnswerAgeMs, now)
-	node.engines.AddLatencyStats(fromPaces(request.Paces), now)
+	node.logHealth.observeRemote(request.LogAnswerAgeMs, now)
+	node.engines.AddLatencyStats(fromPaceMessages(request.Paces), now)
 	reply := &nodev1.LearnReply{
 		ConfigurationAgeMs: node.configurationView.age().Milliseconds(),
 		EnginesAgeMs:       node.engineView.age().Milliseconds(),
-		Configuration:      toRecords(node.configurationView.since(request.ConfigurationEnd)),
-		Engines:            toRecords(node.engineView.since(request.EnginesEnd)),
-		Nodes:              toRecords(node.memberView.since(request.NodesEnd)),
+		Configuration:      toRecords(node.configurationView.changedSince(request.ConfigurationEnd)),
+		Engines:            toRecords(node.engineView.changedSince(request.EnginesEnd)),
+		Nodes:              toRecords(node.memberView.changedSince(request.NodesEnd)),
 		Avoided:            node.engines.AvoidedByAny(now),
 		Slow:               node.engines.SlowEngines(now),
 		LogAnswerAgeMs:     node.logHealth.ageMilliseconds(now),
-		Current:            node.readsStore(now),
+		Current:            node.readsLog(now),
 	}
 	if request.WantsSpeeds {
 		reply.Speeds = node.engines.Speeds(now)
@@ -43,7 +43,7 @@
 	return reply, nil
 }
 
-func toPaces(paces map[string]backend.LatencyStats) map[string]*nodev1.Pace {
+func toPaceMessages(paces map[string]backend.LatencyStats) map[string]*nodev1.Pace {
 	messages := make(map[string]*nodev1.Pace, len(paces))
 	for engine, pace := range paces {
 		messages[engine] = &nodev1.Pace{Weight: pace.Weight, Sum: pace.Sum}
@@ -51,7 +51,7 @@
 	return messages
 }
 
-func fromPaces(messages map[string]*nodev1.Pace) map[string]backend.LatencyStats {
+func fromPaceMessages(messages map[string]*nodev1.Pace) map[string]backend.LatencyStats {
 	paces := make(map[string]backend.LatencyStats, len(messages))
 	for engine, message := range messages {
 		paces[engine] = backend.LatencyStats{Weight: message.GetWeight(), Sum: message.GetSum()}
--- a/internal/node/learn_test.go
+++ b/internal/node/learn_test.go
@@ -15,7 +15,7 @@
 	"go.uber.org/zap"
 )
 
-// newReader is a node whose store answered some time ago, and whose views are from just now.
+// newReader returns a node with fresh views whose log last answered a given time ago.
 func newReader(sinceStore time.Duration) *Node {
 	node := &Node{engines: backend.NewDirectory()}
 	node.learner = newLearner(node)
@@ -24,42 +24,42 @@
 	node.configurationView = newRecordView("configuration", zap.NewNop(), ignore)
 	node.engineView = newRecordView("engines", zap.NewNop(), ignore)
 	node.memberView = newRecordView("nodes", zap.NewNop(), ignore)
-	pause := func() time.Duration { return enginePoll }
-	follower := &follower{name: "engines", pause: pause, logger: zap.NewNop()}
-	follower.lastAnswer.set(time.Now().Add(-sinceStore))
-	node.following = append(node.following, follower)
-	node.engineView.take(durable.Update{End: 1}, time.Now())
+	pause := func() time.Duration { return enginePollInterval }
+	follower := &follower{name: "engines", interval: pause, logger: zap.NewNop()}
+	follower.lastResponse.set(time.Now().Add(-sinceStore))
+	node.followers = append(node.followers, follower)
+	node.engineView.merge(durable.Update{End: 1}, time.Now())
 	return node
 }
 
-func answerOf(node *Node) *nodev1.LearnReply {
+func learnReplyOf(node *Node) *nodev1.LearnReply {
 	reply, err := (&peerServer{node: node}).Learn(context.Background(), &nodev1.LearnRequest{})
 	Expect(err).NotTo(HaveOccurred())
 	return reply
 }
 
-var _ = Describe("A node that others learn from", func() {
-	answer := func(sinceStore time.Duration) *nodev1.LearnReply { return answerOf(newReader(sinceStore)) }
+var _ = Describe("A node that answers learn requests", func() {
+	answer := func(sinceStore time.Duration) *nodev1.LearnReply { return learnReplyOf(newReader(sinceStore)) }
 
-	It("is not current before it has read the engines' records, and tells how old they are", func() {
+	It("is current only with recent engine records, whose age it reports", func() {
 		node := newReader(0)
 		node.engineView = newRecordView("engines", zap.NewNop(), func(durable.KeyedRecord) bool { return false })
-		Expect(answerOf(node).Current).To(BeFalse())
-		node.engineView.take(durable.Update{End: 1}, time.Now())
-		node.engineView.checked.set(time.Now().Add(-time.Second))
-		Expect(answerOf(node).EnginesAgeMs).To(BeNumerically(">=", 1000))
-		Expect(answerOf(node).Current).To(BeTrue())
-		node.engineView.checked.set(time.Now().Add(-currentAge))
-		Expect(answerOf(node).Current).To(BeFalse())
+		Expect(learnReplyOf(node).Current).To(BeFalse())
+		node.engineView.merge(durable.Update{End: 1}, time.Now())
+		node.engineView.confirmedAt.set(time.Now().Add(-time.Second))
+		Expect(learnReplyOf(node).EnginesAgeMs).To(BeNumerically(">=", 1000))
+		Expect(learnReplyOf(node).Current).To(BeTrue())
+		node.engineView.confirmedAt.set(time.Now().Add(-maxCurrentAge))
+		Expect(learnReplyOf(node).Current).To(BeFalse())
 	})
 
-	It("is current while the store answers it", func() {
+	It("is current while the log answers it", func() {
 		Expect(answer(0).Current).To(BeTrue())
 	})
 
-	// A node with an old configuration took the answer of one that had just started, which holds
-	// nothing and whose views are as old as its process, for a confirmation of its own.
-	It("confirms nothing that it has not read itself", func() {
+	// Guards against treating the reply of a newly started node, which has read nothing, as a
+	// confirmation of one's own views.
+	It("does not confirm views that it has not loaded", func() {
 		started := newReader(0)
 		started.configurationView = newRecordView("configuration", zap.NewNop(), func(durable.KeyedRecord) bool { return false })
 		started.engineView = newRecordView("engines", zap.NewNop(), func(durable.KeyedRecord) bool { return false })
@@ -70,16 +70,16 @@
 		asker.members = newMembers()
 		asker.peers = newPeers(asker.members, http.DefaultClient)
 		longAgo := time.Now().Add(-time.Minute)
-		asker.configurationView.take(durable.Update{End: 5}, longAgo)
-		asker.configurationView.checked.set(longAgo)
-		asker.engineView.checked.set(longAgo)
-		_, err := asker.learner.askRecords(context.Background(), server.Listener.Addr().String())
+		asker.configurationView.merge(durable.Update{End: 5}, longAgo)
+		asker.configurationView.confirmedAt.set(longAgo)
+		asker.engineView.confirmedAt.set(longAgo)
+		_, err := asker.learner.learnRecordsFrom(context.Background(), server.Listener.Addr().String())
 		Expect(err).NotTo(HaveOccurred())
 		Expect(asker.configurationView.age()).To(BeNumerically(">=", time.Minute))
 		Expect(asker.engineView.age()).To(BeNumerically(">=", time.Minute))
 	})
 
-	It("is not while the store is silent to it, however new the views that it learned from others", func() {
+	It("is not current while the log is silent to it, even with fresh views from other nodes", func() {
 		Expect(answer(time.Minute).Current).To(BeFalse())
 	})
 })
--- a/internal/node/listen.go
+++ b/internal/node/listen.go
@@ -10,24 +10,24 @@
 	"github.com/magpielug/magpielug/internal/routing"
 )
 
-// listenerSettings is one address to listen on.
-type listenerSettings struct {
+// listenerConfig describes one listening address.
+type listenerConfig struct {
 	address string
 	handler http.Handler
 	limits  httpserver.Limits
 }
 
-// listen opens the node's addresses, the callers' last.
+// listen opens the node's addresses, the callers' address last.
 func (node *Node) listen() error {
 	peerHandler := node.contact.handler(node.peerHandler())
-	listeners := []listenerSettings{
+	listeners := []listenerConfig{
 		{node.settings.PeerAddress, peerHandler, httpserver.Limits{DrainGrace: node.settings.ShutdownTimeout}},
 		{node.settings.MetricsAddress, node.metricsHandler(), httpserver.Limits{}},
-		{node.settings.ReadinessAddress, http.HandlerFunc(node.answerReadiness), httpserver.Limits{DrainGrace: node.settings.ShutdownTimeout}},
-		{node.settings.CallerAddress, node.around.CallerHandler(node.service), node.callerLimits()},
+		{node.settings.ReadinessAddress, http.HandlerFunc(node.serveReadiness), httpserver.Limits{DrainGrace: node.settings.ShutdownTimeout}},
+		{node.settings.CallerAddress, node.dependencies.CallerHandler(node.service), node.callerLimits()},
 	}
 	if node.settings.ControlAddress != "" {
-		listeners = append([]listenerSettings{{node.settings.ControlAddress, peerHandler, httpserver.Limits{DrainGrace: node.settings.ShutdownTimeout}}}, listeners...)
+		listeners = append([]listenerConfig{{node.settings.ControlAddress, peerHandler, httpserver.Limits{DrainGrace: node.settings.ShutdownTimeout}}}, listeners...)
 	}
 	for _, listener := range listeners {
 		if listener.address == "" {
@@ -42,7 +42,7 @@
 	return nil
 }
 
-// peerHandler serves the other nodes.
+// peerHandler serves requests from other nodes.
 func (node *Node) peerHandler() http.Handler {
 	mux := http.NewServeMux()
 	mux.Handle(egress.ExchangePath, node.egress)
@@ -53,30 +53,29 @@
 func (node *Node) callerLimits() httpserver.Limits {
 	return httpserver.Limits{
 		MaxConnections: node.settings.MaxConnections,
-		DrainGrace:     drainNotice,
+		DrainGrace:     drainDelay,
 		MaxBodyBytes:   maxBodyBytes,
 		MaxHeaderBytes: maxHeaderBytes,
 		IdleTimeout:    callerIdleTimeout,
-		Sent:           node.held.sent,
-		Unread:         node.held.unread,
+		Sent:           node.bufferLimits.requests,
+		Unread:         node.bufferLimits.unreadResponses,
 		TurnAway:       node.isolated,
 	}
 }
 
 const (
-	// maxBodyBytes and maxHeaderBytes bound callers' requests whatever the
-	// configuration says.
+	// maxBodyBytes and maxHeaderBytes bound callers' requests regardless of the configuration.
 	maxBodyBytes   = 64 << 20
 	maxHeaderBytes = 64 << 10
-	// headerSlack is added to the configuration's bound, which may be counted in
-	// another way.
+	// headerSlack is added to the configured header limit, since the configuration may count
+	// header bytes differently.
 	headerSlack = 1 << 10
-	// callerIdleTimeout closes callers' quiet connections.
+	// callerIdleTimeout closes callers' idle connections.
 	callerIdleTimeout = 60 * time.Second
 )
 
-// adjustCallers puts the configuration's bounds in force.
-func (node *Node) adjustCallers(limits routing.Limits) {
+// applyCallerLimits applies the configured limits to the callers' server.
+func (node *Node) applyCallerLimits(limits routing.Limits) {
 	bounds := httpserver.Bounds{
 		MaxBodyBytes:   limits.MaxBodyBytes,
 		RequestTimeout: limits.HeaderTimeout + bodyTimeout,
@@ -88,5 +87,5 @@
 	node.servers[len(node.servers)-1].Adjust(bounds)
 }
 
-// bodyTimeout is how long a body may take beyond the bound of the headers.
+// bodyTimeout is how long reading a body may take in addition to the header timeout.
 const bodyTimeout = 30 * time.Second
--- a/internal/node/load.go
+++ b/internal/node/load.go
@@ -19,222 +19,221 @@
 )
 
 const (
-	// loadShard stands for the gathering of load in the order of candidates, below the
-	// numbers of the keepers of limits.
-	loadShard = -1 << 20
-	// sharePace separates two reports of a node where they are short: with the same again
-	// between gatherers, and for the way back, a view is at most 0.5 s old.
-	sharePace = 150 * time.Millisecond
-	// shareBytes is what a node that does not gather spends on sharing in a second, both
-	// ways: what its other control traffic leaves of 12 KB (docs/CAPACITY.md).
-	shareBytes = 3500
-	// ownerBytes is the same of a node that owns programs, which gets routes and tenants too.
-	// At the target size it spends some 390 KB a second on reservations.
-	ownerBytes = 12000
-	// messageOverhead is the length of the headers of a request and its answer, bytes: 354
-	// counted with empty messages over a kept connection.
+	// loadPseudoShard is the candidate-order key for load aggregators, below the keys of the quota
+	// coordinators.
+	loadPseudoShard = -1 << 20
+	// reportInterval is the minimum interval between a node's load reports. With a second such
+	// interval between aggregators, plus transit, a view is at most 0.5 s old.
+	reportInterval = 150 * time.Millisecond
+	// reportBytesPerSecond is a non-aggregating node's budget for load reports and their replies:
+	// the remainder of 12 KB/s after its other control traffic (docs/CAPACITY.md).
+	reportBytesPerSecond = 3500
+	// ownerReportBytesPerSecond is the budget of a node that owns programs, which also receives
+	// routes and tenants.
+	ownerReportBytesPerSecond = 12000
+	// messageOverhead is the size of the headers of a request and its reply, in bytes.
 	messageOverhead = 360
-	// shareTimeout is how long a gatherer may take to answer. Two in a row that do not
-	// answer leave a view fresh.
+	// shareTimeout bounds one load message. A view stays fresh across two timeouts in a row.
 	shareTimeout = 200 * time.Millisecond
-	// shareTries is how many gatherers are tried in one round.
-	shareTries = 3
-	// gathererSuspicion is how long a gatherer that did not answer is passed over; the time
-	// doubles each time in a row, up to mostSuspicion. The first is short, for a slow answer
-	// must not leave a node with another gatherer than its zone for long.
-	gathererSuspicion = 600 * time.Millisecond
-	mostSuspicion     = 5 * time.Second
-	// withoutSharingPause is how long a node is passed over that does not know of sharing,
-	// being of an older version, or has it switched off: it is so until it is restarted.
-	// While versions change, a node asks each other one of its zone once in that time.
-	withoutSharingPause = 30 * time.Second
-	// leastZoneShare of the nodes of its zone must be in a sum for a node to go by it. A
-	// node that only itself or few others tell anything would take all engines for idle.
-	leastZoneShare = 1.0 / 3
+	// shareAttempts is how many aggregators are tried per report.
+	shareAttempts = 3
+	// minAggregatorSuspicion is how long an unresponsive aggregator is skipped at first; the time
+	// doubles with each consecutive failure up to maxAggregatorSuspicion. It is short because a
+	// slow reply must not separate a node from its zone's aggregator for long.
+	minAggregatorSuspicion = 600 * time.Millisecond
+	maxAggregatorSuspicion = 5 * time.Second
+	// unsupportedSuspicion is how long a node without load sharing is skipped, because its version
+	// is older or the feature is disabled. Either lasts until that node restarts.
+	unsupportedSuspicion = 30 * time.Second
+	// minZoneShare is the fraction of the zone's nodes that a total must cover to be applied.
+	// Engines would look idle in a total that covers only a few nodes.
+	minZoneShare = 1.0 / 3
 )
 
-// loadSharing tells this node's load to its zone's gatherer and takes in the sum over all
-// nodes; and it gathers, where other nodes tell this one theirs.
+// loadSharing reports this node's load to its zone's aggregator and applies the returned total. It
+// also aggregates the reports that other nodes send to this one.
 type loadSharing struct {
-	node     *Node
-	gatherer *load.Aggregator
-	suspects *suspects
-	sequence atomic.Int64
-	// chosen is the gatherer last asked with success, known whether the view was fresh
-	// then, both for the log.
-	chosen string
-	known  bool
-	// told is the report that the gatherer told last holds of this node.
-	told told
+	node       *Node
+	aggregator *load.Aggregator
+	suspects   *suspects
+	sequence   atomic.Int64
+	// currentAggregator is the last aggregator that replied, viewKnown whether the load view was
+	// fresh at the last check. Both serve to log changes.
+	currentAggregator string
+	viewKnown         bool
+	// lastSent is the last report that an aggregator acknowledged.
+	lastSent sentReport
 
-	// mutex guards the following.
+	// mutex guards the fields below.
 	mutex sync.Mutex
-	// failures counts asks in a row that a gatherer did not answer.
+	// failures counts consecutive failures by aggregator.
 	failures map[string]int
-	// lists are the lists of engines that gatherers have answered with.
+	// lists holds the engine lists received from aggregators.
 	lists map[string]engineList
-	// gathered is the newest sum, former the list before its own.
-	gathered *gathered
-	former   engineList
+	// latestTotal is the newest total, previousList the engine list in use before that total's
+	// list.
+	latestTotal  *totalSnapshot
+	previousList engineList
 }
 
-// told is a report and who was told it.
-type told struct {
-	gatherer string
-	report   load.Report
+// sentReport is a report and the aggregator that received it.
+type sentReport struct {
+	aggregator string
+	report     load.Report
 }
 
 func newLoadSharing(node *Node) *loadSharing {
-	sharing := &loadSharing{node: node, gatherer: load.NewAggregator(node.settings.Zone), suspects: newSuspects(),
+	sharing := &loadSharing{node: node, aggregator: load.NewAggregator(node.settings.Zone), suspects: newSuspects(),
 		failures: map[string]int{}, lists: map[string]engineList{}}
-	// A node that is started anew goes on above what it has told before.
+	// Sequence numbers must keep increasing across restarts.
 	sharing.sequence.Store(time.Now().UnixMicro())
 	return sharing
 }
 
-// run shares load for as long as the node runs.
+// run shares load until ctx ends.
 func (sharing *loadSharing) run(ctx context.Context) {
 	if !feature.Enabled(feature.LoadSharing) {
 		return
 	}
-	go sharing.exchange(ctx)
+	go sharing.exchangeAggregates(ctx)
 	for ctx.Err() == nil {
-		sent := sharing.round(ctx)
-		sharing.noteView(time.Now())
-		wait.Sleep(ctx, paceOf(sent, sharing.bytesAllowed()))
+		sent := sharing.reportOnce(ctx)
+		sharing.logViewChange(time.Now())
+		wait.Sleep(ctx, intervalFor(sent, sharing.bytesPerSecond()))
 	}
 }
 
-// bytesAllowed is what this node may spend on sharing in a second.
-func (sharing *loadSharing) bytesAllowed() int {
+// bytesPerSecond returns this node's budget for sharing load.
+func (sharing *loadSharing) bytesPerSecond() int {
 	if sharing.node.ownsPrograms() {
-		return ownerBytes
+		return ownerReportBytesPerSecond
 	}
-	return shareBytes
+	return reportBytesPerSecond
 }
 
-// paceOf is the pause after a message of a length under a bound of bytes a second.
-func paceOf(bytes, perSecond int) time.Duration {
-	return max(sharePace, time.Duration(bytes)*time.Second/time.Duration(perSecond))
+// intervalFor returns the pause after sending a number of bytes that keeps within a byte rate.
+func intervalFor(size, perSecond int) time.Duration {
+	return max(reportInterval, time.Duration(size)*time.Second/time.Duration(perSecond))
 }
 
-// round tells one gatherer this node's load and takes in its answer. It returns the bytes
-// spent.
-func (sharing *loadSharing) round(ctx context.Context) int {
-	own := sharing.node.ownLoad()
-	spent := 0
-	for range shareTries {
-		target := sharing.gathererOf(sharing.node.settings.Zone, time.Now())
+// reportOnce sends this node's load to an aggregator and applies its reply. It returns the bytes
+// sent and received.
+func (sharing *loadSharing) reportOnce(ctx context.Context) int {
+	local := sharing.node.localLoad()
+	bytes := 0
+	for range shareAttempts {
+		target := sharing.aggregatorOf(sharing.node.settings.Zone, time.Now())
 		if target == sharing.node.settings.Name {
-			sharing.gatherHere(own, time.Now())
-			sharing.noteChosen(target)
-			return spent
+			sharing.aggregateLocally(local, time.Now())
+			sharing.setAggregator(target)
+			return bytes
 		}
-		bytes, err := sharing.tell(ctx, target, own)
-		spent += bytes
+		size, err := sharing.sendReport(ctx, target, local)
+		bytes += size
 		if err == nil {
-			sharing.noteChosen(target)
-			return spent
+			sharing.setAggregator(target)
+			return bytes
 		}
 		if ctx.Err() != nil {
-			return spent
+			return bytes
 		}
 	}
-	return spent
+	return bytes
 }
 
-// gathererOf returns the node that gathers for a zone: its first candidate that is not
-// passed over; of its own zone this node itself where there is none.
-func (sharing *loadSharing) gathererOf(zone string, now time.Time) string {
-	own := sharing.node.settings
-	for _, candidate := range sharing.node.members.candidates(loadShard) {
-		if candidate.Zone == zone && (candidate.Name == own.Name || !sharing.suspects.holds(candidate.Name, now)) {
+// aggregatorOf returns the aggregator of a zone: its first candidate that is not suspected.
+// Without one it returns this node for its own zone and "" for any other.
+func (sharing *loadSharing) aggregatorOf(zone string, now time.Time) string {
+	settings := sharing.node.settings
+	for _, candidate := range sharing.node.members.candidates(loadPseudoShard) {
+		if candidate.Zone == zone && (candidate.Name == settings.Name || !sharing.suspects.contains(candidate.Name, now)) {
 			return candidate.Name
 		}
 	}
-	if zone == own.Zone {
-		return own.Name
+	if zone == settings.Zone {
+		return settings.Name
 	}
 	return ""
 }
 
-// gatherHere takes this node's load in as its own gatherer.
-func (sharing *loadSharing) gatherHere(own load.Report, now time.Time) {
-	sharing.gatherer.AddReport(load.Origin{Node: sharing.node.settings.Name, Zone: sharing.node.settings.Zone, Sequence: sharing.sequence.Add(1)}, own, now)
-	sum, zoneNodes := sharing.gatherer.Total(sharing.node.members.zoneSizes(), now)
-	sharing.takeTotal(sum.Report, own, sum.MeanAge, zoneNodes, now)
-	sharing.told = told{}
+// aggregateLocally adds this node's report to its own aggregator and applies the total.
+func (sharing *loadSharing) aggregateLocally(local load.Report, now time.Time) {
+	sharing.aggregator.AddReport(load.Origin{Node: sharing.node.settings.Name, Zone: sharing.node.settings.Zone, Sequence: sharing.sequence.Add(1)}, local, now)
+	aggregate, zoneNodes := sharing.aggregator.Total(sharing.node.members.nodesPerZone(), now)
+	sharing.applyTotal(aggregate.Report, local, aggregate.MeanAge, zoneNodes, now)
+	sharing.lastSent = sentReport{}
 }
 
-// takeTotal makes a sum the node's view, unless too few nodes are in it, or this node can't
-// tell since it has not read yet which nodes there are.
-func (sharing *loadSharing) takeTotal(total, own load.Report, age time.Duration, zoneNodes int, now time.Time) {
-	if !sharing.node.memberView.read() {
+// applyTotal updates the load view, unless the total covers too few nodes of the zone or the
+// nodes' records have not been read yet.
+func (sharing *loadSharing) applyTotal(total, local load.Report, age time.Duration, zoneNodes int, now time.Time) {
+	if !sharing.node.memberView.loaded() {
 		return
 	}
-	size := sharing.node.members.zoneSizes()[sharing.node.settings.Zone]
-	if float64(zoneNodes) < leastZoneShare*float64(size) {
+	size := sharing.node.members.nodesPerZone()[sharing.node.settings.Zone]
+	if float64(zoneNodes) < minZoneShare*float64(size) {
 		return
 	}
-	sharing.node.load.Update(total, own, age, now)
-	if sharing.node.loadRenewed != nil {
-		sharing.node.loadRenewed()
+	sharing.node.load.Update(total, local, age, now)
+	if sharing.node.onLoadUpdate != nil {
+		sharing.node.onLoadUpdate()
 	}
 }
 
-// tell asks a gatherer, and passes it over where that fails. It returns the bytes spent.
-func (sharing *loadSharing) tell(ctx context.Context, target string, own load.Report) (int, error) {
-	list := sharing.listOf(target)
+// sendReport sends a report to an aggregator, which it suspects on failure. It returns the bytes
+// sent and received.
+func (sharing *loadSharing) sendReport(ctx context.Context, target string, local load.Report) (int, error) {
+	list := sharing.listFor(target)
 	request := &nodev1.ShareLoadRequest{
 		Node:         sharing.node.settings.Name,
 		Zone:         sharing.node.settings.Zone,
-		Report:       packed(toLoadReport(own, list)),
+		Report:       compressReport(toLoadReport(local, list)),
 		Sequence:     sharing.sequence.Add(1),
 		List:         list.digest,
 		OwnsPrograms: sharing.node.ownsPrograms(),
 	}
-	asked := time.Now()
+	requestedAt := time.Now()
 	reply, err := sharing.send(ctx, target, request)
 	if err == nil {
-		err = sharing.takeAnswer(target, list, reply, asked)
+		err = sharing.applyReply(target, list, reply, requestedAt)
 	}
 	if err != nil && ctx.Err() == nil {
 		sharing.suspect(target, err)
 	}
 	if err == nil {
-		sharing.told = told{gatherer: target, report: own}
+		sharing.lastSent = sentReport{aggregator: target, report: local}
 	}
-	// A list of engines is not counted: it comes where engines do, and a node that then
-	// paused for its length would be without a view.
+	// Engine lists are excluded from the budget: they are sent when engines join, and a node that
+	// paused in proportion to their size would lose its view.
 	return messageOverhead + proto.Size(request) + proto.Size(reply.GetTotal()), err
 }
 
-// takeAnswer takes in the sum that a gatherer answered with.
-func (sharing *loadSharing) takeAnswer(target string, used engineList, reply *nodev1.ShareLoadReply, asked time.Time) error {
-	list, err := sharing.noteList(target, used, reply)
+// applyReply applies the total in an aggregator's reply.
+func (sharing *loadSharing) applyReply(target string, current engineList, reply *nodev1.ShareLoadReply, requestedAt time.Time) error {
+	list, err := sharing.updateList(target, current, reply)
 	if err != nil {
 		return err
 	}
-	message, err := unpacked(reply.GetTotal())
+	message, err := decompressReport(reply.GetTotal())
 	if err != nil {
 		return err
 	}
 	total := fromLoadReport(message, list)
-	sharing.takeTotal(total, sharing.heldBy(target), milliseconds(reply.GetAgeMs()), int(reply.GetZoneNodes()), asked)
+	sharing.applyTotal(total, sharing.lastReportTo(target), milliseconds(reply.GetAgeMs()), int(reply.GetZoneNodes()), requestedAt)
 	return nil
 }
 
-// heldBy returns this node's part of a gatherer's answer: the sum is older than the report
-// that it answers.
-func (sharing *loadSharing) heldBy(target string) load.Report {
-	if sharing.told.gatherer != target {
+// lastReportTo returns this node's contribution to an aggregator's reply. That is the report
+// before the one being answered, since totals are computed ahead of it.
+func (sharing *loadSharing) lastReportTo(target string) load.Report {
+	if sharing.lastSent.aggregator != target {
 		return load.NewReport()
 	}
-	return sharing.told.report
+	return sharing.lastSent.report
 }
 
-// listOf returns the list of engines that a gatherer goes by, as far as it is known.
-func (sharing *loadSharing) listOf(target string) engineList {
+// listFor returns the engine list used with an aggregator, or the local one if none was received.
+func (sharing *loadSharing) listFor(target string) engineList {
 	sharing.mutex.Lock()
 	defer sharing.mutex.Unlock()
 	list, known := sharing.lists[target]
@@ -244,13 +243,13 @@
 	return newEngineList(sharing.node.engines.IDs())
 }
 
-// mostLists bounds the lists held: a gatherer and two that follow it, of a few zones.
-const mostLists = 32
+// maxLists bounds the engine lists held: an aggregator and two standbys for each of a few zones.
+const maxLists = 32
 
-// noteList returns the list that an answer goes by, and keeps it where it is a new one.
-func (sharing *loadSharing) noteList(target string, used engineList, reply *nodev1.ShareLoadReply) (engineList, error) {
-	if reply.GetList() == used.digest {
-		return used, nil
+// updateList returns the engine list that a reply refers to, and stores it if it is new.
+func (sharing *loadSharing) updateList(target string, current engineList, reply *nodev1.ShareLoadReply) (engineList, error) {
+	if reply.GetList() == current.digest {
+		return current, nil
 	}
 	list, err := readEngineList(reply.GetList(), reply.GetEngines())
 	if err != nil {
@@ -258,21 +257,21 @@
 	}
 	sharing.mutex.Lock()
 	defer sharing.mutex.Unlock()
-	if len(sharing.lists) >= mostLists {
+	if len(sharing.lists) >= maxLists {
 		clear(sharing.lists)
 	}
 	sharing.lists[target] = list
 	return list, nil
 }
 
-// send sends one message.
+// send sends one message and records its outcome.
 func (sharing *loadSharing) send(ctx context.Context, target string, request *nodev1.ShareLoadRequest) (*nodev1.ShareLoadReply, error) {
 	reply, err := sharing.sendOnce(ctx, target, request)
-	sharing.node.meter.loadMessage(request.GetSumsZone(), err)
+	sharing.node.meter.countLoadMessage(request.GetSumsZone(), err)
 	if err != nil {
 		return nil, err
 	}
-	sharing.answered(target)
+	sharing.clearFailures(target)
 	return reply, nil
 }
 
@@ -286,59 +285,59 @@
 	return client.ShareLoad(bounded, request)
 }
 
-func (sharing *loadSharing) answered(target string) {
+func (sharing *loadSharing) clearFailures(target string) {
 	sharing.mutex.Lock()
 	defer sharing.mutex.Unlock()
 	delete(sharing.failures, target)
 }
 
-// suspect passes a gatherer over for a while, unless it is already.
+// suspect skips an aggregator for a while, unless it is already suspected.
 func (sharing *loadSharing) suspect(target string, cause error) {
 	sharing.mutex.Lock()
-	if sharing.suspects.holds(target, time.Now()) {
+	if sharing.suspects.contains(target, time.Now()) {
 		sharing.mutex.Unlock()
 		return
 	}
-	pause := sharing.pauseAfter(target, cause)
-	sharing.suspects.note(target, time.Now().Add(pause))
+	pause := sharing.suspicionAfter(target, cause)
+	sharing.suspects.add(target, time.Now().Add(pause))
 	sharing.mutex.Unlock()
-	sharing.node.logger.Info("load gatherer not reached", zap.String("node", target), zap.Duration("passed_over", pause), logging.Cause(cause))
+	sharing.node.logger.Info("load aggregator unreachable", zap.String("node", target), zap.Duration("passed_over", pause), logging.Cause(cause))
 }
 
-// pauseAfter is how long to pass a gatherer over for a failure, which it counts. The caller
-// holds the mutex.
-func (sharing *loadSharing) pauseAfter(target string, cause error) time.Duration {
-	var answer twirp.Error
-	if errors.As(cause, &answer) && (answer.Code() == twirp.BadRoute || answer.Code() == twirp.Unimplemented) {
-		return withoutSharingPause
+// suspicionAfter returns how long to skip an aggregator after a failure, and counts the failure.
+// The caller holds the mutex.
+func (sharing *loadSharing) suspicionAfter(target string, cause error) time.Duration {
+	var twirpError twirp.Error
+	if errors.As(cause, &twirpError) && (twirpError.Code() == twirp.BadRoute || twirpError.Code() == twirp.Unimplemented) {
+		return unsupportedSuspicion
 	}
 	failures := sharing.failures[target]
 	sharing.failures[target] = failures + 1
-	const mostDoublings = 4
-	return min(gathererSuspicion<<min(failures, mostDoublings), mostSuspicion)
+	const maxDoublings = 4
+	return min(minAggregatorSuspicion<<min(failures, maxDoublings), maxAggregatorSuspicion)
 }
 
-// noteChosen logs a change of the gatherer.
-func (sharing *loadSharing) noteChosen(target string) {
-	if sharing.chosen == target {
+// setAggregator records the aggregator in use and logs a change.
+func (sharing *loadSharing) setAggregator(target string) {
+	if sharing.currentAggregator == target {
 		return
 	}
-	sharing.chosen = target
-	sharing.node.logger.Info("load gathered by", zap.String("node", target))
+	sharing.currentAggregator = target
+	sharing.node.logger.Info("load aggregator changed", zap.String("node", target))
 }
 
-// noteView logs when the view of the load is lost and when it is there again.
-func (sharing *loadSharing) noteView(now time.Time) {
+// logViewChange logs when the load view becomes stale and when it is fresh again.
+func (sharing *loadSharing) logViewChange(now time.Time) {
 	_, known := sharing.node.load.Total(now)
-	if sharing.known == known {
+	if sharing.viewKnown == known {
 		return
 	}
-	sharing.known = known
-	sharing.node.logger.Info("view of the load", zap.Bool("known", known))
+	sharing.viewKnown = known
+	sharing.node.logger.Info("load view changed", zap.Bool("known", known))
 }
 
-// ownLoad is what this node has under way.
-func (node *Node) ownLoad() load.Report {
+// localLoad returns this node's own load report.
+func (node *Node) localLoad() load.Report {
 	report := load.NewReport()
 	report.Engines = node.engines.Load()
 	if node.waitingCalls != nil {
@@ -350,16 +349,16 @@
 	return report
 }
 
-// nextOwners is how many first candidates of a shard hear of routes and tenants: the one
-// that comes next must not take all programs for over in the moment that it claims.
-const nextOwners = 2
+// standbyOwners is how many first candidates of a shard receive routes and tenants. The next owner
+// needs them before it claims the shard, or it would count no programs at first.
+const standbyOwners = 2
 
-// ownsPrograms tells whether this node owns a shard, or is next in line for one.
+// ownsPrograms reports whether this node owns a shard or is a standby for one.
 func (node *Node) ownsPrograms() bool {
 	for shard := range node.settings.Shards {
 		candidates := node.members.candidates(shard)
-		next := candidates[:min(len(candidates), nextOwners)]
-		if node.ownership.Owns(shard) || slices.ContainsFunc(next, func(member Member) bool { return member.Name == node.settings.Name }) {
+		standbys := candidates[:min(len(candidates), standbyOwners)]
+		if node.ownership.Owns(shard) || slices.ContainsFunc(standbys, func(member Member) bool { return member.Name == node.settings.Name }) {
 			return true
 		}
 	}
--- a/internal/node/load_benchmark_test.go
+++ b/internal/node/load_benchmark_test.go
@@ -11,9 +11,9 @@
 	"github.com/magpielug/magpielug/internal/load"
 )
 
-// gathererAtTarget is a gatherer with the engines and nodes of the target size, and the
-// requests of its zone's nodes to it.
-func gathererAtTarget() (*loadSharing, []*nodev1.ShareLoadRequest) {
+// newTargetAggregator returns an aggregator at the target size, and the requests of its zone's
+// nodes.
+func newTargetAggregator() (*loadSharing, []*nodev1.ShareLoadRequest) {
 	node := &Node{settings: Settings{Name: "node-000", Zone: "zone-0"}, members: newMembers(), engines: backend.NewDirectory()}
 	list := targetList()
 	for _, name := range list.names {
@@ -25,15 +25,15 @@
 		name, zone := fmt.Sprintf("node-%03d", number), fmt.Sprintf("zone-%d", number*targetZones/targetNodes)
 		node.members.put(Member{Name: name, Zone: zone})
 		if zone == node.settings.Zone {
-			requests = append(requests, &nodev1.ShareLoadRequest{Node: name, Zone: zone, List: list.digest, Report: packed(toLoadReport(reports[number], list))})
+			requests = append(requests, &nodev1.ShareLoadRequest{Node: name, Zone: zone, List: list.digest, Report: compressReport(toLoadReport(reports[number], list))})
 		}
 	}
 	return newLoadSharing(node), requests
 }
 
-// BenchmarkGatherer answers one node; a sum serves all that ask within totalReuse.
-func BenchmarkGatherer(b *testing.B) {
-	sharing, requests := gathererAtTarget()
+// BenchmarkAggregator answers one report at a time; a total is reused within totalTTL.
+func BenchmarkAggregator(b *testing.B) {
+	sharing, requests := newTargetAggregator()
 	now := time.Now()
 	step := 420 * time.Millisecond / time.Duration(len(requests))
 	sequence := int64(0)
@@ -42,22 +42,22 @@
 		now = now.Add(step)
 		request := requests[sequence%int64(len(requests))]
 		request.Sequence = sequence
-		_, err := sharing.answer(request, now)
+		_, err := sharing.handleReport(request, now)
 		if err != nil {
 			b.Fatal(err)
 		}
 	}
 }
 
-// BenchmarkReport writes a node's report and reads the answer.
+// BenchmarkReport encodes a node's report and decodes the reply.
 func BenchmarkReport(b *testing.B) {
 	list := targetList()
 	reports := targetReports(list, rand.New(rand.NewPCG(1, 2)))
-	answer := packed(toLoadReport(forEngines(sumOf(reports)), list))
+	reply := compressReport(toLoadReport(engineLoadOnly(sumReports(reports)), list))
 	var read load.Report
 	for b.Loop() {
-		packed(toLoadReport(reports[100], list))
-		message, err := unpacked(answer)
+		compressReport(toLoadReport(reports[100], list))
+		message, err := decompressReport(reply)
 		if err != nil {
 			b.Fatal(err)
 		}
--- a/internal/node/load_message.go
+++ b/internal/node/load_message.go
@@ -10,46 +10,45 @@
 	"github.com/magpielug/magpielug/internal/load"
 )
 
-// countUnit is the unit in which recent answers and failures are sent, in requests: a
-// count of thirty fits into a byte, and what rounding loses is less than one request in
-// a hundred.
-const countUnit = 0.25
+// countResolution is the unit, in requests, of the success and failure counts sent: a count of
+// thirty fits into one byte.
+const countResolution = 0.25
 
-// engineList is a list of engines that two nodes know, so that loads are sent without
-// names. The zero value is no list.
+// engineList is an engine list that sender and receiver share, so that load messages refer to
+// engines by index. The zero value is an empty list.
 type engineList struct {
-	digest uint64
-	names  []string
-	places map[string]int
+	digest    uint64
+	names     []string
+	positions map[string]int
 }
 
 func newEngineList(names []string) engineList {
-	list := engineList{digest: xxhash.Sum64String(strings.Join(names, nameSeparator)), names: names, places: make(map[string]int, len(names))}
-	for place, name := range names {
-		list.places[name] = place
+	list := engineList{digest: xxhash.Sum64String(strings.Join(names, nameSeparator)), names: names, positions: make(map[string]int, len(names))}
+	for position, name := range names {
+		list.positions[name] = position
 	}
 	return list
 }
 
-// nameSeparator stands between the names of a list.
+// nameSeparator separates engine names in an encoded list.
 const nameSeparator = "\n"
 
-var errOtherList = errors.New("the list of engines is another one than its digest says")
+var errListDigest = errors.New("engine list does not match its digest")
 
-// packedNames returns the list as it is sent.
-func (list engineList) packedNames() []byte {
-	return compressed([]byte(strings.Join(list.names, nameSeparator)))
+// compressedNames returns the encoded list.
+func (list engineList) compressedNames() []byte {
+	return compress([]byte(strings.Join(list.names, nameSeparator)))
 }
 
-// readEngineList reads a list of a digest as it was sent.
+// readEngineList decodes an engine list and verifies its digest.
 func readEngineList(digest uint64, message []byte) (engineList, error) {
-	content, err := decompressed(message)
+	content, err := decompress(message)
 	if err != nil {
 		return engineList{}, err
 	}
 	list := newEngineList(splitNames(string(content)))
 	if list.digest != digest {
-		return engineList{}, errOtherList
+		return engineList{}, errListDigest
 	}
 	return list, nil
 }
@@ -61,38 +60,38 @@
 	return strings.Split(joined, nameSeparator)
 }
 
-// engineColumns are the figures of the engines of a list, as they are sent.
-type engineColumns struct{ running, silent, answered, failed []uint32 }
+// engineColumns holds the engines' load by field, each indexed like an engine list.
+type engineColumns struct{ running, awaitingFirstByte, succeeded, failed []uint32 }
 
 func newEngineColumns(length int) *engineColumns {
-	return &engineColumns{running: make([]uint32, length), silent: make([]uint32, length), answered: make([]uint32, length), failed: make([]uint32, length)}
+	return &engineColumns{running: make([]uint32, length), awaitingFirstByte: make([]uint32, length), succeeded: make([]uint32, length), failed: make([]uint32, length)}
 }
 
-func (columns *engineColumns) set(place int, engine load.Engine) {
-	columns.running[place] = uint32(max(engine.Running, 0))
-	columns.silent[place] = uint32(max(engine.AwaitingFirstByte, 0))
-	columns.answered[place] = toCount(engine.Succeeded)
-	columns.failed[place] = toCount(engine.Failed)
+func (columns *engineColumns) set(position int, engine load.Engine) {
+	columns.running[position] = uint32(max(engine.Running, 0))
+	columns.awaitingFirstByte[position] = uint32(max(engine.AwaitingFirstByte, 0))
+	columns.succeeded[position] = quantizeCount(engine.Succeeded)
+	columns.failed[position] = quantizeCount(engine.Failed)
 }
 
-func (columns *engineColumns) at(place int) load.Engine {
+func (columns *engineColumns) at(position int) load.Engine {
 	return load.Engine{
-		Running:           int(columns.running[place]),
-		AwaitingFirstByte: int(columns.silent[place]),
-		Succeeded:         countUnit * float64(columns.answered[place]),
-		Failed:            countUnit * float64(columns.failed[place]),
+		Running:           int(columns.running[position]),
+		AwaitingFirstByte: int(columns.awaitingFirstByte[position]),
+		Succeeded:         countResolution * float64(columns.succeeded[position]),
+		Failed:            countResolution * float64(columns.failed[position]),
 	}
 }
 
-func toCount(count float64) uint32 { return uint32(math.Round(max(count, 0) / countUnit)) }
+func quantizeCount(count float64) uint32 { return uint32(math.Round(max(count, 0) / countResolution)) }
 
-// forEngines returns what a node needs of a sum to choose engines: no programs, and answers
-// only of engines whose requests also fail.
-func forEngines(sum load.Report) load.Report {
+// engineLoadOnly returns the part of a report needed to choose engines: no programs, and successes
+// only for engines that also have failures.
+func engineLoadOnly(total load.Report) load.Report {
 	engines := load.NewReport()
-	engines.Waiting = sum.Waiting
-	for id, engine := range sum.Engines {
-		if toCount(engine.Failed) == 0 {
+	engines.Waiting = total.Waiting
+	for id, engine := range total.Engines {
+		if quantizeCount(engine.Failed) == 0 {
 			engine.Succeeded = 0
 		}
 		engines.Engines[id] = engine
@@ -100,14 +99,15 @@
 	return engines
 }
 
-// toLoadReport writes a report for one who knows a list.
+// toLoadReport encodes a report for a receiver that has an engine list. Engines not in the list
+// are sent by name.
 func toLoadReport(report load.Report, list engineList) *nodev1.LoadReport {
 	message := &nodev1.LoadReport{}
 	columns := newEngineColumns(len(list.names))
 	for id, engine := range report.Engines {
-		place, listed := list.places[id]
+		position, listed := list.positions[id]
 		if listed {
-			columns.set(place, engine)
+			columns.set(position, engine)
 			continue
 		}
 		message.Engines = append(message.Engines, &nodev1.EngineLoad{Engine: id, Running: int32(engine.Running), Silent: int32(engine.AwaitingFirstByte),
@@ -137,12 +137,12 @@
 	}
 }
 
-// fromLoadReport reads a report whose columns go by a list.
+// fromLoadReport decodes a report that refers to an engine list.
 func fromLoadReport(message *nodev1.LoadReport, list engineList) load.Report {
 	report := load.NewReport()
 	columns := fromColumns(message.GetColumns(), len(list.names))
-	for place, name := range list.names {
-		engine := columns.at(place)
+	for position, name := range list.names {
+		engine := columns.at(position)
 		if engine != (load.Engine{}) {
 			report.Engines[name] = engine
 		}
@@ -167,65 +167,66 @@
 func toColumns(columns *engineColumns) *nodev1.EngineColumns {
 	return &nodev1.EngineColumns{
 		Running:  toColumn(columns.running),
-		Silent:   toColumn(columns.silent),
-		Answered: toColumn(columns.answered),
+		Silent:   toColumn(columns.awaitingFirstByte),
+		Answered: toColumn(columns.succeeded),
 		Failed:   toColumn(columns.failed),
 	}
 }
 
 func fromColumns(message *nodev1.EngineColumns, length int) *engineColumns {
 	return &engineColumns{
-		running:  fromColumn(message.GetRunning(), length),
-		silent:   fromColumn(message.GetSilent(), length),
-		answered: fromColumn(message.GetAnswered(), length),
-		failed:   fromColumn(message.GetFailed(), length),
+		running:           fromColumn(message.GetRunning(), length),
+		awaitingFirstByte: fromColumn(message.GetSilent(), length),
+		succeeded:         fromColumn(message.GetAnswered(), length),
+		failed:            fromColumn(message.GetFailed(), length),
 	}
 }
 
-// denseShare of a column's places with a value is where it is sent whole: a place then
-// costs a byte, and one with a value two otherwise.
-const denseShare = 0.5
+// denseThreshold is the fraction of nonzero values above which a column is sent dense: a dense
+// value takes one byte, a sparse one two.
+const denseThreshold = 0.5
 
-// toColumn writes a column in the shorter way of two, and nothing where all is 0.
-func toColumn(figures []uint32) *nodev1.Column {
+// toColumn encodes a column as dense or sparse, whichever is shorter, and as nil if all values are
+// zero.
+func toColumn(values []uint32) *nodev1.Column {
 	sparse := &nodev1.Column{}
-	before := -1
-	for place, figure := range figures {
-		if figure == 0 {
+	previous := -1
+	for position, value := range values {
+		if value == 0 {
 			continue
 		}
-		sparse.Steps = append(sparse.Steps, uint32(place-before))
-		sparse.Values = append(sparse.Values, figure)
-		before = place
+		sparse.Steps = append(sparse.Steps, uint32(position-previous))
+		sparse.Values = append(sparse.Values, value)
+		previous = position
 	}
 	switch {
 	case len(sparse.Values) == 0:
 		return nil
-	case float64(len(sparse.Values)) > denseShare*float64(len(figures)):
-		return &nodev1.Column{Values: figures}
+	case float64(len(sparse.Values)) > denseThreshold*float64(len(values)):
+		return &nodev1.Column{Values: values}
 	default:
 		return sparse
 	}
 }
 
-// fromColumn reads a column of a length. Values beyond it are left out.
+// fromColumn decodes a column into length values. Excess values are ignored.
 func fromColumn(message *nodev1.Column, length int) []uint32 {
-	figures := make([]uint32, length)
+	values := make([]uint32, length)
 	steps := message.GetSteps()
 	if len(steps) == 0 {
-		copy(figures, message.GetValues())
-		return figures
+		copy(values, message.GetValues())
+		return values
 	}
-	place := -1
+	position := -1
 	for index, value := range message.GetValues() {
 		if index >= len(steps) || steps[index] == 0 || uint64(steps[index]) > uint64(length) {
-			return figures
+			return values
 		}
-		place += int(steps[index])
-		if place >= length {
-			return figures
+		position += int(steps[index])
+		if position >= length {
+			return values
 		}
-		figures[place] = value
+		values[position] = value
 	}
-	return figures
+	return values
 }
--- a/internal/node/load_message_test.go
+++ b/internal/node/load_message_test.go
@@ -12,19 +12,19 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// The size that docs/DEVELOPERS.md names.
+// The target size in docs/DEVELOPERS.md.
 const (
 	targetNodes   = 390
 	targetZones   = 6
 	targetEngines = 600
 	targetTenants = 320
-	// targetRequests are under way at once: 1.4 million tokens a second at some 25 a second
-	// and request, by the 71 ms that 95 in 100 tokens take at most.
+	// targetRequests is the number of concurrent requests: 1.4 million tokens per second at 25
+	// tokens per second and request.
 	targetRequests = 56_000
 	targetRoutes   = 20
 )
 
-// targetList is a list of engines of that size.
+// targetList returns an engine list of the target size.
 func targetList() engineList {
 	names := make([]string, 0, targetEngines)
 	for number := range targetEngines {
@@ -33,8 +33,8 @@
 	return newEngineList(names)
 }
 
-// targetReports are the reports of all nodes at that size: requests at random engines, one
-// in twenty without a byte, recent answers, and programs at a few owners.
+// targetReports returns the reports of all nodes at the target size: requests at random engines,
+// some still without a first byte, recent successes, and programs at a few owners.
 func targetReports(list engineList, random *rand.Rand) []load.Report {
 	reports := make([]load.Report, 0, targetNodes)
 	for range targetNodes {
@@ -63,7 +63,7 @@
 	return reports
 }
 
-func sumOf(reports []load.Report) load.Report {
+func sumReports(reports []load.Report) load.Report {
 	total := load.NewReport()
 	for _, report := range reports {
 		total.Add(report)
@@ -71,84 +71,84 @@
 	return total
 }
 
-var _ = Describe("Messages about load", func() {
+var _ = Describe("Load messages", func() {
 	random := rand.New(rand.NewPCG(1, 2))
 	list := targetList()
 	reports := targetReports(list, random)
-	total := sumOf(reports)
+	total := sumReports(reports)
 
-	length := func(report load.Report) int {
-		return messageOverhead + proto.Size(packed(toLoadReport(report, list)))
+	reportSize := func(report load.Report) int {
+		return messageOverhead + proto.Size(compressReport(toLoadReport(report, list)))
 	}
-	answerLength := func(report load.Report) int { return proto.Size(packed(toLoadReport(report, list))) }
+	replySize := func(report load.Report) int { return proto.Size(compressReport(toLoadReport(report, list))) }
 
-	It("come back as they were sent, but for counts rounded", func() {
+	It("survive a round trip except for rounded counts", func() {
 		report := reports[0]
 		report.Waiting[load.QueueKey{Service: "models", Priority: 2}] = 5
 		report.Engines["engine-that-is-new"] = load.Engine{Running: 3, AwaitingFirstByte: 1, Succeeded: 1.5, Failed: 0.25}
-		message, err := unpacked(packed(toLoadReport(report, list)))
+		message, err := decompressReport(compressReport(toLoadReport(report, list)))
 		Expect(err).NotTo(HaveOccurred())
-		back := fromLoadReport(message, list)
-		Expect(back.Waiting).To(Equal(report.Waiting))
-		Expect(back.Routes).To(Equal(report.Routes))
-		Expect(back.Tenants).To(Equal(report.Tenants))
-		Expect(back.Engines).To(HaveLen(len(report.Engines)))
+		decoded := fromLoadReport(message, list)
+		Expect(decoded.Waiting).To(Equal(report.Waiting))
+		Expect(decoded.Routes).To(Equal(report.Routes))
+		Expect(decoded.Tenants).To(Equal(report.Tenants))
+		Expect(decoded.Engines).To(HaveLen(len(report.Engines)))
 		for id, engine := range report.Engines {
-			Expect(back.Engines[id].Running).To(Equal(engine.Running))
-			Expect(back.Engines[id].AwaitingFirstByte).To(Equal(engine.AwaitingFirstByte))
-			Expect(back.Engines[id].Succeeded).To(BeNumerically("~", engine.Succeeded, countUnit/2))
-			Expect(back.Engines[id].Failed).To(BeNumerically("~", engine.Failed, countUnit/2))
+			Expect(decoded.Engines[id].Running).To(Equal(engine.Running))
+			Expect(decoded.Engines[id].AwaitingFirstByte).To(Equal(engine.AwaitingFirstByte))
+			Expect(decoded.Engines[id].Succeeded).To(BeNumerically("~", engine.Succeeded, countResolution/2))
+			Expect(decoded.Engines[id].Failed).To(BeNumerically("~", engine.Failed, countResolution/2))
 		}
 	})
 
-	It("name the engines to one who knows no list", func() {
+	It("name the engines without a shared list", func() {
 		report := reports[0]
 		Expect(fromLoadReport(toLoadReport(report, engineList{}), engineList{}).Engines).To(Equal(report.Engines))
 	})
 
-	It("tell nodes that choose engines of answers only where requests fail too", func() {
+	It("omit successes of engines without failures", func() {
 		sum := load.NewReport()
 		sum.Engines["sound"] = load.Engine{Running: 3, Succeeded: 9}
 		sum.Engines["failing"] = load.Engine{Running: 3, Succeeded: 9, Failed: 2}
-		Expect(forEngines(sum).Engines).To(Equal(map[string]load.Engine{"sound": {Running: 3}, "failing": {Running: 3, Succeeded: 9, Failed: 2}}))
+		Expect(engineLoadOnly(sum).Engines).To(Equal(map[string]load.Engine{"sound": {Running: 3}, "failing": {Running: 3, Succeeded: 9, Failed: 2}}))
 	})
 
-	It("carry a list of engines, checked by its digest", func() {
-		read, err := readEngineList(list.digest, list.packedNames())
+	It("carry an engine list verified by its digest", func() {
+		read, err := readEngineList(list.digest, list.compressedNames())
 		Expect(err).NotTo(HaveOccurred())
 		Expect(read).To(Equal(list))
-		_, err = readEngineList(list.digest+1, list.packedNames())
-		Expect(err).To(MatchError(errOtherList))
-		none, err := readEngineList(newEngineList(nil).digest, newEngineList(nil).packedNames())
+		_, err = readEngineList(list.digest+1, list.compressedNames())
+		Expect(err).To(MatchError(errListDigest))
+		none, err := readEngineList(newEngineList(nil).digest, newEngineList(nil).compressedNames())
 		Expect(err).NotTo(HaveOccurred())
 		Expect(none.names).To(BeEmpty())
-		GinkgoWriter.Printf("bytes of a list: %d\n", len(list.packedNames()))
+		GinkgoWriter.Printf("bytes of a list: %d\n", len(list.compressedNames()))
 	})
 
-	It("do no harm where they are broken", func() {
+	It("are rejected or truncated if malformed", func() {
 		Expect(fromColumn(&nodev1.Column{Steps: []uint32{4, 0, 1}, Values: []uint32{1, 2, 3}}, 3)).To(Equal([]uint32{0, 0, 0}))
 		Expect(fromColumn(&nodev1.Column{Steps: []uint32{1}, Values: []uint32{7, 8}}, 3)).To(Equal([]uint32{7, 0, 0}))
 		Expect(fromColumn(&nodev1.Column{Values: []uint32{1, 2, 3, 4}}, 3)).To(Equal([]uint32{1, 2, 3}))
-		_, err := unpacked(&nodev1.LoadReport{Packed: []byte("no such thing")})
+		_, err := decompressReport(&nodev1.LoadReport{Packed: []byte("not compressed")})
 		Expect(err).To(HaveOccurred())
-		_, err = unpacked(&nodev1.LoadReport{Packed: compressed(make([]byte, mostUnpackedBytes+1))})
-		Expect(err).To(MatchError(errLongMessage))
+		_, err = decompressReport(&nodev1.LoadReport{Packed: compress(make([]byte, maxDecompressedBytes+1))})
+		Expect(err).To(MatchError(errMessageTooLong))
 	})
 
-	It("stay in their bound at the target size, with views that still count", func() {
-		const freshPace = load.ReportTTL / 2 // Two reports come while a part counts.
-		node := length(reports[100]) + answerLength(forEngines(total))
-		owner := length(reports[0]) + answerLength(total)
-		sum := length(sumOf(reports[:targetNodes/targetZones]))
-		Expect(paceOf(node, shareBytes)).To(BeNumerically("<", freshPace), "%d bytes", node)
-		Expect(paceOf(owner, ownerBytes)).To(BeNumerically("<", freshPace), "%d bytes", owner)
-		Expect(paceOf(sum, exchangeBytes)).To(BeNumerically("<", freshPace), "%d bytes", sum)
+	It("keep within their byte rate and the report TTL at the target size", func() {
+		const maxInterval = load.ReportTTL / 2 // Two reports arrive within the TTL.
+		node := reportSize(reports[100]) + replySize(engineLoadOnly(total))
+		owner := reportSize(reports[0]) + replySize(total)
+		sum := reportSize(sumReports(reports[:targetNodes/targetZones]))
+		Expect(intervalFor(node, reportBytesPerSecond)).To(BeNumerically("<", maxInterval), "%d bytes", node)
+		Expect(intervalFor(owner, ownerReportBytesPerSecond)).To(BeNumerically("<", maxInterval), "%d bytes", owner)
+		Expect(intervalFor(sum, exchangeBytesPerSecond)).To(BeNumerically("<", maxInterval), "%d bytes", sum)
 		GinkgoWriter.Printf("bytes: node %d, owner %d, sum %d; paces: %s %s %s\n", node, owner, sum,
-			paceOf(node, shareBytes), paceOf(owner, ownerBytes), paceOf(sum, exchangeBytes))
+			intervalFor(node, reportBytesPerSecond), intervalFor(owner, ownerReportBytesPerSecond), intervalFor(sum, exchangeBytesPerSecond))
 	})
 
-	It("go out no faster than their bound allows", func() {
-		Expect(paceOf(100, shareBytes)).To(Equal(sharePace))
-		Expect(paceOf(4*shareBytes, shareBytes)).To(Equal(4 * time.Second))
+	It("are sent no faster than their byte rate allows", func() {
+		Expect(intervalFor(100, reportBytesPerSecond)).To(Equal(reportInterval))
+		Expect(intervalFor(4*reportBytesPerSecond, reportBytesPerSecond)).To(Equal(4 * time.Second))
 	})
 })
--- a/internal/node/load_metrics.go
+++ b/internal/node/load_metrics.go
@@ -10,7 +10,7 @@
 var (
 	loadAge = prometheus.NewDesc("magpielug_load_view_age_seconds",
 		"Age of this node's view of the load over all nodes; left out where there is none.", nil, nil)
-	loadGathered = prometheus.NewDesc("magpielug_load_gathered_nodes",
+	loadReportingNodes = prometheus.NewDesc("magpielug_load_gathered_nodes",
 		"Nodes that tell this node their load, 0 where it gathers none.", nil, nil)
 	loadRunning = prometheus.NewDesc("magpielug_load_running",
 		"Requests under way at the engines of a service over all nodes; left out while that is not known.", []string{"service"}, nil)
@@ -18,13 +18,12 @@
 		"Calls that wait at nodes for an engine of a service, over all nodes.", []string{"service"}, nil)
 )
 
-// loadCollector shows the view of the load as metrics. Its labels are the services of the
-// engines known, which are few.
+// loadCollector exports the load view as metrics, labelled by service.
 type loadCollector struct{ node *Node }
 
 // Describe implements prometheus.Collector.
 func (collector *loadCollector) Describe(descriptions chan<- *prometheus.Desc) {
-	for _, description := range []*prometheus.Desc{loadAge, loadGathered, loadRunning, loadWaiting} {
+	for _, description := range []*prometheus.Desc{loadAge, loadReportingNodes, loadRunning, loadWaiting} {
 		descriptions <- description
 	}
 }
@@ -36,7 +35,7 @@
 	if taken {
 		collected <- prometheus.MustNewConstMetric(loadAge, prometheus.GaugeValue, age.Seconds())
 	}
-	collected <- prometheus.MustNewConstMetric(loadGathered, prometheus.GaugeValue, float64(collector.node.sharing.gatherer.NodeCount(now)))
+	collected <- prometheus.MustNewConstMetric(loadReportingNodes, prometheus.GaugeValue, float64(collector.node.sharing.aggregator.NodeCount(now)))
 	total, known := collector.node.load.Total(now)
 	if !known {
 		return
@@ -47,7 +46,7 @@
 	}
 }
 
-// serviceLoad is what all nodes have under way at a service.
+// serviceLoad is the load of a service over all nodes.
 type serviceLoad struct{ running, waiting int }
 
 func (collector *loadCollector) byService(total load.Report) map[string]serviceLoad {
--- a/internal/node/load_status.go
+++ b/internal/node/load_status.go
@@ -15,9 +15,9 @@
 	"github.com/magpielug/magpielug/internal/resultcode"
 )
 
-// serveLoad answers an operator who asks for the load.
+// serveLoad serves the load status endpoint.
 func (node *Node) serveLoad(writer http.ResponseWriter, request *http.Request) {
-	status, err := node.answerLoad(request)
+	status, err := node.loadStatusFor(request)
 	if err != nil {
 		httpserver.WriteError(writer, err)
 		return
@@ -26,14 +26,14 @@
 	_ = json.NewEncoder(writer).Encode(status)
 }
 
-func (node *Node) answerLoad(request *http.Request) (load.Status, error) {
+func (node *Node) loadStatusFor(request *http.Request) (load.Status, error) {
 	if request.Method != http.MethodGet {
 		return load.Status{}, resultcode.New(resultcode.UnknownRoute, "%s %s: only GET is served", request.Method, load.StatusPath)
 	}
 	query := request.URL.Query()
 	for name, values := range query {
 		if name != load.StatusService || len(values) != 1 {
-			return load.Status{}, resultcode.New(resultcode.BadRequest, "%s: the query %q is none but one %s=NAME", load.StatusPath, request.URL.RawQuery, load.StatusService)
+			return load.Status{}, resultcode.New(resultcode.BadRequest, "%s: invalid query %q: only a single %s=NAME is supported", load.StatusPath, request.URL.RawQuery, load.StatusService)
 		}
 	}
 	status := node.loadStatus(time.Now())
@@ -44,11 +44,11 @@
 	if !slices.ContainsFunc(status.Services, func(known load.ServiceStatus) bool { return known.Service == service }) {
 		return load.Status{}, resultcode.New(resultcode.UnknownTarget, "no engine of a service %q is known", service)
 	}
-	return ofService(status, service), nil
+	return filterService(status, service), nil
 }
 
-// ofService leaves out what concerns other services.
-func ofService(status load.Status, service string) load.Status {
+// filterService keeps only the entries of one service.
+func filterService(status load.Status, service string) load.Status {
 	status.Services = slices.DeleteFunc(status.Services, func(each load.ServiceStatus) bool { return each.Service != service })
 	status.Engines = slices.DeleteFunc(status.Engines, func(each load.EngineStatus) bool { return each.Service != service })
 	status.Admission = slices.DeleteFunc(status.Admission, func(each load.AdmissionStatus) bool { return each.Service != service })
@@ -56,16 +56,16 @@
 	return status
 }
 
-// loadStatus tells operators what this node knows of the load.
+// loadStatus returns this node's view of the load.
 func (node *Node) loadStatus(now time.Time) load.Status {
 	total, known := node.load.Total(now)
 	status := load.Status{
 		Node:             node.settings.Name,
 		Zone:             node.settings.Zone,
 		View:             node.viewStatus(known, now),
-		OwnedShare:       node.admission.share(),
+		OwnedShare:       node.admission.ownedShardShare(),
 		UnreachableZones: []string{},
-		ZoneIsolated:     node.zoneCutOff(now),
+		ZoneIsolated:     node.zoneIsolated(now),
 	}
 	for _, zone := range node.otherZones() {
 		if !node.zones.Reachable(zone, now) {
@@ -81,7 +81,7 @@
 }
 
 func (node *Node) viewStatus(known bool, now time.Time) load.ViewStatus {
-	status := load.ViewStatus{Known: known, Nodes: node.members.staying(), ReportingNodes: node.sharing.gatherer.NodeCount(now)}
+	status := load.ViewStatus{Known: known, Nodes: node.members.activeCount(), ReportingNodes: node.sharing.aggregator.NodeCount(now)}
 	if age, taken := node.load.Age(now); taken {
 		milliseconds := age.Milliseconds()
 		status.AgeMillis = &milliseconds
@@ -112,7 +112,7 @@
 	return statuses
 }
 
-// serviceStatuses sums the engines, which are listed by service.
+// serviceStatuses aggregates engine statuses by service, in the order of service names.
 func (node *Node) serviceStatuses(engines []backend.Status, total load.Report, known bool, now time.Time) []load.ServiceStatus {
 	sums := map[string]*load.ServiceStatus{}
 	for _, engine := range engines {
@@ -137,11 +137,11 @@
 			sum.HealthySlots = capacity.Slots
 		}
 	}
-	here := node.service.WaitQueue.Counts()
+	local := node.service.WaitQueue.Counts()
 	statuses := make([]load.ServiceStatus, 0, len(sums))
 	for _, service := range slices.Sorted(maps.Keys(sums)) {
 		status := *sums[service]
-		status.WaitingLocally = waitingByRank(here, service)
+		status.WaitingLocally = waitingByPriority(local, service)
 		statuses = append(statuses, status)
 	}
 	return statuses
@@ -153,7 +153,7 @@
 		return status
 	}
 	status.Running = new(int)
-	status.Waiting = waitingByRank(total.Waiting, service)
+	status.Waiting = waitingByPriority(total.Waiting, service)
 	if name, _ := admission.ToolCallRoute(service, 0); total.Routes[name].Turns > 0 {
 		calls := total.Routes[name].Turns
 		status.ToolCalls = &calls
@@ -161,8 +161,8 @@
 	return status
 }
 
-// waitingByRank lists the calls that wait for a service, the most urgent first.
-func waitingByRank(waiting map[load.QueueKey]int, service string) []load.PriorityCalls {
+// waitingByPriority returns a service's queued calls by priority, most urgent first.
+func waitingByPriority(waiting map[load.QueueKey]int, service string) []load.PriorityCalls {
 	var counts []load.PriorityCalls
 	for queue, calls := range waiting {
 		if queue.Service == service && calls > 0 {
@@ -173,7 +173,8 @@
 	return counts
 }
 
-// routeStatuses lists the routes with the most programs under way, and counts the others.
+// routeStatuses returns the routes with the most active programs and the number of routes left
+// out.
 func routeStatuses(total load.Report, known bool) ([]load.RouteStatus, int) {
 	statuses := []load.RouteStatus{}
 	if !known {
@@ -181,12 +182,12 @@
 	}
 	for _, name := range slices.Sorted(maps.Keys(total.Routes)) {
 		route := total.Routes[name]
-		bare := admission.TrimRouteName(name, route.Service, route.Priority)
-		if bare == "" {
-			continue // Calls of tools.
+		routeName := admission.TrimRouteName(name, route.Service, route.Priority)
+		if routeName == "" {
+			continue // A tool call route.
 		}
 		statuses = append(statuses, load.RouteStatus{
-			Route:            bare,
+			Route:            routeName,
 			Service:          route.Service,
 			Priority:         route.Priority,
 			Programs:         route.Programs,
@@ -201,8 +202,8 @@
 	return statuses[:listed], len(statuses) - listed
 }
 
-// status tells operators what admission decides by: what programs share, the tenants with the
-// most programs under way, and how many others there are.
+// status returns the resources that admission considers, the tenants with the most active
+// programs, and the number of tenants left out.
 func (admitter *admitter) status(now time.Time) ([]load.AdmissionStatus, []load.TenantStatus, int) {
 	resources, tenants := []load.AdmissionStatus{}, []load.TenantStatus{}
 	state := admitter.state(now)
@@ -228,7 +229,7 @@
 	return resources, tenants, len(shares) - listed
 }
 
-// resourceName is that of the metrics.
+// resourceName returns the resource's label in metrics.
 func resourceName(resource admission.Resource) string {
 	if resource.Memory {
 		return "memory"
--- a/internal/node/load_status_test.go
+++ b/internal/node/load_status_test.go
@@ -23,7 +23,7 @@
 	. "github.com/onsi/gomega"
 )
 
-var _ = Describe("The load for operators", func() {
+var _ = Describe("The load status endpoint", func() {
 	var node *Node
 
 	BeforeEach(func() {
@@ -46,18 +46,18 @@
 	})
 
 	ask := func(method, target string) *httptest.ResponseRecorder {
-		answer := httptest.NewRecorder()
-		node.serveLoad(answer, httptest.NewRequest(method, target, nil))
-		return answer
+		response := httptest.NewRecorder()
+		node.serveLoad(response, httptest.NewRequest(method, target, nil))
+		return response
 	}
 	statusOf := func(target string) load.Status {
-		answer := ask(http.MethodGet, target)
-		Expect(answer.Code).To(Equal(http.StatusOK), answer.Body.String())
+		response := ask(http.MethodGet, target)
+		Expect(response.Code).To(Equal(http.StatusOK), response.Body.String())
 		var status load.Status
-		Expect(json.Unmarshal(answer.Body.Bytes(), &status)).To(Succeed())
+		Expect(json.Unmarshal(response.Body.Bytes(), &status)).To(Succeed())
 		return status
 	}
-	// busy has the view tell of more than the engines have room for.
+	// busy sets a load view above the engines' capacity.
 	busy := func(tenants int) {
 		total := load.NewReport()
 		total.Engines["e0"] = load.Engine{Running: 9}
@@ -73,7 +73,7 @@
 		node.load.Update(total, load.NewReport(), 200*time.Millisecond, time.Now())
 	}
 
-	It("tells what all nodes have at engines and services, and who waits by rank", func() {
+	It("reports engine and service load over all nodes and waiting calls by priority", func() {
 		busy(3)
 		status := statusOf("/load")
 		Expect(status.Node).To(Equal("self"))
@@ -91,7 +91,7 @@
 		Expect(models.Waiting).To(Equal([]load.PriorityCalls{{Priority: 0, Calls: 3}, {Priority: 2, Calls: 48}}))
 		Expect(models.ToolCalls).To(BeNil())
 		Expect(*tools.ToolCalls).To(Equal(5))
-		Expect(status.Routes).To(HaveLen(1), "calls of tools are no programs")
+		Expect(status.Routes).To(HaveLen(1), "tool calls are not programs")
 		Expect(status.Routes[0].Route).To(Equal("r"))
 		Expect(status.Routes[0].StartedPerSecond).To(BeNumerically("~", 30, 0.1))
 		Expect(status.Routes[0].RefusedPerSecond).To(BeNumerically("~", 8, 0.1))
@@ -100,7 +100,7 @@
 		Expect(status.UnreachableZones).To(BeEmpty())
 	})
 
-	It("lists the tenants with the most programs, and counts the others", func() {
+	It("lists the tenants with the most programs and counts the others", func() {
 		busy(70)
 		status := statusOf("/load")
 		Expect(status.Tenants).To(HaveLen(load.MaxStatusTenants))
@@ -109,18 +109,18 @@
 		Expect(status.OtherTenants).To(Equal(20))
 	})
 
-	It("stays within some hundred KB at the target size", func() {
-		const engines, most = 600, 200_000
+	It("stays below 200 KB at the target size", func() {
+		const engines, maxBytes = 600, 200_000
 		busy(320)
 		for number := range engines {
 			node.engines.Upsert(backend.Instance{ID: fmt.Sprint("i-0123456", number), Service: "models", Zone: "a", Slots: 90}, time.Time{})
 		}
-		answer := ask(http.MethodGet, "/load")
-		GinkgoWriter.Println(answer.Body.Len(), "bytes")
-		Expect(answer.Body.Len()).To(BeNumerically("<", most))
+		response := ask(http.MethodGet, "/load")
+		GinkgoWriter.Println(response.Body.Len(), "bytes")
+		Expect(response.Body.Len()).To(BeNumerically("<", maxBytes))
 	})
 
-	It("leaves out what is not known while there is no view", func() {
+	It("omits unknown figures without a load view", func() {
 		status := statusOf("/load")
 		Expect(status.View.Known).To(BeFalse())
 		Expect(status.View.AgeMillis).To(BeNil())
@@ -132,21 +132,21 @@
 		Expect(status.Admission).To(BeEmpty())
 	})
 
-	It("names zones out of reach, and their engines", func() {
+	It("reports unreachable zones and their engines", func() {
 		now := time.Now()
-		node.logHealth.answered.set(now.Add(-2 * storeSilentAfter))
+		node.logHealth.lastResponse.set(now.Add(-2 * logSilentAfter))
 		node.zones.RecordProbeTimeout("b", now, now)
 		node.zones.RecordProbeTimeout("b", now, now)
 		status := statusOf("/load")
 		Expect(status.UnreachableZones).To(Equal([]string{"b"}))
-		Expect(status.ZoneIsolated).To(BeTrue(), "the store is silent too")
+		Expect(status.ZoneIsolated).To(BeTrue(), "the log is silent too")
 		Expect(status.Engines[2].Engine).To(Equal("tool"))
 		Expect(status.Engines[2].ZoneReachable).To(BeFalse())
 		Expect(status.Engines[2].AvoidReasons).To(ContainElement(string(backend.AvoidUnreachableZone)))
 		Expect(status.Services[1].AvoidedEngines).To(Equal(1))
 	})
 
-	It("limits the answer to one service", func() {
+	It("filters by service", func() {
 		busy(1)
 		status := statusOf("/load?service=tools")
 		Expect(status.Services).To(HaveLen(1))
@@ -154,16 +154,16 @@
 		Expect(status.Routes).To(BeEmpty())
 	})
 
-	DescribeTable("refuses what it does not serve, with a number", func(method, target string, code resultcode.Code) {
-		answer := ask(method, target)
-		Expect(answer.Code).To(Equal(resultcode.Lookup(code).Status))
+	DescribeTable("rejects invalid requests with an error code", func(method, target string, code resultcode.Code) {
+		response := ask(method, target)
+		Expect(response.Code).To(Equal(resultcode.Lookup(code).Status))
 		var body httpserver.ErrorBody
-		Expect(json.Unmarshal(answer.Body.Bytes(), &body)).To(Succeed())
+		Expect(json.Unmarshal(response.Body.Bytes(), &body)).To(Succeed())
 		Expect(body.Error.Code).To(Equal(code))
 	},
 		Entry("another method", http.MethodPost, "/load", resultcode.UnknownRoute),
 		Entry("an unknown parameter", http.MethodGet, "/load?colour=red", resultcode.BadRequest),
-		Entry("a parameter twice", http.MethodGet, "/load?service=models&service=tools", resultcode.BadRequest),
+		Entry("a repeated parameter", http.MethodGet, "/load?service=models&service=tools", resultcode.BadRequest),
 		Entry("an unknown service", http.MethodGet, "/load?service=nowhere", resultcode.UnknownTarget),
 	)
 })
--- a/internal/node/load_test.go
+++ b/internal/node/load_test.go
@@ -22,25 +22,25 @@
 	"github.com/twitchtv/twirp"
 )
 
-// network carries calls between nodes of one process, without sockets.
-type network struct {
+// fakeNetwork carries requests between nodes in one process without sockets.
+type fakeNetwork struct {
 	mutex sync.Mutex
 	nodes map[string]http.Handler
-	// cut holds pairs of nodes, caller first, between which nothing passes.
+	// cut holds pairs of caller and callee between which requests fail.
 	cut map[[2]string]bool
 }
 
-var errCut = errors.New("nothing passes")
+var errPartitioned = errors.New("network partitioned")
 
-// clientOf returns the client of one node.
-func (network *network) clientOf(name string) *http.Client {
-	return &http.Client{Transport: roundTrip(func(request *http.Request) (*http.Response, error) {
+// clientFor returns the HTTP client of a node.
+func (network *fakeNetwork) clientFor(name string) *http.Client {
+	return &http.Client{Transport: roundTripperFunc(func(request *http.Request) (*http.Response, error) {
 		network.mutex.Lock()
 		handler := network.nodes[request.URL.Host]
 		cut := network.cut[[2]string{name, request.URL.Host}]
 		network.mutex.Unlock()
 		if cut || handler == nil {
-			return nil, errCut
+			return nil, errPartitioned
 		}
 		recorder := httptest.NewRecorder()
 		handler.ServeHTTP(recorder, request)
@@ -48,8 +48,8 @@
 	})}
 }
 
-// lose cuts a node off from all.
-func (network *network) lose(name string) {
+// isolate cuts a node off from all others.
+func (network *fakeNetwork) isolate(name string) {
 	network.mutex.Lock()
 	defer network.mutex.Unlock()
 	for other := range network.nodes {
@@ -58,8 +58,8 @@
 	}
 }
 
-// cutBetween lets nothing pass between two groups of nodes.
-func (network *network) cutBetween(some, others []*Node) {
+// partition cuts two groups of nodes off from each other.
+func (network *fakeNetwork) partition(some, others []*Node) {
 	network.mutex.Lock()
 	defer network.mutex.Unlock()
 	for _, one := range some {
@@ -71,32 +71,32 @@
 }
 
 var _ = Describe("Load shared between nodes", func() {
-	var lines *network
+	var network *fakeNetwork
 	var nodes []*Node
 
-	// start makes nodes of a number of zones, each with one request under way at engine e
-	// and one at an engine of its own.
+	// start creates nodes spread over some zones, each with one request at engine e and one at an
+	// engine of its own.
 	start := func(count, zones int) {
 		logger, err := logging.New("error", GinkgoWriter)
 		Expect(err).NotTo(HaveOccurred())
-		lines = &network{nodes: map[string]http.Handler{}, cut: map[[2]string]bool{}}
+		network = &fakeNetwork{nodes: map[string]http.Handler{}, cut: map[[2]string]bool{}}
 		nodes = nil
 		for number := range count {
 			name := "node-" + strconv.Itoa(number)
 			node := &Node{settings: Settings{Name: name, Zone: "zone-" + strconv.Itoa(number%zones), Shards: 4}, members: newMembers(), meter: newMeter(),
 				logger: logger.Bounded(), engines: backend.NewDirectory(), load: load.NewView(),
 				ownership: ownership.NewManager(context.Background(), nil, logger.Logger, ownership.Identity{}, 4, ownership.Dependencies{})}
-			node.peers = newPeers(node.members, lines.clientOf(name))
+			node.peers = newPeers(node.members, network.clientFor(name))
 			node.sharing = newLoadSharing(node)
 			node.memberView = newRecordView("nodes", logger.Logger, func(durable.KeyedRecord) bool { return false })
-			node.memberView.take(durable.Update{End: 1}, time.Now())
+			node.memberView.merge(durable.Update{End: 1}, time.Now())
 			for engine := range count {
 				node.engines.Upsert(backend.Instance{ID: "engine-" + strconv.Itoa(engine), Service: "s"}, time.Time{})
 			}
 			node.engines.Upsert(backend.Instance{ID: "e", Service: "t"}, time.Time{})
 			node.engines.Pick(&backend.Request{Service: "t"}, time.Now())
 			node.engines.Pick(&backend.Request{Service: "s", Assigned: "engine-" + strconv.Itoa(number)}, time.Now())
-			lines.nodes[name] = nodev1.NewNodeServer(&peerServer{node: node})
+			network.nodes[name] = nodev1.NewNodeServer(&peerServer{node: node})
 			nodes = append(nodes, node)
 		}
 		for _, node := range nodes {
@@ -124,95 +124,95 @@
 		}
 	}
 
-	const patience = 5 * time.Second
+	const eventuallyTimeout = 5 * time.Second
 
-	It("comes to every node from all zones", func() {
+	It("reaches every node from all zones", func() {
 		start(7, 2)
 		run()
 		for _, node := range nodes {
-			Eventually(othersAt(node, "e"), patience).Should(Equal(6))
+			Eventually(othersAt(node, "e"), eventuallyTimeout).Should(Equal(6))
 			Expect(othersAt(node, "engine-3")()).To(Equal(map[bool]int{true: 0, false: 1}[node.settings.Name == "node-3"]))
 		}
 	})
 
-	It("goes on where a gatherer is lost", func() {
+	It("continues after the loss of an aggregator", func() {
 		start(6, 2)
 		run()
-		lost := nodes[0].sharing.gathererOf("zone-0", time.Now())
+		isolated := nodes[0].sharing.aggregatorOf("zone-0", time.Now())
 		for _, node := range nodes {
-			Eventually(othersAt(node, "e"), patience).Should(Equal(5))
+			Eventually(othersAt(node, "e"), eventuallyTimeout).Should(Equal(5))
 		}
-		lines.lose(lost)
+		network.isolate(isolated)
 		for _, node := range nodes {
-			if node.settings.Name != lost {
-				Eventually(othersAt(node, "e"), patience).Should(Equal(4))
+			if node.settings.Name != isolated {
+				Eventually(othersAt(node, "e"), eventuallyTimeout).Should(Equal(4))
 			}
 		}
 	})
 
-	It("comes to a node that alone can't reach its gatherer", func() {
+	It("reaches a node that alone cannot reach its aggregator", func() {
 		start(6, 2)
 		var zone []string
-		for _, candidate := range nodes[0].members.candidates(loadShard) {
+		for _, candidate := range nodes[0].members.candidates(loadPseudoShard) {
 			if candidate.Zone == "zone-0" {
 				zone = append(zone, candidate.Name)
 			}
 		}
-		gatherer, last := zone[0], zone[len(zone)-1]
-		lines.cut[[2]string{last, gatherer}] = true
+		aggregator, last := zone[0], zone[len(zone)-1]
+		network.cut[[2]string{last, aggregator}] = true
 		run()
 		for _, node := range nodes {
-			Eventually(othersAt(node, "e"), patience).Should(Equal(5), node.settings.Name)
+			Eventually(othersAt(node, "e"), eventuallyTimeout).Should(Equal(5), node.settings.Name)
 		}
 	})
 
-	It("is that of one side where zones are cut off from each other", func() {
+	It("covers one side of a partition between zones", func() {
 		start(6, 2)
 		run()
 		var some, others []*Node
 		for _, node := range nodes {
-			Eventually(othersAt(node, "e"), patience).Should(Equal(5))
+			Eventually(othersAt(node, "e"), eventuallyTimeout).Should(Equal(5))
 			if node.settings.Zone == "zone-0" {
 				some = append(some, node)
 			} else {
 				others = append(others, node)
 			}
 		}
-		lines.cutBetween(some, others)
+		network.partition(some, others)
 		for _, node := range nodes {
-			Eventually(othersAt(node, "e"), patience).Should(Equal(2))
+			Eventually(othersAt(node, "e"), eventuallyTimeout).Should(Equal(2))
 		}
 	})
 
-	It("is not known to a node that reaches none of its zone", func() {
+	It("is unknown to a node that reaches no other node of its zone", func() {
 		start(6, 1)
-		lines.lose("node-3")
+		network.isolate("node-3")
 		run()
 		for _, node := range nodes {
 			if node.settings.Name != "node-3" {
-				Eventually(othersAt(node, "e"), patience).Should(Equal(4))
+				Eventually(othersAt(node, "e"), eventuallyTimeout).Should(Equal(4))
 			}
 		}
 		Expect(othersAt(nodes[3], "e")()).To(Equal(-1))
-		Expect(nodes[3].running()).To(BeEmpty(), "owners do not assign engines here")
+		Expect(nodes[3].runningByEngine()).To(BeEmpty(), "owners do not assign engines here")
 	})
 
-	It("goes on where engines come that only some nodes know", func() {
+	It("covers engines that only some nodes know", func() {
 		start(4, 2)
 		run()
 		for _, node := range nodes {
-			Eventually(othersAt(node, "e"), patience).Should(Equal(3))
+			Eventually(othersAt(node, "e"), eventuallyTimeout).Should(Equal(3))
 		}
 		nodes[1].engines.Upsert(backend.Instance{ID: "new", Service: "n"}, time.Time{})
 		nodes[1].engines.Pick(&backend.Request{Service: "n"}, time.Now())
 		for _, node := range nodes {
 			if node.settings.Name != "node-1" {
-				Eventually(othersAt(node, "new"), patience).Should(Equal(1))
+				Eventually(othersAt(node, "new"), eventuallyTimeout).Should(Equal(1))
 			}
 		}
 	})
 
-	It("tells owners of programs, and waiting calls to all", func() {
+	It("includes programs for owners only and waiting calls for all nodes", func() {
 		start(3, 1)
 		queue := load.QueueKey{Service: "s", Priority: 1}
 		nodes[2].waitingCalls = func() map[load.QueueKey]int { return map[load.QueueKey]int{queue: 4} }
@@ -220,14 +220,14 @@
 			return map[string]load.Route{"r": {Service: "s", Programs: 2}}, map[load.TenantPriority]int{{Tenant: "t"}: 2}
 		}
 		answer := func(owns bool) load.Report {
-			gatherer := nodes[0]
-			request := &nodev1.ShareLoadRequest{Node: "node-2", Zone: "zone-0", OwnsPrograms: owns, Sequence: 1, Report: toLoadReport(nodes[2].ownLoad(), engineList{})}
-			_, err := gatherer.sharing.answer(request, time.Now())
+			aggregator := nodes[0]
+			request := &nodev1.ShareLoadRequest{Node: "node-2", Zone: "zone-0", OwnsPrograms: owns, Sequence: 1, Report: toLoadReport(nodes[2].localLoad(), engineList{})}
+			_, err := aggregator.sharing.handleReport(request, time.Now())
 			Expect(err).NotTo(HaveOccurred())
 			request.Sequence++
-			reply, err := gatherer.sharing.answer(request, time.Now().Add(2*totalReuse))
+			reply, err := aggregator.sharing.handleReport(request, time.Now().Add(2*totalTTL))
 			Expect(err).NotTo(HaveOccurred())
-			message, err := unpacked(reply.Total)
+			message, err := decompressReport(reply.Total)
 			Expect(err).NotTo(HaveOccurred())
 			list, err := readEngineList(reply.List, reply.Engines)
 			Expect(err).NotTo(HaveOccurred())
@@ -240,7 +240,7 @@
 		Expect(answer(false).Waiting).To(HaveKeyWithValue(queue, 4))
 	})
 
-	It("is told with its programs to those next in line for a shard", func() {
+	It("includes programs for the standby owners of a shard", func() {
 		start(30, 1)
 		count := 0
 		for _, node := range nodes {
@@ -248,54 +248,54 @@
 				count++
 			}
 		}
-		Expect(count).To(BeNumerically(">=", nextOwners))
-		Expect(count).To(BeNumerically("<=", 4*nextOwners), "four shards")
+		Expect(count).To(BeNumerically(">=", standbyOwners))
+		Expect(count).To(BeNumerically("<=", 4*standbyOwners), "four shards")
 	})
 
-	It("is not known before the nodes' records were read", func() {
+	It("is unknown before the nodes' records have been read", func() {
 		start(2, 1)
 		nodes[0].memberView = newRecordView("nodes", nodes[0].logger.Logger, func(durable.KeyedRecord) bool { return false })
-		nodes[0].sharing.gatherHere(nodes[0].ownLoad(), time.Now())
-		Expect(othersAt(nodes[0], "e")()).To(Equal(-1), "it would take itself for the only node")
+		nodes[0].sharing.aggregateLocally(nodes[0].localLoad(), time.Now())
+		Expect(othersAt(nodes[0], "e")()).To(Equal(-1), "the node would consider itself the only one")
 	})
 
-	It("passes a gatherer over no longer where two messages at once find no answer", func() {
+	It("does not extend the suspicion of an aggregator for concurrent failures", func() {
 		start(2, 1)
 		for range 3 {
-			nodes[0].sharing.suspect("node-1", errCut)
+			nodes[0].sharing.suspect("node-1", errPartitioned)
 		}
-		Expect(nodes[0].sharing.suspects.holds("node-1", time.Now().Add(2*gathererSuspicion))).To(BeFalse())
+		Expect(nodes[0].sharing.suspects.contains("node-1", time.Now().Add(2*minAggregatorSuspicion))).To(BeFalse())
 	})
 
-	It("passes nodes of older versions, and those without the feature, over for long", func() {
+	It("skips nodes of older versions or with the feature disabled for longer", func() {
 		start(3, 1)
-		lines.nodes["node-1"] = nodev1.NewNodeServer(&peerServer{node: nodes[1]}, twirp.WithServerPathPrefix("/older"))
-		lines.nodes["node-2"] = http.HandlerFunc(func(writer http.ResponseWriter, _ *http.Request) {
-			Expect(twirp.WriteError(writer, errNoLoad)).To(Succeed())
+		network.nodes["node-1"] = nodev1.NewNodeServer(&peerServer{node: nodes[1]}, twirp.WithServerPathPrefix("/older"))
+		network.nodes["node-2"] = http.HandlerFunc(func(writer http.ResponseWriter, _ *http.Request) {
+			Expect(twirp.WriteError(writer, errNoLoadSharing)).To(Succeed())
 		})
 		sharing := nodes[0].sharing
 		for _, name := range []string{"node-1", "node-2"} {
-			_, err := sharing.tell(context.Background(), name, nodes[0].ownLoad())
+			_, err := sharing.sendReport(context.Background(), name, nodes[0].localLoad())
 			Expect(err).To(HaveOccurred())
-			Expect(sharing.suspects.holds(name, time.Now().Add(2*mostSuspicion))).To(BeTrue(), name)
+			Expect(sharing.suspects.contains(name, time.Now().Add(2*maxAggregatorSuspicion))).To(BeTrue(), name)
 			Expect(sharing.failures).NotTo(HaveKey(name), "it answers")
 		}
-		Expect(sharing.gathererOf("zone-0", time.Now())).To(Equal("node-0"))
+		Expect(sharing.aggregatorOf("zone-0", time.Now())).To(Equal("node-0"))
 	})
 
-	It("is not shared where the feature is off", func() {
+	It("is not shared with the feature disabled", func() {
 		start(2, 1)
 		Expect(feature.Disable(string(feature.LoadSharing))).To(Succeed())
 		DeferCleanup(func() { Expect(feature.Disable("")).To(Succeed()) })
 		nodes[0].sharing.run(context.Background())
 		_, err := (&peerServer{node: nodes[1]}).ShareLoad(context.Background(), &nodev1.ShareLoadRequest{})
-		Expect(err).To(MatchError(errNoLoad))
+		Expect(err).To(MatchError(errNoLoadSharing))
 		Expect(othersAt(nodes[0], "e")()).To(Equal(-1))
 	})
 
-	It("is shown by service", func() {
+	It("is exported by service", func() {
 		start(2, 1)
-		nodes[0].sharing.gatherHere(nodes[0].ownLoad(), time.Now())
+		nodes[0].sharing.aggregateLocally(nodes[0].localLoad(), time.Now())
 		registry := prometheus.NewPedanticRegistry()
 		registry.MustRegister(&loadCollector{node: nodes[0]})
 		families, err := registry.Gather()
--- a/internal/node/members.go
+++ b/internal/node/members.go
@@ -18,92 +18,91 @@
 )
 
 const (
-	// memberPoll separates two readings of the nodes' records, shortly after the
-	// start and later.
-	memberPollEarly = 500 * time.Millisecond
-	memberPollLate  = 2 * time.Second
-	// memberEarly is how long the early pace lasts.
-	memberEarly = 15 * time.Second
-	// storeTimeout bounds one call at the store.
-	storeTimeout = 2 * time.Second
+	// Intervals between reads of the nodes' records, during memberStartupPeriod and afterwards.
+	memberStartupPollInterval = 500 * time.Millisecond
+	memberPollInterval        = 2 * time.Second
+	// memberStartupPeriod is how long after its start a node polls at the startup interval.
+	memberStartupPeriod = 15 * time.Second
+	// logTimeout bounds one call to the durable log.
+	logTimeout = 2 * time.Second
 )
 
-// Member is another node, or this one.
+// Member is a node of the cluster.
 type Member struct {
 	Name        string
 	Address     string
 	Zone        string
 	Incarnation string
 	Draining    bool
-	// Capacity is the node's share of a processor, thousandths of a core.
+	// Capacity is the node's processor share in thousandths of a core, 0 if unknown.
 	Capacity uint32
-	// ProtocolVersion is what the node's version understands, see understandsSecondAllowance.
+	// ProtocolVersion is the protocol version that the node supports.
 	ProtocolVersion uint32
 }
 
-// understandsSecondAllowance is the least Member.Understands of nodes that count a second
-// allowance of a shard's owners; it is this version's.
-const understandsSecondAllowance = 1
+// protocolSecondAllowance is the first protocol version with a second token allowance for a
+// shard's owner. It is the current version.
+const protocolSecondAllowance = 1
 
-// members holds the nodes known. It is safe for concurrent use.
+// members is the set of known nodes. It is safe for concurrent use.
 type members struct {
 	mutex  sync.RWMutex
 	byName map[string]Member
-	// zones holds the zone of each address.
+	// zones holds the zone of each node address.
 	zones map[string]string
-	// ordered holds the candidates of the shards that were asked for since the last change.
-	ordered map[int][]Member
-	// version counts the changes.
+	// candidatesByShard caches candidate orders until the next change.
+	candidatesByShard map[int][]Member
+	// version is incremented by each change.
 	version atomic.Int64
 }
 
 func newMembers() *members {
-	return &members{byName: map[string]Member{}, zones: map[string]string{}, ordered: map[int][]Member{}}
+	return &members{byName: map[string]Member{}, zones: map[string]string{}, candidatesByShard: map[int][]Member{}}
 }
 
-// set notes a change of a node. The caller holds the mutex.
-func (known *members) set(member Member) {
-	known.byName[member.Name] = member
-	known.zones[member.Address] = member.Zone
-	clear(known.ordered)
-	known.version.Add(1)
+// set stores a member. The caller holds the mutex.
+func (members *members) set(member Member) {
+	members.byName[member.Name] = member
+	members.zones[member.Address] = member.Zone
+	clear(members.candidatesByShard)
+	members.version.Add(1)
 }
 
-func (known *members) put(member Member) bool {
-	known.mutex.Lock()
-	defer known.mutex.Unlock()
-	if known.byName[member.Name] == member {
+func (members *members) put(member Member) bool {
+	members.mutex.Lock()
+	defer members.mutex.Unlock()
+	if members.byName[member.Name] == member {
 		return false
 	}
-	known.set(member)
+	members.set(member)
 	return true
 }
 
-// learn notes a node's address, told by another, where none is known.
-func (known *members) learn(name, address string) {
+// addIfUnknown adds a node of which another node reported the address.
+func (members *members) addIfUnknown(name, address string) {
 	if name == "" || address == "" {
 		return
 	}
-	known.mutex.Lock()
-	defer known.mutex.Unlock()
-	if _, found := known.byName[name]; !found {
-		known.set(Member{Name: name, Address: address})
+	members.mutex.Lock()
+	defer members.mutex.Unlock()
+	if _, found := members.byName[name]; !found {
+		members.set(Member{Name: name, Address: address})
 	}
 }
 
-func (known *members) get(name string) (Member, bool) {
-	known.mutex.RLock()
-	defer known.mutex.RUnlock()
-	member, found := known.byName[name]
+func (members *members) get(name string) (Member, bool) {
+	members.mutex.RLock()
+	defer members.mutex.RUnlock()
+	member, found := members.byName[name]
 	return member, found
 }
 
-// others returns the nodes but one that are not leaving.
-func (known *members) others(name string) []Member {
-	known.mutex.RLock()
-	defer known.mutex.RUnlock()
-	list := make([]Member, 0, len(known.byName))
-	for _, member := range known.byName {
+// activePeers returns all nodes that are not draining, except the named one.
+func (members *members) activePeers(name string) []Member {
+	members.mutex.RLock()
+	defer members.mutex.RUnlock()
+	list := make([]Member, 0, len(members.byName))
+	for _, member := range members.byName {
 		if member.Name != name && !member.Draining {
 			list = append(list, member)
 		}
@@ -111,11 +110,11 @@
 	return list
 }
 
-// allUnderstand tells whether all nodes that are not leaving understand a version's messages.
-func (known *members) allUnderstand(version uint32) bool {
-	known.mutex.RLock()
-	defer known.mutex.RUnlock()
-	for _, member := range known.byName {
+// allSupport reports whether all nodes that are not draining support a protocol version.
+func (members *members) allSupport(version uint32) bool {
+	members.mutex.RLock()
+	defer members.mutex.RUnlock()
+	for _, member := range members.byName {
 		if !member.Draining && member.ProtocolVersion < version {
 			return false
 		}
@@ -123,12 +122,12 @@
 	return true
 }
 
-// staying returns the number of nodes that are not leaving.
-func (known *members) staying() int {
-	known.mutex.RLock()
-	defer known.mutex.RUnlock()
+// activeCount returns the number of nodes that are not draining.
+func (members *members) activeCount() int {
+	members.mutex.RLock()
+	defer members.mutex.RUnlock()
 	count := 0
-	for _, member := range known.byName {
+	for _, member := range members.byName {
 		if !member.Draining {
 			count++
 		}
@@ -136,20 +135,20 @@
 	return count
 }
 
-// zoneAt returns the zone of a node's address, empty where that is not known.
-func (known *members) zoneAt(address string) string {
-	known.mutex.RLock()
-	defer known.mutex.RUnlock()
-	return known.zones[address]
+// zoneOfAddress returns the zone of a node address, or "" if it is unknown.
+func (members *members) zoneOfAddress(address string) string {
+	members.mutex.RLock()
+	defer members.mutex.RUnlock()
+	return members.zones[address]
 }
 
-// someOf draws a node of a zone but one.
-func (known *members) someOf(zone, but string) (Member, bool) {
-	known.mutex.RLock()
-	defer known.mutex.RUnlock()
+// randomInZone returns a random active node of a zone other than the excluded one.
+func (members *members) randomInZone(zone, excluded string) (Member, bool) {
+	members.mutex.RLock()
+	defer members.mutex.RUnlock()
 	var list []Member
-	for _, member := range known.byName {
-		if member.Zone == zone && member.Name != but && !member.Draining {
+	for _, member := range members.byName {
+		if member.Zone == zone && member.Name != excluded && !member.Draining {
 			list = append(list, member)
 		}
 	}
@@ -159,12 +158,12 @@
 	return list[rand.IntN(len(list))], true
 }
 
-// zoneSizes returns the number of nodes of each zone that are not leaving.
-func (known *members) zoneSizes() map[string]int {
-	known.mutex.RLock()
-	defer known.mutex.RUnlock()
+// nodesPerZone returns the number of nodes in each zone that are not draining.
+func (members *members) nodesPerZone() map[string]int {
+	members.mutex.RLock()
+	defer members.mutex.RUnlock()
 	sizes := map[string]int{}
-	for _, member := range known.byName {
+	for _, member := range members.byName {
 		if !member.Draining {
 			sizes[member.Zone]++
 		}
@@ -172,20 +171,18 @@
 	return sizes
 }
 
-// candidates returns the nodes that may own a shard, the first choice first
-// (rendezvous hashing, so that a node that leaves moves its own shards only).
-// The chance to come first grows with the square of a node's capacity: owning
-// costs processor time and reading of the log, of which weak machines have
-// little, while a few strong ones among many weak ones must not own everything.
-// The order is worked out once for each change of the nodes; callers must not alter it.
-func (known *members) candidates(shard int) []Member {
-	known.mutex.Lock()
-	defer known.mutex.Unlock()
-	if ordered, found := known.ordered[shard]; found {
+// candidates returns the nodes that may own a shard in order of preference, by weighted rendezvous
+// hashing. A node that leaves thus only moves its own shards. The weight is the square of the
+// capacity: it favours strong machines without letting a few of them own everything. The result is
+// cached; callers must not modify it.
+func (members *members) candidates(shard int) []Member {
+	members.mutex.Lock()
+	defer members.mutex.Unlock()
+	if ordered, found := members.candidatesByShard[shard]; found {
 		return ordered
 	}
-	list := make([]Member, 0, len(known.byName))
-	for _, member := range known.byName {
+	list := make([]Member, 0, len(members.byName))
+	for _, member := range members.byName {
 		if !member.Draining {
 			list = append(list, member)
 		}
@@ -197,25 +194,24 @@
 	slices.SortFunc(list, func(left, right Member) int {
 		return cmp.Compare(weights[right.Name], weights[left.Name])
 	})
-	known.ordered[shard] = list
+	members.candidatesByShard[shard] = list
 	return list
 }
 
-// readerFor returns the node of a member's zone that reads the store for it, or
-// the member itself. Each zone has a reader for every few of its nodes: the
-// first choices of a shard that no program has.
-func (known *members) readerFor(member Member) Member {
-	readers := known.readersOf(member.Zone)
+// logReaderFor returns the node of the member's zone that reads the log for it, possibly the
+// member itself. Each zone has one reader per nodesPerReader nodes.
+func (members *members) logReaderFor(member Member) Member {
+	readers := members.logReaders(member.Zone)
 	if len(readers) == 0 || slices.ContainsFunc(readers, func(reader Member) bool { return reader.Name == member.Name }) {
 		return member
 	}
 	return readers[xxhash.Sum64String(member.Name)%uint64(len(readers))]
 }
 
-// readersOf returns the nodes of a zone that read the store for it, the first choice first.
-func (known *members) readersOf(zone string) []Member {
+// logReaders returns the nodes of a zone that read the log for the others, in candidate order.
+func (members *members) logReaders(zone string) []Member {
 	var nodes []Member
-	for _, candidate := range known.candidates(readerShard) {
+	for _, candidate := range members.candidates(logReaderPseudoShard) {
 		if candidate.Zone == zone {
 			nodes = append(nodes, candidate)
 		}
@@ -223,51 +219,51 @@
 	return nodes[:(len(nodes)+nodesPerReader-1)/nodesPerReader]
 }
 
-// engineSources returns the nodes that tell a member of the engines, the one to ask first before
-// the others. None says that the member reads the engines' records itself, as the first reader
-// of each zone does. Engines repeat their records all the time: read by each reader, those of
-// 3,000 engines took 12 MB a second of a link of 7.5 that the configuration comes over.
-func (known *members) engineSources(member Member) []Member {
-	readers := known.readersOf(member.Zone)
-	place := slices.IndexFunc(readers, func(reader Member) bool { return reader.Name == member.Name })
-	const mostReading = 2
-	if place >= 0 {
-		return readers[:min(place, mostReading)]
+// engineSources returns the nodes from which a member obtains engine records, in order of
+// preference. If there are none, the member reads them from the log, as the first reader of each
+// zone does. Engine records are renewed continuously, so reading them at every reader would
+// saturate links that also carry the configuration.
+func (members *members) engineSources(member Member) []Member {
+	readers := members.logReaders(member.Zone)
+	position := slices.IndexFunc(readers, func(reader Member) bool { return reader.Name == member.Name })
+	const maxSources = 2
+	if position >= 0 {
+		return readers[:min(position, maxSources)]
 	}
 	if len(readers) == 0 {
 		return nil
 	}
-	own := known.readerFor(member)
+	reader := members.logReaderFor(member)
 	second := readers[0]
-	if own.Name == second.Name {
+	if reader.Name == second.Name {
 		second = readers[len(readers)-1]
 	}
-	if own.Name == second.Name {
-		return []Member{own}
+	if reader.Name == second.Name {
+		return []Member{reader}
 	}
-	return []Member{own, second}
+	return []Member{reader, second}
 }
 
-// readerShard stands for the reading of the store in the order of candidates.
-const readerShard = -1
+// logReaderPseudoShard is the candidate-order key for log readers.
+const logReaderPseudoShard = -1
 
-// unknownCapacity is taken for nodes that do not tell theirs, thousandths.
-const unknownCapacity = 500
+// defaultCapacity is assumed for nodes that do not report their capacity, in thousandths of a
+// core.
+const defaultCapacity = 500
 
-// candidateWeight is a node's weight for a shard, the highest comes first
-// (weighted rendezvous hashing: a uniform hash to the power of 1/weight, as a
-// logarithm).
+// candidateWeight returns a node's weight for a shard; the highest comes first. It is the
+// logarithm of a uniform hash raised to the power of 1/capacity².
 func candidateWeight(member Member, shard int) float64 {
 	capacity := float64(member.Capacity)
 	if capacity == 0 || !feature.Enabled(feature.OwnershipByCapacity) {
-		capacity = unknownCapacity
+		capacity = defaultCapacity
 	}
 	hash := xxhash.Sum64String(member.Name + "/" + strconv.Itoa(shard))
 	uniform := (float64(hash>>11) + 0.5) / (1 << 53)
 	return math.Log(uniform) / (capacity * capacity)
 }
 
-// decodeMember returns false for a record that is none.
+// decodeMember decodes a node record. It returns false if the record is empty or invalid.
 func decodeMember(record durable.KeyedRecord) (Member, bool) {
 	var message nodev1.NodeRecord
 	if len(record.Value) == 0 || proto.Unmarshal(record.Value, &message) != nil {
