--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -35,78 +35,78 @@
 )
 
 var (
-	errUnknownNode  = errors.New("no such node is known")
-	errUnknownShard = errors.New("no such shard")
-	errLogRefuses   = errors.New("the log refuses this node too")
-	errNoLimit      = errors.New("the tenant has no limit to keep")
-	errNoLoad       = twirp.Unimplemented.Error("this node gathers no load")
-	errStillReading = errors.New("the turns before are still being read")
+	errUnknownNode   = errors.New("unknown node")
+	errUnknownShard  = errors.New("shard out of range")
+	errLogRefused    = errors.New("the durable log rejects this node too")
+	errNoLimit       = errors.New("the tenant has no limit")
+	errNoLoadSharing = twirp.Unimplemented.Error("load sharing is disabled on this node")
+	errStillReading  = errors.New("the turns before are still being read")
 )
 
 const (
-	// memoryShare of the process's bound is where the garbage collector works
-	// harder; historyShare of it is for turns.
-	memoryShare  = 0.6
-	historyShare = 0.2
-	// defaultHistoryBytes is used where nothing bounds the memory.
+	// gcMemoryShare is the fraction of the process memory limit at which the garbage collector
+	// becomes more aggressive; historyShare is the fraction reserved for the turn history.
+	gcMemoryShare = 0.6
+	historyShare  = 0.2
+	// defaultHistoryBytes bounds the turn history when the process has no memory limit.
 	defaultHistoryBytes = 64 << 20
-	// housekeepingPause separates two rounds of dropping what is over.
-	housekeepingPause = 2 * time.Second
-	// summaryPause separates two summary lines.
-	summaryPause = 10 * time.Second
-	// drainNotice is how long a leaving node still takes new connections, so
-	// that those in front of it see in time that it is not ready.
-	drainNotice = 2500 * time.Millisecond
-	// peerDialTimeout bounds the opening of a connection to another node.
+	// housekeepingInterval is the interval between expiry passes.
+	housekeepingInterval = 2 * time.Second
+	// summaryInterval is the interval between summary log lines.
+	summaryInterval = 10 * time.Second
+	// drainDelay is how long a draining node still accepts connections, so that load balancers can
+	// observe its readiness failure first.
+	drainDelay = 2500 * time.Millisecond
+	// peerDialTimeout bounds connecting to another node.
 	peerDialTimeout = 250 * time.Millisecond
-	// peerSilence is how long another node's machine may acknowledge nothing.
-	peerSilence = 1500 * time.Millisecond
+	// peerSilenceTimeout closes a connection whose peer has acknowledged nothing for this long.
+	peerSilenceTimeout = 1500 * time.Millisecond
 )
 
-// Node is a running node.
+// Node is one running scheduler node.
 type Node struct {
-	settings    Settings
-	around      Dependencies
-	logger      *logging.Logger
-	incarnation string
-	routes      *routing.ActiveConfiguration
-	engines     *backend.Directory
-	// load is what all nodes have under way, sharing keeps it current.
-	load    *load.View
-	sharing *loadSharing
-	held    heldBounds
-	// waitingCalls counts the calls that wait here for engines, programLoad tells what the
-	// programs that this node owns have under way. Either may be nil.
+	settings     Settings
+	dependencies Dependencies
+	logger       *logging.Logger
+	incarnation  string
+	routes       *routing.ActiveConfiguration
+	engines      *backend.Directory
+	// load is the view of the load on all nodes; sharing keeps it up to date.
+	load         *load.View
+	sharing      *loadSharing
+	bufferLimits bufferLimits
+	// waitingCalls counts the calls queued on this node; programLoad reports the active programs
+	// that this node owns. Either may be nil.
 	waitingCalls func() map[load.QueueKey]int
 	programLoad  func() (map[string]load.Route, map[load.TenantPriority]int)
-	// loadRenewed is called after each new view of the load; it may be nil.
-	loadRenewed func()
-	members     *members
-	// registration keeps the node's own record in the log.
+	// onLoadUpdate is called after each update of the load view; it may be nil.
+	onLoadUpdate func()
+	members      *members
+	// registration maintains this node's membership record in the durable log.
 	registration *registration
 
 	configurationView *recordView
 	engineView        *recordView
 	memberView        *recordView
 
-	// following read the views from the store; set before anything else runs.
-	following []*follower
+	// followers read the record views from the durable log. Set before any goroutine starts.
+	followers []*follower
 
-	contact contact
-	// freezes tells when the process was frozen.
+	contact peerContact
+	// freezes detects intervals in which the process did not run.
 	freezes *freeze.Detector
-	// zones tells which zones are reached.
+	// zones tracks which zones are reachable.
 	zones *reach.Zones
-	// logHealth tells when the log last answered a node.
+	// logHealth tracks when the durable log last responded to any node.
 	logHealth logHealth
 	peers     *peers
 	learner   *learner
 	turns     *history.Store
 	recorder  *history.Recorder
 	reader    *history.Reader
-	// foreign has a place for each partition of another node's shard that is being read.
-	foreign chan struct{}
-	// searches are those for chains under way, by the turn they end with.
+	// unownedReads is a semaphore for reading partitions of shards that other nodes own.
+	unownedReads chan struct{}
+	// searches deduplicates concurrent chain lookups by their last turn.
 	searches  singleflight.Group
 	ownership *ownership.Manager
 	assigner  *assignment.Assigner
@@ -114,7 +114,7 @@
 	admission *admitter
 	quotas    *quotas
 	service   *forward.Service
-	// egress sends turns for other nodes.
+	// egress sends requests to engines on behalf of other nodes.
 	egress    *egress.Handler
 	meter     *meter
 	logOutput *logging.NonBlocking
@@ -122,8 +122,9 @@
 	servers   []*httpserver.Server
 }
 
-// Run runs a node until it is told to stop.
-func Run(ctx context.Context, version string, settings Settings, around Dependencies) error {
+// Run starts a node and blocks until ctx ends or the process receives SIGTERM or SIGINT. It
+// returns an error if the settings are invalid or the node cannot start.
+func Run(ctx context.Context, version string, settings Settings, dependencies Dependencies) error {
 	err := settings.Check()
 	if err != nil {
 		return err
@@ -133,105 +134,105 @@
 		return err
 	}
 	if settings.MemoryBytes > 0 {
-		debug.SetMemoryLimit(int64(memoryShare * float64(settings.MemoryBytes)))
+		debug.SetMemoryLimit(int64(gcMemoryShare * float64(settings.MemoryBytes)))
 	}
 	output := logging.NewNonBlocking(os.Stdout)
 	defer output.Close()
-	unbounded, err := logging.New(settings.LogLevel, output)
+	baseLogger, err := logging.New(settings.LogLevel, output)
 	if err != nil {
 		return err
 	}
-	logger := unbounded.Bounded()
-	node, err := build(ctx, settings, around, logger)
+	logger := baseLogger.Bounded()
+	node, err := build(ctx, settings, dependencies, logger)
 	if err != nil {
 		return err
 	}
-	logger.Info("node starts", zap.String("node", settings.Name), zap.String("features_off", settings.DisabledFeatures), zap.String("zone", settings.Zone),
+	logger.Info("node starting", zap.String("node", settings.Name), zap.String("features_off", settings.DisabledFeatures), zap.String("zone", settings.Zone),
 		zap.String("incarnation", node.incarnation), zap.String("version", version),
 		zap.String("callers", settings.CallerAddress), zap.String("peers", settings.PeerAddress), zap.Int("shards", settings.Shards))
 	node.logOutput = output
 	return node.run(ctx)
 }
 
-func build(ctx context.Context, settings Settings, around Dependencies, logger *logging.Logger) (*Node, error) {
-	client, err := httpclient.New(httpclient.Options{DialTimeout: peerDialTimeout, SilenceTimeout: peerSilence})
+func build(ctx context.Context, settings Settings, dependencies Dependencies, logger *logging.Logger) (*Node, error) {
+	client, err := httpclient.New(httpclient.Options{DialTimeout: peerDialTimeout, SilenceTimeout: peerSilenceTimeout})
 	if err != nil {
 		return nil, err
 	}
 	meter := newMeter()
 	node := &Node{
-		meter:       meter,
-		settings:    settings,
-		around:      around,
-		logger:      logger,
-		incarnation: strconv.FormatUint(rand.Uint64(), 36),
-		routes:      &routing.ActiveConfiguration{},
-		assigner:    assignment.New(),
-		freezes:     freeze.NewDetector(),
-		engines:     backend.NewDirectory(),
-		load:        load.NewView(),
-		held:        newHeldBounds(settings.MemoryBytes),
-		zones:       reach.NewZones(settings.Zone),
-		members:     newMembers(),
-		turns:       history.NewStore(historyBytes(settings.MemoryBytes)),
+		meter:        meter,
+		settings:     settings,
+		dependencies: dependencies,
+		logger:       logger,
+		incarnation:  strconv.FormatUint(rand.Uint64(), 36),
+		routes:       &routing.ActiveConfiguration{},
+		assigner:     assignment.New(),
+		freezes:      freeze.NewDetector(),
+		engines:      backend.NewDirectory(),
+		load:         load.NewView(),
+		bufferLimits: newBufferLimits(settings.MemoryBytes),
+		zones:        reach.NewZones(settings.Zone),
+		members:      newMembers(),
+		turns:        history.NewStore(historyBytes(settings.MemoryBytes)),
 	}
-	around.Log = &durable.HedgedReads{Log: &durable.Instrumented{Log: around.Log, Observe: node.storeCall}}
-	node.around = around
-	node.recorder = history.NewRecorder(around.Log, settings.Shards)
-	err = node.prepareChoices()
+	dependencies.Log = &durable.HedgedReads{Log: &durable.Instrumented{Log: dependencies.Log, Observe: node.observeLogCall}}
+	node.dependencies = dependencies
+	node.recorder = history.NewRecorder(dependencies.Log, settings.Shards)
+	err = node.configureEngineSelection()
 	if err != nil {
 		return nil, err
 	}
-	node.newViews()
-	node.registration = newRegistration(around.Log, around.MemberTopic, logger.Logger, node.self, node.memberView.read)
+	node.createViews()
+	node.registration = newRegistration(dependencies.Log, dependencies.MemberTopic, logger.Logger, node.self, node.memberView.loaded)
 	node.learner = newLearner(node)
-	node.contact.note()
+	node.contact.record()
 	client.Transport = node.countingTransport(node.zoneTransport(node.contact.transport(client.Transport)))
 	node.peers = newPeers(node.members, client)
-	node.foreign = make(chan struct{}, foreignReadings)
-	node.reader = history.NewReader(around.Log, node.turns, settings.Shards)
-	node.ownership = ownership.NewManager(ctx, around.Log, logger.Logger, ownership.Identity{
+	node.unownedReads = make(chan struct{}, maxUnownedReads)
+	node.reader = history.NewReader(dependencies.Log, node.turns, settings.Shards)
+	node.ownership = ownership.NewManager(ctx, dependencies.Log, logger.Logger, ownership.Identity{
 		Node:        settings.Name,
 		Incarnation: node.incarnation,
 		Address:     settings.PeerAddress,
-	}, settings.Shards, ownership.Dependencies{RequestHandover: node.askToYield, FreezeDetector: node.freezes, LogUnavailable: node.logAway, CountsSecondAllowance: node.countsSecondAllowance})
+	}, settings.Shards, ownership.Dependencies{RequestHandover: node.requestHandover, FreezeDetector: node.freezes, LogUnavailable: node.logUnavailable, CountsSecondAllowance: node.supportsSecondAllowance})
 	node.programs = newPrograms(node)
 	node.admission = newAdmitter(node)
 	node.quotas = newQuotas(node)
 	node.sharing = newLoadSharing(node)
-	node.reader.SetRemoteLookup(node.lineElsewhere)
+	node.reader.SetRemoteLookup(node.remotePartialChain)
 	if feature.Enabled(feature.RemoteRecording) {
-		node.recorder.SetRelay(node.recordElsewhere)
+		node.recorder.SetRelay(node.recordRemotely)
 	}
-	node.egress = &egress.Handler{Engines: node.engines, Sender: around.Sender, Logger: logger.Logger, Stopping: node.stopping.Load,
+	node.egress = &egress.Handler{Engines: node.engines, Sender: dependencies.Sender, Logger: logger.Logger, Stopping: node.stopping.Load,
 		Views: callViews{node}, FreezeDetector: node.freezes}
-	node.service = node.newService(egress.NewSender(around.Sender, &egressTopology{node: node}, client, logger.Logger, meter.handed))
+	node.service = node.newService(egress.NewSender(dependencies.Sender, &egressTopology{node: node}, client, logger.Logger, meter.countHandover))
 	node.waitingCalls = node.service.WaitQueue.Counts
 	node.programLoad = node.admission.report
-	node.loadRenewed = node.service.WaitQueue.WakeForLoadUpdate
+	node.onLoadUpdate = node.service.WaitQueue.WakeForLoadUpdate
 	return node, nil
 }
 
-// prepareChoices tells those who choose engines what to go by.
-func (node *Node) prepareChoices() error {
+// configureEngineSelection supplies the engine directory with its inputs and policy.
+func (node *Node) configureEngineSelection() error {
 	node.engines.SetLoadView(node.load)
 	if feature.Enabled(feature.ZoneReachability) {
 		node.engines.SetZones(node.zones)
 	}
-	node.engines.SetNodeCount(node.members.staying)
-	node.engines.SetColdLimits(node.coldLimit, node.placeAtEngine)
-	node.engines.OnBreakerChange(node.logBreaker)
+	node.engines.SetNodeCount(node.members.activeCount)
+	node.engines.SetColdLimits(node.coldLimit, node.senderRank)
+	node.engines.OnBreakerChange(node.logBreakerChange)
 	return node.engines.SetPolicy(node.settings.Placement)
 }
 
-// newService makes what takes calls their way.
+// newService creates the service that handles callers' requests.
 func (node *Node) newService(sender forward.Sender) *forward.Service {
-	waiting := backend.NewWaitQueue()
-	waiting.SetCapacitySource(node.engines)
+	queue := backend.NewWaitQueue()
+	queue.SetCapacitySource(node.engines)
 	return &forward.Service{
 		Routes:         node.routes,
 		Engines:        node.engines,
-		WaitQueue:      waiting,
+		WaitQueue:      queue,
 		Sender:         sender,
 		Programs:       node.programs,
 		Quotas:         node.quotas,
@@ -239,36 +240,36 @@
 		Logger:         node.logger.Logger,
 		Zone:           node.settings.Zone,
 		Regions:        node.settings.Regions,
-		Nodes:          node.members.staying,
+		Nodes:          node.members.activeCount,
 		ViewAge:        node.engineView.age,
 		Views:          callViews{node},
 		FreezeDetector: node.freezes,
-		LogUnavailable: node.recordingAway,
+		LogUnavailable: node.recordingUnavailable,
 		Started:        time.Now(),
-		HeldResponses:  node.held.answers,
-		ZoneIsolated:   func() bool { return node.zoneCutOff(time.Now()) },
+		HeldResponses:  node.bufferLimits.heldResponses,
+		ZoneIsolated:   func() bool { return node.zoneIsolated(time.Now()) },
 
 		ToolCalls: forward.NewToolCalls(),
 	}
 }
 
-// storeCall implements durable.Observe.
-func (node *Node) storeCall(operation, topic string, took time.Duration, err error) {
-	node.meter.storeCall(operation, topic, took, err)
+// observeLogCall implements durable.Observe.
+func (node *Node) observeLogCall(operation, topic string, took time.Duration, err error) {
+	node.meter.observeLogCall(operation, topic, took, err)
 	node.logHealth.observe(err)
 }
 
-func historyBytes(memory int64) int {
-	if memory <= 0 {
+func historyBytes(memoryBytes int64) int {
+	if memoryBytes <= 0 {
 		return defaultHistoryBytes
 	}
-	return int(historyShare * float64(memory))
+	return int(historyShare * float64(memoryBytes))
 }
 
-// capacityUnit is the unit of Member.Capacity, in a core.
-const capacityUnit = 1000
+// capacityUnitsPerCore is the number of Member.Capacity units in one processor core.
+const capacityUnitsPerCore = 1000
 
-// self is this node's own record.
+// self returns this node's membership record.
 func (node *Node) self() Member {
 	return Member{
 		Name:            node.settings.Name,
@@ -276,14 +277,15 @@
 		Zone:            node.settings.Zone,
 		Incarnation:     node.incarnation,
 		Draining:        node.stopping.Load(),
-		Capacity:        uint32(capacityUnit * node.settings.Capacity),
-		ProtocolVersion: understandsSecondAllowance,
+		Capacity:        uint32(capacityUnitsPerCore * node.settings.Capacity),
+		ProtocolVersion: protocolSecondAllowance,
 	}
 }
 
-// countsSecondAllowance tells whether all nodes count a second allowance of an owner.
-func (node *Node) countsSecondAllowance() bool {
-	return node.memberView.read() && node.members.allUnderstand(understandsSecondAllowance)
+// supportsSecondAllowance reports whether all nodes support a second token allowance for a shard's
+// owner.
+func (node *Node) supportsSecondAllowance() bool {
+	return node.memberView.loaded() && node.members.allSupport(protocolSecondAllowance)
 }
 
 func (node *Node) run(ctx context.Context) error {
@@ -291,46 +293,46 @@
 	signal.Notify(stop, syscall.SIGTERM, syscall.SIGINT)
 	reload := make(chan os.Signal, 1)
 	signal.Notify(reload, syscall.SIGHUP)
-	working, cancel := context.WithCancel(ctx)
+	runContext, cancel := context.WithCancel(ctx)
 	defer cancel()
 	node.members.put(node.self())
-	node.following = node.followers()
-	for _, follower := range node.following {
-		follower.lastAnswer.set(time.Now())
+	node.followers = node.newFollowers()
+	for _, follower := range node.followers {
+		follower.lastResponse.set(time.Now())
 	}
 	go node.ownership.Run()
 	err := node.listen()
 	if err != nil {
 		return err
 	}
-	go node.freezes.Run(working)
-	go node.registration.run(working)
-	for _, follower := range node.following {
-		go follower.run(working)
+	go node.freezes.Run(runContext)
+	go node.registration.run(runContext)
+	for _, follower := range node.followers {
+		go follower.run(runContext)
 	}
-	go node.learner.run(working, node.following)
-	go node.quotas.lend(working)
-	go node.probeZones(working)
-	go node.sharing.run(working)
-	go node.admission.run(working)
-	go node.keepHouse(working)
+	go node.learner.run(runContext, node.followers)
+	go node.quotas.renewLeases(runContext)
+	go node.probeZones(runContext)
+	go node.sharing.run(runContext)
+	go node.admission.run(runContext)
+	go node.runHousekeeping(runContext)
 	for {
 		select {
 		case <-reload:
-			node.logger.Info("settings file changed", zap.String("effect", "none: a node takes its settings at its start"))
+			node.logger.Info("SIGHUP ignored", zap.String("effect", "none: settings are read at startup only"))
 		case <-stop:
-			node.drain(working)
+			node.drain(runContext)
 			return nil
 		case <-ctx.Done():
-			node.drain(working)
+			node.drain(runContext)
 			return nil
 		}
 	}
 }
 
-// answerReadiness says 200 while the node takes new callers.
-func (node *Node) answerReadiness(writer http.ResponseWriter, request *http.Request) {
-	ready := request.URL.Path == node.around.ReadinessPath && node.ready()
+// serveReadiness answers 200 while the node accepts new callers, 503 otherwise.
+func (node *Node) serveReadiness(writer http.ResponseWriter, request *http.Request) {
+	ready := request.URL.Path == node.dependencies.ReadinessPath && node.ready()
 	if !ready {
 		writer.WriteHeader(http.StatusServiceUnavailable)
 		return
@@ -338,67 +340,67 @@
 	writer.WriteHeader(http.StatusOK)
 }
 
-// ready tells whether the node can serve: it knows a configuration and engines, and
-// is not cut off from all else.
+// ready reports whether the node can serve: it has a configuration and engines, is not draining
+// and is not isolated.
 func (node *Node) ready() bool {
 	return !node.stopping.Load() && node.routes.Load() != nil && node.engines.EngineCount() > 0 && !node.isolated()
 }
 
-func (node *Node) keepHouse(ctx context.Context) {
-	summary := time.Now()
-	woken := time.Time{}
+func (node *Node) runHousekeeping(ctx context.Context) {
+	lastSummary := time.Now()
+	lastResume := time.Time{}
 	for ctx.Err() == nil {
-		wait.Sleep(ctx, housekeepingPause)
+		wait.Sleep(ctx, housekeepingInterval)
 		now := time.Now()
-		woken = node.logFreeze(woken)
-		if now.Sub(summary) >= summaryPause {
-			summary = now
+		lastResume = node.logFreeze(lastResume)
+		if now.Sub(lastSummary) >= summaryInterval {
+			lastSummary = now
 			node.logSummary()
 		}
 		node.turns.Expire(now)
 		node.assigner.Expire(now)
-		node.around.Connections.CloseExpired(now)
+		node.dependencies.Connections.CloseExpired(now)
 	}
 }
 
-// logSummary writes what the process holds and has done since the last one.
+// logSummary logs resource usage and the activity since the previous summary.
 func (node *Node) logSummary() {
 	turns, bytes := node.turns.Size()
 	node.logger.Info("summary", zap.Int("in_flight", node.inFlight()), zap.Int("engines", node.engines.EngineCount()),
-		zap.Int("nodes", node.members.staying()), zap.Int("turns", turns), zap.Int("turn_bytes", bytes),
-		zap.Int64("lines_dropped", node.logOutput.Dropped()), zap.String("store_calls", node.meter.takeRecent()), zap.String("peer_bytes", node.meter.takePeerBytes()))
+		zap.Int("nodes", node.members.activeCount()), zap.Int("turns", turns), zap.Int("turn_bytes", bytes),
+		zap.Int64("lines_dropped", node.logOutput.Dropped()), zap.String("store_calls", node.meter.takeLogCallSummary()), zap.String("peer_bytes", node.meter.takePeerByteSummary()))
 }
 
-// drain is a planned stop: not ready at once, shards handed over, requests under
-// way finished within the grace.
-func (node *Node) drain(working context.Context) {
-	began := time.Now()
+// drain performs a graceful shutdown: it fails readiness, hands over its shards and waits for
+// requests in flight until the shutdown timeout.
+func (node *Node) drain(runContext context.Context) {
+	started := time.Now()
 	node.stopping.Store(true)
-	node.logger.Info("node stops", zap.Int("in_flight", node.inFlight()))
-	ctx, cancel := context.WithTimeout(context.Background(), node.settings.ShutdownTimeout-stopMargin)
+	node.logger.Info("node stopping", zap.Int("in_flight", node.inFlight()))
+	ctx, cancel := context.WithTimeout(context.Background(), node.settings.ShutdownTimeout-shutdownMargin)
 	defer cancel()
 	node.members.put(node.self())
-	node.registration.check()
+	node.registration.requestCheck()
 	node.ownership.Release(ctx)
 	callers := node.servers[len(node.servers)-1]
 	err := callers.Shutdown(ctx)
 	node.awaitEgress(ctx)
-	node.logger.Info("node stopped", zap.Duration("took", time.Since(began)), zap.Int("in_flight", callers.InFlight()),
+	node.logger.Info("node stopped", zap.Duration("took", time.Since(started)), zap.Int("in_flight", callers.InFlight()),
 		zap.Int("for_others", node.egress.InFlight()), logging.Cause(err))
 }
 
-// egressLook separates two looks whether requests for other nodes are under way.
-const egressLook = 20 * time.Millisecond
+// egressPollInterval is the interval at which awaitEgress checks for requests in flight.
+const egressPollInterval = 20 * time.Millisecond
 
-// awaitEgress waits for the requests that this node sends for others; it takes no more.
+// awaitEgress waits for the requests that this node is sending on behalf of other nodes.
 func (node *Node) awaitEgress(ctx context.Context) {
 	for node.egress.InFlight() > 0 && ctx.Err() == nil {
-		wait.Sleep(ctx, egressLook)
+		wait.Sleep(ctx, egressPollInterval)
 	}
 }
 
-// stopMargin is kept before the platform kills a stopping process.
-const stopMargin = 400 * time.Millisecond
+// shutdownMargin is reserved between the end of draining and the platform's kill signal.
+const shutdownMargin = 400 * time.Millisecond
 
 func (node *Node) inFlight() int {
 	count := 0
--- a/internal/node/peer_bytes.go
+++ b/internal/node/peer_bytes.go
@@ -6,23 +6,23 @@
 	"path"
 )
 
-// countingTransport counts the bytes of this node's calls of other nodes, by call and by the
-// zone of the other node: what fills a link between zones shows in no other place.
+// countingTransport counts the bytes of requests to other nodes and their responses, by call and
+// by the other node's zone.
 func (node *Node) countingTransport(next http.RoundTripper) http.RoundTripper {
-	return roundTrip(func(request *http.Request) (*http.Response, error) {
+	return roundTripperFunc(func(request *http.Request) (*http.Response, error) {
 		call := path.Base(request.URL.Path)
-		zone := node.members.zoneAt(request.URL.Host)
-		node.meter.peerBytes(call, zone, max(request.ContentLength, 0))
+		zone := node.members.zoneOfAddress(request.URL.Host)
+		node.meter.countPeerBytes(call, zone, max(request.ContentLength, 0))
 		response, err := next.RoundTrip(request)
 		if err != nil {
 			return nil, err
 		}
-		response.Body = &countedBody{ReadCloser: response.Body, count: func(bytes int) { node.meter.peerBytes(call, zone, int64(bytes)) }}
+		response.Body = &countedBody{ReadCloser: response.Body, count: func(bytes int) { node.meter.countPeerBytes(call, zone, int64(bytes)) }}
 		return response, nil
 	})
 }
 
-// countedBody counts what is read of an answer.
+// countedBody counts the bytes read from a response body.
 type countedBody struct {
 	io.ReadCloser
 	count func(bytes int)
--- a/internal/node/contact_test.go
+++ b/internal/node/peer_contact_test.go
@@ -20,73 +20,73 @@
 	"github.com/magpielug/magpielug/internal/reach"
 )
 
-// lonelyNode returns a node that heard neither the store nor other nodes since a
-// time, of which it knows the given addresses.
-func lonelyNode(heard time.Time, addresses ...string) *Node {
+// newSilentNode returns a node that last heard from the log and from other nodes at a given time
+// and knows nodes at the given addresses.
+func newSilentNode(lastContact time.Time, addresses ...string) *Node {
 	node := &Node{settings: Settings{Name: "self", Shards: 1}, members: newMembers(), zones: reach.NewZones("")}
 	node.logger = &logging.Logger{Logger: zap.NewNop()}
 	for number, address := range addresses {
 		node.members.put(Member{Name: fmt.Sprint("other", number), Address: address, Incarnation: "1"})
 	}
-	node.following = []*follower{{pause: func() time.Duration { return 0 }}}
-	node.following[0].lastAnswer.set(heard)
-	node.contact.heard.set(heard)
+	node.followers = []*follower{{interval: func() time.Duration { return 0 }}}
+	node.followers[0].lastResponse.set(lastContact)
+	node.contact.last.set(lastContact)
 	node.peers = newPeers(node.members, &http.Client{Transport: node.contact.transport(http.DefaultTransport)})
 	node.programs = newPrograms(node)
 	return node
 }
 
-var _ = Describe("A node that hears nobody", func() {
+var _ = Describe("A node without contact to others", func() {
 	longAgo := time.Now().Add(-time.Hour)
 
-	It("is cut off, unless the store or another node answers, or it knows of none", func() {
-		Expect(lonelyNode(longAgo, "a").isolated()).To(BeTrue())
-		Expect(lonelyNode(longAgo).isolated()).To(BeFalse())
-		answered := lonelyNode(longAgo, "a")
-		answered.following[0].lastAnswer.set(time.Now())
+	It("is isolated unless the log or a peer answers, or it knows no peers", func() {
+		Expect(newSilentNode(longAgo, "a").isolated()).To(BeTrue())
+		Expect(newSilentNode(longAgo).isolated()).To(BeFalse())
+		answered := newSilentNode(longAgo, "a")
+		answered.followers[0].lastResponse.set(time.Now())
 		Expect(answered.isolated()).To(BeFalse())
 	})
 
-	It("hears another node by its answers and by its calls", func() {
+	It("counts responses and requests of peers as contact", func() {
 		other := httptest.NewServer(http.NotFoundHandler())
 		defer other.Close()
-		node := lonelyNode(longAgo, "a")
+		node := newSilentNode(longAgo, "a")
 		response, err := node.peers.http.Get(other.URL)
 		Expect(err).NotTo(HaveOccurred())
 		_ = response.Body.Close()
 		Expect(node.isolated()).To(BeFalse())
 
-		node = lonelyNode(longAgo, "a")
+		node = newSilentNode(longAgo, "a")
 		node.contact.handler(http.NotFoundHandler()).ServeHTTP(httptest.NewRecorder(), httptest.NewRequest(http.MethodPost, "/", nil))
 		Expect(node.isolated()).To(BeFalse())
 	})
 
-	It("ends its search for an owner after two nodes that let their time pass", func() {
-		var asked atomic.Int64
-		ended := make(chan struct{})
-		DeferCleanup(func() { close(ended) })
+	It("ends an owner search after two timeouts", func() {
+		var contacted atomic.Int64
+		done := make(chan struct{})
+		DeferCleanup(func() { close(done) })
 		var addresses []string
 		for range 5 {
 			listener, err := net.Listen("tcp", "127.0.0.1:0")
 			Expect(err).NotTo(HaveOccurred())
 			DeferCleanup(listener.Close)
 			go func() {
-				// Held until the end: an unused connection is closed with the garbage.
+				// Keep the connection referenced: the garbage collector would close it.
 				connection, failure := listener.Accept()
 				if failure == nil {
-					asked.Add(1)
-					<-ended
+					contacted.Add(1)
+					<-done
 					_ = connection.Close()
 				}
 			}()
 			addresses = append(addresses, listener.Addr().String())
 		}
-		node := lonelyNode(time.Now(), addresses...)
+		node := newSilentNode(time.Now(), addresses...)
 		ctx, cancel := context.WithCancel(context.Background())
 		defer cancel()
 		node.ownership = ownership.NewManager(ctx, durable.NewMemory(), zap.NewNop(), ownership.Identity{Node: "self"}, 1, ownership.Dependencies{})
-		_, elsewhere := node.programs.ask(ctx, 0, "r", &nodev1.ReserveRequest{Program: "p"})
-		Expect(elsewhere).To(BeTrue())
-		Eventually(asked.Load).Should(BeEquivalentTo(2))
+		_, tryOtherNode := node.programs.reserveAtOwner(ctx, 0, "r", &nodev1.ReserveRequest{Program: "p"})
+		Expect(tryOtherNode).To(BeTrue())
+		Eventually(contacted.Load).Should(BeEquivalentTo(2))
 	})
 })
--- a/internal/node/peer_server.go
+++ b/internal/node/peer_server.go
@@ -9,18 +9,18 @@
 	"github.com/magpielug/magpielug/internal/tenant"
 )
 
-// peerServer serves the other nodes.
+// peerServer serves requests from other nodes.
 type peerServer struct{ node *Node }
 
 // Reserve implements nodev1.Node.
 func (server *peerServer) Reserve(ctx context.Context, request *nodev1.ReserveRequest) (*nodev1.ReserveReply, error) {
-	reply := server.node.reserveHere(ctx, server.node.programs.shardOf(request.Program), request)
+	reply := server.node.handleReserve(ctx, server.node.programs.shardOf(request.Program), request)
 	reply.LogAnswerAgeMs = server.node.logHealth.ageMilliseconds(time.Now())
 	return reply, nil
 }
 
-// Settle implements nodev1.Node. Settlements of a shard that another node owns
-// by now are passed on to it once.
+// Settle implements nodev1.Node. Settlements of a shard that another node now owns are forwarded
+// to it once.
 func (server *peerServer) Settle(_ context.Context, request *nodev1.SettleRequest) (*nodev1.SettleReply, error) {
 	for _, settlement := range request.Settlements {
 		if settlement.Turn != nil {
@@ -31,16 +31,16 @@
 	return &nodev1.SettleReply{}, nil
 }
 
-// settle ends a turn here, or at the node that owns its shard by now.
+// settle ends a turn at this node, or forwards the settlement to the shard's owner.
 func (node *Node) settle(settlement *nodev1.Settlement, passedOn bool) {
 	shard := node.programs.shardOf(settlement.Program)
-	owner := node.programs.believedOwner(shard).Node
+	owner := node.programs.knownOwner(shard).Node
 	if node.ownership.Owns(shard) || passedOn || owner == "" || owner == node.settings.Name {
 		node.endTurn(shard, tenant.Program{Tenant: settlement.Tenant, ID: settlement.Program}, settlement.Request, settlement.Tokens)
-		node.noteFailedEngine(settlement)
+		node.recordFailedEngine(settlement)
 		return
 	}
-	go node.programs.send(owner, &nodev1.SettleRequest{Settlements: []*nodev1.Settlement{settlement}, PassedOn: true})
+	go node.programs.sendSettlements(owner, &nodev1.SettleRequest{Settlements: []*nodev1.Settlement{settlement}, PassedOn: true})
 }
 
 // Yield implements nodev1.Node.
@@ -51,8 +51,8 @@
 	return server.node.ownership.HandleHandover(ctx, int(request.Shard), request.Epoch), nil
 }
 
-// askToYield asks the node that made a claim whether it keeps the shard.
-func (node *Node) askToYield(ctx context.Context, claim *nodev1.Claim, shard int) (*nodev1.YieldReply, error) {
+// requestHandover asks the node that made a claim whether it gives up the shard.
+func (node *Node) requestHandover(ctx context.Context, claim *nodev1.Claim, shard int) (*nodev1.YieldReply, error) {
 	client := node.peers.at(claim.Address)
 	return client.Yield(ctx, &nodev1.YieldRequest{Shard: uint32(shard), Epoch: claim.Epoch})
 }
--- a/internal/node/peers.go
+++ b/internal/node/peers.go
@@ -7,7 +7,7 @@
 	nodev1 "github.com/magpielug/magpielug/api/node/v1"
 )
 
-// peers makes clients of the other nodes.
+// peers provides RPC clients for other nodes.
 type peers struct {
 	members *members
 	http    *http.Client
@@ -19,7 +19,7 @@
 	return &peers{members: members, http: client, clients: map[string]nodev1.Node{}}
 }
 
-// client returns a client of the node's present address.
+// client returns a client for a node at its current address.
 func (peers *peers) client(name string) (nodev1.Node, error) {
 	member, known := peers.members.get(name)
 	if !known {
@@ -28,7 +28,7 @@
 	return peers.at(member.Address), nil
 }
 
-// at returns a client of an address.
+// at returns a client for an address.
 func (peers *peers) at(address string) nodev1.Node {
 	peers.mutex.Lock()
 	defer peers.mutex.Unlock()
--- a/internal/node/programs.go
+++ b/internal/node/programs.go
@@ -15,31 +15,30 @@
 )
 
 const (
-	// askTimeout is how long another node may take to answer before the next
-	// one is asked; the owner may have to wait for the log meanwhile, which it
-	// says in time.
-	askTimeout = 300 * time.Millisecond
-	// passOnTimeout bounds a request passed on to the owner for another node.
-	passOnTimeout = 150 * time.Millisecond
-	// settleTimeout bounds one handing over of what was spent.
+	// reserveTimeout bounds a reservation request to one node before the next is tried. An owner
+	// that waits for the log replies within it.
+	reserveTimeout = 300 * time.Millisecond
+	// forwardTimeout bounds a request forwarded to the owner on behalf of another node.
+	forwardTimeout = 150 * time.Millisecond
+	// settleTimeout bounds one attempt to send settlements.
 	settleTimeout = 800 * time.Millisecond
-	// settleTries bounds the tries, settlePause separates two of them.
-	settleTries = 3
-	settlePause = 250 * time.Millisecond
-	// askRounds is how many nodes are asked for one reservation.
-	askRounds = 6
-	// unansweredAsks in a row let a search end: this node may be cut off.
-	unansweredAsks = 2
-	// waitPatience is how long a turn waits for its program's owner in all.
-	waitPatience = 1200 * time.Millisecond
-	// searchPause separates two rounds over the nodes.
-	searchPause = 60 * time.Millisecond
-	// suspicion is how long an owner that did not answer is not asked first.
-	suspicion = 600 * time.Millisecond
+	// settleAttempts bounds the attempts to send settlements; settleRetryDelay separates them.
+	settleAttempts   = 3
+	settleRetryDelay = 250 * time.Millisecond
+	// maxNodesPerRound is how many nodes are tried per round of an owner search.
+	maxNodesPerRound = 6
+	// maxUnansweredNodes is the number of consecutive timeouts that ends an owner search, since
+	// this node may be isolated.
+	maxUnansweredNodes = 2
+	// ownerSearchTimeout bounds an owner search.
+	ownerSearchTimeout = 1200 * time.Millisecond
+	// searchRoundDelay is the delay between rounds of an owner search.
+	searchRoundDelay = 60 * time.Millisecond
+	// ownerSuspicion is how long an unresponsive node is deprioritized.
+	ownerSuspicion = 600 * time.Millisecond
 )
 
-// programs implements forward.Programs: it finds a program's owner, here or at
-// another node.
+// programs implements forward.Programs on top of the owners of the programs' shards.
 type programs struct {
 	node     *Node
 	suspects *suspects
@@ -58,8 +57,8 @@
 }
 
 // Reserve implements forward.Programs.
-func (programs *programs) Reserve(ctx context.Context, order *forward.ReservationRequest) forward.Reservation {
-	call := order.Call
+func (programs *programs) Reserve(ctx context.Context, reservation *forward.ReservationRequest) forward.Reservation {
+	call := reservation.Call
 	request := &nodev1.ReserveRequest{
 		Program:  call.Program,
 		Tenant:   call.Tenant,
@@ -68,17 +67,17 @@
 		Prompt:   call.Turn.PromptTokens,
 		Previous: call.Turn.Previous,
 		Session:  call.Session,
-		Service:  order.Service,
-		Route:    order.Route,
-		Rank:     int32(order.Priority),
+		Service:  reservation.Service,
+		Route:    reservation.Route,
+		Rank:     int32(reservation.Priority),
 		Node:     programs.node.settings.Name,
 		Zone:     programs.node.settings.Zone,
-		Zones:    order.Zones,
-		Running:  programs.node.running(),
+		Zones:    reservation.Zones,
+		Running:  programs.node.runningByEngine(),
 		Avoided:  programs.node.engines.Avoided(time.Now()),
 	}
-	if until, bounded := ctx.Deadline(); bounded {
-		request.TimeLeftMs = time.Until(until).Milliseconds()
+	if deadline, bounded := ctx.Deadline(); bounded {
+		request.TimeLeftMs = time.Until(deadline).Milliseconds()
 	}
 	if !call.SoftDeadline.IsZero() {
 		request.HasAim = true
@@ -86,32 +85,33 @@
 	}
 	var chain []*history.Turn
 	if request.Previous != "" {
-		held, _, complete := programs.node.turns.Chain(history.Key{Tenant: call.Tenant, ID: request.Previous})
-		chain = held
+		stored, _, complete := programs.node.turns.Chain(history.Key{Tenant: call.Tenant, ID: request.Previous})
+		chain = stored
 		request.NeedsChain = !complete
 	}
-	if request.NeedsChain && order.Zones != nil {
-		found, refusal := programs.findHere(ctx, request)
+	if request.NeedsChain && reservation.Zones != nil {
+		found, refusal := programs.findChainLocally(ctx, request)
 		if refusal != nil {
 			return *refusal
 		}
 		chain = found
 		request.NeedsChain = false
 	}
-	reply, elsewhere := programs.ask(ctx, programs.shardOf(call.Program), call.ID, request)
+	reply, tryOtherNode := programs.reserveAtOwner(ctx, programs.shardOf(call.Program), call.ID, request)
 	if request.NeedsChain {
-		chain = programs.takeChain(reply.Chain)
+		chain = programs.storeChain(reply.Chain)
 	}
-	return forward.Reservation{Verdict: reply.Verdict, Chain: chain, Reason: reply.Reason, Engine: reply.Engine, TryOtherNode: elsewhere,
+	return forward.Reservation{Verdict: reply.Verdict, Chain: chain, Reason: reply.Reason, Engine: reply.Engine, TryOtherNode: tryOtherNode,
 		RetryAfter: milliseconds(reply.RetryAfterMs),
 		Grant:      forward.Grant{Owner: reply.Owner, Epoch: reply.Epoch, Key: request.Request}}
 }
 
-// findHere looks for the turns before one that is bound to some zones: its program's owner may
-// stand in another, and is not sent what was said. It returns a refusal where that fails.
-func (programs *programs) findHere(ctx context.Context, request *nodev1.ReserveRequest) ([]*history.Turn, *forward.Reservation) {
+// findChainLocally finds the chain of a turn that is restricted to certain zones. Its content must
+// not be sent to the program's owner, which may be in another zone. It returns a refusal if the
+// chain cannot be found.
+func (programs *programs) findChainLocally(ctx context.Context, request *nodev1.ReserveRequest) ([]*history.Turn, *forward.Reservation) {
 	key := history.Key{Tenant: request.Tenant, ID: request.Previous}
-	found, err := programs.node.find(ctx, programs.shardOf(request.Program), key)
+	found, err := programs.node.findChain(ctx, programs.shardOf(request.Program), key)
 	switch {
 	case err != nil:
 		return nil, &forward.Reservation{Verdict: nodev1.Verdict_VERDICT_UNSURE, Reason: err.Error()}
@@ -121,8 +121,8 @@
 	return found.Chain, nil
 }
 
-// takeChain keeps turns that another node sent.
-func (programs *programs) takeChain(messages []*nodev1.Turn) []*history.Turn {
+// storeChain stores turns received from another node.
+func (programs *programs) storeChain(messages []*nodev1.Turn) []*history.Turn {
 	chain := history.FromProtos(messages)
 	for _, turn := range chain {
 		programs.node.turns.Add(turn)
@@ -136,7 +136,7 @@
 		Session: call.Session, FailedEngine: end.FailedEngine}
 	if end.Turn != nil {
 		programs.node.turns.Add(end.Turn)
-		if programs.node.mayGet(grant.Owner, end.Turn) {
+		if programs.node.mayReceiveTurn(grant.Owner, end.Turn) {
 			settlement.Turn = history.ToProto(end.Turn)
 		}
 	}
@@ -148,25 +148,25 @@
 }
 
 func (programs *programs) settleAt(owner string, settlement *nodev1.Settlement) {
-	programs.send(owner, &nodev1.SettleRequest{Settlements: []*nodev1.Settlement{settlement}})
+	programs.sendSettlements(owner, &nodev1.SettleRequest{Settlements: []*nodev1.Settlement{settlement}})
 }
 
-// send hands settlements over. One that can't be handed over in a few tries is
-// lost: the owner then counts the turn at its most once its time is over.
-func (programs *programs) send(owner string, request *nodev1.SettleRequest) {
+// sendSettlements sends settlements to an owner. If all attempts fail they are lost, and the owner
+// charges the turn its full reservation when that expires.
+func (programs *programs) sendSettlements(owner string, request *nodev1.SettleRequest) {
 	var err error
-	for range settleTries {
-		err = programs.sendOnce(owner, request)
+	for range settleAttempts {
+		err = programs.sendSettlementsOnce(owner, request)
 		if err == nil {
 			return
 		}
-		time.Sleep(settlePause)
+		time.Sleep(settleRetryDelay)
 	}
 	programs.node.logger.Info("settlement lost", zap.String("key", request.Settlements[0].Request),
 		zap.String("program", request.Settlements[0].Program), zap.String("owner", owner), logging.Cause(err))
 }
 
-func (programs *programs) sendOnce(owner string, request *nodev1.SettleRequest) error {
+func (programs *programs) sendSettlementsOnce(owner string, request *nodev1.SettleRequest) error {
 	client, err := programs.node.peers.client(owner)
 	if err != nil {
 		return err
--- a/internal/node/quota_keeper.go
+++ b/internal/node/quota_coordinator.go
@@ -10,9 +10,9 @@
 	"go.uber.org/zap"
 )
 
-// decide answers as the keeper of a group.
+// decide answers a request as the coordinator of its group.
 func (quotas *quotas) decide(request *nodev1.AdmitRequest) *nodev1.AdmitReply {
-	answer := quotas.keeper.Decide(quota.Request{
+	answer := quotas.coordinator.Decide(quota.Request{
 		Node:          request.Node,
 		Nodes:         int(request.Nodes),
 		Group:         int(request.Group),
@@ -34,14 +34,14 @@
 	}
 	return &nodev1.AdmitReply{
 		Clock:        toClock(answer.Clock),
-		Admission:    admissions[answer.Verdict],
+		Admission:    admissionByVerdict[answer.Verdict],
 		DelayMs:      answer.Delay.Milliseconds(),
 		RetryAfterMs: answer.RetryAfter.Milliseconds(),
 		Share:        answer.Share,
 	}
 }
 
-var admissions = map[quota.Verdict]nodev1.Admission{
+var admissionByVerdict = map[quota.Verdict]nodev1.Admission{
 	quota.Granted:      nodev1.Admission_ADMISSION_GRANTED,
 	quota.Refused:      nodev1.Admission_ADMISSION_REFUSED,
 	quota.Undetermined: nodev1.Admission_ADMISSION_UNSETTLED,
--- a/internal/node/quotas.go
+++ b/internal/node/quotas.go
@@ -16,85 +16,86 @@
 )
 
 const (
-	// shardsPerQuotaGroup relates the number of groups of tenants to that of shards: a
-	// keeper bears the asks of some hundred requests a second, and each node meets a
-	// group's keeper often enough for its asks to lend its share.
+	// shardsPerQuotaGroup sets the number of tenant groups relative to that of shards. Fewer
+	// groups mean that a node's regular requests suffice to renew its leases; more groups spread
+	// the load of the coordinators.
 	shardsPerQuotaGroup = 4
-	// quotaShard stands for the first group's keeper in the order of candidates; the
-	// other groups follow below it.
-	quotaShard = -3
-	// quotaTimeout is how long a keeper may take to answer.
+	// quotaPseudoShard is the candidate-order key for the coordinator of the first group; those of
+	// the other groups follow below it.
+	quotaPseudoShard = -3
+	// quotaTimeout bounds one request to a coordinator.
 	quotaTimeout = 200 * time.Millisecond
-	// quotaAsks is how many keepers that do not answer are tried for one request.
-	quotaAsks = 3
-	// unsettledPatience is how long a request waits while its keeper has been lent too
-	// little: the time that a lost keeper's loans last and others take to notice.
-	unsettledPatience = 2*quota.LeaseDuration + quotaTimeout
-	// unsettledPause separates two asks of such a keeper.
-	unsettledPause = 50 * time.Millisecond
-	// lendPause is how long after its last ask a node lends again: twice that and the
-	// way fit into the time for which it lends.
-	lendPause = 150 * time.Millisecond
-	// lendLook separates two looks whether it is time to.
-	lendLook = 30 * time.Millisecond
-	// keeperSuspicion is how long a keeper that did not answer is not chosen: about as
-	// long as machines freeze or are started anew.
-	keeperSuspicion = 3 * time.Second
+	// maxUnansweredCoordinators is how many consecutive unanswered requests end an admission
+	// attempt.
+	maxUnansweredCoordinators = 3
+	// undeterminedTimeout bounds the wait for a coordinator that holds too few leases: a lost
+	// coordinator's leases must expire and the other nodes must notice.
+	undeterminedTimeout = 2*quota.LeaseDuration + quotaTimeout
+	// undeterminedRetryDelay is the delay between requests to such a coordinator.
+	undeterminedRetryDelay = 50 * time.Millisecond
+	// leaseRenewalInterval is the time after the last request at which a node renews its lease.
+	// Two intervals and the transit time fit into the lease duration.
+	leaseRenewalInterval = 150 * time.Millisecond
+	// leasePollInterval is the interval at which due renewals are checked.
+	leasePollInterval = 30 * time.Millisecond
+	// coordinatorSuspicion is how long an unresponsive coordinator is not chosen, about the length
+	// of a machine freeze or restart.
+	coordinatorSuspicion = 3 * time.Second
 )
 
-// quotas implements forward.Quotas: it asks the keepers of tenants' limits, is one
-// itself, and lends this node's share to those of all groups.
+// quotas implements forward.Quotas. It sends requests to the quota coordinators, leases this
+// node's share of the limits to them, and acts as a coordinator itself.
 type quotas struct {
-	node     *Node
-	keeper   *quota.Coordinator
-	groups   []*lending
-	suspects *suspects
+	node        *Node
+	coordinator *quota.Coordinator
+	groups      []*leaseGroup
+	suspects    *suspects
 }
 
-// lending is what this node has to do with the keeper of one group.
-type lending struct {
-	group int
+// leaseGroup is this node's lease to the coordinator of one group of tenants.
+type leaseGroup struct {
+	number int
 	// mutex guards the fields below.
 	mutex  sync.Mutex
-	lender quota.Lessor
-	// asked is when a keeper was last asked.
-	asked time.Time
+	lessor quota.Lessor
+	// lastRequest is when a coordinator was last called.
+	lastRequest time.Time
 }
 
 func newQuotas(node *Node) *quotas {
-	made := &quotas{
+	created := &quotas{
 		node: node,
-		keeper: quota.NewCoordinator(node.incarnation, time.Now(), quota.Options{
+		coordinator: quota.NewCoordinator(node.incarnation, time.Now(), quota.Options{
 			Tolerance: node.settings.QuotaTolerance, ProgramsFirst: feature.Enabled(feature.ProgramsFirst)}),
 		suspects: newSuspects(),
 	}
 	for group := range max(node.settings.Shards/shardsPerQuotaGroup, 1) {
-		made.groups = append(made.groups, &lending{group: group})
+		created.groups = append(created.groups, &leaseGroup{number: group})
 	}
-	return made
+	return created
 }
 
 // groupOf returns the group of a tenant.
-func (quotas *quotas) groupOf(tenantName string) *lending {
+func (quotas *quotas) groupOf(tenantName string) *leaseGroup {
 	return quotas.groups[xxhash.Sum64String(tenantName)%uint64(len(quotas.groups))]
 }
 
 // Admit implements forward.Quotas.
-func (quotas *quotas) Admit(ctx context.Context, order *forward.AdmissionRequest) forward.Admission {
-	admission := quotas.admit(ctx, order)
-	quotas.node.meter.admitted(order.Holder.Name, admission.Verdict)
+func (quotas *quotas) Admit(ctx context.Context, callerRequest *forward.AdmissionRequest) forward.Admission {
+	admission := quotas.admit(ctx, callerRequest)
+	quotas.node.meter.countAdmission(callerRequest.Holder.Name, admission.Verdict)
 	return admission
 }
 
-func (quotas *quotas) admit(ctx context.Context, order *forward.AdmissionRequest) forward.Admission {
-	began := time.Now()
-	lent := quotas.groupOf(order.Holder.Name)
-	request := quotas.request(lent, order)
-	until := time.Now().Add(unsettledPatience)
+func (quotas *quotas) admit(ctx context.Context, callerRequest *forward.AdmissionRequest) forward.Admission {
+	started := time.Now()
+	group := quotas.groupOf(callerRequest.Holder.Name)
+	request := quotas.admitRequest(group, callerRequest)
+	deadline := time.Now().Add(undeterminedTimeout)
 	unanswered := 0
 	share := 0.0
-	for ctx.Err() == nil && unanswered < quotaAsks && time.Now().Before(until) {
-		reply, err := quotas.ask(ctx, lent, request)
+	for ctx.Err() == nil && unanswered < maxUnansweredCoordinators && time.Now().Before(deadline) {
+		reply, err := quotas.callCoordinator(ctx, group, request)
 		switch {
 		case err != nil:
 			unanswered++
@@ -106,71 +107,71 @@
 		default:
 			unanswered = 0
 			share = reply.Share
-			wait.Sleep(ctx, unsettledPause)
+			wait.Sleep(ctx, undeterminedRetryDelay)
 		}
 	}
-	quotas.node.logger.Info("limit not known", zap.String("request", order.Call.ID), zap.String("tenant", order.Holder.Name),
-		zap.Int("group", lent.group), zap.String("keeper", lent.keeperAsked()), zap.Float64("share", share), zap.Duration("took", time.Since(began)))
+	quotas.node.logger.Info("tenant limit undetermined", zap.String("request", callerRequest.Call.ID), zap.String("tenant", callerRequest.Holder.Name),
+		zap.Int("group", group.number), zap.String("keeper", group.coordinatorName()), zap.Float64("share", share), zap.Duration("took", time.Since(started)))
 	return forward.Admission{Verdict: forward.LimitUnavailable}
 }
 
 func milliseconds(count int64) time.Duration { return time.Duration(count) * time.Millisecond }
 
-func (quotas *quotas) request(lent *lending, order *forward.AdmissionRequest) *nodev1.AdmitRequest {
-	request := quotas.loan(lent)
-	request.Tenant = order.Holder.Name
-	request.Configuration = order.Configuration
-	request.PerSecond = order.Holder.Limit.PerSecond
-	request.Burst = order.Holder.Limit.Burst
-	request.Program = order.Call.Program
-	request.Continues = order.Continues
-	request.PatienceMs = order.MaxWait.Milliseconds()
-	request.Request = order.Call.ID
+func (quotas *quotas) admitRequest(group *leaseGroup, callerRequest *forward.AdmissionRequest) *nodev1.AdmitRequest {
+	request := quotas.leaseRequest(group)
+	request.Tenant = callerRequest.Holder.Name
+	request.Configuration = callerRequest.Configuration
+	request.PerSecond = callerRequest.Holder.Limit.PerSecond
+	request.Burst = callerRequest.Holder.Limit.Burst
+	request.Program = callerRequest.Call.Program
+	request.Continues = callerRequest.Continues
+	request.PatienceMs = callerRequest.MaxWait.Milliseconds()
+	request.Request = callerRequest.Call.ID
 	return request
 }
 
-// loan is an ask that only lends.
-func (quotas *quotas) loan(lent *lending) *nodev1.AdmitRequest {
+// leaseRequest returns a request that only renews the lease.
+func (quotas *quotas) leaseRequest(group *leaseGroup) *nodev1.AdmitRequest {
 	return &nodev1.AdmitRequest{
 		Node:  quotas.node.settings.Name,
-		Nodes: uint32(quotas.node.members.staying()),
-		Group: uint32(lent.group),
+		Nodes: uint32(quotas.node.members.activeCount()),
+		Group: uint32(group.number),
 	}
 }
 
-// ask asks the group's keeper once.
-func (quotas *quotas) ask(ctx context.Context, lent *lending, request *nodev1.AdmitRequest) (*nodev1.AdmitReply, error) {
-	target, clock, held := quotas.target(lent, time.Now())
+// callCoordinator sends one request to the group's coordinator.
+func (quotas *quotas) callCoordinator(ctx context.Context, group *leaseGroup, request *nodev1.AdmitRequest) (*nodev1.AdmitReply, error) {
+	target, clock, leasedFor := quotas.target(group, time.Now())
 	request.Lent = toClock(clock)
-	request.HeldMs = held.Milliseconds()
-	reply, err := quotas.send(ctx, target, request)
+	request.HeldMs = leasedFor.Milliseconds()
+	reply, err := quotas.sendAdmit(ctx, target, request)
 	if err != nil {
 		if ctx.Err() == nil {
 			quotas.suspect(target, request, err)
 		}
 		return nil, err
 	}
-	lent.mutex.Lock()
-	defer lent.mutex.Unlock()
-	lent.lender.ObserveCoordinator(target, fromClock(reply.Clock), time.Now())
+	group.mutex.Lock()
+	defer group.mutex.Unlock()
+	group.lessor.ObserveCoordinator(target, fromClock(reply.Clock), time.Now())
 	return reply, nil
 }
 
-// target returns the keeper to ask, the moment from which on the share is lent, and for how
-// long it was lent to no other keeper.
-func (quotas *quotas) target(lent *lending, now time.Time) (string, quota.CoordinatorTime, time.Duration) {
-	lent.mutex.Lock()
-	defer lent.mutex.Unlock()
-	lent.asked = now
-	wanted := quotas.choose(lent.group, now)
-	present, clock := lent.lender.Target(wanted, !quotas.suspects.holds(lent.lender.Coordinator(), now), now)
-	return present, clock, lent.lender.LeasedFor(now)
+// target returns the coordinator to call, the coordinator time at which the lease starts, and for
+// how long the share has been leased to it alone.
+func (quotas *quotas) target(group *leaseGroup, now time.Time) (string, quota.CoordinatorTime, time.Duration) {
+	group.mutex.Lock()
+	defer group.mutex.Unlock()
+	group.lastRequest = now
+	preferred := quotas.chooseCoordinator(group.number, now)
+	coordinator, clock := group.lessor.Target(preferred, !quotas.suspects.contains(group.lessor.Coordinator(), now), now)
+	return coordinator, clock, group.lessor.LeasedFor(now)
 }
 
-// choose returns the first candidate that answers.
-func (quotas *quotas) choose(group int, now time.Time) string {
-	for _, candidate := range quotas.node.members.candidates(quotaShard - group) {
-		if !quotas.suspects.holds(candidate.Name, now) {
+// chooseCoordinator returns the first candidate that is not suspected.
+func (quotas *quotas) chooseCoordinator(group int, now time.Time) string {
+	for _, candidate := range quotas.node.members.candidates(quotaPseudoShard - group) {
+		if !quotas.suspects.contains(candidate.Name, now) {
 			return candidate.Name
 		}
 	}
@@ -178,12 +179,12 @@
 }
 
 func (quotas *quotas) suspect(name string, request *nodev1.AdmitRequest, cause error) {
-	quotas.node.logger.Info("keeper not reached", zap.String("node", name), zap.Uint32("group", request.Group),
+	quotas.node.logger.Info("quota coordinator unreachable", zap.String("node", name), zap.Uint32("group", request.Group),
 		zap.String("tenant", request.Tenant), logging.Cause(cause))
-	quotas.suspects.note(name, time.Now().Add(keeperSuspicion))
+	quotas.suspects.add(name, time.Now().Add(coordinatorSuspicion))
 }
 
-func (quotas *quotas) send(ctx context.Context, target string, request *nodev1.AdmitRequest) (*nodev1.AdmitReply, error) {
+func (quotas *quotas) sendAdmit(ctx context.Context, target string, request *nodev1.AdmitRequest) (*nodev1.AdmitReply, error) {
 	if target == quotas.node.settings.Name {
 		return quotas.decide(request), nil
 	}
@@ -196,34 +197,34 @@
 	return client.Admit(bounded, request)
 }
 
-// lend lends this node's share of each group to its keeper for as long as there are
-// limits, also while it has nothing to ask: a keeper grants only what it was lent.
-func (quotas *quotas) lend(ctx context.Context) {
+// renewLeases renews this node's leases while any tenant has a limit, even without requests: a
+// coordinator grants only what is leased to it.
+func (quotas *quotas) renewLeases(ctx context.Context) {
 	for ctx.Err() == nil {
-		wait.Sleep(ctx, lendLook)
+		wait.Sleep(ctx, leasePollInterval)
 		configuration := quotas.node.routes.Load()
 		if configuration == nil || !configuration.Tenants.HasLimits() {
 			continue
 		}
 		now := time.Now()
-		for _, lent := range quotas.groups {
-			if lent.due(now) {
-				go func() { _, _ = quotas.ask(ctx, lent, quotas.loan(lent)) }() // A failure is logged where it is noticed.
+		for _, group := range quotas.groups {
+			if group.renewalDue(now) {
+				go func() { _, _ = quotas.callCoordinator(ctx, group, quotas.leaseRequest(group)) }() // callCoordinator logs failures.
 			}
 		}
 	}
 }
 
-// keeperAsked returns whom the group's share is lent to.
-func (lent *lending) keeperAsked() string {
-	lent.mutex.Lock()
-	defer lent.mutex.Unlock()
-	return lent.lender.Coordinator()
+// coordinatorName returns the coordinator that holds this node's lease.
+func (group *leaseGroup) coordinatorName() string {
+	group.mutex.Lock()
+	defer group.mutex.Unlock()
+	return group.lessor.Coordinator()
 }
 
-// due tells whether it is time to lend again.
-func (lent *lending) due(now time.Time) bool {
-	lent.mutex.Lock()
-	defer lent.mutex.Unlock()
-	return now.Sub(lent.asked) >= lendPause
+// renewalDue reports whether the lease has to be renewed.
+func (group *leaseGroup) renewalDue(now time.Time) bool {
+	group.mutex.Lock()
+	defer group.mutex.Unlock()
+	return now.Sub(group.lastRequest) >= leaseRenewalInterval
 }
--- a/internal/node/quotas_test.go
+++ b/internal/node/quotas_test.go
@@ -12,10 +12,10 @@
 	. "github.com/onsi/gomega"
 )
 
-var _ = Describe("Limits at a node", func() {
+var _ = Describe("Tenant limits", func() {
 	holder := &tenant.Tenant{Name: "t", Limit: tenant.Limit{PerSecond: 1000, Burst: 1000}}
 
-	// newAlone is a node that no other one answers.
+	// newAlone returns a node without reachable peers.
 	newAlone := func() *Node {
 		logger, err := logging.New("error", GinkgoWriter)
 		Expect(err).NotTo(HaveOccurred())
@@ -30,24 +30,24 @@
 		return &forward.AdmissionRequest{Call: &forward.Call{ID: "r"}, Holder: holder, MaxWait: time.Second}
 	}
 
-	It("are kept by the node itself where it is alone", func() {
+	It("are coordinated by a node itself if it is the only one", func() {
 		node := newAlone()
 		Expect(node.quotas.groups).To(HaveLen(4))
 		Expect(node.quotas.Admit(context.Background(), order()).Verdict).To(Equal(forward.Admitted))
 	})
 
-	It("are kept by the next node where the first one does not answer", func() {
+	It("are coordinated by the next candidate if the first does not answer", func() {
 		node := newAlone()
-		lent := node.quotas.groupOf(holder.Name)
-		first := func() string { return node.members.candidates(quotaShard - lent.group)[0].Name }
+		group := node.quotas.groupOf(holder.Name)
+		first := func() string { return node.members.candidates(quotaPseudoShard - group.number)[0].Name }
 		for number := 0; first() == "self"; number++ {
 			node.members.put(Member{Name: string(rune('a' + number)), Address: "127.0.0.1:1"})
 		}
 		Expect(node.quotas.Admit(context.Background(), order()).Verdict).NotTo(Equal(forward.OverLimit))
-		Expect(node.quotas.suspects.holds(first(), time.Now())).To(BeTrue())
+		Expect(node.quotas.suspects.contains(first(), time.Now())).To(BeTrue())
 	})
 
-	It("give a request up whose caller has left", func() {
+	It("abandon a request whose caller has left", func() {
 		node := newAlone()
 		ctx, leave := context.WithCancel(context.Background())
 		leave()
--- a/internal/node/registration.go
+++ b/internal/node/registration.go
@@ -14,79 +14,77 @@
 )
 
 const (
-	// registerPause separates two tries to write the own record.
-	registerPause = 100 * time.Millisecond
-	// registerCheck separates two looks whether the own record is still right.
-	registerCheck = 500 * time.Millisecond
-	// registerUnread is how long a node waits for what the log says of it before it
-	// writes its record unseen: some hundred times a usual read.
-	registerUnread = time.Second
+	// registerRetryDelay is the delay after a failed write.
+	registerRetryDelay = 100 * time.Millisecond
+	// registerCheckInterval is the interval between checks of the record.
+	registerCheckInterval = 500 * time.Millisecond
+	// registerReadTimeout is how long a node waits to read its existing record before it writes a
+	// new one.
+	registerReadTimeout = time.Second
 )
 
-// registration keeps this node's record in the log as the node is.
+// registration maintains this node's membership record in the durable log.
 //
-// It writes only what the log does not hold yet. A node that was killed finds its record
-// as it left it. Were each to write it anew, then after the loss of all nodes as many
-// appends would wait in the one partition of these records, and behind them each node's
-// reading of where the others are.
+// It writes only when the log holds a different record, so that a restarted node usually writes
+// nothing. If all nodes restarted at once, unconditional writes would queue in the records' single
+// partition and delay reading them.
 type registration struct {
 	log    durable.Log
 	topic  string
 	logger *zap.Logger
-	// self returns the record as it should be.
+	// self returns the current record.
 	self func() Member
-	// read tells whether the records have been read once.
-	read func() bool
+	// loaded reports whether the nodes' records have been read.
+	loaded func() bool
 
 	mutex sync.Mutex
-	// recorded is what the log holds, the zero Member where it holds nothing.
+	// recorded is the record in the log, the zero Member if there is none.
 	recorded Member
-	// changed wakes the writer.
+	// changed triggers a check of the record.
 	changed chan struct{}
 }
 
-func newRegistration(log durable.Log, topic string, logger *zap.Logger, self func() Member, read func() bool) *registration {
-	return &registration{log: log, topic: topic, logger: logger, self: self, read: read, changed: make(chan struct{}, 1)}
+func newRegistration(log durable.Log, topic string, logger *zap.Logger, self func() Member, loaded func() bool) *registration {
+	return &registration{log: log, topic: topic, logger: logger, self: self, loaded: loaded, changed: make(chan struct{}, 1)}
 }
 
-// observe notes the own record as the log holds it, and tells whether it differs from
-// what was known.
+// observe stores this node's record as read from the log, and reports whether it changed.
 func (registration *registration) observe(recorded Member) bool {
 	registration.mutex.Lock()
 	defer registration.mutex.Unlock()
-	differs := registration.recorded != recorded
+	changed := registration.recorded != recorded
 	registration.recorded = recorded
-	return differs
+	return changed
 }
 
-// check has the record compared with the node at once.
-func (registration *registration) check() {
+// requestCheck triggers a check of the record.
+func (registration *registration) requestCheck() {
 	select {
 	case registration.changed <- struct{}{}:
 	default:
 	}
 }
 
-// due tells whether the log holds something else than the node is. A node that was
-// started anew is the same one to all others.
-func (registration *registration) due() bool {
+// outdated reports whether the record in the log differs from the current one, apart from the
+// incarnation, which does not matter to other nodes.
+func (registration *registration) outdated() bool {
 	registration.mutex.Lock()
 	defer registration.mutex.Unlock()
 	recorded := registration.recorded
-	wanted := registration.self()
-	recorded.Incarnation = wanted.Incarnation
-	return recorded != wanted
+	current := registration.self()
+	recorded.Incarnation = current.Incarnation
+	return recorded != current
 }
 
-// run keeps the record right until ctx ends.
+// run keeps the record up to date until ctx ends.
 func (registration *registration) run(ctx context.Context) {
-	registration.awaitRead(ctx)
+	registration.awaitLoaded(ctx)
 	for ctx.Err() == nil {
-		if registration.due() && !registration.write(ctx) {
-			wait.Sleep(ctx, registerPause)
+		if registration.outdated() && !registration.write(ctx) {
+			wait.Sleep(ctx, registerRetryDelay)
 			continue
 		}
-		timer := time.NewTimer(registerCheck)
+		timer := time.NewTimer(registerCheckInterval)
 		select {
 		case <-ctx.Done():
 		case <-registration.changed:
@@ -96,15 +94,15 @@
 	}
 }
 
-// awaitRead waits until the records were read, or are not to be had for now.
-func (registration *registration) awaitRead(ctx context.Context) {
-	until := time.Now().Add(registerUnread)
-	for !registration.read() && time.Now().Before(until) && ctx.Err() == nil {
-		wait.Sleep(ctx, registerPause)
+// awaitLoaded waits until the nodes' records have been read, at most registerReadTimeout.
+func (registration *registration) awaitLoaded(ctx context.Context) {
+	deadline := time.Now().Add(registerReadTimeout)
+	for !registration.loaded() && time.Now().Before(deadline) && ctx.Err() == nil {
+		wait.Sleep(ctx, registerRetryDelay)
 	}
 }
 
-// write puts the record into the log once. It returns false where that may have failed.
+// write appends the record to the log. It returns false if that may have failed.
 func (registration *registration) write(ctx context.Context) bool {
 	member := registration.self()
 	record, err := proto.Marshal(&nodev1.NodeRecord{
@@ -116,15 +114,15 @@
 		Understands: member.ProtocolVersion,
 	})
 	if err != nil {
-		registration.logger.Error("node record not encoded", logging.Cause(err))
+		registration.logger.Error("node record encoding failed", logging.Cause(err))
 		return false
 	}
-	bounded, cancel := context.WithTimeout(ctx, storeTimeout)
+	bounded, cancel := context.WithTimeout(ctx, logTimeout)
 	defer cancel()
 	content := durable.EncodeKeyed(member.Name, record)
 	_, err = registration.log.Append(bounded, durable.Partition{Topic: registration.topic}, [][]byte{content}, durable.Condition{})
 	if err != nil {
-		registration.logger.Warn("node not registered", logging.Cause(err))
+		registration.logger.Warn("node registration failed", logging.Cause(err))
 		return false
 	}
 	registration.observe(member)
--- a/internal/node/registration_test.go
+++ b/internal/node/registration_test.go
@@ -11,13 +11,13 @@
 	"go.uber.org/zap"
 )
 
-var _ = Describe("A node's own record", func() {
+var _ = Describe("A node's membership record", func() {
 	const topic = "keyed.nodes"
-	patience := 20 * time.Second
+	eventuallyTimeout := 20 * time.Second
 	before := Member{Name: "node-1", Address: "10.0.0.1:7000", Zone: "a", Incarnation: "before", Capacity: 800}
 
-	// writer runs the registration of a node of its next incarnation, with what the log
-	// held of it read already, and returns how many records the log holds then.
+	// writer runs the registration of a restarted node that has read a given record, and returns a
+	// function that counts the records in the log.
 	writer := func(log durable.Log, recorded, self Member) func() int64 {
 		self.Incarnation = "now"
 		registration := newRegistration(log, topic, zap.NewNop(), func() Member { return self }, func() bool { return true })
@@ -30,7 +30,7 @@
 		}()
 		DeferCleanup(func() {
 			cancel()
-			Eventually(ended, patience).Should(BeClosed())
+			Eventually(ended, eventuallyTimeout).Should(BeClosed())
 		})
 		return func() int64 {
 			snapshot, err := log.Latest(context.Background(), topic)
@@ -39,51 +39,51 @@
 		}
 	}
 
-	It("is not written where the log holds it already", func() {
+	It("is not written if the log already holds it", func() {
 		written := writer(durable.NewMemory(), before, before)
-		Consistently(written, 3*registerCheck).Should(BeZero())
+		Consistently(written, 3*registerCheckInterval).Should(BeZero())
 	})
 
-	It("is written where the log holds none", func() {
+	It("is written if the log holds none", func() {
 		written := writer(durable.NewMemory(), Member{}, before)
-		Eventually(written, patience).Should(BeEquivalentTo(1))
-		Consistently(written, 2*registerCheck).Should(BeEquivalentTo(1))
+		Eventually(written, eventuallyTimeout).Should(BeEquivalentTo(1))
+		Consistently(written, 2*registerCheckInterval).Should(BeEquivalentTo(1))
 	})
 
-	It("is written where the log holds another address, or that the node leaves", func() {
-		moved := before
-		moved.Address = "10.0.0.9:7000"
-		Eventually(writer(durable.NewMemory(), before, moved), patience).Should(BeEquivalentTo(1))
-		left := before
-		left.Draining = true
-		Eventually(writer(durable.NewMemory(), left, before), patience).Should(BeEquivalentTo(1))
+	It("is written if the log holds another address or the draining state", func() {
+		readdressed := before
+		readdressed.Address = "10.0.0.9:7000"
+		Eventually(writer(durable.NewMemory(), before, readdressed), eventuallyTimeout).Should(BeEquivalentTo(1))
+		draining := before
+		draining.Draining = true
+		Eventually(writer(durable.NewMemory(), draining, before), eventuallyTimeout).Should(BeEquivalentTo(1))
 	})
 
-	It("is written again where an append of an earlier life comes late", func() {
+	It("is rewritten after a late append of an earlier incarnation", func() {
 		log := durable.NewMemory()
 		registration := newRegistration(log, topic, zap.NewNop(), func() Member { return before }, func() bool { return true })
 		registration.observe(before)
-		Expect(registration.due()).To(BeFalse())
-		late := before
-		late.Draining = true
-		Expect(registration.observe(late)).To(BeTrue())
-		Expect(registration.due()).To(BeTrue())
+		Expect(registration.outdated()).To(BeFalse())
+		stale := before
+		stale.Draining = true
+		Expect(registration.observe(stale)).To(BeTrue())
+		Expect(registration.outdated()).To(BeTrue())
 		Expect(registration.write(context.Background())).To(BeTrue())
-		Expect(registration.due()).To(BeFalse())
+		Expect(registration.outdated()).To(BeFalse())
 	})
 
-	It("is not written before the log was read, unless that takes too long", func() {
+	It("is not written before the log has been read or registerReadTimeout has passed", func() {
 		var read atomic.Bool
 		registration := newRegistration(durable.NewMemory(), topic, zap.NewNop(), func() Member { return before }, read.Load)
 		waited := make(chan struct{})
 		go func() {
-			registration.awaitRead(context.Background())
+			registration.awaitLoaded(context.Background())
 			close(waited)
 		}()
-		Consistently(waited, registerPause).ShouldNot(BeClosed())
+		Consistently(waited, registerRetryDelay).ShouldNot(BeClosed())
 		read.Store(true)
-		Eventually(waited, patience).Should(BeClosed())
+		Eventually(waited, eventuallyTimeout).Should(BeClosed())
 		read.Store(false)
-		registration.awaitRead(context.Background()) // Ends by itself.
+		registration.awaitLoaded(context.Background()) // Returns after registerReadTimeout.
 	})
 })
--- a/internal/node/settings.go
+++ b/internal/node/settings.go
@@ -1,5 +1,5 @@
-// Package node runs one node: it takes callers' requests, owns shards of
-// programs, follows engines and configuration, and talks to the other nodes.
+// Package node implements a scheduler node: it serves callers, owns shards of programs, follows
+// the configuration and the engines, and cooperates with the other nodes.
 package node
 
 import (
@@ -15,57 +15,55 @@
 	"github.com/magpielug/magpielug/internal/routing"
 )
 
-// Settings are what a node is told at its start.
+// Settings are the startup settings of a node.
 type Settings struct {
-	// Name is the node's, and stays over restarts.
+	// Name identifies the node and is stable across restarts.
 	Name string
 	Zone string
-	// Regions holds the region of each zone.
+	// Regions maps each zone to its region.
 	Regions region.Map
-	// CallerAddress takes callers' requests, ReadinessAddress the question
-	// whether the node takes any, both IP:PORT.
+	// CallerAddress serves callers and ReadinessAddress the readiness check, both as IP:PORT.
 	CallerAddress    string
 	ReadinessAddress string
-	// PeerAddress serves the other nodes, MetricsAddress the metrics.
+	// PeerAddress serves other nodes and MetricsAddress the metrics.
 	PeerAddress    string
 	MetricsAddress string
-	// ControlAddress serves the other nodes too, where it is given: it is what
-	// Seeds names, and seeds are known before the store has answered.
+	// ControlAddress, if set, also serves other nodes. It is the address that Seeds of other nodes
+	// refer to, which must be known before the durable log has been read.
 	ControlAddress string
-	// Seeds are control addresses of some nodes, which may be gone.
+	// Seeds are control addresses of other nodes. Some may be out of date.
 	Seeds []string
-	// MemoryBytes is what the process may hold, 0 where nothing bounds it.
+	// MemoryBytes is the process memory limit, 0 if there is none.
 	MemoryBytes int64
-	// Capacity is the share of a processor that the process has, in cores; 0
-	// where it is not known.
+	// Capacity is the processor share of the process in cores, 0 if unknown.
 	Capacity float64
-	// MaxConnections is how many callers' connections may be open.
+	// MaxConnections bounds the open connections from callers.
 	MaxConnections int
-	// Shards is the number of partitions of the store's topics.
+	// Shards is the number of partitions of the durable log's topics.
 	Shards int
-	// QuotaTolerance is how the operators judge tenants' limits.
+	// QuotaTolerance is how far tenants may exceed their limits.
 	QuotaTolerance quota.Tolerance
-	// ColdTolerance is how operators judge what cold engines get.
+	// ColdTolerance is how far requests to cold engines may exceed their limit.
 	ColdTolerance ColdTolerance
-	// ShutdownTimeout is how long a planned stop may take.
+	// ShutdownTimeout bounds a graceful shutdown.
 	ShutdownTimeout time.Duration
-	// Placement names the policy that chooses engines; empty is the default.
+	// Placement names the engine selection policy; empty selects the default.
 	Placement string
-	// DisabledFeatures names features that are off, with commas; see package feature.
+	// DisabledFeatures is a comma-separated list of disabled features; see package feature.
 	DisabledFeatures string
 	// LogLevel is debug, info, warn or error.
 	LogLevel string
 }
 
-// ColdTolerance is what operators allow beyond the requests a second that a cold engine
-// bears, over all nodes and within one second.
+// ColdTolerance is the permitted excess over the requests per second that a cold engine accepts,
+// counted over all nodes and one second.
 type ColdTolerance struct {
-	// Factor times the engine's own figure, and Requests on top of it.
+	// Factor multiplies the engine's limit; Requests is added to the product.
 	Factor   float64
 	Requests float64
 }
 
-// Check returns an InvalidSettings error for settings that can't be run.
+// Check returns an InvalidSettings error if the settings are incomplete or invalid.
 func (settings *Settings) Check() error {
 	required := []struct{ name, value string }{
 		{"name", settings.Name},
@@ -75,35 +73,35 @@
 	}
 	for _, field := range required {
 		if field.value == "" {
-			return resultcode.New(resultcode.InvalidSettings, "the settings lack the node's %s", field.name)
+			return resultcode.New(resultcode.InvalidSettings, "the node's %s is not set", field.name)
 		}
 	}
 	if settings.Shards < 1 {
-		return resultcode.New(resultcode.InvalidSettings, "the settings give %d partitions; at least 1 is needed", settings.Shards)
+		return resultcode.New(resultcode.InvalidSettings, "invalid number of partitions %d: at least 1 is required", settings.Shards)
 	}
 	return nil
 }
 
-// Dependencies are what a node meets through translations.
+// Dependencies are the external components that a node uses.
 type Dependencies struct {
 	Log durable.Log
-	// ConfigurationTopic, EngineTopic and MemberTopic are keyed topics of the
-	// store; the nodes write the last one themselves.
+	// ConfigurationTopic, EngineTopic and MemberTopic are keyed topics of the durable log. Nodes
+	// write MemberTopic themselves.
 	ConfigurationTopic string
 	EngineTopic        string
 	MemberTopic        string
-	// DecodeConfiguration returns false for a record that is none.
+	// DecodeConfiguration returns false if the record is not a valid configuration.
 	DecodeConfiguration func(durable.KeyedRecord) (*routing.Configuration, bool)
-	// DecodeEvacuation returns the zone that a record of the configuration's topic has
-	// evacuated while it has a value, false for any other record.
+	// DecodeEvacuation returns the zone of an evacuation record in the configuration topic, and
+	// false for any other record. The zone is evacuated while the record has a value.
 	DecodeEvacuation func(durable.KeyedRecord) (zone string, found bool)
-	// DecodeEngine returns false for a record that names no engine to use.
+	// DecodeEngine returns false if the record does not describe a usable engine.
 	DecodeEngine func(durable.KeyedRecord) (backend.Instance, bool)
 	Sender       forward.Sender
-	// Connections are those that Sender uses.
+	// Connections is the connection pool of Sender.
 	Connections *backend.ConnectionPool
-	// CallerHandler serves callers by taking their requests to the service.
+	// CallerHandler returns the handler that passes callers' requests to the service.
 	CallerHandler func(service *forward.Service) http.Handler
-	// ReadinessPath is where the readiness address is asked.
+	// ReadinessPath is the URL path of the readiness check.
 	ReadinessPath string
 }
--- a/internal/node/settings_file.go
+++ b/internal/node/settings_file.go
@@ -6,10 +6,10 @@
 	"github.com/magpielug/magpielug/internal/settings"
 )
 
-// SettingsFromFile returns the settings of a node that was started with a settings file of the
-// product's own. It has no seeds: it finds the other nodes in the store.
+// SettingsFromFile converts the settings of a node's settings file. There are no seeds: the node
+// finds the other nodes through the durable log.
 func SettingsFromFile(loaded settings.NodeSettings) Settings {
-	regions, _ := region.Parse(loaded.Node.Regions) // The settings were checked.
+	regions, _ := region.Parse(loaded.Node.Regions) // The settings have been validated.
 	return Settings{
 		Name:             loaded.Node.Name,
 		Zone:             loaded.Node.Zone,
--- a/internal/node/settings_file_test.go
+++ b/internal/node/settings_file_test.go
@@ -10,8 +10,8 @@
 	. "github.com/onsi/gomega"
 )
 
-var _ = Describe("The settings of a node's own file", func() {
-	It("are all taken, and name no other node", func() {
+var _ = Describe("Settings from a settings file", func() {
+	It("are converted completely and contain no seeds", func() {
 		taken := SettingsFromFile(settings.NodeSettings{
 			Node:   settings.NodeIdentity{Name: "node-1", Zone: "zone-1", Regions: "zone-1=north,zone-2=south", Placement: "least", Disabled: "egress"},
 			Listen: settings.NodeListen{Callers: "127.0.0.1:1", Readiness: "127.0.0.1:2", Peers: "127.0.0.1:3", Metrics: "127.0.0.1:4"},
--- a/internal/node/suspects.go
+++ b/internal/node/suspects.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// suspects are nodes that did not answer, each passed over until a time. It is safe for
+// suspects holds nodes that failed to answer, each skipped until a deadline. It is safe for
 // concurrent use.
 type suspects struct {
 	mutex sync.Mutex
@@ -14,15 +14,15 @@
 
 func newSuspects() *suspects { return &suspects{until: map[string]time.Time{}} }
 
-// note passes a node over up to a time.
-func (suspects *suspects) note(name string, until time.Time) {
+// add suspects a node until a deadline.
+func (suspects *suspects) add(name string, until time.Time) {
 	suspects.mutex.Lock()
 	defer suspects.mutex.Unlock()
 	suspects.until[name] = until
 }
 
-// holds tells whether a node is passed over at now.
-func (suspects *suspects) holds(name string, now time.Time) bool {
+// contains reports whether a node is suspected at a time.
+func (suspects *suspects) contains(name string, now time.Time) bool {
 	suspects.mutex.Lock()
 	defer suspects.mutex.Unlock()
 	return now.Before(suspects.until[name])
--- a/internal/node/view.go
+++ b/internal/node/view.go
@@ -8,121 +8,122 @@
 	"go.uber.org/zap"
 )
 
-// recordView holds the newest records of a keyed topic, from whichever source
-// they come: the store, or another node while the store does not answer. A
-// record older than one seen of the same key changes nothing.
+// recordView holds the newest record for each key of a topic, merged from the durable log and from
+// other nodes. Records older than the one held are ignored.
 type recordView struct {
 	name   string
 	logger *zap.Logger
-	// apply is told of each record that is new, and tells whether it changed
-	// anything; an empty value says that the key was dropped.
-	apply func(record durable.KeyedRecord) bool
+	// onRecord is called with each new record and reports whether it changed any state. An empty
+	// value means that the key was deleted.
+	onRecord func(record durable.KeyedRecord) bool
 
-	mutex  sync.Mutex
-	newest map[string]heldRecord
-	end    int64
-	// hasRead is true once any update has come, checked is when the newest was asked for, even
-	// if it held nothing new.
-	hasRead bool
-	checked moment
+	mutex   sync.Mutex
+	records map[string]viewRecord
+	end     int64
+	// isLoaded is true after the first update. confirmedAt is when the newest update was
+	// requested, even if it held no new records.
+	isLoaded    bool
+	confirmedAt atomicTime
 }
 
-// heldRecord is a key's newest record.
-type heldRecord struct {
+// viewRecord is a key's newest record.
+type viewRecord struct {
 	durable.KeyedRecord
-	// changed is the offset of the record that last changed anything: engines
-	// repeat theirs all the time, which others need not be told.
-	changed int64
+	// changeOffset is the offset of the key's last record that changed any state. Others need not
+	// be sent renewals that change nothing.
+	changeOffset int64
 }
 
-func newRecordView(name string, logger *zap.Logger, apply func(durable.KeyedRecord) bool) *recordView {
-	return &recordView{name: name, logger: logger, apply: apply, newest: map[string]heldRecord{}}
+func newRecordView(name string, logger *zap.Logger, onRecord func(durable.KeyedRecord) bool) *recordView {
+	return &recordView{name: name, logger: logger, onRecord: onRecord, records: map[string]viewRecord{}}
 }
 
-// take takes an update in. It was asked for at a time, or of a source that had asked for it
-// then: what an update that was held up on its way tells is as old as that.
-func (view *recordView) take(update durable.Update, askedAt time.Time) {
+// merge merges an update. requestedAt is when it was requested, by this node or by the one that
+// supplied it, so that delays in transit count towards the view's age.
+func (view *recordView) merge(update durable.Update, requestedAt time.Time) {
 	view.mutex.Lock()
 	defer view.mutex.Unlock()
 	for _, record := range update.Records {
-		view.takeRecord(record)
+		view.mergeRecord(record)
 	}
 	if update.Full {
-		view.dropUnlisted(update)
+		view.removeUnlisted(update)
 	}
-	view.hasRead = true
+	view.isLoaded = true
 	if update.End >= view.end {
-		// One that ends before what is known is of an older state, and confirms nothing.
-		view.checked.advance(askedAt)
+		// An update that ends earlier reflects an older state and confirms nothing.
+		view.confirmedAt.advance(requestedAt)
 	}
 	view.end = max(view.end, update.End)
 }
 
-// unreadAge is the age of a view that has read nothing: it confirms what nobody holds.
-const unreadAge = 24 * time.Hour
+// unloadedAge is the age reported before the first update.
+const unloadedAge = 24 * time.Hour
 
-// age is how old what the view holds may be.
+// age returns how old the view's state may be.
 func (view *recordView) age() time.Duration {
-	if !view.read() {
-		return unreadAge
+	if !view.loaded() {
+		return unloadedAge
 	}
-	return view.checked.age(time.Now())
+	return view.confirmedAt.age(time.Now())
 }
 
-// checkedSince tells whether what the view holds was asked for at a moment or later.
-func (view *recordView) checkedSince(moment time.Time) bool { return view.checked.since(moment) }
+// confirmedSince reports whether the view was last confirmed at or after a time.
+func (view *recordView) confirmedSince(at time.Time) bool {
+	return view.confirmedAt.notBefore(at)
+}
 
-// read tells whether any update has come.
-func (view *recordView) read() bool {
+// loaded reports whether the view has received an update.
+func (view *recordView) loaded() bool {
 	view.mutex.Lock()
 	defer view.mutex.Unlock()
-	return view.hasRead
+	return view.isLoaded
 }
 
-func (view *recordView) takeRecord(record durable.KeyedRecord) {
-	known, found := view.newest[record.Key]
+func (view *recordView) mergeRecord(record durable.KeyedRecord) {
+	known, found := view.records[record.Key]
 	if found && known.Offset >= record.Offset {
 		return
 	}
-	held := heldRecord{KeyedRecord: record, changed: known.changed}
-	if view.apply(record) || !found {
-		held.changed = record.Offset
+	current := viewRecord{KeyedRecord: record, changeOffset: known.changeOffset}
+	if view.onRecord(record) || !found {
+		current.changeOffset = record.Offset
 	}
-	view.newest[record.Key] = held
+	view.records[record.Key] = current
 }
 
-// dropUnlisted drops the keys that a whole reading does not list, unless the
-// reading is older than what was seen of them.
-func (view *recordView) dropUnlisted(update durable.Update) {
+// removeUnlisted deletes the keys missing from a full update, unless their records are newer than
+// the update.
+func (view *recordView) removeUnlisted(update durable.Update) {
 	listed := make(map[string]bool, len(update.Records))
 	for _, record := range update.Records {
 		listed[record.Key] = true
 	}
-	for key, record := range view.newest {
+	for key, record := range view.records {
 		if !listed[key] && record.Offset < update.End && len(record.Value) > 0 {
-			view.takeRecord(durable.KeyedRecord{Key: key, Offset: update.End - 1})
+			view.mergeRecord(durable.KeyedRecord{Key: key, Offset: update.End - 1})
 		}
 	}
 }
 
-// since returns the records that changed something from an offset on, and how far
-// the view has come.
-func (view *recordView) since(offset int64) (records []durable.KeyedRecord, end int64) {
+// changedSince returns the records that changed any state at or after an offset, and the view's
+// end offset.
+func (view *recordView) changedSince(offset int64) (records []durable.KeyedRecord, end int64) {
 	view.mutex.Lock()
 	defer view.mutex.Unlock()
 	if offset >= view.end {
 		return nil, view.end
 	}
-	for _, record := range view.newest {
-		if record.changed >= offset {
+	for _, record := range view.records {
+		if record.changeOffset >= offset {
 			records = append(records, record.KeyedRecord)
 		}
 	}
 	return records, view.end
 }
 
-// reached returns how far the view has come.
-func (view *recordView) reached() int64 {
+// endOffset returns the view's end offset.
+func (view *recordView) endOffset() int64 {
 	view.mutex.Lock()
 	defer view.mutex.Unlock()
 	return view.end
--- a/internal/node/zones.go
+++ b/internal/node/zones.go
@@ -14,19 +14,19 @@
 )
 
 const (
-	// storeSilentAfter is how long the store may have answered no node that this one hears of
-	// for a cut to be looked for. In good times its newest answer is at most 0.7 s old.
-	storeSilentAfter = 700 * time.Millisecond
-	// probePause separates two rounds of probes, probeTimeout bounds one probe.
-	probePause   = 150 * time.Millisecond
-	probeTimeout = 200 * time.Millisecond
+	// logSilentAfter is how long the log may have answered no node that this one hears of before
+	// other zones are probed. Normally its last answer is at most 0.7 s old.
+	logSilentAfter = 700 * time.Millisecond
+	// probeInterval is the interval between rounds of probes; probeTimeout bounds one probe.
+	probeInterval = 150 * time.Millisecond
+	probeTimeout  = 200 * time.Millisecond
 )
 
-// zoneTransport notes which zones' nodes answer.
+// zoneTransport records successes and failures of requests to nodes by zone.
 func (node *Node) zoneTransport(next http.RoundTripper) http.RoundTripper {
-	return roundTrip(func(request *http.Request) (*http.Response, error) {
+	return roundTripperFunc(func(request *http.Request) (*http.Response, error) {
 		response, err := next.RoundTrip(request)
-		zone := node.members.zoneAt(request.URL.Host)
+		zone := node.members.zoneOfAddress(request.URL.Host)
 		switch {
 		case err == nil:
 			node.zones.RecordNodeResponse(zone, time.Now())
@@ -37,60 +37,58 @@
 	})
 }
 
-// isTimeout tells an ask whose time is over from one that was given up.
+// isTimeout distinguishes an expired deadline from cancellation.
 func isTimeout(ctx context.Context) bool { return ctx.Err() == context.DeadlineExceeded }
 
-// probeZones asks nodes of zones that may be cut off for as long as the node runs.
+// probeZones probes zones that may be unreachable until ctx ends.
 func (node *Node) probeZones(ctx context.Context) {
 	if !feature.Enabled(feature.ZoneReachability) {
 		return
 	}
 	unreached := map[string]bool{}
-	alone := false
+	isolated := false
 	for ctx.Err() == nil {
-		wait.Sleep(ctx, probePause)
+		wait.Sleep(ctx, probeInterval)
 		now := time.Now()
-		for _, zone := range node.zones.ProbeTargets(node.otherZones(), node.storeSilent(now), now) {
+		for _, zone := range node.zones.ProbeTargets(node.otherZones(), node.logSilent(now), now) {
 			go node.probeZone(ctx, zone)
 		}
 		node.logZones(unreached, now)
-		if node.zoneCutOff(now) != alone {
-			alone = !alone
-			node.logger.Warn("zone cut off", zap.Bool("active", alone), zap.Duration("store_silent", node.logHealth.answered.age(now)))
+		if node.zoneIsolated(now) != isolated {
+			isolated = !isolated
+			node.logger.Warn("zone isolated", zap.Bool("active", isolated), zap.Duration("store_silent", node.logHealth.lastResponse.age(now)))
 		}
 	}
 }
 
-// logZones logs which zones are lost and reached again.
+// logZones logs when zones become unreachable and reachable again.
 func (node *Node) logZones(unreached map[string]bool, now time.Time) {
 	for _, zone := range node.otherZones() {
-		lost := !node.zones.Reachable(zone, now)
-		if lost != unreached[zone] {
-			unreached[zone] = lost
-			node.logger.Warn("zone out of reach", zap.String("zone", zone), zap.Bool("active", lost))
+		unreachable := !node.zones.Reachable(zone, now)
+		if unreachable != unreached[zone] {
+			unreached[zone] = unreachable
+			node.logger.Warn("zone unreachable", zap.String("zone", zone), zap.Bool("active", unreachable))
 		}
 	}
 }
 
-// probeZone asks one node of a zone. Its answer, or that of any engine there, is noted
-// where it arrives.
+// probeZone probes one node of a zone. zoneTransport records a response.
 func (node *Node) probeZone(ctx context.Context, zone string) {
-	member, found := node.members.someOf(zone, node.settings.Name)
+	member, found := node.members.randomInZone(zone, node.settings.Name)
 	if !found {
 		return
 	}
-	sent := time.Now()
+	sentAt := time.Now()
 	bounded, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
 	_, err := node.peers.at(member.Address).Learn(bounded, node.probeRequest())
-	if err != nil && !node.mayBeLostAlone(zone) {
-		node.zones.RecordProbeTimeout(zone, sent, time.Now())
+	if err != nil && !node.mayBeSingleNodeFailure(zone) {
+		node.zones.RecordProbeTimeout(zone, sentAt, time.Now())
 	}
 }
 
-// probeRequest asks for no records: what counts is that an answer comes. A node that knew no
-// engine yet was sent the whole list by each zone that it probed, six times a second, and the
-// links that made the store seem silent carried nothing else.
+// probeRequest returns a request for no records. The reply only has to arrive; a full engine list
+// to every prober could saturate the links between zones.
 func (node *Node) probeRequest() *nodev1.LearnRequest {
 	return &nodev1.LearnRequest{
 		ConfigurationEnd: math.MaxInt64,
@@ -100,16 +98,16 @@
 	}
 }
 
-// mayBeLostAlone tells whether the silence of a zone's nodes says nothing of the zone: there
-// is a single one, and the zone's engines answered last. Where it is lost they go on working.
-func (node *Node) mayBeLostAlone(zone string) bool {
-	return node.members.zoneSizes()[zone] == 1 && node.zones.EnginesRespond(zone)
+// mayBeSingleNodeFailure reports whether an unanswered probe does not imply that the zone is
+// unreachable: the zone has a single node and its engines still respond.
+func (node *Node) mayBeSingleNodeFailure(zone string) bool {
+	return node.members.nodesPerZone()[zone] == 1 && node.zones.EnginesRespond(zone)
 }
 
-// otherZones returns the zones of the other nodes known, in order.
+// otherZones returns the other nodes' zones except this node's, sorted.
 func (node *Node) otherZones() []string {
 	var zones []string
-	for zone := range node.members.zoneSizes() {
+	for zone := range node.members.nodesPerZone() {
 		if zone != "" && zone != node.settings.Zone {
 			zones = append(zones, zone)
 		}
@@ -118,19 +116,20 @@
 	return zones
 }
 
-// storeSilent tells whether the store has answered no node that this one hears of for long.
-func (node *Node) storeSilent(now time.Time) bool {
-	return node.awakeAge(&node.logHealth.answered, now) > storeSilentAfter
+// logSilent reports whether the log has answered no node that this one hears of for longer than
+// logSilentAfter.
+func (node *Node) logSilent(now time.Time) bool {
+	return node.ageExcludingFreeze(&node.logHealth.lastResponse, now) > logSilentAfter
 }
 
-// zoneCutOff tells whether this node's zone reaches neither the store nor another zone. Its
-// callers are better off in another zone.
-func (node *Node) zoneCutOff(now time.Time) bool {
-	return feature.Enabled(feature.ZoneReachability) && node.storeSilent(now) && node.zones.Isolated(node.otherZones(), now)
+// zoneIsolated reports whether this node's zone reaches neither the durable log nor any other
+// zone.
+func (node *Node) zoneIsolated(now time.Time) bool {
+	return feature.Enabled(feature.ZoneReachability) && node.logSilent(now) && node.zones.Isolated(node.otherZones(), now)
 }
 
-// reaches tells whether a node's zone is reached.
-func (node *Node) reaches(name string, now time.Time) bool {
+// nodeReachable reports whether a node's zone is reachable. Unknown nodes count as reachable.
+func (node *Node) nodeReachable(name string, now time.Time) bool {
 	if !feature.Enabled(feature.ZoneReachability) {
 		return true
 	}
--- a/internal/node/zones_test.go
+++ b/internal/node/zones_test.go
@@ -20,68 +20,68 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// zonedNode is a node of zone a that knows a neighbour there and a node of zone b, whose
-// address is given. The store has answered nobody for long.
-func zonedNode(beyond string) *Node {
-	node := lonelyNode(time.Now().Add(-time.Hour))
+// newZonedNode returns a node in zone a that knows a peer there and one in zone b at the given
+// address. The log has been silent for a long time.
+func newZonedNode(farAddress string) *Node {
+	node := newSilentNode(time.Now().Add(-time.Hour))
 	node.settings.Zone = "a"
 	node.zones = reach.NewZones("a")
 	node.engines = backend.NewDirectory()
 	node.engines.SetZones(node.zones)
 	node.members.put(Member{Name: "near", Address: "near", Zone: "a"})
-	node.members.put(Member{Name: "far", Address: beyond, Zone: "b"})
+	node.members.put(Member{Name: "far", Address: farAddress, Zone: "b"})
 	node.peers = newPeers(node.members, &http.Client{Transport: node.zoneTransport(http.DefaultTransport)})
-	node.newViews()
+	node.createViews()
 	node.programs = newPrograms(node)
 	return node
 }
 
-// deafListener takes connections and never answers.
-func deafListener() *httptest.Server {
-	ended := make(chan struct{})
-	server := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) { <-ended }))
+// newUnresponsiveServer returns a server that accepts connections and never answers.
+func newUnresponsiveServer() *httptest.Server {
+	done := make(chan struct{})
+	server := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) { <-done }))
 	DeferCleanup(server.Close)
-	DeferCleanup(func() { close(ended) })
+	DeferCleanup(func() { close(done) })
 	return server
 }
 
-// neighbourAnswers has a node hear another one of its zone until ctx ends.
-func neighbourAnswers(ctx context.Context, node *Node) {
-	node.contact.note()
+// simulatePeerContact records contact with a peer until ctx ends.
+func simulatePeerContact(ctx context.Context, node *Node) {
+	node.contact.record()
 	go func() {
 		for ctx.Err() == nil {
-			node.contact.note()
+			node.contact.record()
 			wait.Sleep(ctx, isolatedAfter/10)
 		}
 	}()
 }
 
-var _ = Describe("A zone that is cut off", func() {
-	It("is known to its nodes though they hear each other, and they are not ready", func() {
-		node := zonedNode(deafListener().Listener.Addr().String())
+var _ = Describe("An isolated zone", func() {
+	It("makes its nodes isolated even while they reach each other", func() {
+		node := newZonedNode(newUnresponsiveServer().Listener.Addr().String())
 		ctx, cancel := context.WithCancel(context.Background())
 		defer cancel()
-		neighbourAnswers(ctx, node)
-		Expect(node.isolated()).To(BeFalse(), "nothing was asked yet")
+		simulatePeerContact(ctx, node)
+		Expect(node.isolated()).To(BeFalse(), "no probe was sent yet")
 		go node.probeZones(ctx)
 		Eventually(node.isolated, "10s").Should(BeTrue())
 		node.logHealth.observe(nil)
-		Expect(node.isolated()).To(BeFalse(), "the store answers")
+		Expect(node.isolated()).To(BeFalse(), "the log answers")
 	})
 
-	It("is not taken for cut off while a node of another zone answers", func() {
+	It("is not assumed while a node of another zone answers", func() {
 		other := httptest.NewServer(http.NotFoundHandler())
 		DeferCleanup(other.Close)
-		node := zonedNode(other.Listener.Addr().String())
+		node := newZonedNode(other.Listener.Addr().String())
 		ctx, cancel := context.WithCancel(context.Background())
 		defer cancel()
-		node.contact.note()
+		node.contact.record()
 		go node.probeZones(ctx)
-		Consistently(func() bool { return node.zoneCutOff(time.Now()) }, "1500ms").Should(BeFalse())
+		Consistently(func() bool { return node.zoneIsolated(time.Now()) }, "1500ms").Should(BeFalse())
 	})
 
-	It("is not one whose only node is silent while its engines answer", func() {
-		node := zonedNode(deafListener().Listener.Addr().String())
+	It("is not assumed if a zone's only node is silent while its engines answer", func() {
+		node := newZonedNode(newUnresponsiveServer().Listener.Addr().String())
 		node.engines.Upsert(backend.Instance{ID: "e", Service: "s", Zone: "b"}, time.Time{})
 		end := func(outcome backend.Outcome) {
 			node.engines.Finish(node.engines.Pick(&backend.Request{Service: "s"}, time.Now()), outcome, time.Now())
@@ -90,21 +90,21 @@
 		ctx, cancel := context.WithCancel(context.Background())
 		defer cancel()
 		go node.probeZones(ctx)
-		reached := func() bool { return node.reaches("far", time.Now()) }
+		reached := func() bool { return node.nodeReachable("far", time.Now()) }
 		Consistently(reached, "2s").Should(BeTrue(), "an engine there has answered")
 		end(backend.NoResponse)
 		Eventually(reached, "10s").Should(BeFalse())
 	})
 
-	// Nodes that had just started knew no engine and did not reach the store: each zone that they
-	// probed, six times a second, sent them its whole list, 0.75 MB of 3,000 engines.
-	It("is probed without its nodes' records, also by a node that knows none", func() {
+	// Guards against probes that transfer the full engine list, from every probed zone on every
+	// probe.
+	It("is probed without transferring records", func() {
 		probed := newReader(0)
 		update := durable.Update{End: 3000}
 		for offset := range update.End {
 			update.Records = append(update.Records, durable.KeyedRecord{Key: strconv.FormatInt(offset, 10), Value: make([]byte, 250), Offset: offset})
 		}
-		probed.engineView.take(update, time.Now())
+		probed.engineView.merge(update, time.Now())
 		prober := newReader(0)
 		whole, err := (&peerServer{node: probed}).Learn(context.Background(), prober.learnRequest())
 		Expect(err).NotTo(HaveOccurred())
@@ -114,30 +114,30 @@
 		Expect(proto.Size(reply)).To(BeNumerically("<", 100))
 	})
 
-	It("refuses a turn at once whose owner is beyond the cut, with when callers reach another zone", func() {
-		node := zonedNode("beyond")
+	It("refuses a turn with an unreachable owner at once, with a retry delay", func() {
+		node := newZonedNode("beyond")
 		ctx, cancel := context.WithCancel(context.Background())
 		defer cancel()
 		node.ownership = ownership.NewManager(ctx, durable.NewMemory(), zap.NewNop(), ownership.Identity{Node: "self"}, 1, ownership.Dependencies{})
 		node.programs.owners[0] = ownership.Owner{Node: "far", Epoch: 1}
 		node.zones.RecordProbeTimeout("b", time.Now(), time.Now())
 		node.zones.RecordProbeTimeout("b", time.Now(), time.Now())
-		reply, elsewhere := node.programs.ask(ctx, 0, "r", &nodev1.ReserveRequest{Program: "p"})
-		Expect(elsewhere).To(BeFalse(), "no other node of the zone does better")
+		reply, tryOtherNode := node.programs.reserveAtOwner(ctx, 0, "r", &nodev1.ReserveRequest{Program: "p"})
+		Expect(tryOtherNode).To(BeFalse(), "other nodes of the zone are isolated too")
 		Expect(reply.Verdict).To(Equal(nodev1.Verdict_VERDICT_UNSURE))
 		Expect(reply.RetryAfterMs).To(Equal(forward.IsolatedRetryAfter.Milliseconds()))
 		node.programs.owners[0] = ownership.Owner{Node: "near", Epoch: 1}
-		Expect(node.programs.cutOff(0)).To(BeNil(), "an owner in the zone is asked")
+		Expect(node.programs.isolationRefusal(0)).To(BeNil(), "an owner in the same zone is reachable")
 	})
 
-	It("has its owners passed over by the other zones without waiting for them", func() {
-		node := zonedNode("beyond")
+	It("has its nodes skipped by the other zones without waiting", func() {
+		node := newZonedNode("beyond")
 		node.logHealth.observe(nil)
-		Expect(node.reaches("far", time.Now())).To(BeTrue())
+		Expect(node.nodeReachable("far", time.Now())).To(BeTrue())
 		node.zones.RecordProbeTimeout("b", time.Now(), time.Now())
 		node.zones.RecordProbeTimeout("b", time.Now(), time.Now())
-		Expect(node.reaches("far", time.Now())).To(BeFalse())
-		Expect(node.reaches("near", time.Now())).To(BeTrue())
-		Expect(node.zoneCutOff(time.Now())).To(BeFalse(), "the store answers this zone")
+		Expect(node.nodeReachable("far", time.Now())).To(BeFalse())
+		Expect(node.nodeReachable("near", time.Now())).To(BeTrue())
+		Expect(node.zoneIsolated(time.Now())).To(BeFalse(), "the log answers this zone")
 	})
 })
