--- a/internal/feature/feature.go
+++ b/internal/feature/feature.go
@@ -1,6 +1,6 @@
-// Package feature holds the gates of the mechanisms that a node may run without.
-// All are on; a setting turns some off, to measure what each is worth or to rule it
-// out when a failure is looked into. A gate is set once, before anything runs.
+// Package feature defines feature gates. All features are enabled by default and can be
+// disabled by a setting, to measure their effect or to rule them out when diagnosing a failure.
+// The setting is applied once at startup.
 package feature
 
 import (
@@ -11,80 +11,80 @@
 	"github.com/magpielug/magpielug/internal/resultcode"
 )
 
-// Feature is a mechanism with a gate.
+// Feature is the name of a feature gate.
 type Feature string
 
-// Features, each with what a node does without it.
+// Features, each documented by what happens when it is disabled.
 const (
-	// Allowances: every grant waits for a ceiling in the log.
+	// Allowances: every grant waits for a ceiling to be recorded in the log.
 	Allowances Feature = "allowances"
-	// HedgedAppends: an append is sent once, until its time is over.
+	// HedgedAppends: an append is sent only once, until it times out.
 	HedgedAppends Feature = "hedged-appends"
-	// HedgedReads: a read is sent once, until its time is over.
+	// HedgedReads: a read is sent only once, until it times out.
 	HedgedReads Feature = "rereading"
-	// LearningFromPeers: a node that the store does not answer learns nothing.
+	// LearningFromPeers: a node learns nothing while the store does not answer it.
 	LearningFromPeers Feature = "learning-from-peers"
 	// SharedReader: each node reads the store itself.
 	SharedReader Feature = "shared-reader"
-	// AvoidUnresponsiveEngines: engines that give no byte are passed over no more than others.
+	// AvoidUnresponsiveEngines: unresponsive engines are not avoided.
 	AvoidUnresponsiveEngines Feature = "engine-doubt"
-	// EngineReports: nodes do not tell each other which engines they pass over.
+	// EngineReports: nodes do not report to each other which engines they avoid.
 	EngineReports Feature = "engine-reports"
-	// AvoidSlowEngines: engines that are slower than others get as many requests.
+	// AvoidSlowEngines: temporarily slow engines get as many requests as others.
 	AvoidSlowEngines Feature = "engine-pace"
-	// EngineLimits: a node's requests at an engine that refuses some are not bounded.
+	// EngineLimits: a node's concurrency at an engine that refuses requests is not limited.
 	EngineLimits Feature = "engine-limits"
-	// QueueOrder: calls that wait for an engine are served in any order.
+	// QueueOrder: calls waiting for an engine are served in no particular order.
 	QueueOrder Feature = "queue-order"
-	// LongerToolWait: a program's call of a tool waits no longer than any other.
+	// LongerToolWait: a program's tool call waits no longer than other calls.
 	LongerToolWait Feature = "tool-patience"
-	// SafeRepeats: a safe request without an answer waits for it.
+	// SafeRepeats: a safe request without a response is not sent again.
 	SafeRepeats Feature = "safe-repeats"
-	// RemoteRecording: a turn is written by its own node only.
+	// RemoteRecording: a turn is recorded only by its own node.
 	RemoteRecording Feature = "recording-elsewhere"
-	// OwnershipHandover: an owner keeps its shards though it can't write.
+	// OwnershipHandover: an owner keeps its shards even if it cannot write.
 	OwnershipHandover Feature = "yielding"
-	// OwnershipByCapacity: all nodes own alike.
+	// OwnershipByCapacity: all nodes own equal shares, regardless of capacity.
 	OwnershipByCapacity Feature = "ownership-by-capacity"
-	// ClaimRefusal: a node claims shards also while the store does not answer it.
+	// ClaimRefusal: a node claims shards even if the store does not answer it.
 	ClaimRefusal Feature = "claim-refusal"
-	// Isolation: a node that reaches nobody goes on as ready, and searches on.
+	// Isolation: a node that reaches no other stays ready and keeps searching.
 	Isolation Feature = "isolation"
 	// EnginePriority: requests carry no priority to engines.
 	EnginePriority Feature = "engine-priority"
-	// LogGate: a turn runs also while the log answers nobody that could record it.
+	// LogGate: a turn runs even if no node that could record it reaches the log.
 	LogGate Feature = "log-gate"
 	// Egress: each node sends its turns to the engines itself.
 	Egress Feature = "egress"
-	// StaggeredRetries: a node without a configuration names one time to come back.
+	// StaggeredRetries: a node without a configuration tells all callers the same retry time.
 	StaggeredRetries Feature = "later-retries"
-	// ProgramsFirst: a tenant's limit counts each request as it comes, also where
-	// programs that have begun can't end.
+	// ProgramsFirst: a tenant's limit counts requests in order of arrival, even if running
+	// programs cannot finish as a result.
 	ProgramsFirst Feature = "programs-first"
-	// LoadSharing: a node knows of the load only what it has under way itself.
+	// LoadSharing: a node knows only its own load.
 	LoadSharing Feature = "load-sharing"
-	// LoadBasedCapacity: engines are asked that have no room by the load known.
+	// LoadBasedCapacity: requests are sent to engines regardless of their known load.
 	LoadBasedCapacity Feature = "room-by-load"
-	// RetryBudget: a call goes on to further engines as long as it finds one.
+	// RetryBudget: a call tries further engines without limit.
 	RetryBudget Feature = "retry-budget"
-	// Admission: programs begin also where there is no room for them.
+	// Admission: programs start even without capacity for them.
 	Admission Feature = "admission"
-	// TenantShares: programs are admitted whatever their tenants have under way.
+	// TenantShares: programs are admitted regardless of their tenants' usage.
 	TenantShares Feature = "tenant-shares"
-	// MemoryAdmission: programs begin also where their prompts don't fit into engines' memory.
+	// MemoryAdmission: programs start even if their prompts do not fit into the engines'
+	// memory.
 	MemoryAdmission Feature = "memory-room"
-	// EngineBreaker: engines whose requests end badly get as many as others.
+	// EngineBreaker: engines whose requests fail get as many requests as others.
 	EngineBreaker Feature = "engine-breaker"
-	// SpeedWeighting: work is dealt to engines without regard to their speed.
+	// SpeedWeighting: requests are distributed regardless of the engines' speed.
 	SpeedWeighting Feature = "engine-speed"
-	// HeldBytes: what callers have not read is held without a bound over all calls.
+	// HeldBytes: response data not yet read by callers is buffered without an overall limit.
 	HeldBytes Feature = "held-bytes"
-	// ZoneReachability: a node goes by what it sees of single nodes and engines, also where a
-	// whole zone is cut off.
+	// ZoneReachability: nodes and engines are judged individually, even if a whole zone is
+	// unreachable.
 	ZoneReachability Feature = "zone-reach"
 )
 
-// All lists the features.
 var All = []Feature{
 	Allowances, HedgedAppends, HedgedReads, LearningFromPeers, SharedReader, AvoidUnresponsiveEngines, EngineReports, AvoidSlowEngines, EngineLimits,
 	QueueOrder, LongerToolWait, SafeRepeats, RemoteRecording, OwnershipHandover, OwnershipByCapacity, ClaimRefusal, Isolation,
@@ -92,17 +92,16 @@
 	LoadSharing, LoadBasedCapacity, RetryBudget, Admission, TenantShares, MemoryAdmission, EngineBreaker, SpeedWeighting, HeldBytes, ZoneReachability,
 }
 
-// disabled holds the features turned off.
 var disabled atomic.Pointer[map[Feature]bool]
 
-// Enabled tells whether a feature is on.
-func Enabled(asked Feature) bool {
+// Enabled reports whether a feature is enabled.
+func Enabled(feature Feature) bool {
 	off := disabled.Load()
-	return off == nil || !(*off)[asked]
+	return off == nil || !(*off)[feature]
 }
 
-// Disable turns the features off that a list with commas names, and all others on.
-// An unknown name is an InvalidSettings error and changes nothing.
+// Disable disables the features in a comma-separated list and enables all others. An unknown
+// name is an InvalidSettings error and changes nothing.
 func Disable(list string) error {
 	off := map[Feature]bool{}
 	for name := range strings.SplitSeq(list, ",") {
@@ -111,7 +110,7 @@
 			continue
 		}
 		if !slices.Contains(All, Feature(name)) {
-			return resultcode.New(resultcode.InvalidSettings, "feature %q is none of %v", name, All)
+			return resultcode.New(resultcode.InvalidSettings, "unknown feature %q, want one of %v", name, All)
 		}
 		off[Feature(name)] = true
 	}
--- a/internal/feature/feature_test.go
+++ b/internal/feature/feature_test.go
@@ -8,7 +8,7 @@
 	. "github.com/onsi/gomega"
 )
 
-func TestGates(t *testing.T) {
+func TestDisable(t *testing.T) {
 	expect := NewWithT(t)
 	t.Cleanup(func() { _ = feature.Disable("") })
 	for _, each := range feature.All {
@@ -21,6 +21,6 @@
 
 	err := feature.Disable("allowances,guesses")
 	expect.Expect(resultcode.CodeOf(err)).To(Equal(resultcode.InvalidSettings))
-	expect.Expect(feature.Enabled(feature.Allowances)).To(BeTrue(), "nothing changed")
+	expect.Expect(feature.Enabled(feature.Allowances)).To(BeTrue(), "nothing has changed")
 	expect.Expect(feature.Enabled(feature.OwnershipHandover)).To(BeFalse())
 }
