--- a/internal/backend/benchmark_test.go
+++ b/internal/backend/benchmark_test.go
@@ -9,25 +9,26 @@
 	"github.com/magpielug/magpielug/internal/load"
 )
 
-// BenchmarkPickOfManyEngines chooses among the engines of one of seven models at the target size.
-func BenchmarkPickOfManyEngines(b *testing.B) {
+// BenchmarkPickManyEngines picks among 85 engines of one service, whose load is known from a
+// view.
+func BenchmarkPickManyEngines(b *testing.B) {
 	const engines = 600 / 7
 	now := time.Unix(1000, 0)
 	view := load.NewView()
 	directory := backend.NewDirectory()
 	directory.SetLoadView(view)
-	total := load.NewReport()
+	report := load.NewReport()
 	for number := range engines {
 		id := "engine-" + strconv.Itoa(number)
 		directory.Upsert(backend.Instance{ID: id, Service: "s", Zone: "a", Slots: 90}, time.Time{})
-		total.Engines[id] = load.Engine{Running: 60}
+		report.Engines[id] = load.Engine{Running: 60}
 	}
-	view.Update(total, load.NewReport(), 400*time.Millisecond, now)
+	view.Update(report, load.NewReport(), 400*time.Millisecond, now)
 	directory.UpdateLoad(nil, now)
 	for b.Loop() {
 		engine := directory.Pick(&backend.Request{Service: "s", Zone: "a"}, now)
 		if engine == nil {
-			b.Fatal("no engine has room")
+			b.Fatal("no engine has free capacity")
 		}
 		directory.Finish(engine, backend.Abandoned, now)
 	}
--- a/internal/backend/breaker.go
+++ b/internal/backend/breaker.go
@@ -6,149 +6,153 @@
 	"time"
 )
 
-// Engine breakers answer one load pattern: some of a service's engines end requests badly
-// while the others serve. They answer errors at once, hang, or break answers off; as they
-// are never busy, they draw more work the worse they are. A breaker that is open keeps
-// work off its engine but for single probes, which tell when the engine serves again.
+// Circuit breakers for engines that fail requests while others of the same service succeed.
+// Failing engines never appear busy, so load-based selection would send them even more work. An
+// open breaker blocks all requests to its engine except single probes, which detect recovery.
 //
-// The code here decides and has no clock, lock or network. docs/design/breaker.md tells
-// who calls it.
+// This file holds pure decision logic, without clock, locks or network. See
+// docs/design/breaker.md for its callers.
 
 const (
-	// leastFailed is how many bad ends open a breaker at least, as they have faded: three
-	// within half a second. Two come about by chance, as one in a hundred calls that a tool
-	// answers itself ends in an error.
-	leastFailed = 2.3
-	// leastShare is the least share of bad ends that opens a breaker. A caller tries a turn
-	// three times: at a share of 0.25 one turn in 64 fails even if all tries fall on such
-	// engines, and to close the engine to work would cost more in room.
-	leastShare = 0.25
-	// usualFactor is how many times the usual share of the service an engine's has to be, or
-	// half way from that to 1: where all engines fail alike the cause is not an engine.
-	usualFactor = 5.0
-	// closingExcess over the usual share keeps a breaker open. It is less than what opens
-	// one, so that an engine on the edge is not opened and closed in turn.
-	closingExcess = 0.15
-	// forgottenFailed bad ends are too few to keep a breaker open.
-	forgottenFailed = 0.25
-	// halfOpenShare is the share of bad ends below which probes go out halfOpenRate
-	// times as often: some of them have succeeded.
-	halfOpenShare = 0.7
-	halfOpenRate  = 5
-	// ownWeight is how much more what a node has seen itself weighs than what others
-	// have: an engine may fail the callers of one zone only.
-	ownWeight = 2.0
-	// leastOpen is how long a breaker stays open at least. It doubles with each time that
-	// it opens within flapMemory of its closing, up to longestOpen: nodes notice a failure
-	// half a second late, and of one that comes each other second only a long pause spares
-	// callers most.
-	leastOpen   = time.Second
-	longestOpen = 8 * time.Second
-	flapMemory  = 20 * time.Second
-	// probePeriod is how long all nodes together leave between two probes of an engine
-	// whose breaker is open. Each may cost a caller one of its tries.
-	probePeriod = 500 * time.Millisecond
-	// probeGrace is how long a due probe waits for a request that may be repeated.
-	probeGrace = probePeriod
+	// minFailures is the decayed number of failures required to open a breaker: three within
+	// 0.5 s. Two may be chance, as about 1 % of tool calls return an error.
+	minFailures = 2.3
+	// minFailureRate is the lowest failure rate that opens a breaker. With three attempts per
+	// call, a rate of 0.25 fails at most one call in 64, which costs less than the capacity
+	// lost by opening the breaker.
+	minFailureRate = 0.25
+	// baselineFactor is how many times the service's baseline an engine's failure rate must be,
+	// capped at halfway between the baseline and 1: if all engines fail alike, the cause is
+	// elsewhere.
+	baselineFactor = 5.0
+	// keepOpenMargin is the excess over the baseline that keeps a breaker open. It is below the
+	// opening threshold to provide hysteresis.
+	keepOpenMargin = 0.15
+	// negligibleFailures is the decayed number of failures below which a breaker may close
+	// regardless of its failure rate.
+	negligibleFailures = 0.25
+	// halfOpenFailureRate is the failure rate below which probes are sent halfOpenProbeFactor
+	// times as often, because some of them have succeeded.
+	halfOpenFailureRate = 0.7
+	halfOpenProbeFactor = 5
+	// localWeight is the weight of outcomes seen by this node relative to those reported by
+	// other nodes: an engine may fail only callers of one zone.
+	localWeight = 2.0
+	// initialOpenTime is the minimum time a breaker stays open. It doubles, up to maxOpenTime,
+	// each time the breaker reopens within flapWindow of closing, so that a flapping engine is
+	// excluded for most of the time.
+	initialOpenTime = time.Second
+	maxOpenTime     = 8 * time.Second
+	flapWindow      = 20 * time.Second
+	// engineProbeInterval is the time between two probes of an engine with an open breaker,
+	// over all nodes. A failed probe costs its caller one attempt.
+	engineProbeInterval = 500 * time.Millisecond
+	// nonRepeatableProbeDelay is how long a due probe is reserved for repeatable requests.
+	nonRepeatableProbeDelay = engineProbeInterval
 )
 
-// ends sums how requests to an engine ended, faded by answeredMemory and failedMemory.
-type ends struct{ answered, failed float64 }
+// outcomeCounts holds the numbers of succeeded and failed requests to an engine, decayed by
+// successDecay and failureDecay.
+type outcomeCounts struct{ succeeded, failed float64 }
 
-// share is that of bad ends as they come: good ones fade sooner. It is 0 where there are none.
-func (sum ends) share() float64 {
-	if sum.failed == 0 {
+// failureRate returns the rate of failures, corrected for the different decay of the two
+// counts. It is 0 if there are no failures.
+func (counts outcomeCounts) failureRate() float64 {
+	if counts.failed == 0 {
 		return 0
 	}
-	answered := sum.answered / answeredMemory.Seconds()
-	failed := sum.failed / failedMemory.Seconds()
-	return failed / (answered + failed)
+	succeeded := counts.succeeded / successDecay.Seconds()
+	failed := counts.failed / failureDecay.Seconds()
+	return failed / (succeeded + failed)
 }
 
-// plus adds other ends, each counted some times.
-func (sum ends) plus(other ends, weight float64) ends {
-	return ends{answered: sum.answered + weight*other.answered, failed: sum.failed + weight*other.failed}
+// plusWeighted returns the sum of both counts, with other scaled by weight.
+func (counts outcomeCounts) plusWeighted(other outcomeCounts, weight float64) outcomeCounts {
+	return outcomeCounts{succeeded: counts.succeeded + weight*other.succeeded, failed: counts.failed + weight*other.failed}
 }
 
-// breakerState is an engine's breaker before a decision.
+// breakerState is the input to the decision on one engine's breaker.
 type breakerState struct {
-	// ends are weighed, failed counts the bad ones as they are.
-	ends   ends
-	failed float64
-	// fails is true where further requests have ended badly since the decision before.
-	fails bool
-	open  bool
-	// held is true while the breaker may not close yet.
-	held bool
+	// outcomes are weighted by localWeight, failed is the unweighted number of failures.
+	outcomes outcomeCounts
+	failed   float64
+	// newFailures is true if requests have failed since the previous evaluation.
+	newFailures bool
+	open        bool
+	// mustStayOpen is true until the minimum open time has passed.
+	mustStayOpen bool
 }
 
-// openBreakers tells of the engines of a service whose breakers are open from now on: the
-// worst of those whose ends say so, and no more than doubtShare of all.
-func openBreakers(states []breakerState) []bool {
-	usual := usualShareOfBad(states)
-	var bad []int
+// selectOpenBreakers returns, for each engine of a service, whether its breaker is open from
+// now on. If more than maxOpenBreakers qualify, those with the highest failure rates are
+// chosen.
+func selectOpenBreakers(states []breakerState) []bool {
+	baseline := baselineFailureRate(states)
+	var candidates []int
 	for index, state := range states {
-		if isBad(state, usual) {
-			bad = append(bad, index)
+		if shouldBeOpen(state, baseline) {
+			candidates = append(candidates, index)
 		}
 	}
-	slices.SortStableFunc(bad, func(left, right int) int { return compareEnds(states[right].ends, states[left].ends) })
+	slices.SortStableFunc(candidates, func(left, right int) int { return compareFailureRates(states[right].outcomes, states[left].outcomes) })
 	open := make([]bool, len(states))
-	for _, index := range bad[:min(len(bad), mostOpen(len(states)))] {
+	for _, index := range candidates[:min(len(candidates), maxOpenBreakers(len(states)))] {
 		open[index] = true
 	}
 	return open
 }
 
-// mostOpen is how many breakers of a service may be open: the others have to carry the load.
-func mostOpen(engines int) int { return int(doubtShare * float64(engines)) }
+// maxOpenBreakers is the maximum number of open breakers of a service: the other engines have
+// to carry the load.
+func maxOpenBreakers(engines int) int { return int(maxExcludedShare * float64(engines)) }
 
-// isBad tells whether an engine's ends open its breaker or keep it open. Old ones open
-// none: when a service recovers whose engines have all failed, some are the first to answer.
-func isBad(state breakerState, usual float64) bool {
+// shouldBeOpen reports whether an engine's outcomes open its breaker or keep it open. Without
+// new failures no breaker opens: when all engines of a service recover, some are the first to
+// succeed and lower the baseline for the others.
+func shouldBeOpen(state breakerState, baseline float64) bool {
 	if !state.open {
-		limit := max(leastShare, usual+closingExcess, min(usualFactor*usual, (usual+1)/2))
-		return state.fails && state.failed >= leastFailed && state.ends.share() > limit
+		threshold := max(minFailureRate, baseline+keepOpenMargin, min(baselineFactor*baseline, (baseline+1)/2))
+		return state.newFailures && state.failed >= minFailures && state.outcomes.failureRate() > threshold
 	}
-	return state.held || (state.failed > forgottenFailed && state.ends.share() > usual+closingExcess)
+	return state.mustStayOpen || (state.failed > negligibleFailures && state.outcomes.failureRate() > baseline+keepOpenMargin)
 }
 
-// compareEnds orders by how bad the ends are.
-func compareEnds(left, right ends) int {
-	return cmp.Or(cmp.Compare(left.share(), right.share()), cmp.Compare(left.failed, right.failed))
+// compareFailureRates orders by failure rate, then by number of failures.
+func compareFailureRates(left, right outcomeCounts) int {
+	return cmp.Or(cmp.Compare(left.failureRate(), right.failureRate()), cmp.Compare(left.failed, right.failed))
 }
 
-// usualShareOfBad is the share of bad ends of the engines that would stay if all that may
-// be were left out: those that fail draw much of the work and would hide themselves in a
-// mean over all.
-func usualShareOfBad(states []breakerState) float64 {
-	sums := make([]ends, 0, len(states))
+// baselineFailureRate is the failure rate of a service without its maxOpenBreakers worst
+// engines, which would otherwise dominate the mean because they attract much of the work.
+func baselineFailureRate(states []breakerState) float64 {
+	counts := make([]outcomeCounts, 0, len(states))
 	for _, state := range states {
-		sums = append(sums, state.ends)
+		counts = append(counts, state.outcomes)
 	}
-	slices.SortFunc(sums, compareEnds)
-	var best ends
-	for _, sum := range sums[:len(sums)-mostOpen(len(sums))] {
-		best.answered += sum.answered
-		best.failed += sum.failed
+	slices.SortFunc(counts, compareFailureRates)
+	var total outcomeCounts
+	for _, each := range counts[:len(counts)-maxOpenBreakers(len(counts))] {
+		total.succeeded += each.succeeded
+		total.failed += each.failed
 	}
-	return best.share()
+	return total.failureRate()
 }
 
-// openTime is how long a breaker stays open at least that has opened again some times.
-func openTime(repetitions int) time.Duration {
-	const mostDoublings = 8
-	return min(leastOpen<<min(repetitions, mostDoublings), longestOpen)
+// openTime returns the minimum time a breaker stays open after the given number of reopenings.
+func openTime(reopenings int) time.Duration {
+	const maxDoublings = 8
+	return min(initialOpenTime<<min(reopenings, maxDoublings), maxOpenTime)
 }
 
-// halfOpen tells whether probes of an engine whose breaker is open have succeeded.
-func halfOpen(sum ends) bool { return sum.share() < halfOpenShare }
+// isHalfOpen reports whether some probes of an engine with an open breaker have succeeded.
+func isHalfOpen(counts outcomeCounts) bool { return counts.failureRate() < halfOpenFailureRate }
 
-// probePause is how long one of some nodes waits between its probes of an engine.
-func probePause(nodes int, halfOpen bool) time.Duration {
-	pause := probePeriod * time.Duration(max(nodes, 1))
+// nodeProbeInterval is the time between two probes of an engine by one of the given number of
+// nodes.
+func nodeProbeInterval(nodes int, halfOpen bool) time.Duration {
+	interval := engineProbeInterval * time.Duration(max(nodes, 1))
 	if halfOpen {
-		pause /= halfOpenRate
+		interval /= halfOpenProbeFactor
 	}
-	return pause
+	return interval
 }
--- a/internal/backend/capacity.go
+++ b/internal/backend/capacity.go
@@ -2,43 +2,43 @@
 
 import "time"
 
-// Capacity is what the sound engines of a service have.
+// Capacity is the total capacity of the healthy engines of a service.
 type Capacity struct {
 	Service string
-	// Slots is how many requests they run at once, 0 where not all say so.
+	// Slots is the number of requests they run concurrently, 0 if an engine does not report its
+	// slots.
 	Slots int
-	// Engines lists their ids.
+	// Engines lists their IDs.
 	Engines []string
 }
 
-// Capacities returns what the sound engines of each service have. An engine that has just
-// said that it is full is as sound as others, and so is one among many that are silent:
-// that is what load looks like. Engines of zones that are out of reach count only where a
-// service has no others.
+// Capacities returns the capacity of the healthy engines of each service. Full engines count as
+// healthy, and so do suspected ones if there are too many of them, because both indicate load.
+// Engines in unreachable zones count only if a service has no others.
 func (directory *Directory) Capacities(now time.Time) []Capacity {
 	directory.mutex.Lock()
 	defer directory.mutex.Unlock()
-	directory.usable("")
+	directory.eligible("")
 	var all []Capacity
-	for service := range directory.services {
-		all = append(all, capacityOf(service, directory.usableNow(service, now), now))
+	for service := range directory.eligibleByService {
+		all = append(all, capacityOf(service, directory.eligibleNow(service, now), now))
 	}
 	return all
 }
 
 func capacityOf(service string, engines []*Engine, now time.Time) Capacity {
 	capacity := Capacity{Service: service}
-	heedDoubt := heedsDoubt(engines, now)
-	allTell := true
+	honorSuspicion := honorsSuspicion(engines, now)
+	allReported := true
 	for _, engine := range engines {
-		if now.Before(engine.avoidUntil) || (heedDoubt && engine.doubted(now)) {
+		if now.Before(engine.avoidUntil) || (honorSuspicion && engine.suspected(now)) {
 			continue
 		}
-		allTell = allTell && engine.Slots > 0
+		allReported = allReported && engine.Slots > 0
 		capacity.Slots += engine.Slots
 		capacity.Engines = append(capacity.Engines, engine.ID)
 	}
-	if !allTell {
+	if !allReported {
 		capacity.Slots = 0
 	}
 	return capacity
--- a/internal/backend/capacity_test.go
+++ b/internal/backend/capacity_test.go
@@ -10,7 +10,7 @@
 )
 
 var _ = Describe("Capacities", func() {
-	newSlotted := func() *backend.Directory {
+	newDirectoryWithSlots := func() *backend.Directory {
 		directory := backend.NewDirectory()
 		for number := range 4 {
 			directory.Upsert(backend.Instance{ID: fmt.Sprint("e", number), Service: service, Address: fmt.Sprint("10.0.0.", number, ":1"), Slots: 6}, time.Time{})
@@ -29,32 +29,32 @@
 	}
 
 	It("sum the slots of each service", func() {
-		directory := newSlotted()
+		directory := newDirectoryWithSlots()
 		Expect(slots(directory, service, now)).To(Equal(24))
 		Expect(slots(directory, "tools", now)).To(Equal(5))
 	})
 
-	It("leave engines out that leave or are down, but not those that are full", func() {
-		directory := newSlotted()
+	It("exclude draining and unreachable engines, but not full ones", func() {
+		directory := newDirectoryWithSlots()
 		directory.Upsert(backend.Instance{ID: "e3", Service: service, Address: "10.0.0.3:1", Slots: 6, Draining: true}, time.Time{})
-		directory.Finish(assign(directory, "e0"), backend.Unreachable, now)
-		directory.Finish(assign(directory, "e1"), backend.Full, now)
+		directory.Finish(pickAssigned(directory, "e0"), backend.Unreachable, now)
+		directory.Finish(pickAssigned(directory, "e1"), backend.Full, now)
 		Expect(slots(directory, service, now)).To(Equal(12))
 		Expect(slots(directory, service, now.Add(time.Minute))).To(Equal(18))
 	})
 
-	It("heed doubt of single engines, and not of most: that is what load looks like", func() {
-		directory := newSlotted()
+	It("exclude suspected engines unless too many are suspected, which indicates load", func() {
+		directory := newDirectoryWithSlots()
 		directory.AddReported([]string{"e0"}, now)
 		Expect(slots(directory, service, now)).To(Equal(18))
 		directory.AddReported([]string{"e1", "e2"}, now)
 		Expect(slots(directory, service, now)).To(Equal(24))
 	})
 
-	It("are not known of a service with an engine that does not say its slots", func() {
-		directory := newSlotted()
+	It("are unknown for a service with an engine that does not report its slots", func() {
+		directory := newDirectoryWithSlots()
 		directory.Upsert(backend.Instance{ID: "e4", Service: service, Address: "10.0.0.4:1"}, time.Time{})
-		Expect(slots(directory, service, now)).To(BeZero(), "its requests would count against the slots of others")
+		Expect(slots(directory, service, now)).To(BeZero(), "its requests would count against other engines' slots")
 		Expect(slots(directory, "tools", now)).To(Equal(5))
 	})
 })
--- a/internal/backend/cold_test.go
+++ b/internal/backend/cold_start_test.go
@@ -12,11 +12,10 @@
 	. "github.com/onsi/gomega"
 )
 
-// coldLimit is 24 requests a second, and 17 more within one second: half as many again and 5.
 var coldLimit = backend.ColdLimit{PerSecond: 24, Burst: 17}
 
-// sendersOf gives each of some nodes its place in the order of an engine's senders.
-func sendersOf(nodes int) func(node int) func(engine string) (int, int, bool) {
+// senderPositions returns a position function for each node.
+func senderPositions(nodes int) func(node int) func(engine string) (int, int, bool) {
 	return func(node int) func(engine string) (int, int, bool) {
 		return func(engine string) (int, int, bool) {
 			order := make([]int, nodes)
@@ -31,16 +30,14 @@
 	}
 }
 
-// TestAZonesEnginesComeBackCold replays the load of a zone of 11 of 45 engines that comes back
-// cold and empty while 68 nodes have 900 requests a second, which all of them would send to the
-// engines with the least to do. Nodes tell each other nothing. The limit is what the engines
-// bear before they fall over, counted within any second.
-func TestAZonesEnginesComeBackCold(t *testing.T) {
+// TestColdLimitHoldsWhenZoneRestarts guards against uncoordinated nodes overloading the idle,
+// cold engines of a restarted zone beyond the limit within any second.
+func TestColdLimitHoldsWhenZoneRestarts(t *testing.T) {
 	const nodes, engines, cold = 68, 45, 11
 	for seed := range uint64(4) {
 		expect := NewWithT(t)
-		random := rand.New(rand.NewPCG(seed, 2))
-		senders := sendersOf(nodes)
+		rng := rand.New(rand.NewPCG(seed, 2))
+		senders := senderPositions(nodes)
 		var directories []*backend.Directory
 		for node := range nodes {
 			directory := backend.NewDirectory()
@@ -56,7 +53,7 @@
 		}
 		received := map[string][]time.Duration{}
 		for at := time.Duration(0); at < 3*time.Second; at += time.Second / 900 {
-			directory := directories[random.IntN(nodes)]
+			directory := directories[rng.IntN(nodes)]
 			engine := directory.Pick(&backend.Request{Service: service, Zone: "z"}, now.Add(at))
 			if engine == nil {
 				continue
@@ -66,7 +63,7 @@
 		}
 		for engine := range cold {
 			times := received[fmt.Sprint("e", engine)]
-			expect.Expect(times).NotTo(BeEmpty(), "an engine without work learns no prompts, and is as empty once it is warm")
+			expect.Expect(times).NotTo(BeEmpty(), "an engine without requests would fill no cache and remain cold")
 			for first, last := 0, 0; last < len(times); last++ {
 				for times[last]-times[first] > time.Second {
 					first++
@@ -77,30 +74,30 @@
 	}
 }
 
-func TestAnEngineIsColdNoLongerThanItSays(t *testing.T) {
+func TestColdLimitEndsWithColdRemaining(t *testing.T) {
 	expect := NewWithT(t)
 	directory := backend.NewDirectory()
 	directory.SetColdLimits(func(string) backend.ColdLimit { return coldLimit }, func(string) (int, int, bool) { return 60, 68, true })
 	directory.Upsert(backend.Instance{ID: "e", Service: service, Slots: 4, ColdRemaining: 2 * time.Second}, now)
-	expect.Expect(assign(directory, "e")).To(BeNil(), "others send what it bears")
-	expect.Expect(directory.FreeCapacity(service, now)).To(BeZero(), "a call that was woken would find no engine")
+	expect.Expect(pickAssigned(directory, "e")).To(BeNil(), "other nodes send all that the limit allows")
+	expect.Expect(directory.FreeCapacity(service, now)).To(BeZero(), "a woken call would find no engine")
 	request := &backend.Request{Service: service}
 	expect.Expect(directory.Pick(request, now.Add(2*time.Second))).NotTo(BeNil())
-	// It may turn cold again at any moment.
+	// An engine may become cold again at any time.
 	directory.Upsert(backend.Instance{ID: "e", Service: service, Slots: 4, ColdRemaining: time.Second}, now.Add(3*time.Second))
 	expect.Expect(directory.Pick(request, now.Add(3500*time.Millisecond))).To(BeNil())
 	expect.Expect(directory.Pick(request, now.Add(4*time.Second))).NotTo(BeNil())
 }
 
-func TestANodeThatKnowsNoOthersSendsNothingToColdEngines(t *testing.T) {
+func TestColdEngineGetsNothingWhileNodesUnknown(t *testing.T) {
 	expect := NewWithT(t)
 	directory := backend.NewDirectory()
 	directory.SetColdLimits(func(string) backend.ColdLimit { return coldLimit }, func(string) (int, int, bool) { return 0, 0, false })
 	directory.Upsert(backend.Instance{ID: "e", Service: service, Slots: 4, ColdRemaining: time.Second}, now)
-	expect.Expect(assign(directory, "e")).To(BeNil())
+	expect.Expect(pickAssigned(directory, "e")).To(BeNil())
 }
 
-func TestOwnersKeepLinesOnColdEnginesOnlyWhereAllAreCold(t *testing.T) {
+func TestHealthyIncludesColdEnginesOnlyIfAllAreCold(t *testing.T) {
 	expect := NewWithT(t)
 	directory := backend.NewDirectory()
 	directory.Upsert(backend.Instance{ID: "cold", Service: service, Slots: 4, ColdRemaining: time.Second}, now)
--- /dev/null
+++ b/internal/backend/connection_pool_test.go
@@ -0,0 +1,74 @@
+package backend
+
+import (
+	"context"
+	"fmt"
+	"net"
+	"testing"
+	"time"
+
+	"github.com/magpielug/magpielug/internal/feature"
+	. "github.com/onsi/gomega"
+)
+
+// startListener returns the address of a listener that accepts connections.
+func startListener(t *testing.T) string {
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { _ = listener.Close() })
+	return listener.Addr().String()
+}
+
+func TestGetLimitsNewConnectionsToRefusingEngine(t *testing.T) {
+	expect := NewWithT(t)
+	pool, address, otherAddress := NewConnectionPool(), startListener(t), startListener(t)
+	pool.RecordRefusal(address, time.Now().Add(time.Hour))
+	first, err := pool.Get(context.Background(), address, 0)
+	expect.Expect(err).NotTo(HaveOccurred())
+	defer first.Close()
+	_, err = pool.Get(context.Background(), address, 0)
+	expect.Expect(err).To(MatchError(ErrTooManyConnections))
+	otherConnection, err := pool.Get(context.Background(), otherAddress, 0)
+	expect.Expect(err).NotTo(HaveOccurred(), "other engines are not affected")
+	defer otherConnection.Close()
+
+	first.Release(time.Now().Add(time.Minute))
+	reused, err := pool.Get(context.Background(), address, 0)
+	expect.Expect(err).NotTo(HaveOccurred())
+	expect.Expect(reused).To(BeIdenticalTo(first), "idle connections are reused")
+	expect.Expect(pool.OpenedCount()).To(Equal(int64(2)))
+}
+
+func TestMayDialRateWhileEngineRefuses(t *testing.T) {
+	expect := NewWithT(t)
+	pool := NewConnectionPool()
+	opened := func(from, to time.Duration) int {
+		count := 0
+		for since := from; since < to; since += 10 * time.Millisecond {
+			if pool.mayDial("a", testNow.Add(since)) {
+				count++
+			}
+		}
+		return count
+	}
+	expect.Expect(opened(0, time.Second)).To(Equal(100))
+	pool.RecordRefusal("a", testNow)
+	expect.Expect(opened(0, refusalWindow)).To(Equal(3))
+	expect.Expect(opened(refusalWindow+10*time.Millisecond, time.Second)).To(Equal(49), "the refusal window has passed")
+
+	t.Cleanup(func() { _ = feature.Disable("") })
+	expect.Expect(feature.Disable(string(feature.LoadBasedCapacity))).To(Succeed())
+	pool.RecordRefusal("a", testNow)
+	expect.Expect(opened(0, refusalWindow)).To(Equal(50))
+}
+
+func TestExpiredRefusalsAreRemoved(t *testing.T) {
+	expect := NewWithT(t)
+	pool := NewConnectionPool()
+	for number := range 100 {
+		pool.RecordRefusal(fmt.Sprint("engine-", number), testNow.Add(time.Duration(number)*time.Minute))
+	}
+	expect.Expect(pool.refusals).To(HaveLen(1))
+}
--- a/internal/backend/directory.go
+++ b/internal/backend/directory.go
@@ -1,5 +1,5 @@
-// Package backend knows the engines of the services: which there are, which may
-// get a request, what was seen of each, and the connections kept to them.
+// Package backend maintains the engines of all services: their state, the selection of an
+// engine for a request, the queue of waiting requests, and connections to engines.
 package backend
 
 import (
@@ -12,7 +12,7 @@
 	"github.com/magpielug/magpielug/internal/region"
 )
 
-// Instance is one incarnation of an engine as it records itself.
+// Instance is one incarnation of an engine as registered by itself.
 type Instance struct {
 	ID      string
 	Service string
@@ -21,212 +21,215 @@
 	Slots   int
 	// Draining engines get no new requests.
 	Draining bool
-	// Incarnation tells an engine's starts under one id apart: the Unix millisecond of its start,
-	// 0 where it does not say.
+	// Incarnation is the start time of the engine in Unix milliseconds and distinguishes
+	// restarts under one ID. It is 0 if the engine does not report it.
 	Incarnation int64
-	// ColdRemaining is how long the engine is still slow from its start, and bears few requests.
+	// ColdRemaining is how long the engine is still cold after its start and can take few
+	// requests.
 	ColdRemaining time.Duration
 }
 
-// begins tells whether a record is of a later life of an engine than another one.
-func (instance *Instance) begins(known *Instance) bool {
+// supersedes reports whether the record belongs to a later incarnation than a known one.
+func (instance *Instance) supersedes(known *Instance) bool {
 	return known.Incarnation != 0 && instance.Incarnation > known.Incarnation
 }
 
-// endedBefore tells whether a record is of a life that is over.
-func (instance *Instance) endedBefore(known *Instance) bool {
+// staleAgainst reports whether the record belongs to an earlier incarnation than a known one.
+func (instance *Instance) staleAgainst(known *Instance) bool {
 	return instance.Incarnation != 0 && instance.Incarnation < known.Incarnation
 }
 
-// Engine is an instance with what this node has seen of it. Its fields under
-// the directory's lock are read through the directory's methods.
+// Engine is an instance with this node's observations of it. Fields protected by the
+// directory's lock are read through the directory's methods.
 type Engine struct {
 	Instance
-	// running is the number of this node's requests under way there, silent that of those
-	// without a byte of an answer.
-	running int
-	silent  int
-	// others is what the other nodes are thought to have there, as of the last estimate.
-	others othersAt
-	// limit bounds them while the engine refuses some.
-	limit limit
-	// coldUntil is until when the engine is cold, warming this node's part of what it bears
-	// until then.
-	coldUntil time.Time
-	warming   allowance
-	// failures in a row, and until when the engine is passed over for them.
+	// running is the number of this node's running requests, awaitingFirstByte the number of
+	// those without a byte of a response.
+	running           int
+	awaitingFirstByte int
+	// remote is the estimated load from other nodes, as of the last estimate.
+	remote remoteLoad
+	// limit bounds running while the engine refuses requests.
+	limit concurrencyLimit
+	// coldUntil is when the engine is warm. coldBucket limits this node's requests until then.
+	coldUntil  time.Time
+	coldBucket tokenBucket
+	// failures counts consecutive failures, for which the engine is avoided until avoidUntil.
 	failures   int
 	avoidUntil time.Time
-	// fullUntil is until when it is passed over for having no room.
+	// fullUntil is the end of the backoff after a refusal.
 	fullUntil time.Time
-	// silentUntil is until when it is in doubt for a request that got no answer,
-	// reportedUntil for what other nodes told.
-	silentUntil   time.Time
-	reportedUntil time.Time
-	// pace is how long requests wait there, untold the part of it that the gathering
-	// node was not told yet, slowTold what that node says of the engine, which counts
-	// until slowToldUntil.
-	pace          fadingPace
-	untold        LatencyStats
-	slowTold      float64
-	slowToldUntil time.Time
-	// steady is how long requests take there lastingly, speedTold what another node says
-	// of that, which counts until speedToldUntil.
-	steady         fadingPace
-	speedTold      float64
-	speedToldUntil time.Time
-	// ends sums how this node's requests ended there.
-	ends    fadingEnds
-	breaker breaker
+	// The engine is suspected until noResponseUntil because a request got no response, and
+	// until reportedUntil because other nodes avoid it.
+	noResponseUntil time.Time
+	reportedUntil   time.Time
+	// recentLatency holds the recent latency observations, unreported those not yet reported to
+	// the aggregating node. remoteSlowness is the slowness reported by that node, valid until
+	// remoteSlownessUntil.
+	recentLatency       decayingLatency
+	unreported          LatencyStats
+	remoteSlowness      float64
+	remoteSlownessUntil time.Time
+	// longTermLatency holds the long-term latency observations. remoteLongTermSlowness is the
+	// long-term slowness reported by another node, valid until remoteLongTermUntil.
+	longTermLatency        decayingLatency
+	remoteLongTermSlowness float64
+	remoteLongTermUntil    time.Time
+	// outcomes counts the outcomes of this node's requests.
+	outcomes decayingOutcomes
+	breaker  breaker
 }
 
-// unfit tells whether the engine gets requests only where no other can.
-func (engine *Engine) unfit(now time.Time) bool {
+// backingOff reports whether the engine is avoided because of failures or refusals.
+func (engine *Engine) backingOff(now time.Time) bool {
 	return now.Before(engine.avoidUntil) || now.Before(engine.fullUntil)
 }
 
-// doubted tells whether the engine may be hung or down.
-func (engine *Engine) doubted(now time.Time) bool {
-	return now.Before(engine.silentUntil) || now.Before(engine.reportedUntil)
+// suspected reports whether the engine may be hanging or down.
+func (engine *Engine) suspected(now time.Time) bool {
+	return now.Before(engine.noResponseUntil) || now.Before(engine.reportedUntil)
 }
 
-// doubtShare of a service's engines is the most that may be passed over for
-// doubt. Where more are silent the service is overloaded, and to leave its slowest
-// engines would overload the others in turn, for as long as the load lasts.
-const doubtShare = 1.0 / 3
+// maxExcludedShare is the maximum share of a service's engines that may be excluded as
+// suspected or by open breakers. If more are unresponsive, the service is overloaded, and
+// excluding the slowest engines would overload the others.
+const maxExcludedShare = 1.0 / 3
 
-// heedsDoubt tells whether few enough engines are in doubt.
-func heedsDoubt(engines []*Engine, now time.Time) bool {
+// honorsSuspicion reports whether few enough engines are suspected for them to be avoided.
+func honorsSuspicion(engines []*Engine, now time.Time) bool {
 	if !feature.Enabled(feature.AvoidUnresponsiveEngines) {
 		return false
 	}
-	doubted := 0
+	suspected := 0
 	for _, engine := range engines {
-		if engine.doubted(now) {
-			doubted++
+		if engine.suspected(now) {
+			suspected++
 		}
 	}
-	return float64(doubted) <= doubtShare*float64(len(engines))
+	return float64(suspected) <= maxExcludedShare*float64(len(engines))
 }
 
 const (
-	// failuresToAvoid in a row make an engine passed over for a while.
-	failuresToAvoid = 2
-	// avoidFirst is the first such while; it doubles up to avoidMost.
-	avoidFirst = 300 * time.Millisecond
-	avoidMost  = 3 * time.Second
-	// unreachableAvoid is how long an engine is passed over at least that took no
-	// connection: it is down, and may come and go.
-	unreachableAvoid = time.Second
-	// silentAvoid is how long an engine is passed over while a request there gets
-	// no answer, and after such a one was given up.
-	silentAvoid = time.Second
-	// usualWeight is the weight of the newest answer in the usual wait, usualShare
-	// how many times that a request may wait without a doubt.
-	usualWeight = 0.05
-	usualShare  = 5
-	// reportedFor is how long another node's report counts.
-	reportedFor = time.Second
-	// fullPause is how long an engine is passed over that said it was full.
-	fullPause = 25 * time.Millisecond
+	// avoidanceThreshold is the number of consecutive failures after which an engine is
+	// avoided.
+	avoidanceThreshold = 2
+	// initialAvoidance is how long an engine is avoided at first; it doubles up to
+	// maxAvoidance.
+	initialAvoidance = 300 * time.Millisecond
+	maxAvoidance     = 3 * time.Second
+	// unreachableAvoidance is the initial time an engine is avoided after a failed connection
+	// attempt.
+	unreachableAvoidance = time.Second
+	// noResponseAvoidance is how long an engine is suspected while a request awaits its
+	// response, and initially after such a request was given up.
+	noResponseAvoidance = time.Second
+	// firstByteWeight is the weight of the latest observation in the mean time to the first
+	// byte. firstByteTimeoutFactor is the multiple of that mean after which an engine is
+	// suspected.
+	firstByteWeight        = 0.05
+	firstByteTimeoutFactor = 5
+	// reportTTL is how long a report from another node is valid.
+	reportTTL = time.Second
+	// fullBackoff is the initial backoff after an engine has refused a request as full.
+	fullBackoff = 25 * time.Millisecond
 )
 
 // Directory holds the engines of all services. It is safe for concurrent use.
 type Directory struct {
 	mutex   sync.Mutex
 	engines map[string]*Engine
-	// services lists the engines that may get requests, by service; it is nil
-	// while it has to be made anew.
-	services map[string][]*Engine
-	policy   Policy
-	// usual is the usual wait for the first byte of an answer, by service.
-	usual map[string]time.Duration
-	// usualOfRoute is the same by route, and less moved by single long waits.
-	usualOfRoute map[string]time.Duration
-	// durations is the mean time of a request that was answered, by service.
-	durations map[string]time.Duration
-	// bounds are this node's parts of the room by the newest view, limits what it has learned
-	// from refusals, by service.
-	bounds bounds
-	limits map[string]*limit
-	// nodes counts the nodes that share the engines, nil where that is not known.
+	// eligibleByService lists the engines that may get requests; nil if it has to be rebuilt.
+	eligibleByService map[string][]*Engine
+	policy            Policy
+	// firstByteMeans is the mean time to the first byte, by service.
+	firstByteMeans map[string]time.Duration
+	// routeMeans is the mean latency by route. Single high values affect it less.
+	routeMeans map[string]time.Duration
+	// meanDurations is the mean duration of successful requests, by service.
+	meanDurations map[string]time.Duration
+	// quotas are this node's shares of the capacity shown by the latest load view,
+	// serviceLimits the limits learned from refusals; both by service.
+	quotas        nodeQuotas
+	serviceLimits map[string]*concurrencyLimit
+	// nodes returns the number of nodes that share the engines; nil if not known.
 	nodes func() int
-	// evacuated holds the zones whose engines get no new requests by the operators' will.
+	// evacuated holds the zones evacuated by operators.
 	evacuated map[string]bool
-	// cold bounds the requests to cold engines; see UseColdShares.
-	cold coldShares
-	// assigns is true where owners assign engines.
-	assigns bool
-	// zones, where set, tells which zones are reached.
+	// cold limits the requests to cold engines; see SetColdLimits.
+	cold coldLimits
+	// usesAssignment is true if owners assign engines to sessions.
+	usesAssignment bool
+	// zones reports which zones are reachable; may be nil.
 	zones *reach.Zones
-	// load is what all nodes have at the engines.
+	// load is the view of the load from all nodes.
 	load *load.View
-	// breakersDecided is when the breakers of a service's engines were last decided on.
-	breakersDecided map[string]time.Time
-	// breakerChanged is told of changes; nil for nobody.
-	breakerChanged func(BreakerChange)
+	// breakersEvaluated is when the breakers of a service were last evaluated.
+	breakersEvaluated map[string]time.Time
+	// onBreakerChange is called on each change of a breaker; may be nil.
+	onBreakerChange func(BreakerChange)
 }
 
 // NewDirectory returns an empty directory.
 func NewDirectory() *Directory {
-	return &Directory{engines: map[string]*Engine{}, evacuated: map[string]bool{}, services: map[string][]*Engine{}, policy: policies[PolicyProgram], load: load.NewView(),
-		usual: map[string]time.Duration{}, usualOfRoute: map[string]time.Duration{}, breakersDecided: map[string]time.Time{}}
+	return &Directory{engines: map[string]*Engine{}, evacuated: map[string]bool{}, eligibleByService: map[string][]*Engine{}, policy: policies[PolicyProgram], load: load.NewView(),
+		firstByteMeans: map[string]time.Duration{}, routeMeans: map[string]time.Duration{}, breakersEvaluated: map[string]time.Time{}}
 }
 
-// SetZones has the directory heed which zones are reached, and tell what it sees of their
-// engines. It is called before anything else.
+// SetZones sets the source of zone reachability, to which the directory also reports the
+// outcomes of requests. It must be called before any other method.
 func (directory *Directory) SetZones(zones *reach.Zones) { directory.zones = zones }
 
-// SetLoadView has the directory heed a view of the load. It is called before anything else.
+// SetLoadView sets the view of the load from all nodes. It must be called before any other
+// method.
 func (directory *Directory) SetLoadView(view *load.View) { directory.load = view }
 
-// Change is what a record has changed.
+// Change is the effect of an engine's record on the directory.
 type Change int
 
 // Changes.
 const (
-	// Unchanged: the record tells nothing new.
+	// Unchanged: the record contains nothing new.
 	Unchanged Change = iota
-	// Changed: it tells something new of the engine, or of a new one.
+	// Changed: the engine is new, or its record has changed.
 	Changed
-	// Restarted: it is of a new life under an id that is known. Nothing that was seen of the
-	// engine before holds any more.
+	// Restarted: the record belongs to a new incarnation of a known engine. All observations of
+	// the earlier one are discarded.
 	Restarted
 )
 
-// Upsert notes an engine's newest record and tells what has changed. A new life of an engine
-// begins with nothing of the one before; requests that were sent to that one end with it.
+// Upsert adds an engine or updates its record, and returns what has changed. A new incarnation
+// starts without the observations and running requests of the earlier one.
 func (directory *Directory) Upsert(instance Instance, now time.Time) Change {
 	directory.mutex.Lock()
 	defer directory.mutex.Unlock()
-	known := directory.engines[instance.ID]
+	existing := directory.engines[instance.ID]
 	change := Changed
 	switch {
-	case known == nil:
-		known = directory.add(instance.ID)
-	case known.Instance == instance || instance.endedBefore(&known.Instance):
+	case existing == nil:
+		existing = directory.add(instance.ID)
+	case existing.Instance == instance || instance.staleAgainst(&existing.Instance):
 		return Unchanged
-	case instance.begins(&known.Instance):
-		known = directory.add(instance.ID)
+	case instance.supersedes(&existing.Instance):
+		existing = directory.add(instance.ID)
 		change = Restarted
 	}
-	if known.Draining {
+	if existing.Draining {
 		instance.Draining = true
 	}
-	known.Instance = instance
-	known.coldUntil = now.Add(instance.ColdRemaining)
-	directory.services = nil
+	existing.Instance = instance
+	existing.coldUntil = now.Add(instance.ColdRemaining)
+	directory.eligibleByService = nil
 	return change
 }
 
-// add begins an engine of which nothing was seen. The caller holds the mutex.
+// add adds an engine without observations. The caller holds the mutex.
 func (directory *Directory) add(id string) *Engine {
-	made := &Engine{}
-	directory.engines[id] = made
-	return made
+	engine := &Engine{}
+	directory.engines[id] = engine
+	return engine
 }
 
-// Remove notes that an engine's record has disappeared.
+// Remove removes an engine and reports whether it was known.
 func (directory *Directory) Remove(id string) bool {
 	directory.mutex.Lock()
 	defer directory.mutex.Unlock()
@@ -234,24 +237,24 @@
 		return false
 	}
 	delete(directory.engines, id)
-	directory.services = nil
+	directory.eligibleByService = nil
 	return true
 }
 
-// usable returns the engines of a service that may get requests.
-func (directory *Directory) usable(service string) []*Engine {
-	if directory.services == nil {
-		directory.services = map[string][]*Engine{}
+// eligible returns the engines of a service that may get requests. The caller holds the mutex.
+func (directory *Directory) eligible(service string) []*Engine {
+	if directory.eligibleByService == nil {
+		directory.eligibleByService = map[string][]*Engine{}
 		for _, engine := range directory.engines {
 			if !engine.Draining && !directory.evacuated[engine.Zone] {
-				directory.services[engine.Service] = append(directory.services[engine.Service], engine)
+				directory.eligibleByService[engine.Service] = append(directory.eligibleByService[engine.Service], engine)
 			}
 		}
 	}
-	return directory.services[service]
+	return directory.eligibleByService[service]
 }
 
-// Running returns this node's requests under way, by engine.
+// Running returns the number of this node's running requests by engine.
 func (directory *Directory) Running() map[string]int {
 	directory.mutex.Lock()
 	defer directory.mutex.Unlock()
@@ -264,16 +267,16 @@
 	return running
 }
 
-// Healthy returns the instances of a service, in some zones, that may get requests and are not
-// passed over for what was seen of them. Cold ones are among them only where all are cold: few
-// nodes may send to one, and a line of turns comes in at any node.
+// Healthy returns the instances of a service in the given zones that may get requests and are
+// not avoided. Cold ones are included only if all are cold: few nodes may send to a cold
+// engine, but a session's turns may arrive at any node.
 func (directory *Directory) Healthy(service string, zones region.ZoneSet, now time.Time) []Instance {
 	directory.mutex.Lock()
 	defer directory.mutex.Unlock()
 	var warm, cold []Instance
 	engines := directory.closedEngines(service, now)
-	filter := sound{heedDoubt: heedsDoubt(engines, now)}
-	for _, engine := range inZones(directory.usableNow(service, now), zones) {
+	filter := notAvoided{honorSuspicion: honorsSuspicion(engines, now)}
+	for _, engine := range inZones(directory.eligibleNow(service, now), zones) {
 		switch {
 		case !filter.Admits(engine, nil, now):
 		case engine.isCold(now):
@@ -288,8 +291,8 @@
 	return warm
 }
 
-// Instance returns an engine that may get requests, false where it is not known, leaves,
-// is gone or stands in a zone that is evacuated.
+// Instance returns an engine that may get requests, false if it is unknown, draining or in an
+// evacuated zone.
 func (directory *Directory) Instance(id string) (Instance, bool) {
 	directory.mutex.Lock()
 	defer directory.mutex.Unlock()
@@ -305,7 +308,7 @@
 	directory.mutex.Lock()
 	defer directory.mutex.Unlock()
 	count := 0
-	for _, engine := range directory.usable(service) {
+	for _, engine := range directory.eligible(service) {
 		if engine.Zone == zone {
 			count++
 		}
@@ -317,50 +320,50 @@
 func (directory *Directory) EligibleCount(service string) int {
 	directory.mutex.Lock()
 	defer directory.mutex.Unlock()
-	return len(directory.usable(service))
+	return len(directory.eligible(service))
 }
 
-// EngineCount returns the number of engines known.
+// EngineCount returns the number of known engines.
 func (directory *Directory) EngineCount() int {
 	directory.mutex.Lock()
 	defer directory.mutex.Unlock()
 	return len(directory.engines)
 }
 
-// Outcome is how an engine dealt with a request.
+// Outcome is how an engine handled a request.
 type Outcome int
 
 // Outcomes.
 const (
-	// Succeeded: the engine ran the request.
+	// Succeeded: the engine processed the request.
 	Succeeded Outcome = iota
-	// EngineError: it answered with a failure of its own.
+	// EngineError: the engine answered with an error of its own.
 	EngineError
-	// Full: it had no room.
+	// Full: the engine refused the request because it was full.
 	Full
-	// NoConnection: the node has as many connections to it as it may have.
+	// NoConnection: the node has reached its connection limit for the engine.
 	NoConnection
-	// Failed: it broke its answer off, or ceased to send it.
+	// Failed: the response was aborted or stalled.
 	Failed
-	// FailedRemotely is Failed where another node sent the request: that one counts it,
+	// FailedRemotely: like Failed, but sent by another node. That node counts the failure,
 	// since it may have been lost itself.
 	FailedRemotely
-	// Abandoned: the caller left; nothing is said of the engine.
+	// Abandoned: the caller left. This says nothing about the engine.
 	Abandoned
-	// Misdirected: another engine has the address.
+	// Misdirected: the address belongs to another engine.
 	Misdirected
-	// Unreachable: it took no connection.
+	// Unreachable: the connection could not be established.
 	Unreachable
-	// NoResponse: nothing came of the request for too long, and its caller left.
+	// NoResponse: no byte arrived for too long, and the caller left.
 	NoResponse
 )
 
-// Finish ends a request that Pick has counted.
+// Finish ends a request counted by Pick.
 func (directory *Directory) Finish(engine *Engine, outcome Outcome, now time.Time) {
 	directory.mutex.Lock()
 	defer directory.mutex.Unlock()
 	engine.running--
-	directory.noteZone(engine, outcome, now)
+	directory.recordZoneOutcome(engine, outcome, now)
 	engine.breaker.probing = false
 	if outcome == EngineError && !feature.Enabled(feature.EngineBreaker) {
 		outcome = Succeeded
@@ -368,107 +371,108 @@
 	switch outcome {
 	case Succeeded:
 		engine.failures = 0
-		engine.limit.raise()
-		directory.learned(engine.Service).raise()
-		directory.noteAnswered(engine, now)
+		engine.limit.increase()
+		directory.serviceLimit(engine.Service).increase()
+		directory.recordSuccess(engine, now)
 	case Full:
-		engine.passOverFull(now)
-		engine.limit.cut(engine.running, now)
-		directory.noteFull(engine, now)
-		directory.noteRefused(engine, now)
+		engine.backOffFull(now)
+		engine.limit.decrease(engine.running, now)
+		directory.recordServiceRefusal(engine, now)
+		directory.recordIdleRefusal(engine, now)
 	case NoConnection:
-		engine.fullUntil = now.Add(fullPause)
-		engine.limit.cut(engine.running, now)
+		engine.fullUntil = now.Add(fullBackoff)
+		engine.limit.decrease(engine.running, now)
 	case Failed, EngineError, FailedRemotely:
 		engine.failures++
 		if outcome != FailedRemotely {
-			directory.noteFailed(engine, now)
+			directory.recordFailure(engine, now)
 		}
-		if engine.failures >= failuresToAvoid {
-			engine.avoid(now, backoff(avoidFirst, engine.failures-failuresToAvoid))
+		if engine.failures >= avoidanceThreshold {
+			engine.avoid(now, backoff(initialAvoidance, engine.failures-avoidanceThreshold))
 		}
 	case Misdirected:
-		engine.avoid(now, avoidMost)
+		engine.avoid(now, maxAvoidance)
 	case Unreachable:
 		engine.failures++
-		engine.avoid(now, backoff(unreachableAvoid, engine.failures-1))
+		engine.avoid(now, backoff(unreachableAvoidance, engine.failures-1))
 	case NoResponse:
 		engine.failures++
-		engine.silentUntil = now.Add(backoff(silentAvoid, engine.failures-1))
+		engine.noResponseUntil = now.Add(backoff(noResponseAvoidance, engine.failures-1))
 	case Abandoned:
 	}
 }
 
-// backoff doubles a first pause with each repetition, up to avoidMost.
-func backoff(first time.Duration, repetitions int) time.Duration {
-	const mostDoublings = 8
-	return min(first<<min(repetitions, mostDoublings), avoidMost)
+// backoff doubles an initial delay with each repetition, up to maxAvoidance.
+func backoff(initial time.Duration, repetitions int) time.Duration {
+	const maxDoublings = 8
+	return min(initial<<min(repetitions, maxDoublings), maxAvoidance)
 }
 
-func (engine *Engine) avoid(now time.Time, while time.Duration) {
-	until := now.Add(while)
+func (engine *Engine) avoid(now time.Time, duration time.Duration) {
+	until := now.Add(duration)
 	if until.After(engine.avoidUntil) {
 		engine.avoidUntil = until
 	}
 }
 
-// Suspect passes an engine over for a while: a request there gets no answer.
+// Suspect marks an engine as suspected for noResponseAvoidance because a request there gets no
+// response.
 func (directory *Directory) Suspect(engine *Engine, now time.Time) {
 	directory.mutex.Lock()
 	defer directory.mutex.Unlock()
-	engine.silentUntil = now.Add(silentAvoid)
+	engine.noResponseUntil = now.Add(noResponseAvoidance)
 }
 
-// RecordFirstByte notes how long a request of a route waited at an engine for the first byte of
-// its answer. The route is empty for a wait that says nothing of the engine's pace.
+// RecordFirstByte records how long a request waited at an engine for the first byte of its
+// response. route is empty if the wait does not reflect the engine's latency.
 func (directory *Directory) RecordFirstByte(engine *Engine, route string, took time.Duration, now time.Time) {
 	directory.mutex.Lock()
 	defer directory.mutex.Unlock()
-	usual := directory.usual[engine.Service]
-	if usual == 0 {
-		usual = took
+	mean := directory.firstByteMeans[engine.Service]
+	if mean == 0 {
+		mean = took
 	}
-	directory.usual[engine.Service] = usual + time.Duration(usualWeight*float64(took-usual))
-	directory.observePace(engine, route, took, now)
+	directory.firstByteMeans[engine.Service] = mean + time.Duration(firstByteWeight*float64(took-mean))
+	directory.recordLatency(engine, route, took, now)
 }
 
-// FirstByteTimeout is how long a request to a service may wait for the first byte before
-// its engine is in doubt: some times what is usual there at present.
+// FirstByteTimeout is how long a request to a service may wait for the first byte before its
+// engine is suspected: a multiple of the current mean, 0 if that is not known.
 func (directory *Directory) FirstByteTimeout(service string) time.Duration {
 	directory.mutex.Lock()
 	defer directory.mutex.Unlock()
-	return usualShare * directory.usual[service]
+	return firstByteTimeoutFactor * directory.firstByteMeans[service]
 }
 
-// Avoided returns the engines that this node passes over for what it has seen of
-// them itself, for other nodes.
+// Avoided returns the engines that this node avoids because of its own observations, to be
+// reported to other nodes.
 func (directory *Directory) Avoided(now time.Time) []string {
 	return directory.matching(func(engine *Engine) bool {
-		return now.Before(engine.avoidUntil) || now.Before(engine.silentUntil)
+		return now.Before(engine.avoidUntil) || now.Before(engine.noResponseUntil)
 	})
 }
 
-// AvoidedByAny returns also those that other nodes have reported.
+// AvoidedByAny also returns engines reported by other nodes.
 func (directory *Directory) AvoidedByAny(now time.Time) []string {
 	return directory.matching(func(engine *Engine) bool {
-		return now.Before(engine.avoidUntil) || engine.doubted(now)
+		return now.Before(engine.avoidUntil) || engine.suspected(now)
 	})
 }
 
-func (directory *Directory) matching(condition func(engine *Engine) bool) []string {
+func (directory *Directory) matching(matches func(engine *Engine) bool) []string {
 	directory.mutex.Lock()
 	defer directory.mutex.Unlock()
 	var ids []string
 	for id, engine := range directory.engines {
-		if condition(engine) {
+		if matches(engine) {
 			ids = append(ids, id)
 		}
 	}
 	return ids
 }
 
-// AddReported notes engines that another node passes over: a node alone sees little of
-// each of many engines.
+// AddReported records engines that another node avoids. With many engines, a single node sees
+// few requests to each.
 func (directory *Directory) AddReported(ids []string, now time.Time) {
 	if !feature.Enabled(feature.EngineReports) {
 		return
@@ -477,7 +481,7 @@
 	defer directory.mutex.Unlock()
 	for _, id := range ids {
 		if engine := directory.engines[id]; engine != nil {
-			engine.reportedUntil = now.Add(reportedFor)
+			engine.reportedUntil = now.Add(reportTTL)
 		}
 	}
 }
--- a/internal/backend/evacuation.go
+++ b/internal/backend/evacuation.go
@@ -2,8 +2,8 @@
 
 import "github.com/magpielug/magpielug/internal/region"
 
-// SetEvacuated notes whether the operators have a zone evacuated, and tells whether that is
-// new. Engines of such a zone get no new requests; what runs there ends there.
+// SetEvacuated records whether operators have evacuated a zone, and reports whether that is a
+// change. Engines in an evacuated zone get no new requests; running ones finish there.
 func (directory *Directory) SetEvacuated(zone string, evacuated bool) bool {
 	directory.mutex.Lock()
 	defer directory.mutex.Unlock()
@@ -15,17 +15,17 @@
 	} else {
 		delete(directory.evacuated, zone)
 	}
-	directory.services = nil
+	directory.eligibleByService = nil
 	return true
 }
 
-// NoneAvailable tells whether engines of a service are known, and none of those that a request may
-// use takes new ones: they leave, their zones are evacuated, or they stand in zones where the
-// request must not go. A call that waits for them waits for nothing.
+// NoneAvailable reports whether a service has engines, but none that accepts new requests in
+// the given zones: they are draining, evacuated or in other zones. Waiting for such a service
+// is futile.
 func (directory *Directory) NoneAvailable(service string, zones region.ZoneSet) bool {
 	directory.mutex.Lock()
 	defer directory.mutex.Unlock()
-	for _, engine := range directory.usable(service) {
+	for _, engine := range directory.eligible(service) {
 		if zones.Contains(engine.Zone) {
 			return false
 		}
--- a/internal/backend/evacuation_test.go
+++ b/internal/backend/evacuation_test.go
@@ -8,7 +8,7 @@
 	. "github.com/onsi/gomega"
 )
 
-// twoZones is a directory with an engine in each of two zones.
+// twoZones returns a directory with one engine in each of two zones.
 func twoZones() *backend.Directory {
 	directory := backend.NewDirectory()
 	directory.Upsert(backend.Instance{ID: "a1", Service: service, Zone: "a", Slots: 4}, now)
@@ -16,7 +16,7 @@
 	return directory
 }
 
-func TestAnEvacuatedZoneGetsNothingNew(t *testing.T) {
+func TestEvacuatedZoneGetsNoNewRequests(t *testing.T) {
 	expect := NewWithT(t)
 	directory := twoZones()
 	request := &backend.Request{Service: service, Zone: "a", Assigned: "a1"}
@@ -24,21 +24,21 @@
 	expect.Expect(running.ID).To(Equal("a1"))
 
 	expect.Expect(directory.SetEvacuated("a", true)).To(BeTrue())
-	expect.Expect(directory.SetEvacuated("a", true)).To(BeFalse(), "known already")
-	expect.Expect(directory.Pick(request, now).ID).To(Equal("b1"), "a line leaves with its next turn")
+	expect.Expect(directory.SetEvacuated("a", true)).To(BeFalse(), "already evacuated")
+	expect.Expect(directory.Pick(request, now).ID).To(Equal("b1"), "sessions move with their next turn")
 	expect.Expect(directory.Healthy(service, nil, now)).To(HaveLen(1), "owners assign no engine there")
 	_, found := directory.Instance("a1")
-	expect.Expect(found).To(BeFalse(), "nor is anything sent there for other nodes")
-	expect.Expect(directory.Capacities(now)[0].Slots).To(Equal(4), "programs begin by what is left")
+	expect.Expect(found).To(BeFalse(), "other nodes' requests are not sent there either")
+	expect.Expect(directory.Capacities(now)[0].Slots).To(Equal(4), "admission uses the remaining capacity")
 	request.Tried = []string{"b1"}
-	expect.Expect(directory.Pick(request, now)).To(BeNil(), "also where no other engine is left")
+	expect.Expect(directory.Pick(request, now)).To(BeNil(), "even if no other engine is left")
 	directory.Finish(running, backend.Succeeded, now)
 
 	expect.Expect(directory.SetEvacuated("a", false)).To(BeTrue())
 	expect.Expect(directory.Pick(request, now).ID).To(Equal("a1"))
 }
 
-func TestAnEngineThatStartsInAnEvacuatedZoneGetsNothing(t *testing.T) {
+func TestNewEngineInEvacuatedZoneIsNotEligible(t *testing.T) {
 	expect := NewWithT(t)
 	directory := twoZones()
 	directory.SetEvacuated("a", true)
@@ -46,7 +46,7 @@
 	expect.Expect(directory.EligibleCount(service)).To(Equal(1))
 }
 
-func TestWhatNoEngineMayServeIsKnownAtOnce(t *testing.T) {
+func TestNoneAvailable(t *testing.T) {
 	expect := NewWithT(t)
 	directory := twoZones()
 	expect.Expect(directory.NoneAvailable(service, nil)).To(BeFalse())
@@ -59,7 +59,7 @@
 	expect.Expect(directory.NoneAvailable(service, nil)).To(BeTrue())
 }
 
-func TestARequestStaysInItsZones(t *testing.T) {
+func TestRequestStaysInItsZones(t *testing.T) {
 	expect := NewWithT(t)
 	directory := twoZones()
 	request := &backend.Request{Service: service, Zone: "a", Assigned: "a1", Zones: region.ZoneSet{"b"}}
@@ -68,5 +68,5 @@
 	}
 	expect.Expect(directory.Healthy(service, request.Zones, now)).To(HaveLen(1))
 	request.Tried = []string{"b1"}
-	expect.Expect(directory.Pick(request, now)).To(BeNil(), "none elsewhere, whatever becomes of it")
+	expect.Expect(directory.Pick(request, now)).To(BeNil(), "never in other zones")
 }
--- a/internal/backend/export_test.go
+++ b/internal/backend/export_test.go
@@ -6,14 +6,14 @@
 	"github.com/magpielug/magpielug/internal/load"
 )
 
-// EndsReport is what a node reports of how its requests ended.
-func (directory *Directory) EndsReport(now time.Time) load.Report {
+// OutcomeReport returns the node's load report, including request outcomes.
+func (directory *Directory) OutcomeReport(now time.Time) load.Report {
 	directory.mutex.Lock()
 	defer directory.mutex.Unlock()
 	report := load.NewReport()
 	for id, engine := range directory.engines {
-		answered, failed := directory.outcomes(engine, now)
-		report.Engines[id] = load.Engine{Running: engine.running, Succeeded: answered, Failed: failed}
+		succeeded, failed := directory.localOutcomes(engine, now)
+		report.Engines[id] = load.Engine{Running: engine.running, Succeeded: succeeded, Failed: failed}
 	}
 	return report
 }
--- a/internal/backend/load.go
+++ b/internal/backend/load.go
@@ -8,42 +8,42 @@
 	"github.com/magpielug/magpielug/internal/load"
 )
 
-// Load returns what this node has under way, by engine, where that is anything.
+// Load returns this node's load on each engine that has running requests or recent outcomes.
 func (directory *Directory) Load() map[string]load.Engine {
 	directory.mutex.Lock()
 	defer directory.mutex.Unlock()
 	loads := map[string]load.Engine{}
 	now := time.Now()
 	for id, engine := range directory.engines {
-		answered, failed := directory.outcomes(engine, now)
-		told := load.Engine{Running: engine.running, AwaitingFirstByte: engine.silent, Succeeded: answered, Failed: failed}
-		if told.Running > 0 || told.Succeeded+told.Failed >= leastTold {
-			loads[id] = told
+		succeeded, failed := directory.localOutcomes(engine, now)
+		reported := load.Engine{Running: engine.running, AwaitingFirstByte: engine.awaitingFirstByte, Succeeded: succeeded, Failed: failed}
+		if reported.Running > 0 || reported.Succeeded+reported.Failed >= minReportedOutcomes {
+			loads[id] = reported
 		}
 	}
 	return loads
 }
 
-// leastTold is the number of recent ends below which they are not told.
-const leastTold = 0.1
+// minReportedOutcomes is the decayed number of outcomes below which they are not reported.
+const minReportedOutcomes = 0.1
 
-// taken counts a request that is about to be sent to the engine.
-func (engine *Engine) taken(now time.Time) *Engine {
+// startRequest counts a request that is about to be sent to the engine.
+func (engine *Engine) startRequest(now time.Time) *Engine {
 	engine.running++
-	engine.silent++
-	engine.spendWarming(now)
+	engine.awaitingFirstByte++
+	engine.takeColdToken(now)
 	return engine
 }
 
-// EndFirstByteWait counts a request no more as one without a byte of an answer: a byte has come,
-// or the request has ended. It is called once for each.
+// EndFirstByteWait stops counting a request as awaiting its first byte: it has arrived, or the
+// request has finished. It must be called once per request.
 func (directory *Directory) EndFirstByteWait(engine *Engine) {
 	directory.mutex.Lock()
 	defer directory.mutex.Unlock()
-	engine.silent--
+	engine.awaitingFirstByte--
 }
 
-// RunningAt returns the number of this node's requests under way at an engine.
+// RunningAt returns the number of this node's running requests at an engine.
 func (directory *Directory) RunningAt(id string) int {
 	directory.mutex.Lock()
 	defer directory.mutex.Unlock()
@@ -54,14 +54,14 @@
 	return engine.running
 }
 
-// IDs returns the ids of all engines known, in order.
+// IDs returns the sorted IDs of all known engines.
 func (directory *Directory) IDs() []string {
 	directory.mutex.Lock()
 	defer directory.mutex.Unlock()
 	return slices.Sorted(maps.Keys(directory.engines))
 }
 
-// ServiceOf returns the service of an engine, false where the engine is not known.
+// ServiceOf returns the service of an engine, false if the engine is not known.
 func (directory *Directory) ServiceOf(id string) (string, bool) {
 	directory.mutex.Lock()
 	defer directory.mutex.Unlock()
--- a/internal/backend/pick.go
+++ b/internal/backend/pick.go
@@ -7,34 +7,34 @@
 	"github.com/magpielug/magpielug/internal/region"
 )
 
-// Request is what a choice of an engine depends on.
+// Request holds the properties of a request that determine the choice of its engine.
 type Request struct {
 	Service string
-	// Program, Session and Prompt, where set, name what requests share that find
-	// their shared part in an engine's memory: a program's turns, those of one of
-	// its lines, and prompts that begin alike.
+	// Program, Session and Prompt, if set, are affinity keys of requests that share a prefix in
+	// an engine's prefix cache: the turns of a program, the turns of one of its sessions, and
+	// prompts with the same beginning.
 	Program string
 	Session string
 	Prompt  string
-	// Assigned, where set, is the engine that keeps the line of turns; it is
-	// taken where all filters admit it.
+	// Assigned, if set, is the engine assigned to the session. It is chosen if all filters
+	// admit it.
 	Assigned string
-	// Zone is the asker's.
+	// Zone is the zone of the requesting node.
 	Zone string
-	// Zones are those in which the request may be served.
+	// Zones are the zones in which the request may be served; nil means all.
 	Zones region.ZoneSet
-	// Tried holds the ids of engines that were asked already.
+	// Tried holds the IDs of engines that were already tried.
 	Tried []string
-	// Repeatable is true where the request may run more than once.
+	// Repeatable is true if the request may be executed more than once.
 	Repeatable bool
 }
 
-// Filter tells whether an engine may get a request.
+// Filter reports whether an engine may get a request.
 type Filter interface {
 	Admits(engine *Engine, request *Request, now time.Time) bool
 }
 
-// untried admits engines that were not asked already.
+// untried admits engines that were not yet tried.
 type untried struct{}
 
 func (untried) Admits(engine *Engine, request *Request, _ time.Time) bool {
@@ -46,63 +46,64 @@
 	return true
 }
 
-// sound admits engines that are not passed over for what was seen of them.
-type sound struct{ heedDoubt bool }
+// notAvoided admits engines that are neither backing off nor, if suspicion is honored,
+// suspected.
+type notAvoided struct{ honorSuspicion bool }
 
-func (filter sound) Admits(engine *Engine, _ *Request, now time.Time) bool {
-	return !engine.unfit(now) && !(filter.heedDoubt && engine.doubted(now))
+func (filter notAvoided) Admits(engine *Engine, _ *Request, now time.Time) bool {
+	return !engine.backingOff(now) && !(filter.honorSuspicion && engine.suspected(now))
 }
 
-// roomy admits engines below the node's bound of requests under way.
-type roomy struct{}
+// withinLimit admits engines whose concurrency limit allows another request.
+type withinLimit struct{}
 
-func (roomy) Admits(engine *Engine, _ *Request, now time.Time) bool {
+func (withinLimit) Admits(engine *Engine, _ *Request, now time.Time) bool {
 	return engine.limit.admits(engine.running, now)
 }
 
-// Pick chooses an engine and counts the request there, or returns nil. Filters
-// are given up one after another where nothing is left: an engine that is
-// passed over is better than none, one asked already, without room or with an open breaker
-// is not.
+// Pick chooses an engine and counts the request there, or returns nil. If no engine passes all
+// filters, avoided engines are admitted as a last resort; engines that were tried, are full or
+// have an open breaker are not.
 func (directory *Directory) Pick(request *Request, now time.Time) *Engine {
 	directory.mutex.Lock()
 	defer directory.mutex.Unlock()
-	candidates := directory.reached(inZones(directory.closedEngines(request.Service, now), request.Zones), request, now)
-	if probed := directory.dueProbe(request, now); probed != nil {
-		return probed.taken(now)
+	candidates := directory.inReachableZones(inZones(directory.closedEngines(request.Service, now), request.Zones), request, now)
+	if probe := directory.dueProbe(request, now); probe != nil {
+		return probe.startRequest(now)
 	}
-	directory.estimateOthers(request.Service, candidates, now)
+	directory.estimateRemoteLoad(request.Service, candidates, now)
 	for _, filters := range directory.filterSets(request.Service, candidates, now) {
 		admitted := admit(candidates, filters, request, now)
 		if len(admitted) > 0 {
-			return directory.choose(admitted, request, now).taken(now)
+			return directory.choose(admitted, request, now).startRequest(now)
 		}
 	}
 	return nil
 }
 
-// filterSets returns the filters for a request to a service, those to be used first in front.
+// filterSets returns the sets of filters for a request to a service, in the order in which they
+// are applied until one admits an engine.
 func (directory *Directory) filterSets(service string, candidates []*Engine, now time.Time) [][]Filter {
-	noticed := sound{heedDoubt: heedsDoubt(candidates, now)}
-	warm := warmEnough{directory: directory}
+	healthy := notAvoided{honorSuspicion: honorsSuspicion(candidates, now)}
+	coldLimit := coldLimitFilter{directory: directory}
 	if !feature.Enabled(feature.LoadBasedCapacity) {
-		return [][]Filter{{untried{}, warm, noticed, roomy{}}, {untried{}, warm, roomy{}}}
+		return [][]Filter{{untried{}, coldLimit, healthy, withinLimit{}}, {untried{}, coldLimit, withinLimit{}}}
 	}
-	room := hasRoom{
-		left:  directory.leftHere(service, candidates, now),
-		share: directory.queueShareOf(service, candidates),
+	capacity := hasCapacity{
+		quota:      directory.remainingQuota(service, candidates, now),
+		queueShare: directory.queueShare(service, candidates),
 	}
-	sets := [][]Filter{{untried{}, notFull{}, warm, noticed, roomy{}, room}, {untried{}, notFull{}, warm, roomy{}, room}}
-	if runningHere(candidates) == 0 {
-		// A view that is wrong does not stop a node: all nodes together thereby add some one
-		// request an engine.
-		sets = append(sets, []Filter{untried{}, notFull{}, warm, noticed, roomy{}})
+	sets := [][]Filter{{untried{}, notFull{}, coldLimit, healthy, withinLimit{}, capacity}, {untried{}, notFull{}, coldLimit, withinLimit{}, capacity}}
+	if localRunning(candidates) == 0 {
+		// An idle node may send a request even if the view shows no free capacity, as the view
+		// may be wrong. Over all nodes this adds about one request per engine.
+		sets = append(sets, []Filter{untried{}, notFull{}, coldLimit, healthy, withinLimit{}})
 	}
 	return sets
 }
 
-// choose takes the assigned engine where it is admitted, for the prompt of the line lies in
-// its memory, or else what the policy takes.
+// choose returns the assigned engine if it is admitted, since its prefix cache holds the
+// session's prompt, or else the choice of the policy.
 func (directory *Directory) choose(admitted []*Engine, request *Request, now time.Time) *Engine {
 	if assigned := byID(admitted, request.Assigned); assigned != nil {
 		return assigned
@@ -110,7 +111,7 @@
 	return directory.policy.Choose(admitted, request, now)
 }
 
-// byID returns the engine of an id, nil where it is not admitted.
+// byID returns the admitted engine with an ID, or nil.
 func byID(admitted []*Engine, id string) *Engine {
 	for _, candidate := range admitted {
 		if candidate.ID == id {
--- a/internal/backend/pick_test.go
+++ b/internal/backend/pick_test.go
@@ -22,13 +22,13 @@
 	return directory
 }
 
-// assign sends a request to an engine.
-func assign(directory *backend.Directory, id string) *backend.Engine {
+// pickAssigned picks an engine by assignment.
+func pickAssigned(directory *backend.Directory, id string) *backend.Engine {
 	return directory.Pick(&backend.Request{Service: service, Assigned: id}, now)
 }
 
 var _ = Describe("Pick", func() {
-	It("takes the engine assigned to the line of turns, where it may", func() {
+	It("chooses the engine assigned to the session if it is admitted", func() {
 		directory := newDirectory(8)
 		Expect(directory.SetPolicy("")).To(Succeed())
 		Expect(directory.UsesAssignment()).To(BeTrue())
@@ -51,7 +51,7 @@
 		}
 	})
 
-	It("moves only the programs of an engine that leaves", func() {
+	It("moves only the programs of a removed engine", func() {
 		directory := newDirectory(8)
 		place := func(program string) string {
 			picked := directory.Pick(&backend.Request{Service: service, Program: program}, now)
@@ -70,7 +70,7 @@
 		}
 	})
 
-	It("passes over an engine that leaves, that was tried, or that has failed", func() {
+	It("avoids engines that are draining, were tried or have failed", func() {
 		directory := newDirectory(3)
 		directory.Upsert(backend.Instance{ID: "e0", Service: service, Draining: true}, time.Time{})
 		for range 2 {
@@ -79,20 +79,20 @@
 			directory.Finish(failing, backend.Failed, now)
 		}
 		Expect(directory.Pick(&backend.Request{Service: service}, now).ID).To(Equal("e2"))
-		Expect(directory.Pick(&backend.Request{Service: service, Tried: []string{"e2"}}, now).ID).To(Equal("e1"), "better than none")
+		Expect(directory.Pick(&backend.Request{Service: service, Tried: []string{"e2"}}, now).ID).To(Equal("e1"), "last resort")
 		Expect(directory.Pick(&backend.Request{Service: service, Tried: []string{"e1", "e2"}}, now)).To(BeNil())
 		later := now.Add(time.Minute)
 		Expect(directory.Pick(&backend.Request{Service: service, Tried: []string{"e2"}}, later).ID).To(Equal("e1"))
 	})
 
-	It("never goes back to an engine that has said it leaves", func() {
+	It("never uses a draining engine again", func() {
 		directory := newDirectory(1)
 		directory.Upsert(backend.Instance{ID: "e0", Service: service, Draining: true}, time.Time{})
 		directory.Upsert(backend.Instance{ID: "e0", Service: service}, time.Time{})
 		Expect(directory.Pick(&backend.Request{Service: service}, now)).To(BeNil())
 	})
 
-	It("spreads by what runs under the least policy, and refuses an unknown one", func() {
+	It("spreads requests by load under the least policy, and rejects an unknown policy", func() {
 		directory := newDirectory(4)
 		Expect(directory.SetPolicy(backend.PolicyLeastLoaded)).To(Succeed())
 		seen := map[string]int{}
@@ -103,8 +103,8 @@
 		Expect(resultcode.CodeOf(directory.SetPolicy("best"))).To(Equal(resultcode.InvalidSettings))
 	})
 
-	Describe("of engines in doubt", func() {
-		pickedOften := func(directory *backend.Directory, at time.Time) map[string]int {
+	Describe("with suspected engines", func() {
+		countPicks := func(directory *backend.Directory, at time.Time) map[string]int {
 			counts := map[string]int{}
 			for number := range 200 {
 				engine := directory.Pick(&backend.Request{Service: service, Program: fmt.Sprint(number)}, at)
@@ -113,16 +113,16 @@
 			}
 			return counts
 		}
-		It("passes over one that took no connection, at once, and comes back to it", func() {
+		It("avoids an unreachable engine at once, and tries it again later", func() {
 			directory := newDirectory(3)
-			directory.Finish(assign(directory, "e1"), backend.Unreachable, now)
-			Expect(pickedOften(directory, now.Add(900*time.Millisecond))).NotTo(HaveKey("e1"))
-			Expect(pickedOften(directory, now.Add(1100*time.Millisecond))).To(HaveKey("e1"))
+			directory.Finish(pickAssigned(directory, "e1"), backend.Unreachable, now)
+			Expect(countPicks(directory, now.Add(900*time.Millisecond))).NotTo(HaveKey("e1"))
+			Expect(countPicks(directory, now.Add(1100*time.Millisecond))).To(HaveKey("e1"))
 		})
 
-		It("passes over one whose request got no answer before its caller left, longer each time", func() {
+		It("avoids an engine that did not respond before its caller left, for longer each time", func() {
 			directory := newDirectory(3)
-			first, second := assign(directory, "e1"), assign(directory, "e1")
+			first, second := pickAssigned(directory, "e1"), pickAssigned(directory, "e1")
 			directory.Finish(first, backend.NoResponse, now)
 			Expect(directory.Avoided(now.Add(900 * time.Millisecond))).To(ConsistOf("e1"))
 			Expect(directory.Avoided(now.Add(1100 * time.Millisecond))).To(BeEmpty())
@@ -130,52 +130,52 @@
 			Expect(directory.Avoided(now.Add(1900 * time.Millisecond))).To(ConsistOf("e1"))
 		})
 
-		It("passes over one while a request there is silent", func() {
+		It("avoids an engine while a request there gets no response", func() {
 			directory := newDirectory(3)
-			directory.Suspect(assign(directory, "e1"), now)
-			Expect(pickedOften(directory, now)).NotTo(HaveKey("e1"))
+			directory.Suspect(pickAssigned(directory, "e1"), now)
+			Expect(countPicks(directory, now)).NotTo(HaveKey("e1"))
 		})
 
-		It("passes over one that another node reports, and does not report it as seen here", func() {
+		It("avoids an engine reported by another node, without reporting it as its own observation", func() {
 			directory := newDirectory(3)
 			directory.AddReported([]string{"e1", "unknown"}, now)
-			Expect(pickedOften(directory, now)).NotTo(HaveKey("e1"))
+			Expect(countPicks(directory, now)).NotTo(HaveKey("e1"))
 			Expect(directory.Healthy(service, nil, now)).To(HaveLen(2))
 			Expect(directory.Avoided(now)).To(BeEmpty())
 			Expect(directory.AvoidedByAny(now)).To(ConsistOf("e1"))
-			Expect(pickedOften(directory, now.Add(1100*time.Millisecond))).To(HaveKey("e1"))
+			Expect(countPicks(directory, now.Add(1100*time.Millisecond))).To(HaveKey("e1"))
 		})
 
-		It("does not leave a third of a service's engines for doubt: then it is the load", func() {
+		It("avoids no suspected engines if they are more than a third of the service, which indicates load", func() {
 			directory := newDirectory(9)
 			for _, id := range []string{"e1", "e2", "e3"} {
-				directory.Suspect(assign(directory, id), now)
+				directory.Suspect(pickAssigned(directory, id), now)
 			}
 			Expect(directory.Healthy(service, nil, now)).To(HaveLen(6))
 			directory.AddReported([]string{"e4"}, now)
 			Expect(directory.Healthy(service, nil, now)).To(HaveLen(9))
-			Expect(pickedOften(directory, now)).To(HaveKey("e1"))
+			Expect(countPicks(directory, now)).To(HaveKey("e1"))
 		})
 
-		It("waits the longer for an engine, the slower its service is at present", func() {
+		It("scales the first-byte timeout with the service's current latency", func() {
 			directory := newDirectory(1)
 			Expect(directory.FirstByteTimeout(service)).To(BeZero())
-			engine := assign(directory, "e0")
+			engine := pickAssigned(directory, "e0")
 			for range 100 {
 				directory.RecordFirstByte(engine, "r", 400*time.Millisecond, now)
 			}
 			Expect(directory.FirstByteTimeout(service)).To(BeNumerically("~", 2*time.Second, 10*time.Millisecond))
 		})
 
-		It("takes one in doubt where there is no other", func() {
+		It("uses a suspected engine if there is no other", func() {
 			directory := newDirectory(1)
-			directory.Finish(assign(directory, "e0"), backend.Unreachable, now)
-			Expect(assign(directory, "e0")).NotTo(BeNil())
+			directory.Finish(pickAssigned(directory, "e0"), backend.Unreachable, now)
+			Expect(pickAssigned(directory, "e0")).NotTo(BeNil())
 		})
 
-		It("does not report one that only had no room", func() {
+		It("does not report a full engine", func() {
 			directory := newDirectory(2)
-			directory.Finish(assign(directory, "e1"), backend.Full, now)
+			directory.Finish(pickAssigned(directory, "e1"), backend.Full, now)
 			Expect(directory.Avoided(now)).To(BeEmpty())
 		})
 	})
--- a/internal/backend/policy.go
+++ b/internal/backend/policy.go
@@ -9,43 +9,42 @@
 	"github.com/magpielug/magpielug/internal/resultcode"
 )
 
-// Policy chooses among engines that may all get a request. It is called under
-// the directory's lock with at least one engine.
+// Policy chooses one of the admitted engines, of which there is at least one. It is called
+// under the directory's lock.
 type Policy interface {
 	Choose(admitted []*Engine, request *Request, now time.Time) *Engine
 }
 
 // Names of policies.
 const (
-	// PolicyAssigned takes the engine that the owner of the program has assigned
-	// to the line of turns, and chooses as PolicyProgram does where it has not.
+	// PolicyAssigned chooses the engine assigned to the session by the program's owner, and
+	// falls back to PolicyProgram.
 	PolicyAssigned = "assigned"
-	// PolicyProgram keeps a program's turns on one engine, whose memory holds
-	// what they share, and takes the least busy engine for anything else.
+	// PolicyProgram keeps a program's turns on one engine, whose prefix cache holds their
+	// common prefix, and chooses by load for other requests.
 	PolicyProgram = "program"
-	// PolicySession keeps each line of a program's turns on one engine; lines of
-	// sub-agents may go to others.
+	// PolicySession keeps each session of a program on one engine; sessions of subagents may
+	// use others.
 	PolicySession = "session"
-	// PolicyPrompt keeps prompts that begin alike on one engine.
+	// PolicyPrompt keeps prompts with the same beginning on one engine.
 	PolicyPrompt = "prompt"
-	// PolicyLeastLoaded takes an engine with few requests, as far as is known.
+	// PolicyLeastLoaded chooses an engine with few running requests.
 	PolicyLeastLoaded = "least"
-	// PolicyRandom takes any engine.
+	// PolicyRandom chooses a random engine.
 	PolicyRandom = "random"
 )
 
-// policies are the policies by name.
 var policies = map[string]Policy{
 	PolicyAssigned:    affinityPolicy{key: func(request *Request) string { return request.Program }},
 	PolicyProgram:     affinityPolicy{key: func(request *Request) string { return request.Program }},
 	PolicySession:     affinityPolicy{key: func(request *Request) string { return request.Session }},
 	PolicyPrompt:      affinityPolicy{key: func(request *Request) string { return request.Prompt }},
-	PolicyLeastLoaded: leastPolicy{},
+	PolicyLeastLoaded: leastLoadedPolicy{},
 	PolicyRandom:      randomPolicy{},
 }
 
-// SetPolicy puts the policy of a name in force, PolicyAssigned for the empty
-// name. An unknown name is an InvalidSettings error.
+// SetPolicy activates the policy with a name; the empty name means PolicyAssigned. An unknown
+// name is an InvalidSettings error.
 func (directory *Directory) SetPolicy(name string) error {
 	if name == "" {
 		name = PolicyAssigned
@@ -53,43 +52,43 @@
 	policy, known := policies[name]
 	if !known {
 		names := make([]string, 0, len(policies))
-		for each := range policies {
-			names = append(names, each)
+		for policyName := range policies {
+			names = append(names, policyName)
 		}
 		slices.Sort(names)
-		return resultcode.New(resultcode.InvalidSettings, "placement policy %q is none of %v", name, names)
+		return resultcode.New(resultcode.InvalidSettings, "unknown placement policy %q, want one of %v", name, names)
 	}
 	directory.mutex.Lock()
 	defer directory.mutex.Unlock()
 	directory.policy = policy
-	directory.assigns = name == PolicyAssigned
+	directory.usesAssignment = name == PolicyAssigned
 	return nil
 }
 
 const (
-	// otherZoneCost is the cost of another zone, in requests under way.
-	otherZoneCost = 0.35
-	// noiseCost spreads ties.
-	noiseCost = 0.3
-	// affinityReach is how much one place further down the order of an affinity
-	// costs, in requests under way.
-	affinityReach = 4.0
+	// crossZoneCost is the cost of an engine in another zone, in running requests.
+	crossZoneCost = 0.35
+	// tieBreakNoise is the maximum random cost added to break ties, in running requests.
+	tieBreakNoise = 0.3
+	// affinitySpillThreshold is how many more running requests the first engine of an affinity
+	// key must have than the second for the second to be chosen.
+	affinitySpillThreshold = 4.0
 )
 
-// leastPolicy prefers engines with few requests, and nearby ones.
-type leastPolicy struct{}
+// leastLoadedPolicy prefers engines with few running requests and engines in the same zone.
+type leastLoadedPolicy struct{}
 
 // Choose implements Policy.
-func (leastPolicy) Choose(admitted []*Engine, request *Request, now time.Time) *Engine {
+func (leastLoadedPolicy) Choose(admitted []*Engine, request *Request, now time.Time) *Engine {
 	compared := admitted
-	if admitted[0].others.known {
-		compared = drawn(admitted, request.Zone)
+	if admitted[0].remote.known {
+		compared = sampleCandidates(admitted, request.Zone)
 	}
 	slots := meanSlots(admitted)
 	best := compared[0]
-	bestCost := runningCost(best, request, slots, now)
+	bestCost := loadCost(best, request, slots, now)
 	for _, candidate := range compared[1:] {
-		cost := runningCost(candidate, request, slots, now)
+		cost := loadCost(candidate, request, slots, now)
 		if cost < bestCost {
 			best = candidate
 			bestCost = cost
@@ -98,33 +97,32 @@
 	return best
 }
 
-// choices is how many engines, of the asker's zone and of all, are compared with each other
-// where all nodes see one view. With two the busiest engine gets nearly as little as if all
-// were compared, and the least busy one only twice its part.
-const choices = 2
+// sampleSize is the number of engines sampled from the same zone, and again from all engines,
+// when nodes share a view of the load (power of two choices).
+const sampleSize = 2
 
-// drawn returns the engines to compare. It answers the load of many nodes that see one view
-// at once: if each took its least busy engine, that would be the busiest one by the next view.
-func drawn(admitted []*Engine, zone string) []*Engine {
+// sampleCandidates returns random engines to compare. It prevents herding: if all nodes chose
+// the least loaded engine of the same view, it would be the most loaded one in the next.
+func sampleCandidates(admitted []*Engine, zone string) []*Engine {
 	nearby := make([]*Engine, 0, len(admitted))
 	for _, engine := range admitted {
 		if engine.Zone == zone {
 			nearby = append(nearby, engine)
 		}
 	}
-	compared := make([]*Engine, 0, choices+choices)
+	compared := make([]*Engine, 0, sampleSize+sampleSize)
 	for _, group := range [][]*Engine{nearby, admitted} {
 		if len(group) == 0 {
 			continue
 		}
-		for range choices {
+		for range sampleSize {
 			compared = append(compared, group[rand.IntN(len(group))])
 		}
 	}
 	return compared
 }
 
-// meanSlots is the mean number of slots, 0 where an engine does not tell its own.
+// meanSlots is the mean number of slots, 0 if any engine does not report its slots.
 func meanSlots(engines []*Engine) float64 {
 	sum := 0
 	for _, engine := range engines {
@@ -136,20 +134,19 @@
 	return float64(sum) / float64(len(engines))
 }
 
-// runningCost is the cost of one more request at an engine, in requests at one of usual
-// slots: at a slow one, each under way counts as several.
-func runningCost(engine *Engine, request *Request, usualSlots float64, now time.Time) float64 {
-	cost := (engine.under()+1)*engine.slowness(now) + noiseCost*rand.Float64()
-	if usualSlots > 0 {
-		cost *= usualSlots / float64(engine.Slots)
+// loadCost is the cost of one more request at an engine: the running requests weighted by its
+// slowness, scaled to the mean number of slots.
+func loadCost(engine *Engine, request *Request, averageSlots float64, now time.Time) float64 {
+	cost := (engine.estimatedRunning()+1)*engine.slowness(now) + tieBreakNoise*rand.Float64()
+	if averageSlots > 0 {
+		cost *= averageSlots / float64(engine.Slots)
 	}
 	if engine.Zone != request.Zone {
-		cost += otherZoneCost
+		cost += crossZoneCost
 	}
 	return cost
 }
 
-// randomPolicy takes any engine.
 type randomPolicy struct{}
 
 // Choose implements Policy.
@@ -157,8 +154,8 @@
 	return admitted[rand.IntN(len(admitted))]
 }
 
-// affinityPolicy keeps requests with the same key on one engine, unless that is
-// much busier than the next one in the key's order.
+// affinityPolicy keeps requests with the same key on one engine, unless that is much more
+// loaded than the next one in the key's order.
 type affinityPolicy struct {
 	key func(request *Request) string
 }
@@ -167,31 +164,31 @@
 func (policy affinityPolicy) Choose(admitted []*Engine, request *Request, now time.Time) *Engine {
 	key := policy.key(request)
 	if key == "" {
-		return leastPolicy{}.Choose(admitted, request, now)
+		return leastLoadedPolicy{}.Choose(admitted, request, now)
 	}
 	first, second := firstTwo(admitted, key)
-	if second != nil && first.under() > second.under()+affinityReach {
+	if second != nil && first.estimatedRunning() > second.estimatedRunning()+affinitySpillThreshold {
 		return second
 	}
 	return first
 }
 
-// UsesAssignment tells whether owners assign engines to lines of turns.
+// UsesAssignment reports whether owners assign engines to sessions.
 func (directory *Directory) UsesAssignment() bool {
 	directory.mutex.Lock()
 	defer directory.mutex.Unlock()
-	return directory.assigns
+	return directory.usesAssignment
 }
 
-// RendezvousWeight is an engine's place for a line where loads are alike.
-func RendezvousWeight(line, engine string) uint64 { return hashWeight(line, engine) }
+// RendezvousWeight returns the weight by which engines are ordered for a session when their
+// load is equal.
+func RendezvousWeight(session, engine string) uint64 { return rendezvousHash(session, engine) }
 
-// firstTwo returns the first and the second engine in a key's order; the second
-// is nil where there is only one.
+// firstTwo returns the first two engines in a key's order; second is nil if there is only one.
 func firstTwo(admitted []*Engine, key string) (first, second *Engine) {
 	var firstWeight, secondWeight uint64
 	for _, candidate := range admitted {
-		weight := hashWeight(key, candidate.ID)
+		weight := rendezvousHash(key, candidate.ID)
 		switch {
 		case first == nil || weight > firstWeight:
 			second, secondWeight = first, firstWeight
@@ -203,12 +200,12 @@
 	return first, second
 }
 
-// hashWeight is an engine's weight for an affinity (rendezvous hashing): the
-// highest comes first, and an engine that leaves moves only its own share.
-func hashWeight(affinity, id string) uint64 {
+// rendezvousHash returns an engine's weight for an affinity key (rendezvous hashing). The
+// engine with the highest weight comes first; an engine that leaves moves only its own keys.
+func rendezvousHash(key, id string) uint64 {
 	var digest xxhash.Digest
 	digest.Reset()
-	_, _ = digest.WriteString(affinity)
+	_, _ = digest.WriteString(key)
 	_, _ = digest.WriteString("\x00")
 	_, _ = digest.WriteString(id)
 	return digest.Sum64()
--- a/internal/backend/retry_budget.go
+++ b/internal/backend/retry_budget.go
@@ -8,44 +8,42 @@
 )
 
 const (
-	// retryShare is how many asks after a refusal each answered request pays for. A tenth
-	// is the usual share of retry budgets: engines under load lose at most a tenth of what
-	// they serve to it, while the refusals of a single engine of ten can be asked again.
-	retryShare = 0.1
-	// retryFloor is how many such asks a second are allowed besides, so that a node with
-	// few calls can ask again at all: over all nodes a few percent of what engines serve.
-	retryFloor = 1.0
-	// retryBurst is the most that is saved up: the calls of a node that meet a restart of
-	// one engine.
+	// retryRatio is the number of retries earned by each successful request. It limits the
+	// capacity that loaded engines lose to retries, and suffices to retry the refusals of one
+	// engine in ten.
+	retryRatio = 0.1
+	// minRetriesPerSecond is the retry rate available regardless of successes, so that nodes
+	// with few calls can retry at all.
+	minRetriesPerSecond = 1.0
+	// retryBurst is the maximum number of retries saved up: enough for a node's calls when one
+	// engine restarts.
 	retryBurst = 10.0
-	// refusalsToWait is how many engines may refuse a call before it waits for room, and
-	// mostRefusals how many may before it is refused itself. One engine that refuses though
-	// it seemed to have room may be odd, a second one says that the load is not as it is
-	// known; a call that meets four would keep the engines from their work.
-	refusalsToWait = 2
-	mostRefusals   = 4
+	// refusalsBeforeWait is the number of refusals after which a call waits for capacity, and
+	// maxRefusals the number after which it is rejected. One refusal may be an exception; a
+	// second one shows that the known load is outdated.
+	refusalsBeforeWait = 2
+	maxRefusals        = 4
 )
 
-// RetryBudget bounds the asks of a node that follow on refusals. It answers the load of
-// engines that refuse most of what they are asked, whose refusals sent each call on to all
-// other engines and thereby kept them from the work that would have ended the overload.
-// Its zero value is full. It is safe for concurrent use.
+// RetryBudget limits the retries of a node after refusals by engines. Without it, engines under
+// overload spend their time refusing calls that each try one engine after another, which
+// sustains the overload. The zero value is a full budget. It is safe for concurrent use.
 type RetryBudget struct {
 	mutex sync.Mutex
-	// spent is what is missing from retryBurst, as of at.
-	spent  float64
-	at     time.Time
-	denied int64
+	// spent is the number of retries missing from retryBurst, as of updated.
+	spent   float64
+	updated time.Time
+	denied  int64
 }
 
-// RecordSuccess notes an answered request.
+// RecordSuccess credits the budget with a successful request.
 func (budget *RetryBudget) RecordSuccess() {
 	budget.mutex.Lock()
 	defer budget.mutex.Unlock()
-	budget.spent = max(budget.spent-retryShare, 0)
+	budget.spent = max(budget.spent-retryRatio, 0)
 }
 
-// Acquire takes an ask from the budget; it is false where none is left.
+// Acquire takes a retry from the budget and reports whether one was available.
 func (budget *RetryBudget) Acquire(now time.Time) bool {
 	budget.mutex.Lock()
 	defer budget.mutex.Unlock()
@@ -58,19 +56,19 @@
 	return true
 }
 
-// Available tells whether an ask is left.
+// Available reports whether a retry is available.
 func (budget *RetryBudget) Available(now time.Time) bool {
 	return budget.Remaining(now) >= 1-roundingSlack || !feature.Enabled(feature.RetryBudget)
 }
 
-// Release puts an ask back that was not made.
+// Release returns a retry that was not used.
 func (budget *RetryBudget) Release() {
 	budget.mutex.Lock()
 	defer budget.mutex.Unlock()
 	budget.spent = max(budget.spent-1, 0)
 }
 
-// Remaining is how many asks are left.
+// Remaining returns the number of retries available.
 func (budget *RetryBudget) Remaining(now time.Time) float64 {
 	budget.mutex.Lock()
 	defer budget.mutex.Unlock()
@@ -78,7 +76,7 @@
 	return retryBurst - budget.spent
 }
 
-// DeniedCount is how often no ask was left.
+// DeniedCount returns how often Acquire was denied.
 func (budget *RetryBudget) DeniedCount() int64 {
 	budget.mutex.Lock()
 	defer budget.mutex.Unlock()
@@ -86,53 +84,54 @@
 }
 
 func (budget *RetryBudget) refill(now time.Time) {
-	if now.After(budget.at) {
-		budget.spent = max(budget.spent-retryFloor*now.Sub(budget.at).Seconds(), 0)
-		budget.at = now
+	if now.After(budget.updated) {
+		budget.spent = max(budget.spent-minRetriesPerSecond*now.Sub(budget.updated).Seconds(), 0)
+		budget.updated = now
 	}
 }
 
-// RefusalState is how often engines have refused one call. Its zero value is ready.
+// RefusalState counts the refusals of one call by engines. The zero value is ready for use.
 type RefusalState struct {
-	// Refusals counts them in all, sinceWait those since the call last waited.
+	// Refusals is their total number, sinceWait the number since the call last waited.
 	Refusals  int
 	sinceWait int
 }
 
-// RecordRefusal notes a refusal.
-func (asking *RefusalState) RecordRefusal() {
-	asking.Refusals++
-	asking.sinceWait++
+// RecordRefusal records a refusal.
+func (state *RefusalState) RecordRefusal() {
+	state.Refusals++
+	state.sinceWait++
 }
 
-// RecordWait notes that the call has waited for room.
-func (asking *RefusalState) RecordWait() { asking.sinceWait = 0 }
+// RecordWait records that the call has waited for capacity.
+func (state *RefusalState) RecordWait() { state.sinceWait = 0 }
 
-// Exhausted tells whether too many engines have refused the call.
-func (asking *RefusalState) Exhausted() bool {
-	return asking.Refusals >= mostRefusals && feature.Enabled(feature.RetryBudget)
+// Exhausted reports whether the call has reached maxRefusals.
+func (state *RefusalState) Exhausted() bool {
+	return state.Refusals >= maxRefusals && feature.Enabled(feature.RetryBudget)
 }
 
-// AcquireAttempt tells whether the call may ask an engine: for the first time always, after refusals
-// within its own bounds and those of the node.
-func (asking *RefusalState) AcquireAttempt(budget *RetryBudget, now time.Time) bool {
-	if asking.Refusals == 0 {
+// AcquireAttempt reports whether the call may be sent to an engine. The first attempt is always
+// allowed; after a refusal it is limited by the call's own refusals and the node's retry
+// budget, from which a retry is taken.
+func (state *RefusalState) AcquireAttempt(budget *RetryBudget, now time.Time) bool {
+	if state.Refusals == 0 {
 		return true
 	}
-	if asking.sinceWait >= refusalsToWait && feature.Enabled(feature.RetryBudget) {
+	if state.sinceWait >= refusalsBeforeWait && feature.Enabled(feature.RetryBudget) {
 		return false
 	}
 	return budget.Acquire(now)
 }
 
-// MayAttempt tells whether the call may ask an engine once it has waited.
-func (asking *RefusalState) MayAttempt(budget *RetryBudget, now time.Time) bool {
-	return asking.Refusals == 0 || budget.Available(now)
+// MayAttempt reports whether the call may be sent to an engine after it has waited.
+func (state *RefusalState) MayAttempt(budget *RetryBudget, now time.Time) bool {
+	return state.Refusals == 0 || budget.Available(now)
 }
 
-// ReleaseAttempt notes that no engine was asked after Take.
-func (asking *RefusalState) ReleaseAttempt(budget *RetryBudget) {
-	if asking.Refusals > 0 {
+// ReleaseAttempt returns an attempt that was acquired but not made.
+func (state *RefusalState) ReleaseAttempt(budget *RetryBudget) {
+	if state.Refusals > 0 {
 		budget.Release()
 	}
 }
--- a/internal/backend/status.go
+++ b/internal/backend/status.go
@@ -6,53 +6,52 @@
 	"time"
 )
 
-// AvoidReason is why a node gives an engine requests only where no other can take them.
+// AvoidReason is a reason to avoid an engine.
 type AvoidReason string
 
-// Reasons to pass an engine over.
+// Reasons to avoid an engine.
 const (
-	// AvoidDraining: its record says that it leaves; it gets none at all.
+	// AvoidDraining: the engine is leaving and gets no new requests.
 	AvoidDraining AvoidReason = "leaving"
-	// AvoidEvacuated: the operators have its zone evacuated; it gets none at all.
+	// AvoidEvacuated: operators have evacuated the zone; the engine gets no new requests.
 	AvoidEvacuated AvoidReason = "evacuated"
-	// AvoidCold: it has just started, and others send what it bears meanwhile.
+	// AvoidCold: the engine has just started, and its cold limit allows this node no request.
 	AvoidCold AvoidReason = "cold"
-	// AvoidUnreachableZone: its zone is out of reach.
+	// AvoidUnreachableZone: the engine's zone is unreachable.
 	AvoidUnreachableZone AvoidReason = "zone"
-	// AvoidFailures: requests failed there, or it took no connection.
+	// AvoidFailures: requests have failed, or the engine was unreachable.
 	AvoidFailures AvoidReason = "failures"
-	// AvoidFull: it has just refused a request for want of room.
+	// AvoidFull: the engine has just refused a request as full.
 	AvoidFull AvoidReason = "full"
-	// AvoidBreakerOpen: its requests end badly far more often than others', and it gets
-	// nothing but probes.
+	// AvoidBreakerOpen: the engine's breaker is open; it gets only probes.
 	AvoidBreakerOpen AvoidReason = "breaker"
-	// AvoidNoResponse: a request there got no answer, as seen here.
+	// AvoidNoResponse: a request of this node got no response.
 	AvoidNoResponse AvoidReason = "silent"
-	// AvoidReported: other nodes pass it over.
+	// AvoidReported: other nodes avoid the engine.
 	AvoidReported AvoidReason = "reported"
 )
 
-// Status is what this node knows of an engine.
+// Status is this node's knowledge of an engine.
 type Status struct {
 	Instance
-	// Running is the number of this node's requests there.
+	// Running is the number of this node's running requests there.
 	Running       int
 	ZoneReachable bool
 	AvoidReasons  []AvoidReason
 }
 
-// Statuses returns what this node knows of each engine, by service and id.
+// Statuses returns the status of each engine, ordered by service and ID.
 func (directory *Directory) Statuses(now time.Time) []Status {
 	directory.mutex.Lock()
 	defer directory.mutex.Unlock()
-	directory.usable("") // It lists the engines of all services.
+	directory.eligible("") // Rebuilds eligibleByService.
 	statuses := make([]Status, 0, len(directory.engines))
-	heeded := map[string]bool{}
-	for service, engines := range directory.services {
-		heeded[service] = heedsDoubt(engines, now)
+	honored := map[string]bool{}
+	for service, engines := range directory.eligibleByService {
+		honored[service] = honorsSuspicion(engines, now)
 	}
 	for _, engine := range directory.engines {
-		statuses = append(statuses, directory.status(engine, heeded[engine.Service], now))
+		statuses = append(statuses, directory.status(engine, honored[engine.Service], now))
 	}
 	slices.SortFunc(statuses, func(left, right Status) int {
 		return cmp.Or(cmp.Compare(left.Service, right.Service), cmp.Compare(left.ID, right.ID))
@@ -60,24 +59,24 @@
 	return statuses
 }
 
-// status describes one engine. heedDoubt tells whether doubts count at its service. The
-// caller holds the mutex.
-func (directory *Directory) status(engine *Engine, heedDoubt bool, now time.Time) Status {
-	reached := directory.zones == nil || directory.zones.Reachable(engine.Zone, now)
-	status := Status{Instance: engine.Instance, Running: engine.running, ZoneReachable: reached}
+// status returns the status of one engine. honorSuspicion is the service's result of
+// honorsSuspicion. The caller holds the mutex.
+func (directory *Directory) status(engine *Engine, honorSuspicion bool, now time.Time) Status {
+	reachable := directory.zones == nil || directory.zones.Reachable(engine.Zone, now)
+	status := Status{Instance: engine.Instance, Running: engine.running, ZoneReachable: reachable}
 	reasons := []struct {
 		reason  AvoidReason
 		applies bool
 	}{
 		{AvoidDraining, engine.Draining},
 		{AvoidEvacuated, directory.evacuated[engine.Zone]},
-		{AvoidCold, !directory.warms(engine, now)},
-		{AvoidUnreachableZone, !reached},
+		{AvoidCold, !directory.withinColdLimit(engine, now)},
+		{AvoidUnreachableZone, !reachable},
 		{AvoidFailures, now.Before(engine.avoidUntil)},
 		{AvoidFull, now.Before(engine.fullUntil)},
 		{AvoidBreakerOpen, engine.breaker.open},
-		{AvoidNoResponse, heedDoubt && now.Before(engine.silentUntil)},
-		{AvoidReported, heedDoubt && now.Before(engine.reportedUntil)},
+		{AvoidNoResponse, honorSuspicion && now.Before(engine.noResponseUntil)},
+		{AvoidReported, honorSuspicion && now.Before(engine.reportedUntil)},
 	}
 	for _, each := range reasons {
 		if each.applies {
--- a/internal/backend/status_test.go
+++ b/internal/backend/status_test.go
@@ -9,7 +9,7 @@
 	. "github.com/onsi/gomega"
 )
 
-func TestStatusesTellWhyEnginesArePassedOver(t *testing.T) {
+func TestStatusesListAvoidReasons(t *testing.T) {
 	expect := NewWithT(t)
 	now := time.Unix(1000, 0)
 	zones := reach.NewZones("a")
@@ -20,12 +20,12 @@
 	}
 	directory.Upsert(backend.Instance{ID: "leaving", Service: "s", Zone: "a", Draining: true}, time.Time{})
 	directory.Upsert(backend.Instance{ID: "far", Service: "t", Zone: "b"}, time.Time{})
-	at := func(id string) *backend.Engine {
+	pick := func(id string) *backend.Engine {
 		engine := directory.Pick(&backend.Request{Service: "s", Assigned: id}, now)
 		expect.Expect(engine.ID).To(Equal(id))
 		return engine
 	}
-	failing, full, silent := at("failing"), at("full"), at("silent")
+	failing, full, silent := pick("failing"), pick("full"), pick("silent")
 	directory.Finish(failing, backend.Unreachable, now)
 	directory.Finish(full, backend.Full, now)
 	directory.Suspect(silent, now)
@@ -57,6 +57,6 @@
 	expect.Expect(byID()["idle"].AvoidReasons).To(ContainElement(backend.AvoidBreakerOpen))
 
 	directory.AddReported([]string{"reported"}, now)
-	expect.Expect(byID()["reported"].AvoidReasons).To(BeEmpty(), "two of five are more than may be in doubt")
+	expect.Expect(byID()["reported"].AvoidReasons).To(BeEmpty(), "two of five are more than may be suspected")
 	expect.Expect(byID()["silent"].AvoidReasons).To(BeEmpty())
 }
--- a/internal/backend/wait_queue.go
+++ b/internal/backend/wait_queue.go
@@ -12,110 +12,111 @@
 )
 
 const (
-	// queuePoll is how long the first of a queue waits at most for a wake-up where rooms
-	// are not heeded, and for a place that is known to be free.
-	queuePoll = 12 * time.Millisecond
-	// longestLook separates two looks for room that no event tells of: a bound that is
-	// forgotten, an engine that came. Looks ask no engine.
-	longestLook = 100 * time.Millisecond
+	// queuePollInterval is the poll interval if capacity is known to be free, and if the queue
+	// has no source of capacity.
+	queuePollInterval = 12 * time.Millisecond
+	// maxPollInterval bounds the time between two polls for capacity that no event announces,
+	// such as an expired limit or a new engine. Polls send nothing to engines.
+	maxPollInterval = 100 * time.Millisecond
 )
 
-// CapacitySource knows what room engines have.
+// CapacitySource provides the free capacity of the engines.
 type CapacitySource interface {
-	// FreeCapacity is how many more requests to a service engines have room for.
+	// FreeCapacity returns how many more requests to a service can be sent.
 	FreeCapacity(service string, now time.Time) int
-	// UpdateLoad takes in that the view of all nodes has changed; here counts the requests that
-	// wait at this node.
-	UpdateLoad(here map[load.QueueKey]int, now time.Time)
-	// NextRetryTime is when an engine that has refused may be asked again, false where none has.
+	// UpdateLoad processes a new load view of all nodes. waiting counts the requests waiting
+	// at this node.
+	UpdateLoad(waiting map[load.QueueKey]int, now time.Time)
+	// NextRetryTime returns when an engine that has refused a request may be tried again, false
+	// if there is none.
 	NextRetryTime(service string, now time.Time) (time.Time, bool)
 }
 
-// Waiter is a request that waits for an engine of a service. Rank 0 is the most urgent.
+// Waiter is a request waiting for an engine of a service. Priority 0 is the most urgent.
 type Waiter struct {
 	Service  string
 	Priority int
-	// SoftDeadline is when the request's program should be over.
+	// SoftDeadline is when the request's program should finish.
 	SoftDeadline time.Time
-	// MayAttempt tells whether the request may ask an engine now; nil is always. One that may not
-	// keeps its place and is not woken: it would take the turn of others for nothing.
+	// MayAttempt reports whether the request may be sent to an engine now; nil means always. If
+	// it returns false, the request keeps its position and others are woken instead.
 	MayAttempt func() bool
 }
 
-// WaitQueue holds the requests that wait for an engine, by service, in order of their ranks
-// and of what is left to the aims of their programs. It is safe for concurrent use.
+// WaitQueue holds the requests waiting for an engine, by service, ordered by priority and soft
+// deadline. It is safe for concurrent use.
 //
-// It answers the load of more calls than engines have room for. Requests are woken by
-// events that show room, and no more of them than there is room for: where each was woken
-// by a clock and asked all engines in turn, the asks took more of the engines' time than
-// the work.
+// Under overload, requests that each poll the engines would cost more engine time than the work
+// itself. Requests are therefore woken by events that indicate free capacity, and no more of
+// them than there is capacity for.
 type WaitQueue struct {
 	mutex    sync.Mutex
-	services map[string]*waiters
-	// rooms is nil where the first is woken by each event and by a clock.
-	rooms CapacitySource
-	// now is the clock, and after runs a function later by it.
+	services map[string]*serviceQueue
+	// capacity is nil if requests are woken one at a time by any event or by polling.
+	capacity CapacitySource
+	// now and after are replaced in tests.
 	now   func() time.Time
-	after func(while time.Duration, run func())
+	after func(delay time.Duration, run func())
 }
 
 // NewWaitQueue returns an empty queue.
 func NewWaitQueue() *WaitQueue {
-	after := func(while time.Duration, run func()) { time.AfterFunc(while, run) }
-	return &WaitQueue{services: map[string]*waiters{}, now: time.Now, after: after}
+	after := func(delay time.Duration, run func()) { time.AfterFunc(delay, run) }
+	return &WaitQueue{services: map[string]*serviceQueue{}, now: time.Now, after: after}
 }
 
-// SetCapacitySource has the queue heed what room there is. It is called before anything else.
-func (queue *WaitQueue) SetCapacitySource(rooms CapacitySource) { queue.rooms = rooms }
+// SetCapacitySource makes the queue wake requests according to free capacity. It must be called
+// before any other method.
+func (queue *WaitQueue) SetCapacitySource(source CapacitySource) { queue.capacity = source }
 
-// paced tells whether requests are woken only where there is room.
-func (queue *WaitQueue) paced() bool {
-	return queue.rooms != nil && feature.Enabled(feature.LoadBasedCapacity)
+// capacityAware reports whether requests are woken only if there is free capacity.
+func (queue *WaitQueue) capacityAware() bool {
+	return queue.capacity != nil && feature.Enabled(feature.LoadBasedCapacity)
 }
 
-// waiters are the requests that wait for engines of one service.
-type waiters struct {
-	ordered order
-	// armed is true while a look for room is due.
-	armed bool
-	// due is when that look is; looks for which it has become another time are void.
-	due time.Time
+// serviceQueue holds the requests waiting for engines of one service.
+type serviceQueue struct {
+	requests requestHeap
+	// pollScheduled is true while a poll is scheduled.
+	pollScheduled bool
+	// pollAt is when that poll is due. Timers set for another time are obsolete.
+	pollAt time.Time
 }
 
-// waiting is one request in the queue.
-type waiting struct {
-	rank   int
-	aim    time.Time
-	late   bool
-	mayAsk func() bool
-	woken  chan struct{}
-	index  int
+// queuedRequest is one request in the queue.
+type queuedRequest struct {
+	priority     int
+	softDeadline time.Time
+	overdue      bool
+	mayAttempt   func() bool
+	woken        chan struct{}
+	index        int
 }
 
-func newWaiting(waiter Waiter, now time.Time) *waiting {
-	return &waiting{rank: waiter.Priority, aim: waiter.SoftDeadline, late: !waiter.SoftDeadline.After(now), mayAsk: waiter.MayAttempt, woken: make(chan struct{}, 1)}
+func newQueuedRequest(waiter Waiter, now time.Time) *queuedRequest {
+	return &queuedRequest{priority: waiter.Priority, softDeadline: waiter.SoftDeadline, overdue: !waiter.SoftDeadline.After(now), mayAttempt: waiter.MayAttempt, woken: make(chan struct{}, 1)}
 }
 
-// CountByPriority counts the requests to a service in the queue, by rank.
+// CountByPriority returns the number of waiting requests to a service by priority.
 func (queue *WaitQueue) CountByPriority(service string) map[int]int {
 	queue.mutex.Lock()
 	defer queue.mutex.Unlock()
-	found := queue.services[service]
-	if found == nil {
+	pending := queue.services[service]
+	if pending == nil {
 		return nil
 	}
-	return found.byRank()
+	return pending.countByPriority()
 }
 
-// HasWaiters tells whether requests to a service are in the queue.
+// HasWaiters reports whether requests to a service are waiting.
 func (queue *WaitQueue) HasWaiters(service string) bool {
 	queue.mutex.Lock()
 	defer queue.mutex.Unlock()
-	found := queue.services[service]
-	return found != nil && len(found.ordered) > 0
+	pending := queue.services[service]
+	return pending != nil && len(pending.requests) > 0
 }
 
-// Counts counts the requests in the queue, by service and rank.
+// Counts returns the number of waiting requests by service and priority.
 func (queue *WaitQueue) Counts() map[load.QueueKey]int {
 	queue.mutex.Lock()
 	defer queue.mutex.Unlock()
@@ -124,231 +125,230 @@
 
 func (queue *WaitQueue) counts() map[load.QueueKey]int {
 	counts := map[load.QueueKey]int{}
-	for service, found := range queue.services {
-		for _, each := range found.ordered {
-			counts[load.QueueKey{Service: service, Priority: each.rank}]++
+	for service, pending := range queue.services {
+		for _, request := range pending.requests {
+			counts[load.QueueKey{Service: service, Priority: request.priority}]++
 		}
 	}
 	return counts
 }
 
-// Ahead is the number of requests that come before one that would enter the queue now.
+// Ahead returns the number of requests that would be ahead of a new one.
 func (queue *WaitQueue) Ahead(waiter Waiter, now time.Time) int {
 	queue.mutex.Lock()
 	defer queue.mutex.Unlock()
-	found := queue.services[waiter.Service]
-	if found == nil {
+	pending := queue.services[waiter.Service]
+	if pending == nil {
 		return 0
 	}
-	mine := newWaiting(waiter, now)
+	request := newQueuedRequest(waiter, now)
 	ahead := 0
-	for _, each := range found.ordered {
-		if !mine.before(each) {
+	for _, queued := range pending.requests {
+		if !request.before(queued) {
 			ahead++
 		}
 	}
 	return ahead
 }
 
-// Wait returns when it is the request's turn to look for an engine, or after patience, or
-// when ctx ends. More urgent ranks come first, and among equals requests with the nearest
-// aim; those whose aim is over come last, for their programs gain little any more.
-func (queue *WaitQueue) Wait(ctx context.Context, waiter Waiter, patience time.Duration) {
-	mine := newWaiting(waiter, queue.now())
-	queue.enter(waiter.Service, mine)
-	timer := time.NewTimer(patience)
+// Wait blocks until the request may try an engine, maxWait has elapsed, or ctx is done.
+// Requests are woken by priority, then by soft deadline; those past their soft deadline come
+// last within their priority, as their programs have little left to gain.
+func (queue *WaitQueue) Wait(ctx context.Context, waiter Waiter, maxWait time.Duration) {
+	request := newQueuedRequest(waiter, queue.now())
+	queue.enqueue(waiter.Service, request)
+	timer := time.NewTimer(maxWait)
 	defer timer.Stop()
 	select {
-	case <-mine.woken:
+	case <-request.woken:
 	case <-timer.C:
 	case <-ctx.Done():
 	}
-	waited := queue.leave(waiter.Service, mine)
-	if !waited && ctx.Err() != nil {
-		// Its caller left just as its turn came, which is now another one's.
+	removed := queue.remove(waiter.Service, request)
+	if !removed && ctx.Err() != nil {
+		// The caller left just as the request was woken; pass the wake-up on.
 		queue.WakeNext(waiter.Service)
 	}
 }
 
-func (queue *WaitQueue) enter(service string, mine *waiting) {
+func (queue *WaitQueue) enqueue(service string, request *queuedRequest) {
 	queue.mutex.Lock()
 	defer queue.mutex.Unlock()
-	found := queue.services[service]
-	if found == nil {
-		found = &waiters{}
-		queue.services[service] = found
+	pending := queue.services[service]
+	if pending == nil {
+		pending = &serviceQueue{}
+		queue.services[service] = pending
 	}
-	heap.Push(&found.ordered, mine)
-	queue.arm(service, found, queue.now())
+	heap.Push(&pending.requests, request)
+	queue.schedulePoll(service, pending, queue.now())
 }
 
-// leave takes a request out of the queue; it is false where its turn had come.
-func (queue *WaitQueue) leave(service string, mine *waiting) bool {
+// remove removes a request from the queue. It returns false if the request was already woken.
+func (queue *WaitQueue) remove(service string, request *queuedRequest) bool {
 	queue.mutex.Lock()
 	defer queue.mutex.Unlock()
-	if mine.index < 0 {
+	if request.index < 0 {
 		return false
 	}
-	heap.Remove(&queue.services[service].ordered, mine.index)
+	heap.Remove(&queue.services[service].requests, request.index)
 	return true
 }
 
-// arm makes sure that there is a look for room though no event tells of any.
-func (queue *WaitQueue) arm(service string, found *waiters, now time.Time) {
-	if len(found.ordered) == 0 {
+// schedulePoll schedules the next poll for capacity.
+func (queue *WaitQueue) schedulePoll(service string, pending *serviceQueue, now time.Time) {
+	if len(pending.requests) == 0 {
 		return
 	}
-	pause := queue.pause(service, now)
-	due := now.Add(pause)
-	if found.armed && !due.Before(found.due) {
+	interval := queue.pollInterval(service, now)
+	pollAt := now.Add(interval)
+	if pending.pollScheduled && !pollAt.Before(pending.pollAt) {
 		return
 	}
-	found.armed = true
-	found.due = due
-	queue.after(pause, func() { queue.look(service, due) })
+	pending.pollScheduled = true
+	pending.pollAt = pollAt
+	queue.after(interval, func() { queue.poll(service, pollAt) })
 }
 
-// pause is how long after now to look for room.
-func (queue *WaitQueue) pause(service string, now time.Time) time.Duration {
-	if !queue.paced() || queue.rooms.FreeCapacity(service, now) > 0 {
-		return queuePoll
+// pollInterval returns the time until the next poll for capacity.
+func (queue *WaitQueue) pollInterval(service string, now time.Time) time.Duration {
+	if !queue.capacityAware() || queue.capacity.FreeCapacity(service, now) > 0 {
+		return queuePollInterval
 	}
-	next, refused := queue.rooms.NextRetryTime(service, now)
+	next, refused := queue.capacity.NextRetryTime(service, now)
 	if refused {
-		return min(next.Sub(now), longestLook)
+		return min(next.Sub(now), maxPollInterval)
 	}
-	return longestLook
+	return maxPollInterval
 }
 
-// look wakes requests for room that no event told of, where it is due.
-func (queue *WaitQueue) look(service string, due time.Time) {
+// poll wakes requests if there is capacity, unless the poll is obsolete.
+func (queue *WaitQueue) poll(service string, pollAt time.Time) {
 	queue.mutex.Lock()
 	defer queue.mutex.Unlock()
-	found := queue.services[service]
-	if found == nil || !found.due.Equal(due) {
+	pending := queue.services[service]
+	if pending == nil || !pending.pollAt.Equal(pollAt) {
 		return
 	}
-	found.armed = false
+	pending.pollScheduled = false
 	now := queue.now()
-	queue.wakeFor(found, queue.roomToLookFor(service, now))
-	queue.arm(service, found, now)
+	queue.wakeUpTo(pending, queue.wakeLimit(service, now))
+	queue.schedulePoll(service, pending, now)
 }
 
-// roomToLookFor is how many requests a look may wake.
-func (queue *WaitQueue) roomToLookFor(service string, now time.Time) int {
-	if !queue.paced() {
+// wakeLimit is the number of requests a poll may wake.
+func (queue *WaitQueue) wakeLimit(service string, now time.Time) int {
+	if !queue.capacityAware() {
 		return 1
 	}
-	return queue.rooms.FreeCapacity(service, now)
+	return queue.capacity.FreeCapacity(service, now)
 }
 
-// WakeNext lets the first in the queue for a service look for an engine: a request of this node
-// has ended there.
+// WakeNext wakes the first request waiting for a service after a request of this node has
+// finished there.
 func (queue *WaitQueue) WakeNext(service string) {
 	queue.mutex.Lock()
 	defer queue.mutex.Unlock()
 	now := queue.now()
-	found := queue.services[service]
-	if found == nil || len(found.ordered) == 0 {
+	pending := queue.services[service]
+	if pending == nil || len(pending.requests) == 0 {
 		return
 	}
-	if !queue.paced() || queue.rooms.FreeCapacity(service, now) > 0 {
-		queue.wakeFor(found, 1)
+	if !queue.capacityAware() || queue.capacity.FreeCapacity(service, now) > 0 {
+		queue.wakeUpTo(pending, 1)
 	}
-	queue.arm(service, found, now)
+	queue.schedulePoll(service, pending, now)
 }
 
-// WakeForLoadUpdate is called when the view of the load has changed. It lets as many requests look
-// for an engine as this node's part of the room that it shows.
+// WakeForLoadUpdate recomputes the free capacity after the load view has changed, and wakes as
+// many requests as it allows.
 func (queue *WaitQueue) WakeForLoadUpdate() {
-	if !queue.paced() {
+	if !queue.capacityAware() {
 		return
 	}
 	queue.mutex.Lock()
 	defer queue.mutex.Unlock()
 	now := queue.now()
-	queue.rooms.UpdateLoad(queue.counts(), now)
-	for service, found := range queue.services {
-		if len(found.ordered) > 0 {
-			queue.wakeFor(found, queue.rooms.FreeCapacity(service, now))
-			queue.arm(service, found, now)
+	queue.capacity.UpdateLoad(queue.counts(), now)
+	for service, pending := range queue.services {
+		if len(pending.requests) > 0 {
+			queue.wakeUpTo(pending, queue.capacity.FreeCapacity(service, now))
+			queue.schedulePoll(service, pending, now)
 		}
 	}
 }
 
-// wakeFor wakes the first requests of a queue that may ask. The caller holds the mutex.
-func (queue *WaitQueue) wakeFor(found *waiters, most int) {
-	var passedOver []*waiting
-	for woken := 0; woken < most && len(found.ordered) > 0; {
-		first := heap.Pop(&found.ordered).(*waiting)
-		if first.mayAsk != nil && !first.mayAsk() {
-			passedOver = append(passedOver, first)
+// wakeUpTo wakes up to limit requests that may be sent, in order. The caller holds the mutex.
+func (queue *WaitQueue) wakeUpTo(pending *serviceQueue, limit int) {
+	var skipped []*queuedRequest
+	for woken := 0; woken < limit && len(pending.requests) > 0; {
+		first := heap.Pop(&pending.requests).(*queuedRequest)
+		if first.mayAttempt != nil && !first.mayAttempt() {
+			skipped = append(skipped, first)
 			continue
 		}
 		first.woken <- struct{}{}
 		woken++
 	}
-	for _, each := range passedOver {
-		heap.Push(&found.ordered, each)
+	for _, request := range skipped {
+		heap.Push(&pending.requests, request)
 	}
 }
 
-// byRank counts the requests by rank.
-func (found *waiters) byRank() map[int]int {
+func (pending *serviceQueue) countByPriority() map[int]int {
 	counts := map[int]int{}
-	for _, each := range found.ordered {
-		counts[each.rank]++
+	for _, request := range pending.requests {
+		counts[request.priority]++
 	}
 	return counts
 }
 
-// ranksOf returns the ranks of a count, the most urgent first.
-func ranksOf(counts map[int]int) []int {
-	ranks := make([]int, 0, len(counts))
-	for rank := range counts {
-		ranks = append(ranks, rank)
+// sortedPriorities returns the priorities in a count, the most urgent first.
+func sortedPriorities(counts map[int]int) []int {
+	priorities := make([]int, 0, len(counts))
+	for priority := range counts {
+		priorities = append(priorities, priority)
 	}
-	slices.Sort(ranks)
-	return ranks
+	slices.Sort(priorities)
+	return priorities
 }
 
-// order implements heap.Interface.
-type order []*waiting
+// requestHeap implements heap.Interface.
+type requestHeap []*queuedRequest
 
-func (order order) Len() int { return len(order) }
+func (requests requestHeap) Len() int { return len(requests) }
 
-func (order order) Less(left, right int) bool { return order[left].before(order[right]) }
+func (requests requestHeap) Less(left, right int) bool { return requests[left].before(requests[right]) }
 
-// before tells whether a request's turn comes before another one's.
-func (request *waiting) before(other *waiting) bool {
+// before reports whether a request is to be woken before another.
+func (request *queuedRequest) before(other *queuedRequest) bool {
 	if !feature.Enabled(feature.QueueOrder) {
 		return false
 	}
-	if request.rank != other.rank && feature.Enabled(feature.LoadBasedCapacity) {
-		return request.rank < other.rank
+	if request.priority != other.priority && feature.Enabled(feature.LoadBasedCapacity) {
+		return request.priority < other.priority
 	}
-	if request.late != other.late {
-		return other.late
+	if request.overdue != other.overdue {
+		return other.overdue
 	}
-	return request.aim.Before(other.aim)
+	return request.softDeadline.Before(other.softDeadline)
 }
 
-func (order order) Swap(left, right int) {
-	order[left], order[right] = order[right], order[left]
-	order[left].index = left
-	order[right].index = right
+func (requests requestHeap) Swap(left, right int) {
+	requests[left], requests[right] = requests[right], requests[left]
+	requests[left].index = left
+	requests[right].index = right
 }
 
-func (order *order) Push(element any) {
-	added := element.(*waiting)
-	added.index = len(*order)
-	*order = append(*order, added)
+func (requests *requestHeap) Push(element any) {
+	added := element.(*queuedRequest)
+	added.index = len(*requests)
+	*requests = append(*requests, added)
 }
 
-func (order *order) Pop() any {
-	last := len(*order) - 1
-	removed := (*order)[last]
-	*order = (*order)[:last]
+func (requests *requestHeap) Pop() any {
+	last := len(*requests) - 1
+	removed := (*requests)[last]
+	*requests = (*requests)[:last]
 	removed.index = -1
 	return removed
 }
--- a/internal/backend/wait_queue_order_test.go
+++ b/internal/backend/wait_queue_order_test.go
@@ -7,27 +7,27 @@
 	. "github.com/onsi/gomega"
 )
 
-// TestQueueOrder wakes requests that are all in the queue, without the wake-ups by time.
-func TestQueueOrder(t *testing.T) {
+// TestWaitQueueOrderBySoftDeadline covers the order of wake-ups, with polling disabled.
+func TestWaitQueueOrderBySoftDeadline(t *testing.T) {
 	expect := NewWithT(t)
 	queue := NewWaitQueue()
-	queue.services["s"] = &waiters{armed: true}
-	begins := time.Now()
-	enter := func(aim time.Time) *waiting {
-		entered := &waiting{aim: aim, late: aim.Before(begins), woken: make(chan struct{}, 1)}
-		queue.enter("s", entered)
-		return entered
+	queue.services["s"] = &serviceQueue{pollScheduled: true}
+	start := time.Now()
+	enqueue := func(deadline time.Time) *queuedRequest {
+		request := &queuedRequest{softDeadline: deadline, overdue: deadline.Before(start), woken: make(chan struct{}, 1)}
+		queue.enqueue("s", request)
+		return request
 	}
-	late := enter(begins.Add(-time.Hour))
-	later := enter(begins.Add(2 * time.Hour))
-	leaves := enter(begins.Add(time.Minute))
-	soon := enter(begins.Add(time.Hour))
-	queue.leave("s", leaves)
-	for _, next := range []*waiting{soon, later, late} {
+	overdue := enqueue(start.Add(-time.Hour))
+	later := enqueue(start.Add(2 * time.Hour))
+	removed := enqueue(start.Add(time.Minute))
+	soon := enqueue(start.Add(time.Hour))
+	queue.remove("s", removed)
+	for _, next := range []*queuedRequest{soon, later, overdue} {
 		expect.Expect(queue.HasWaiters("s")).To(BeTrue())
 		queue.WakeNext("s")
 		expect.Expect(next.woken).To(Receive())
 	}
 	expect.Expect(queue.HasWaiters("s")).To(BeFalse())
-	expect.Expect(leaves.woken).NotTo(Receive())
+	expect.Expect(removed.woken).NotTo(Receive())
 }
--- a/internal/backend/zones.go
+++ b/internal/backend/zones.go
@@ -7,8 +7,9 @@
 	"github.com/magpielug/magpielug/internal/region"
 )
 
-// noteZone tells what a request's end says of the engine's zone.
-func (directory *Directory) noteZone(engine *Engine, outcome Outcome, now time.Time) {
+// recordZoneOutcome reports what a request's outcome shows about the reachability of the
+// engine's zone.
+func (directory *Directory) recordZoneOutcome(engine *Engine, outcome Outcome, now time.Time) {
 	if directory.zones == nil {
 		return
 	}
@@ -21,32 +22,31 @@
 	}
 }
 
-// reached returns the engines of zones that are reached, or all where each of those was asked
-// already. Each node finds out for itself that an engine behind a cut is silent, a second a
-// connection; with a third of the engines there, that second is all the time that a request
-// has.
-func (directory *Directory) reached(candidates []*Engine, request *Request, now time.Time) []*Engine {
+// inReachableZones returns the candidates in reachable zones, or all candidates if those were
+// already tried. Otherwise each request would have to time out at every engine of an
+// unreachable zone before it tries another.
+func (directory *Directory) inReachableZones(candidates []*Engine, request *Request, now time.Time) []*Engine {
 	if directory.zones == nil {
 		return candidates
 	}
-	beyond := func(engine *Engine) bool { return !directory.zones.Reachable(engine.Zone, now) }
-	if !slices.ContainsFunc(candidates, beyond) {
+	unreachable := func(engine *Engine) bool { return !directory.zones.Reachable(engine.Zone, now) }
+	if !slices.ContainsFunc(candidates, unreachable) {
 		return candidates
 	}
-	reached := slices.DeleteFunc(slices.Clone(candidates), beyond)
-	if slices.ContainsFunc(reached, func(engine *Engine) bool { return untried{}.Admits(engine, request, now) }) {
-		return reached
+	reachable := slices.DeleteFunc(slices.Clone(candidates), unreachable)
+	if slices.ContainsFunc(reachable, func(engine *Engine) bool { return untried{}.Admits(engine, request, now) }) {
+		return reachable
 	}
 	return candidates
 }
 
-// usableNow returns those of a service's engines that get requests as its zones are reached
-// now. The caller holds the mutex.
-func (directory *Directory) usableNow(service string, now time.Time) []*Engine {
-	return directory.reached(directory.usable(service), &Request{}, now)
+// eligibleNow returns the eligible engines of a service, preferring those in reachable zones.
+// The caller holds the mutex.
+func (directory *Directory) eligibleNow(service string, now time.Time) []*Engine {
+	return directory.inReachableZones(directory.eligible(service), &Request{}, now)
 }
 
-// inZones returns the engines in the zones where a request may be served.
+// inZones returns the engines in zones; nil zones means all.
 func inZones(engines []*Engine, zones region.ZoneSet) []*Engine {
 	if zones == nil {
 		return engines
--- a/internal/backend/zones_test.go
+++ b/internal/backend/zones_test.go
@@ -9,7 +9,7 @@
 	. "github.com/onsi/gomega"
 )
 
-func TestEnginesBehindACutGetWorkOnlyWhereNoOtherCan(t *testing.T) {
+func TestUnreachableZoneIsLastResort(t *testing.T) {
 	expect := NewWithT(t)
 	now := time.Unix(1000, 0)
 	zones := reach.NewZones("a")
@@ -24,14 +24,14 @@
 	expect.Expect(directory.Pick(request, now).ID).To(Equal("near"))
 	expect.Expect(directory.Healthy("s", nil, now)).To(HaveLen(1), "owners assign no engine there")
 	request.Tried = []string{"near"}
-	expect.Expect(directory.Pick(request, now).ID).To(Equal("far"), "better than none")
+	expect.Expect(directory.Pick(request, now).ID).To(Equal("far"), "last resort")
 
 	engine := directory.Pick(&backend.Request{Service: "s", Tried: []string{"near"}}, now)
 	directory.Finish(engine, backend.Succeeded, now.Add(time.Second))
-	expect.Expect(zones.Reachable("b", now.Add(time.Second))).To(BeTrue(), "an engine there answers")
+	expect.Expect(zones.Reachable("b", now.Add(time.Second))).To(BeTrue(), "an engine there responds")
 }
 
-func TestEnginesBehindACutHaveNoRoomForWaitingCalls(t *testing.T) {
+func TestUnreachableZoneHasNoFreeCapacity(t *testing.T) {
 	expect := NewWithT(t)
 	now := time.Unix(1000, 0)
 	zones := reach.NewZones("a")
@@ -46,10 +46,10 @@
 		expect.Expect(directory.Running()["near"]).To(BeNumerically("<", 10))
 	}
 	expect.Expect(directory.Running()).NotTo(HaveKey("far"))
-	expect.Expect(directory.FreeCapacity("s", now)).To(BeZero(), "a call that was woken would find no engine")
+	expect.Expect(directory.FreeCapacity("s", now)).To(BeZero(), "a woken call would find no engine")
 }
 
-func TestProgramsBeginByTheSlotsThatAreReached(t *testing.T) {
+func TestCapacitiesExcludeUnreachableZones(t *testing.T) {
 	expect := NewWithT(t)
 	now := time.Unix(1000, 0)
 	zones := reach.NewZones("a")
@@ -63,7 +63,7 @@
 	expect.Expect(directory.Capacities(now)[0].Slots).To(Equal(3))
 }
 
-func TestEnginesBehindACutGetNoProbes(t *testing.T) {
+func TestUnreachableZoneGetsNoBreakerProbes(t *testing.T) {
 	expect := NewWithT(t)
 	now := time.Unix(1000, 0)
 	zones := reach.NewZones("a")
