--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -1,15 +1,15 @@
-// Package admission decides whether an agent program may begin.
+// Package admission decides whether an agent program may start.
 //
-// A program is a chain of turns with calls of tools and sub-agents between them, and
-// is worth little unless it is over by its aim. Where more programs are under way than
-// the engines have room for, each turn of each of them waits, and none is over in time.
-// So a program's first turn is refused where there is no room for what the program is
-// likely to need; what has begun always goes on.
+// A program is a chain of model turns, with tool calls and sub-agents between them, and has
+// little value unless it finishes by its soft deadline. When more programs run than the engines
+// have capacity for, every turn queues and all programs miss their deadlines. A program's first
+// turn is therefore refused when there is no capacity for the program's expected demand;
+// programs that have started are never refused.
 //
-// The owner of a program's shard decides. Its Table holds the programs of its shards,
-// and the load report tells all owners what is under way in all shards; a Controller
-// predicts from that what the programs under way need and compares it with the slots
-// of the engines. Nothing here reads a clock, a socket or a random source.
+// The owner of a program's shard decides. Its Table holds the programs of its shards, and the
+// load report tells every owner what runs in all shards. From that a Controller forecasts the
+// demand of the running programs and compares it with the capacity of the engines. The package
+// performs no I/O and reads neither a clock nor a random source.
 package admission
 
 import (
@@ -21,50 +21,48 @@
 	"github.com/magpielug/magpielug/internal/tenant"
 )
 
-// Request asks whether a program may begin.
+// Request asks whether a program may start.
 type Request struct {
 	Program tenant.Program
-	// Route is the name under which the report tells the program's route, see RouteName.
+	// Route is the route's name in load reports, see RouteName.
 	Route   string
 	Service string
 	// Priority is 0 for the most urgent programs.
 	Priority int
-	// PromptTokens is the length of the first prompt, tokens; 0 where that is not known.
+	// PromptTokens is the length of the first prompt in tokens, 0 if unknown.
 	PromptTokens int64
-	// UntilSoftDeadline is how long it is until the program should be over; HasAim is false where
-	// it names no such time.
+	// UntilSoftDeadline is the time left until the program's soft deadline; it is meaningful
+	// only if HasSoftDeadline is true.
 	UntilSoftDeadline time.Duration
 	HasSoftDeadline   bool
-	// RetryJitter lies in [0, 1) and differs between programs: those that are refused
-	// together come back one after another.
+	// RetryJitter is in [0, 1) and differs between programs, so that programs refused together
+	// do not retry together.
 	RetryJitter float64
 }
 
-// Service is what the engines of one service have, and what runs there.
+// Service describes the engines of one service and their load.
 type Service struct {
 	Name string
-	// Slots is the number of requests that its sound engines run at once.
+	// Slots is the number of requests that the healthy engines run concurrently.
 	Slots   int
 	Engines int
-	// Running is the number of requests there, of all nodes.
+	// Running is the number of requests at the engines, from all nodes.
 	Running int
-	// MemoryTokens is how many tokens of prompts one engine holds, 0 where that is not
-	// known.
+	// MemoryTokens is the number of prompt tokens one engine holds, 0 if unknown.
 	MemoryTokens int
 }
 
-// State is what a decision goes by.
+// State is the input of a decision.
 type State struct {
-	// Total is what all nodes have under way, as it was Age ago. Known is false where
-	// that is not known.
+	// Total is the load of all nodes as of Age ago. Known is false if it is not known.
 	Total    load.Report
 	Known    bool
 	Age      time.Duration
 	Services []Service
-	// OwnerShare is the part of all programs that this owner decides on.
+	// OwnerShare is the fraction of all programs for which this owner decides.
 	OwnerShare float64
-	// TenantWeights are the sizes of tenants by the configuration; one that is missing has
-	// the mean of the others.
+	// TenantWeights are the configured weights of tenants; a tenant without one gets the mean
+	// of the others.
 	TenantWeights map[string]float64
 }
 
@@ -73,54 +71,58 @@
 
 // Reasons.
 const (
-	// ReasonSlots: the engines have no slots for it.
+	// ReasonSlots: the engines have no free slots for it.
 	ReasonSlots Reason = "slots"
-	// ReasonMemory: the engines' memory has no room for its prompts.
+	// ReasonMemory: the engines' memory cannot hold its prompts.
 	ReasonMemory Reason = "memory"
-	// ReasonTenantShare: there is too little room for all, and its tenant has more than its
-	// share of it.
+	// ReasonTenantShare: capacity is scarce and its tenant already uses its fair share.
 	ReasonTenantShare Reason = "tenant-share"
 )
 
-// Decision is the answer to an Order, with what it was decided by.
+// Decision is the answer to a Request, with the figures it is based on.
 type Decision struct {
 	Admitted bool
-	// RetryAfter is when to come back after a refusal.
+	// RetryAfter is how long to wait before a retry, if refused.
 	RetryAfter time.Duration
 	Reason     Reason
-	// Service names the engines that bind; Demand is what programs are expected to use
-	// of them, Need what this one does, Limit what they may use together and Capacity
-	// what there is: in slots, or in tokens of prompts.
+	// Service is the service with the binding resource. Demand is the forecast demand for that
+	// resource including this program's ProgramDemand, Limit is what programs may use, and
+	// Capacity is what exists: in slots, or in prompt tokens.
 	Service       string
 	Demand        float64
 	ProgramDemand float64
 	Limit         float64
 	Capacity      float64
-	// Rate is what may begin in a second at this rank, over all owners.
+	// Rate is the rate at which programs of this priority may start, over all owners, in units
+	// of the resource per second.
 	Rate float64
-	// TenantPrograms is what the tenant has under way and Fair its share, in programs; 0 where
-	// shares did not matter.
+	// TenantPrograms is the number of running programs of the tenant and FairShare the number
+	// it may have; both are 0 if fair shares did not apply.
 	TenantPrograms float64
 	FairShare      float64
 }
 
-// RouteName names a route's programs of one rank in reports: tenants may have ranks of
-// their own, and a route several services.
-func RouteName(route, service string, rank int) string { return route + nameSuffix(service, rank) }
+// RouteName returns the name under which load reports list a route's programs of one priority.
+// Tenants may have priorities of their own, and a route may use several services.
+func RouteName(route, service string, priority int) string {
+	return route + nameSuffix(service, priority)
+}
 
-// TrimRouteName returns the route's own name of one that RouteName has made.
-func TrimRouteName(name, service string, rank int) string {
-	return strings.TrimSuffix(name, nameSuffix(service, rank))
+// TrimRouteName returns the route's own name from a name built by RouteName.
+func TrimRouteName(name, service string, priority int) string {
+	return strings.TrimSuffix(name, nameSuffix(service, priority))
 }
 
-func nameSuffix(service string, rank int) string { return "/" + service + "/" + strconv.Itoa(rank) }
+func nameSuffix(service string, priority int) string {
+	return "/" + service + "/" + strconv.Itoa(priority)
+}
 
-// toolsRank is where calls of tools stand in reports. They have no rank of their own: what
-// programs call has to go on.
-const toolsRank = 0
+// toolCallPriority is the priority under which tool calls are reported. They have none of their
+// own: a running program's calls must proceed.
+const toolCallPriority = 0
 
-// ToolCallRoute returns what a report tells of the calls that programs have under way at a
-// service without being turns: calls of tools. Every node tells those that it serves.
+// ToolCallRoute returns the report entry for the tool calls that programs have in flight at a
+// service. Each node reports the calls that it serves itself.
 func ToolCallRoute(service string, calls int) (string, load.Route) {
-	return RouteName("", service, toolsRank), load.Route{Service: service, Priority: toolsRank, Turns: calls}
+	return RouteName("", service, toolCallPriority), load.Route{Service: service, Priority: toolCallPriority, Turns: calls}
 }
--- a/internal/admission/benchmark_test.go
+++ b/internal/admission/benchmark_test.go
@@ -9,8 +9,8 @@
 	"github.com/magpielug/magpielug/internal/tenant"
 )
 
-// targetState is the size that docs/DEVELOPERS.md names: 320 tenants, 20 routes, 56,000 turns
-// on 7 models.
+// targetState has the size that docs/DEVELOPERS.md names: 320 tenants, 20 routes and 56,000
+// turns on 7 models.
 func targetState() *State {
 	report := load.NewReport()
 	for number := range 20 {
@@ -27,7 +27,7 @@
 	return state
 }
 
-func BenchmarkDecideAtTheTargetSize(b *testing.B) {
+func BenchmarkDecideAtTargetSize(b *testing.B) {
 	state := targetState()
 	controller := NewController(Options{TenantShares: true, MemoryLimit: true})
 	now := time.Unix(1000, 0)
@@ -38,8 +38,8 @@
 	}
 }
 
-// BenchmarkProgramsOfATable shows the bytes that an owner of an eighth of 87,000 programs holds for each.
-func BenchmarkProgramsOfATable(b *testing.B) {
+// BenchmarkTablePrograms measures the bytes that an owner holds per program.
+func BenchmarkTablePrograms(b *testing.B) {
 	b.ReportAllocs()
 	table := NewTable()
 	now := time.Unix(1000, 0)
--- a/internal/admission/constraint.go
+++ b/internal/admission/constraint.go
@@ -7,109 +7,111 @@
 	"github.com/magpielug/magpielug/internal/load"
 )
 
-// constraint is the resource that leaves an order the least room, with what asks for it.
+// constraint is the resource that limits a request most, with the demand for it.
 type constraint struct {
 	*resource
-	state *State
-	order Request
-	need  float64
-	// place is the number of more urgent ranks, ranks all there are.
-	place int
-	ranks []int
-	// projected is the demand with what has begun since the state's moment and with the
-	// order; limit leaves out what is kept for more urgent ranks, and dear what the order's
-	// route leaves to cheaper ones of its rank.
-	projected float64
-	limit     float64
-	dear      float64
-	// rate is what may begin in a second at the order's rank, over all owners, kept what may
-	// of the order's route whatever others ask for, and backlog what was refused to the rank
-	// lately.
-	rate    float64
-	kept    float64
-	backlog float64
+	state         *State
+	request       Request
+	programDemand float64
+	// priorityIndex is the number of more urgent priorities, priorities lists all that are in
+	// use.
+	priorityIndex int
+	priorities    []int
+	// projected is the forecast demand including the request. limit excludes the reserves for
+	// more urgent priorities and costlyReserve, which the route leaves to cheaper ones of its
+	// priority.
+	projected     float64
+	limit         float64
+	costlyReserve float64
+	// startRate is what may start per second at the request's priority, over all owners, and
+	// routeRate what may start of its route regardless of other requests. backlog is the rate
+	// of recently refused demand of the priority.
+	startRate float64
+	routeRate float64
+	backlog   float64
 }
 
-// constraint finds the resource that binds, nil where there is none.
-func (controller *Controller) constraint(order Request, state *State, now time.Time) *constraint {
-	known := controller.learned
-	own := controller.begunSince(now.Add(-state.Age))
-	ranks := ranksOf(state, order.Priority)
-	dear := known.dear(order.Route, order.Priority, state)
+// bindingConstraint returns the resource with the highest utilization, nil if none applies.
+func (controller *Controller) bindingConstraint(request Request, state *State, now time.Time) *constraint {
+	estimator := controller.estimator
+	admitted := controller.admittedSince(now.Add(-state.Age))
+	priorities := activePriorities(state, request.Priority)
+	costlyReserve := estimator.costlyReserve(request.Route, request.Priority, state)
 	var tightest *constraint
-	for _, shared := range known.resources(state, controller.options.MemoryLimit) {
-		next := &constraint{resource: shared, state: state, order: order, ranks: ranks, place: position(ranks, order.Priority)}
-		next.need = known.need(shared, order.Route, order.Service)
-		if shared.memory {
-			next.need = max(next.need, float64(order.PromptTokens)*ownMemory(shared, order))
+	for _, resource := range estimator.resources(state, controller.options.MemoryLimit) {
+		candidate := &constraint{resource: resource, state: state, request: request, priorities: priorities, priorityIndex: priorityIndex(priorities, request.Priority)}
+		candidate.programDemand = estimator.programDemand(resource, request.Route, request.Service)
+		if resource.memory {
+			candidate.programDemand = max(candidate.programDemand, float64(request.PromptTokens)*memoryUser(resource, request))
 		}
-		if next.need < nominalNeed*shared.capacity {
+		if candidate.programDemand < minDemandFraction*resource.capacity {
 			continue
 		}
-		next.projected = shared.demand + known.moved(shared, state, own) + next.need
-		near := nearness(next.projected / shared.limit)
-		next.dear = near * dear * shared.capacity
-		next.limit = shared.limit - near*known.reserve(next.place)*shared.capacity - next.dear
-		if tightest == nil || next.fill() > tightest.fill() {
-			tightest = next
+		candidate.projected = resource.demand + estimator.demandChange(resource, state, admitted) + candidate.programDemand
+		proximity := limitProximity(candidate.projected / resource.limit)
+		candidate.costlyReserve = proximity * costlyReserve * resource.capacity
+		candidate.limit = resource.limit - proximity*estimator.priorityReserve(candidate.priorityIndex)*resource.capacity - candidate.costlyReserve
+		if tightest == nil || candidate.utilization() > tightest.utilization() {
+			tightest = candidate
 		}
 	}
 	if tightest != nil {
-		tightest.setRate(known)
+		tightest.setRate(estimator)
 	}
 	return tightest
 }
 
-// ownMemory is 1 where the order's prompts go into the memory.
-func ownMemory(shared *resource, order Request) float64 {
-	if shared.service == order.Service {
+// memoryUser returns 1 if the request's prompts use the memory resource, 0 otherwise.
+func memoryUser(resource *resource, request Request) float64 {
+	if resource.service == request.Service {
 		return 1
 	}
 	return 0
 }
 
-// begunSince lists this owner's admissions since a moment.
-func (controller *Controller) begunSince(moment time.Time) []begun {
-	first, _ := slices.BinarySearchFunc(controller.begun, moment, func(admission begun, moment time.Time) int { return admission.at.Compare(moment) })
-	return controller.begun[first:]
+// admittedSince returns this owner's admissions since a time.
+func (controller *Controller) admittedSince(moment time.Time) []admittedProgram {
+	first, _ := slices.BinarySearchFunc(controller.recentAdmissions, moment, func(admission admittedProgram, moment time.Time) int { return admission.at.Compare(moment) })
+	return controller.recentAdmissions[first:]
 }
 
-// ranksOf lists the ranks of which programs are under way or ask, and that of the order.
-func ranksOf(state *State, own int) []int {
-	ranks := []int{own}
+// activePriorities returns the priorities with running or requested programs, and the request's
+// own.
+func activePriorities(state *State, own int) []int {
+	priorities := []int{own}
 	for _, route := range state.Total.Routes {
 		if route.Programs > 0 || perSecond(route.ProgramsStarted+route.Refused) >= 1 {
-			ranks = append(ranks, route.Priority)
+			priorities = append(priorities, route.Priority)
 		}
 	}
-	slices.Sort(ranks)
-	return slices.Compact(ranks)
+	slices.Sort(priorities)
+	return slices.Compact(priorities)
 }
 
-func (constraint *constraint) fill() float64 { return constraint.projected / constraint.limit }
-
-// setRate works out what may begin: as much as ends, and what brings demand to its limit
-// soon.
-func (constraint *constraint) setRate(known *learned) {
-	room := constraint.limit - (constraint.projected - constraint.need)
-	rate := constraint.ends + room/correctionSpan.Seconds()
-	life := max(known.routes[constraint.order.Route].life(), firstLife)
-	rate = max(rate, leastRate*constraint.capacity/life.Seconds())
-	wanted := make([]float64, len(constraint.ranks))
-	for place, rank := range constraint.ranks {
-		wanted[place] = known.rate(constraint.resource, constraint.state, atRank(rank, func(route load.Route) float64 { return route.ProgramsStarted + route.Refused }))
+func (constraint *constraint) utilization() float64 { return constraint.projected / constraint.limit }
+
+// setRate computes the start rate: what running programs release, plus what brings demand to
+// its limit within correctionInterval.
+func (constraint *constraint) setRate(estimator *estimator) {
+	available := constraint.limit - (constraint.projected - constraint.programDemand)
+	rate := constraint.releaseRate + available/correctionInterval.Seconds()
+	lifetime := max(estimator.routes[constraint.request.Route].lifetime(), defaultLifetime)
+	rate = max(rate, minStartFraction*constraint.capacity/lifetime.Seconds())
+	wanted := make([]float64, len(constraint.priorities))
+	for index, priority := range constraint.priorities {
+		wanted[index] = estimator.demandRate(constraint.resource, constraint.state, atPriority(priority, func(route load.Route) float64 { return route.ProgramsStarted + route.Refused }))
 	}
-	constraint.rate = divide(rate, wanted, constraint.place)
-	if constraint.dear > 0 {
-		constraint.kept = leastRouteShare * constraint.capacity / life.Seconds()
+	constraint.startRate = divideRate(rate, wanted, constraint.priorityIndex)
+	if constraint.costlyReserve > 0 {
+		constraint.routeRate = minRouteShare * constraint.capacity / lifetime.Seconds()
 	}
-	constraint.backlog = known.rate(constraint.resource, constraint.state, atRank(constraint.order.Priority, func(route load.Route) float64 { return route.Refused }))
+	constraint.backlog = estimator.demandRate(constraint.resource, constraint.state, atPriority(constraint.request.Priority, func(route load.Route) float64 { return route.Refused }))
 }
 
-// atRank counts only routes of one rank.
-func atRank(rank int, count func(route load.Route) float64) func(route load.Route) float64 {
+// atPriority restricts a count to routes of one priority.
+func atPriority(priority int, count func(route load.Route) float64) func(route load.Route) float64 {
 	return func(route load.Route) float64 {
-		if route.Priority != rank {
+		if route.Priority != priority {
 			return 0
 		}
 		return count(route)
@@ -117,7 +119,7 @@
 }
 
 func (constraint *constraint) decision() Decision {
-	return Decision{Service: constraint.service, Demand: constraint.projected, ProgramDemand: constraint.need, Limit: constraint.limit, Capacity: constraint.capacity, Rate: constraint.rate}
+	return Decision{Service: constraint.service, Demand: constraint.projected, ProgramDemand: constraint.programDemand, Limit: constraint.limit, Capacity: constraint.capacity, Rate: constraint.startRate}
 }
 
 func (constraint *constraint) reason() Reason {
@@ -127,32 +129,32 @@
 	return ReasonSlots
 }
 
-// fits tells whether the order leaves demand below its limit.
+// fits reports whether demand stays within its limit with the request.
 func (constraint *constraint) fits() bool { return constraint.projected <= constraint.limit }
 
-// fitsUnderShare tells whether there is room for a tenant that has much less than its
-// share.
+// fitsUnderShare reports whether the allowance for tenants far under their fair share has
+// capacity.
 func (constraint *constraint) fitsUnderShare(decision Decision) bool {
-	return decision.farUnderShare() && constraint.projected <= constraint.limit+underShareRoom*constraint.capacity
+	return decision.farUnderShare() && constraint.projected <= constraint.limit+underShareAllowance*constraint.capacity
 }
 
-// retryAfter is when there will be room for the order: those refused before it begin
-// first.
-func (constraint *constraint) retryAfter(order Request, life time.Duration) time.Duration {
-	most := mostRetry
-	if order.HasSoftDeadline {
-		most = min(most, max(order.UntilSoftDeadline-life, leastRetry))
+// retryAfter returns when capacity is expected for the request, after the requests refused
+// before it.
+func (constraint *constraint) retryAfter(request Request, lifetime time.Duration) time.Duration {
+	longest := maxRetryAfter
+	if request.HasSoftDeadline {
+		longest = min(longest, max(request.UntilSoftDeadline-lifetime, minRetryAfter))
 	}
-	first := most.Seconds() / (1 + retrySpread)
-	if constraint.rate > 0 {
-		first = min(first, (constraint.backlog+constraint.need)/constraint.rate)
+	wait := longest.Seconds() / (1 + maxRetryJitter)
+	if constraint.startRate > 0 {
+		wait = min(wait, (constraint.backlog+constraint.programDemand)/constraint.startRate)
 	}
-	first = max(first, leastRetry.Seconds())
-	return spread(time.Duration(first*float64(time.Second)), order.RetryJitter)
+	wait = max(wait, minRetryAfter.Seconds())
+	return addJitter(time.Duration(wait*float64(time.Second)), request.RetryJitter)
 }
 
-// spread makes a time to come back longer for some, so that those that are refused together
-// come back one after another.
-func spread(wait time.Duration, draw float64) time.Duration {
-	return time.Duration(float64(wait) * (1 + retrySpread*draw))
+// addJitter extends a wait by up to maxRetryJitter, so that programs refused together do not
+// retry together.
+func addJitter(wait time.Duration, jitter float64) time.Duration {
+	return time.Duration(float64(wait) * (1 + maxRetryJitter*jitter))
 }
--- a/internal/admission/controller.go
+++ b/internal/admission/controller.go
@@ -10,213 +10,210 @@
 )
 
 const (
-	// correctionSpan is within which demand is brought to its limit. It is longer than
-	// it takes to see what an admission has changed: a view is some tenths of a second
-	// old.
-	correctionSpan = 500 * time.Millisecond
-	// leastRate of the capacity may begin in the time that a program lives, whatever
-	// demand is: where other callers fill the engines programs still begin.
-	leastRate = 0.05
-	// longestCredit bounds for how long what may begin adds up while nobody asks: programs
-	// come by chance, and an owner sees a dozen a second. leastCredit programs may always
-	// add up.
-	longestCredit = 300 * time.Millisecond
-	leastCredit   = 1.5
-	// returnSpan is how long a refused program is remembered, which goes first when it
-	// comes back and can still end in its aim.
-	returnSpan = 3 * time.Second
-	// leastRetry and mostRetry bound when a refused program is told to come back. Callers
-	// wait for a third of their time at most, of some seconds, and their aims leave about
-	// half a second. A shorter wait costs them a try of the one or two that they have.
-	leastRetry = 150 * time.Millisecond
-	mostRetry  = 900 * time.Millisecond
-	// hopeless is how many refusals a program's aim bears. One that was refused more often is
-	// told to come back after lateRetry, which is a third of a turn's usual 4 s less what
-	// retrySpread adds: it will be late, and each of its few tries shall find another moment.
-	// Told 0.2 s each time, six tries were over in 1.1 s, within the burst that refused them.
-	hopeless  = 2
-	lateRetry = 850 * time.Millisecond
-	// retrySpread is the part of the wait by which two programs refused together differ.
-	retrySpread = 0.5
+	// correctionInterval is the time within which demand is brought to its limit. It exceeds
+	// the delay until an admission shows in the load view.
+	correctionInterval = 500 * time.Millisecond
+	// minStartFraction is the fraction of the capacity that may start per program lifetime
+	// whatever the demand, so that programs start even if other traffic fills the engines.
+	minStartFraction = 0.05
+	// maxBurstDuration and minBurstPrograms bound the tokens that accumulate while no program
+	// requests admission.
+	maxBurstDuration = 300 * time.Millisecond
+	minBurstPrograms = 1.5
+	// refusalRetention is how long a refused program is remembered. Such a program takes
+	// precedence when it retries and can still meet its soft deadline.
+	refusalRetention = 3 * time.Second
+	// minRetryAfter and maxRetryAfter bound Decision.RetryAfter. Callers retry only once or
+	// twice within their timeout, so that a shorter wait would waste an attempt.
+	minRetryAfter = 150 * time.Millisecond
+	maxRetryAfter = 900 * time.Millisecond
+	// maxTimelyRefusals is the number of refusals after which a program cannot meet its soft
+	// deadline any more. It is then told to wait at least lateRetryAfter, so that its remaining
+	// attempts outlast a burst.
+	maxTimelyRefusals = 2
+	lateRetryAfter    = 850 * time.Millisecond
+	// maxRetryJitter is the maximum jitter as a fraction of the wait.
+	maxRetryJitter = 0.5
 )
 
-// Options switches parts of a controller on.
+// Options enables parts of a controller.
 type Options struct {
-	// TenantShares has tenants share what is scarce.
+	// TenantShares limits tenants to their fair shares when capacity is scarce.
 	TenantShares bool
-	// MemoryLimit counts engines' memory as a limit.
+	// MemoryLimit treats engine memory as a limited resource.
 	MemoryLimit bool
 }
 
-// credit is what may begin, as a part of the capacity that binds.
-type credit struct {
-	value float64
-	at    time.Time
+// tokenBucket limits the rate at which programs start, in fractions of the binding resource's
+// capacity.
+type tokenBucket struct {
+	tokens     float64
+	refilledAt time.Time
 }
 
-// creditOwner is a rank, or one route of it, that has a credit.
-type creditOwner struct {
-	rank int
-	// route is empty for the credit of the whole rank.
+// bucketKey names the bucket of a priority, or of one of its routes.
+type bucketKey struct {
+	priority int
+	// route is empty for the bucket of the whole priority.
 	route string
 }
 
 // Controller decides for one owner. It is not safe for concurrent use.
 type Controller struct {
-	options Options
-	learned *learned
-	// begun are this owner's admissions that a view may not show yet.
-	begun   []begun
-	credits map[creditOwner]*credit
-	refused map[tenant.Program]refusals
+	options   Options
+	estimator *estimator
+	// recentAdmissions are this owner's admissions that the load view may not include yet.
+	recentAdmissions []admittedProgram
+	buckets          map[bucketKey]*tokenBucket
+	refused          map[tenant.Program]refusals
 }
 
-// refusals are those of a program that has not begun.
+// refusals counts the refusals of a program that has not started.
 type refusals struct {
 	count int
 	last  time.Time
 }
 
-// NewController returns a controller that has learned nothing.
+// NewController returns a controller without any observations.
 func NewController(options Options) *Controller {
-	return &Controller{options: options, learned: newLearned(), credits: map[creditOwner]*credit{}, refused: map[tenant.Program]refusals{}}
+	return &Controller{options: options, estimator: newEstimator(), buckets: map[bucketKey]*tokenBucket{}, refused: map[tenant.Program]refusals{}}
 }
 
-// Observe learns from a state. It is called some times a second, also while no program
-// asks.
+// Observe updates the estimates from a state. It must be called several times a second, also
+// while no program requests admission.
 func (controller *Controller) Observe(state *State, now time.Time) {
 	controller.expire(now)
-	// A node that owns no shard is not told of programs, and would take all that runs at
-	// engines for other callers'.
+	// A node that owns no shard receives no program counts, and would attribute all requests at
+	// the engines to other traffic.
 	if !state.Known || state.OwnerShare <= 0 || len(state.Total.Routes) == 0 {
 		return
 	}
-	step, taken := controller.learned.observe(state, now)
+	step, taken := controller.estimator.observe(state, now)
 	if !taken {
 		return
 	}
-	late := lateOf(state)
-	for _, shared := range controller.learned.resources(state, false) {
-		use := controller.learned.service(shared.service)
-		use.bound.observe(signals{
-			queue: use.present.value / shared.capacity,
-			late:  late,
-			binds: shared.demand >= bindsFrom*shared.limit,
+	late := excessLateFractionOf(state)
+	for _, resource := range controller.estimator.resources(state, false) {
+		usage := controller.estimator.service(resource.service)
+		usage.limit.observe(loadSignals{
+			loadPerSlot:  usage.occupancy.value / resource.capacity,
+			lateFraction: late,
+			binding:      resource.demand >= bindingThreshold*resource.limit,
 		}, step)
 	}
 }
 
-func lateOf(state *State) float64 {
-	var begun, late float64
+func excessLateFractionOf(state *State) float64 {
+	var started, late float64
 	for _, route := range state.Total.Routes {
-		begun += route.ProgramsStarted
+		started += route.ProgramsStarted
 		late += route.Late
 	}
-	return lateBeyondLoops(begun, late)
+	return excessLateFraction(started, late)
 }
 
 func (controller *Controller) expire(now time.Time) {
-	controller.begun = slices.DeleteFunc(controller.begun, func(admission begun) bool { return now.Sub(admission.at) > load.MaxViewAge })
-	maps.DeleteFunc(controller.refused, func(_ tenant.Program, held refusals) bool { return now.Sub(held.last) > returnSpan })
+	controller.recentAdmissions = slices.DeleteFunc(controller.recentAdmissions, func(admission admittedProgram) bool { return now.Sub(admission.at) > load.MaxViewAge })
+	maps.DeleteFunc(controller.refused, func(_ tenant.Program, record refusals) bool { return now.Sub(record.last) > refusalRetention })
 }
 
-// Decide tells whether a program may begin. It has to be asked once for each try.
-func (controller *Controller) Decide(order Request, state *State, now time.Time) Decision {
+// Decide reports whether a program may start. It must be called once for each attempt.
+func (controller *Controller) Decide(request Request, state *State, now time.Time) Decision {
 	controller.Observe(state, now)
-	controller.learned.noteAsk(order, now)
+	controller.estimator.recordRequest(request, now)
 	if !state.Known || state.OwnerShare <= 0 {
-		return controller.admit(order, Decision{}, now)
+		return controller.admit(request, Decision{}, now)
 	}
-	constraint := controller.constraint(order, state, now)
+	constraint := controller.bindingConstraint(request, state, now)
 	if constraint == nil {
-		return controller.admit(order, Decision{}, now)
+		return controller.admit(request, Decision{}, now)
 	}
 	decision := constraint.decision()
 	if controller.options.TenantShares {
-		constraint.share(order, &decision)
+		constraint.setFairShare(request, &decision)
 	}
 	switch {
 	case decision.overShare():
-		return controller.refuse(order, decision, ReasonTenantShare, constraint, now)
+		return controller.refuse(request, decision, ReasonTenantShare, constraint, now)
 	case constraint.fits():
-		controller.credits[creditOwner{rank: order.Priority}] = &credit{at: now}
-		return controller.admit(order, decision, now)
+		controller.buckets[bucketKey{priority: request.Priority}] = &tokenBucket{refilledAt: now}
+		return controller.admit(request, decision, now)
 	case constraint.fitsUnderShare(decision):
-		return controller.admit(order, decision, now)
+		return controller.admit(request, decision, now)
 	}
-	if controller.draw(order, constraint, now) {
-		return controller.admit(order, decision, now)
+	if controller.takeTokens(request, constraint, now) {
+		return controller.admit(request, decision, now)
 	}
-	return controller.refuse(order, decision, constraint.reason(), constraint, now)
+	return controller.refuse(request, decision, constraint.reason(), constraint, now)
 }
 
-func (controller *Controller) admit(order Request, decision Decision, now time.Time) Decision {
+func (controller *Controller) admit(request Request, decision Decision, now time.Time) Decision {
 	decision.Admitted = true
-	controller.begun = append(controller.begun, begun{route: order.Route, service: order.Service, at: now})
-	delete(controller.refused, order.Program)
+	controller.recentAdmissions = append(controller.recentAdmissions, admittedProgram{route: request.Route, service: request.Service, at: now})
+	delete(controller.refused, request.Program)
 	return decision
 }
 
-func (controller *Controller) refuse(order Request, decision Decision, reason Reason, constraint *constraint, now time.Time) Decision {
+func (controller *Controller) refuse(request Request, decision Decision, reason Reason, constraint *constraint, now time.Time) Decision {
 	decision.Reason = reason
-	held := refusals{count: controller.refused[order.Program].count + 1, last: now}
-	controller.refused[order.Program] = held
-	decision.RetryAfter = constraint.retryAfter(order, controller.learned.routes[order.Route].life())
-	if held.count > hopeless {
-		decision.RetryAfter = max(decision.RetryAfter, spread(lateRetry, order.RetryJitter))
+	record := refusals{count: controller.refused[request.Program].count + 1, last: now}
+	controller.refused[request.Program] = record
+	decision.RetryAfter = constraint.retryAfter(request, controller.estimator.routes[request.Route].lifetime())
+	if record.count > maxTimelyRefusals {
+		decision.RetryAfter = max(decision.RetryAfter, addJitter(lateRetryAfter, request.RetryJitter))
 	}
 	return decision
 }
 
-// draw takes a program's need from what may begin, and tells whether there was enough.
-func (controller *Controller) draw(order Request, constraint *constraint, now time.Time) bool {
-	least := 1.0
-	if controller.returnsInTime(order) {
-		least = 0
+// takeTokens takes a program's demand from the buckets and reports whether they held enough.
+func (controller *Controller) takeTokens(request Request, constraint *constraint, now time.Time) bool {
+	minFraction := 1.0
+	if controller.canMeetDeadline(request) {
+		minFraction = 0
 	}
-	// Both are brought up to now.
-	rank := controller.credit(creditOwner{rank: order.Priority}, constraint.rate, constraint, now)
-	route := controller.credit(creditOwner{rank: order.Priority, route: order.Route}, constraint.kept, constraint, now)
-	return rank.draw(constraint, least) || (constraint.kept > 0 && route.draw(constraint, 1))
-}
-
-// credit returns a credit with what has been added to it until now, at a rate over all owners.
-func (controller *Controller) credit(owner creditOwner, rate float64, constraint *constraint, now time.Time) *credit {
-	held := controller.credits[owner]
-	if held == nil {
-		held = &credit{at: now}
-		if owner.route != "" {
-			// Owners start apart, so that what is kept of little capacity does not begin
-			// everywhere at once.
-			held.value = constraint.order.RetryJitter * constraint.need / constraint.capacity
+	// Both buckets are refilled, whichever is used.
+	priorityBucket := controller.refilledBucket(bucketKey{priority: request.Priority}, constraint.startRate, constraint, now)
+	routeBucket := controller.refilledBucket(bucketKey{priority: request.Priority, route: request.Route}, constraint.routeRate, constraint, now)
+	return priorityBucket.take(constraint, minFraction) || (constraint.routeRate > 0 && routeBucket.take(constraint, 1))
+}
+
+// refilledBucket returns a bucket, refilled up to now at a rate that is shared by all owners.
+func (controller *Controller) refilledBucket(key bucketKey, rate float64, constraint *constraint, now time.Time) *tokenBucket {
+	bucket := controller.buckets[key]
+	if bucket == nil {
+		bucket = &tokenBucket{refilledAt: now}
+		if key.route != "" {
+			// Owners start with different levels, so that a small reserve is not used by all of
+			// them at once.
+			bucket.tokens = constraint.request.RetryJitter * constraint.programDemand / constraint.capacity
 		}
-		controller.credits[owner] = held
+		controller.buckets[key] = bucket
 	}
-	own := constraint.state.OwnerShare * rate / constraint.capacity
-	most := max(own*longestCredit.Seconds(), leastCredit*constraint.need/constraint.capacity)
-	held.value = min(held.value+own*now.Sub(held.at).Seconds(), most)
-	held.at = now
-	return held
+	refillRate := constraint.state.OwnerShare * rate / constraint.capacity
+	burst := max(refillRate*maxBurstDuration.Seconds(), minBurstPrograms*constraint.programDemand/constraint.capacity)
+	bucket.tokens = min(bucket.tokens+refillRate*now.Sub(bucket.refilledAt).Seconds(), burst)
+	bucket.refilledAt = now
+	return bucket
 }
 
-// draw takes a program's need out where the credit holds at least a part of it.
-func (held *credit) draw(constraint *constraint, least float64) bool {
-	need := constraint.need / constraint.capacity
-	if held.value < least*need {
+// take removes a program's demand if the bucket holds at least minFraction of it.
+func (bucket *tokenBucket) take(constraint *constraint, minFraction float64) bool {
+	demand := constraint.programDemand / constraint.capacity
+	if bucket.tokens < minFraction*demand {
 		return false
 	}
-	held.value -= need
+	bucket.tokens -= demand
 	return true
 }
 
-// returnsInTime tells whether a program that was refused can still end in its aim. Such a
-// one may begin ahead of what adds up.
-func (controller *Controller) returnsInTime(order Request) bool {
-	_, refused := controller.refused[order.Program]
-	return refused && (!order.HasSoftDeadline || order.UntilSoftDeadline >= controller.learned.routes[order.Route].life())
+// canMeetDeadline reports whether a previously refused program can still meet its soft
+// deadline. Such a program may start before enough tokens have accumulated.
+func (controller *Controller) canMeetDeadline(request Request) bool {
+	_, refused := controller.refused[request.Program]
+	return refused && (!request.HasSoftDeadline || request.UntilSoftDeadline >= controller.estimator.routes[request.Route].lifetime())
 }
 
-// Resource is what programs share, for the metrics.
+// Resource is a limited resource that programs share, for metrics and status.
 type Resource struct {
 	Service  string
 	Memory   bool
@@ -225,11 +222,11 @@
 	Demand   float64
 }
 
-// Resources returns what programs share, as a state shows it.
+// Resources returns the shared resources as of a state.
 func (controller *Controller) Resources(state *State) []Resource {
 	var all []Resource
-	for _, shared := range controller.learned.resources(state, controller.options.MemoryLimit) {
-		all = append(all, Resource{Service: shared.service, Memory: shared.memory, Capacity: shared.capacity, Limit: shared.limit, Demand: shared.demand})
+	for _, resource := range controller.estimator.resources(state, controller.options.MemoryLimit) {
+		all = append(all, Resource{Service: resource.service, Memory: resource.memory, Capacity: resource.capacity, Limit: resource.limit, Demand: resource.demand})
 	}
 	return all
 }
--- a/internal/admission/controller_test.go
+++ b/internal/admission/controller_test.go
@@ -13,151 +13,150 @@
 )
 
 const (
-	// settled is when a replay has learned what programs need. Bursts of 5 s follow.
-	settled   = 12 * time.Second
-	burstEnds = settled + 5*time.Second
-	played    = burstEnds + 4*time.Second
-	// viewAge is how old a view is at most in the middle of a second.
+	// warmUp is the time after which a simulation has stable estimates. Bursts of 5 s follow.
+	warmUp    = 12 * time.Second
+	burstEnds = warmUp + 5*time.Second
+	runTime   = burstEnds + 4*time.Second
+	// viewAge is the typical maximum age of a load view.
 	viewAge = 300 * time.Millisecond
-	// mostBeyond is how much more than the slots may be asked for: a fifth more adds a
-	// fifth of a turn to each, of the three tenths that aims leave. Programs that have
-	// begun and have their sub-agents yet to come bring a tenth more for moments.
-	mostBeyond  = 1.2
-	mostMoments = 1.4
+	// maxDemand is the admissible demand in relation to the slots, averaged over a burst;
+	// maxPeakDemand is that of single moments, when started programs launch their sub-agents.
+	maxDemand     = 1.2
+	maxPeakDemand = 1.4
 )
 
-// kindsAt are two routes that use a part of the model slots together. Short programs of
-// 1.2 s are most of them; long ones of 3.6 s use two slots once their sub-agents begin.
-func kindsAt(share float64) []*kind {
-	// A program's slots times its life, of those that loop too.
+// classesAt returns two routes that together use a fraction of the model slots. Short programs
+// of 1.2 s are the majority; long ones of 3.6 s use two slots once their sub-agents start.
+func classesAt(share float64) []*programClass {
+	// Slot-seconds of a program, including those that loop.
 	const shortSlots, longSlots = (0.97*1.2 + 0.03*6) * 0.8, (0.99*3.6 + 0.01*6) * 1.5 * 0.8
-	return []*kind{
-		{route: "short", rate: steadyRate(share * 200 / shortSlots), life: 1200 * time.Millisecond, width: 1, loops: 0.03},
-		{route: "long", rank: 2, rate: steadyRate(share * 70 / longSlots), life: 3600 * time.Millisecond, width: 2, loops: 0.01},
+	return []*programClass{
+		{route: "short", rate: steadyRate(share * 200 / shortSlots), lifetime: 1200 * time.Millisecond, concurrentTurns: 1, loopFraction: 0.03},
+		{route: "long", priority: 2, rate: steadyRate(share * 70 / longSlots), lifetime: 3600 * time.Millisecond, concurrentTurns: 2, loopFraction: 0.01},
 	}
 }
 
-// burst has one of the kinds come more often for 5 s.
-func burst(index int, times float64) []*kind {
-	kinds := kindsAt(0.75)
-	kinds[index].rate = burstRate(kinds[index].rate(0), times, settled, burstEnds)
-	return kinds
+// burst multiplies the arrival rate of one of the classes for 5 s.
+func burst(index int, times float64) []*programClass {
+	classes := classesAt(0.75)
+	classes[index].rate = burstRate(classes[index].rate(0), times, warmUp, burstEnds)
+	return classes
 }
 
-// replayOf is a replay with tools of which three quarters are used with the models.
-func replayOf(kinds []*kind, owners int) *replay {
-	return &replay{kinds: kinds, owners: owners, age: viewAge, toolsPerTurn: 0.12, seed: 1, options: admission.Options{TenantShares: true, MemoryLimit: true}}
+// newSimulation returns a simulation with tool calls that use three quarters of the tool slots.
+func newSimulation(classes []*programClass, owners int) *simulation {
+	return &simulation{classes: classes, owners: owners, viewAge: viewAge, toolsPerTurn: 0.12, seed: 1, options: admission.Options{TenantShares: true, MemoryLimit: true}}
 }
 
-var _ = Describe("A burst of 2.4 times of the short programs for 5 s", func() {
+var _ = Describe("A burst of short programs at 2.4 times their usual rate for 5 s", func() {
 	for _, owners := range []int{1, 14} {
 		for seed := range uint64(3) {
-			It(fmt.Sprintf("keeps what begins near the slots, with %d owners, seed %d", owners, seed), func() {
-				run := replayOf(burst(0, 2.4), owners)
-				run.seed = seed
-				run.play(played)
-				during := run.within(settled+time.Second, burstEnds)
-				Expect(during.demand).To(BeNumerically("<=", mostBeyond*modelSlots), "demand within a second")
-				Expect(during.demand).To(BeNumerically(">=", 0.95*modelSlots), "slots that programs could use stay used")
-				Expect(run.most(settled, played)).To(BeNumerically("<=", mostMoments*modelSlots))
-				Expect(during.refusedShare("")).To(BeNumerically(">", 0.1))
-				Expect(run.within(settled-4*time.Second, settled).refused[""]).To(BeZero(), "before the burst")
-				Expect(run.within(burstEnds+time.Second, played).refused[""]).To(BeZero(), "a second after it")
+			It(fmt.Sprintf("keeps demand close to the slots, with %d owners, seed %d", owners, seed), func() {
+				sim := newSimulation(burst(0, 2.4), owners)
+				sim.seed = seed
+				sim.run(runTime)
+				during := sim.between(warmUp+time.Second, burstEnds)
+				Expect(during.demand).To(BeNumerically("<=", maxDemand*modelSlots), "demand a second into the burst")
+				Expect(during.demand).To(BeNumerically(">=", 0.95*modelSlots), "slots do not idle")
+				Expect(sim.peakDemand(warmUp, runTime)).To(BeNumerically("<=", maxPeakDemand*modelSlots))
+				Expect(during.refusedFraction("")).To(BeNumerically(">", 0.1))
+				Expect(sim.between(warmUp-4*time.Second, warmUp).refused[""]).To(BeZero(), "before the burst")
+				Expect(sim.between(burstEnds+time.Second, runTime).refused[""]).To(BeZero(), "a second after it")
 			})
 		}
 	}
 
-	It("would ask for half as much again as there are slots without admission", func() {
-		run := replayOf(burst(0, 2.4), 1)
-		run.admitsAll = true
-		run.play(played)
-		Expect(run.within(settled+2*time.Second, burstEnds).demand).To(BeNumerically(">", 1.4*modelSlots))
+	It("exceeds the slots by nearly half without admission control", func() {
+		sim := newSimulation(burst(0, 2.4), 1)
+		sim.admitsAll = true
+		sim.run(runTime)
+		Expect(sim.between(warmUp+2*time.Second, burstEnds).demand).To(BeNumerically(">", 1.4*modelSlots))
 	})
 
-	It("is refused by the more urgent rank last, and the other still gets through now and then", func() {
-		run := replayOf(burst(0, 2.4), 14)
-		run.play(played)
-		during := run.within(settled+time.Second, burstEnds)
-		Expect(during.refusedShare("short")).To(BeNumerically("<", during.refusedShare("long")))
-		Expect(during.refused["long"]).To(BeNumerically("<", during.asked["long"]))
+	It("refuses the less urgent priority first, without starving it", func() {
+		sim := newSimulation(burst(0, 2.4), 14)
+		sim.run(runTime)
+		during := sim.between(warmUp+time.Second, burstEnds)
+		Expect(during.refusedFraction("short")).To(BeNumerically("<", during.refusedFraction("long")))
+		Expect(during.refused["long"]).To(BeNumerically("<", during.requested["long"]))
 	})
 })
 
-var _ = Describe("A burst of the less urgent programs", func() {
-	It("costs the more urgent ones little", func() {
-		run := replayOf(burst(1, 5), 14)
-		run.play(played)
-		during := run.within(settled+time.Second, burstEnds)
-		Expect(during.refusedShare("long")).To(BeNumerically(">", 0.2))
-		Expect(during.refusedShare("short")).To(BeNumerically("<", 0.1))
-		Expect(during.refusedShare("short")).To(BeNumerically("<", during.refusedShare("long")/4))
-		Expect(during.demand).To(BeNumerically("<=", mostBeyond*modelSlots))
+var _ = Describe("A burst of less urgent programs", func() {
+	It("hardly affects more urgent ones", func() {
+		sim := newSimulation(burst(1, 5), 14)
+		sim.run(runTime)
+		during := sim.between(warmUp+time.Second, burstEnds)
+		Expect(during.refusedFraction("long")).To(BeNumerically(">", 0.2))
+		Expect(during.refusedFraction("short")).To(BeNumerically("<", 0.1))
+		Expect(during.refusedFraction("short")).To(BeNumerically("<", during.refusedFraction("long")/4))
+		Expect(during.demand).To(BeNumerically("<=", maxDemand*modelSlots))
 	})
 })
 
-var _ = Describe("A burst of programs that need many times the work of others of their rank", func() {
-	It("costs the others little, and still gets most of the room", func() {
-		kinds := burst(1, 5)
-		for _, each := range kinds {
-			each.rank = 1
+var _ = Describe("A burst of programs that need much more work than others of their priority", func() {
+	It("hardly affects the others, and still gets most of the capacity", func() {
+		classes := burst(1, 5)
+		for _, class := range classes {
+			class.priority = 1
 		}
-		run := replayOf(kinds, 14)
-		run.play(played)
-		during := run.within(settled+time.Second, burstEnds)
-		Expect(during.refusedShare("long")).To(BeNumerically(">", 0.2))
-		Expect(during.refusedShare("short")).To(BeNumerically("<", during.refusedShare("long")/2))
-		Expect(during.refused["long"]).To(BeNumerically("<", during.asked["long"]))
-		Expect(during.demand).To(BeNumerically("<=", mostBeyond*modelSlots))
+		sim := newSimulation(classes, 14)
+		sim.run(runTime)
+		during := sim.between(warmUp+time.Second, burstEnds)
+		Expect(during.refusedFraction("long")).To(BeNumerically(">", 0.2))
+		Expect(during.refusedFraction("short")).To(BeNumerically("<", during.refusedFraction("long")/2))
+		Expect(during.refused["long"]).To(BeNumerically("<", during.requested["long"]))
+		Expect(during.demand).To(BeNumerically("<=", maxDemand*modelSlots))
 	})
 })
 
-var _ = Describe("More of the urgent programs than there is room for, without an end", func() {
-	It("leave each rank that asks its small share", func() {
-		kinds := kindsAt(0.75)
-		kinds[0].rate = steadyRate(4 * kinds[0].rate(0))
-		run := replayOf(kinds, 14)
-		run.play(40 * time.Second)
+var _ = Describe("Sustained overload by urgent programs", func() {
+	It("leaves a minimum share to each priority", func() {
+		classes := classesAt(0.75)
+		classes[0].rate = steadyRate(4 * classes[0].rate(0))
+		sim := newSimulation(classes, 14)
+		sim.run(40 * time.Second)
 		for at := 10 * time.Second; at < 40*time.Second; at += 10 * time.Second {
-			span := run.within(at, at+10*time.Second)
-			Expect(span.refused["long"]).To(BeNumerically("<", span.asked["long"]), at.String())
-			Expect(span.demand).To(BeNumerically("<=", mostBeyond*modelSlots), at.String())
+			span := sim.between(at, at+10*time.Second)
+			Expect(span.refused["long"]).To(BeNumerically("<", span.requested["long"]), at.String())
+			Expect(span.demand).To(BeNumerically("<=", maxDemand*modelSlots), at.String())
 		}
 	})
 })
 
-var _ = Describe("Load below the slots", func() {
-	It("is never refused at nine tenths where programs come evenly", func() {
-		run := replayOf(kindsAt(0.9), 14)
-		run.steady = true
-		run.play(30 * time.Second)
-		Expect(run.within(0, 30*time.Second).refused[""]).To(BeZero())
+var _ = Describe("Load below capacity", func() {
+	It("is never refused at 90% with evenly spaced arrivals", func() {
+		sim := newSimulation(classesAt(0.9), 14)
+		sim.evenArrivals = true
+		sim.run(30 * time.Second)
+		Expect(sim.between(0, 30*time.Second).refused[""]).To(BeZero())
 	})
 
-	It("is hardly ever refused at nine tenths where they come by chance", func() {
+	It("is hardly ever refused at 90% with random arrivals", func() {
 		for seed := range uint64(3) {
-			run := replayOf(kindsAt(0.9), 14)
-			run.seed = seed
-			run.play(30 * time.Second)
-			Expect(run.within(0, 30*time.Second).refusedShare("")).To(BeNumerically("<", 0.005))
+			sim := newSimulation(classesAt(0.9), 14)
+			sim.seed = seed
+			sim.run(30 * time.Second)
+			Expect(sim.between(0, 30*time.Second).refusedFraction("")).To(BeNumerically("<", 0.005))
 		}
 	})
 
-	It("is never refused at three quarters, with loops, by chance", func() {
+	It("is never refused at 75% with random arrivals and looping programs", func() {
 		for seed := range uint64(3) {
-			run := replayOf(kindsAt(0.75), 14)
-			run.seed = seed
-			run.play(40 * time.Second)
-			Expect(run.within(0, 40*time.Second).refused[""]).To(BeZero())
+			sim := newSimulation(classesAt(0.75), 14)
+			sim.seed = seed
+			sim.run(40 * time.Second)
+			Expect(sim.between(0, 40*time.Second).refused[""]).To(BeZero())
 		}
 	})
 })
 
-var _ = Describe("A tenant at six times its usual", func() {
-	// 24 tenants come alike; "t0" comes six times as often in the burst, of what is then
-	// 1.2 times the slots.
+var _ = Describe("A tenant at six times its usual rate", func() {
+	// There are 24 tenants with equal rates; "t0" has six times its rate during the burst, in
+	// which total demand is 1.2 times the slots.
 	hot := func(at time.Duration, random *rand.Rand) string {
 		weight := 1.0
-		if at >= settled && at < burstEnds {
+		if at >= warmUp && at < burstEnds {
 			weight = 6
 		}
 		if place := random.Float64() * (23 + weight); place >= weight {
@@ -165,28 +164,28 @@
 		}
 		return "t0"
 	}
-	play := func(shares bool) moment {
-		kinds := kindsAt(0.95)
-		kinds[0].rate = burstRate(kinds[0].rate(0), 1.5, settled, burstEnds)
-		kinds[0].tenant = hot
-		run := replayOf(kinds, 14)
-		run.options.TenantShares = shares
-		run.play(played)
-		return run.within(settled+time.Second, burstEnds)
+	play := func(shares bool) sample {
+		classes := classesAt(0.95)
+		classes[0].rate = burstRate(classes[0].rate(0), 1.5, warmUp, burstEnds)
+		classes[0].tenant = hot
+		sim := newSimulation(classes, 14)
+		sim.options.TenantShares = shares
+		sim.run(runTime)
+		return sim.between(warmUp+time.Second, burstEnds)
 	}
-	others := func(sum moment) float64 {
-		asked, refused := 0, 0
+	others := func(sum sample) float64 {
+		requested, refused := 0, 0
 		for number := 1; number <= 23; number++ {
 			key := fmt.Sprint("shortt", number)
-			asked += sum.asked[key]
+			requested += sum.requested[key]
 			refused += sum.refused[key]
 		}
-		return float64(refused) / float64(asked)
+		return float64(refused) / float64(requested)
 	}
 
-	It("is refused for the sake of the others", func() {
+	It("is refused before the others are", func() {
 		with := play(true)
-		Expect(with.refusedShare("shortt0")).To(BeNumerically(">", 3*others(with)))
+		Expect(with.refusedFraction("shortt0")).To(BeNumerically(">", 3*others(with)))
 		Expect(others(with)).To(BeNumerically("<", others(play(false))))
 		Expect(with.reasons[admission.ReasonTenantShare]).To(BeNumerically(">", 0))
 	})
@@ -195,7 +194,8 @@
 var _ = Describe("Controller", func() {
 	now := time.Unix(1000, 0)
 	short := admission.RouteName("r", models, 0)
-	// stateOf has programs of a route, each with a turn under way, at some slots.
+	// stateOf returns a state with a number of programs, each with one turn in flight, and a
+	// number of slots.
 	stateOf := func(programs, slots int) *admission.State {
 		total := load.NewReport()
 		total.Routes[short] = load.Route{Service: models, Programs: programs, Turns: programs, ProgramsStarted: float64(programs) / 4}
@@ -203,11 +203,11 @@
 			{Name: models, Slots: slots, Engines: slots / 6, Running: min(programs, slots)},
 		}}
 	}
-	order := func(id string) admission.Request {
+	request := func(id string) admission.Request {
 		return admission.Request{Program: tenant.Program{ID: id}, Route: short, Service: models}
 	}
-	// taught has learned from a state for a while.
-	taught := func(options admission.Options, state *admission.State) *admission.Controller {
+	// trained returns a controller that has observed a state for a while.
+	trained := func(options admission.Options, state *admission.State) *admission.Controller {
 		controller := admission.NewController(options)
 		for step := range 100 {
 			controller.Observe(state, now.Add(time.Duration(step-100)*200*time.Millisecond))
@@ -215,103 +215,103 @@
 		return controller
 	}
 
-	It("refuses nobody while the load is not known", func() {
+	It("admits all programs while the load is unknown", func() {
 		full := stateOf(600, 270)
-		controller := taught(admission.Options{}, full)
+		controller := trained(admission.Options{}, full)
 		full.Known = false
 		for number := range 100 {
-			Expect(controller.Decide(order(fmt.Sprint(number)), full, now).Admitted).To(BeTrue())
+			Expect(controller.Decide(request(fmt.Sprint(number)), full, now).Admitted).To(BeTrue())
 		}
 	})
 
-	It("tells refused programs to come back one after another, and soon enough", func() {
+	It("spreads the retries of refused programs, within their deadlines", func() {
 		full := stateOf(600, 270)
-		controller := taught(admission.Options{}, full)
+		controller := trained(admission.Options{}, full)
 		waits := map[time.Duration]bool{}
 		for number := range 20 {
-			asked := order(fmt.Sprint(number))
-			asked.RetryJitter = float64(number) / 20
-			decision := controller.Decide(asked, full, now)
+			refusedRequest := request(fmt.Sprint(number))
+			refusedRequest.RetryJitter = float64(number) / 20
+			decision := controller.Decide(refusedRequest, full, now)
 			Expect(decision.Admitted).To(BeFalse())
 			Expect(decision.Reason).To(Equal(admission.ReasonSlots))
 			Expect(decision.RetryAfter).To(And(BeNumerically(">=", 150*time.Millisecond), BeNumerically("<=", 900*time.Millisecond)))
 			waits[decision.RetryAfter] = true
 		}
 		Expect(len(waits)).To(BeNumerically(">", 5))
-		hurried := order("hurried")
-		hurried.RetryJitter, hurried.HasSoftDeadline, hurried.UntilSoftDeadline = 0.9, true, 1400*time.Millisecond
-		Expect(controller.Decide(hurried, full, now).RetryAfter).To(BeNumerically("<=", 400*time.Millisecond), "it lives for a second")
+		urgent := request("hurried")
+		urgent.RetryJitter, urgent.HasSoftDeadline, urgent.UntilSoftDeadline = 0.9, true, 1400*time.Millisecond
+		Expect(controller.Decide(urgent, full, now).RetryAfter).To(BeNumerically("<=", 400*time.Millisecond), "its lifetime is one second")
 	})
 
-	It("does not cut what begins for programs that are late without a queue", func() {
+	It("does not lower the limit for late programs without a queue", func() {
 		state := stateOf(200, 270)
 		route := state.Total.Routes[short]
 		route.Late = route.ProgramsStarted
 		state.Total.Routes[short] = route
-		controller := taught(admission.Options{}, state)
-		Expect(controller.Decide(order("a"), state, now).Admitted).To(BeTrue())
+		controller := trained(admission.Options{}, state)
+		Expect(controller.Decide(request("a"), state, now).Admitted).To(BeTrue())
 		Expect(controller.Resources(state)[0].Limit).To(BeNumerically(">", 270))
 	})
 
-	It("admits fewer where requests wait and programs are late beyond what loops explain", func() {
+	It("lowers the limit when requests queue and programs are late beyond the looping ones", func() {
 		limit := func(late float64) float64 {
 			state := stateOf(300, 270)
 			state.Total.Waiting[load.QueueKey{Service: models}] = 30
 			route := state.Total.Routes[short]
 			route.Late = late * route.ProgramsStarted
 			state.Total.Routes[short] = route
-			return taught(admission.Options{}, state).Resources(state)[0].Limit
+			return trained(admission.Options{}, state).Resources(state)[0].Limit
 		}
-		Expect(limit(0.03)).To(BeNumerically(">", 270), "two or three loops in 100 are always late")
+		Expect(limit(0.03)).To(BeNumerically(">", 270), "looping programs are always late")
 		Expect(limit(0.4)).To(And(BeNumerically("<", 270), BeNumerically(">=", 0.7*270)))
 	})
 
-	It("lets a small deployment that is half used vary by chance", func() {
+	It("tolerates random variation in a small, half-used deployment", func() {
 		usual := stateOf(3, 6)
-		controller := taught(admission.Options{}, usual)
-		Expect(controller.Decide(order("a"), stateOf(7, 6), now.Add(time.Second)).Admitted).To(BeTrue())
+		controller := trained(admission.Options{}, usual)
+		Expect(controller.Decide(request("a"), stateOf(7, 6), now.Add(time.Second)).Admitted).To(BeTrue())
 	})
 
-	It("refuses what the engines' memory has no room for", func() {
+	It("refuses programs whose prompts exceed the engines' memory", func() {
 		state := stateOf(100, 270)
 		route := state.Total.Routes[short]
 		route.PromptTokens = 100 * 20_000
 		state.Total.Routes[short] = route
 		state.Services[0].MemoryTokens = 44_000
-		Expect(taught(admission.Options{}, state).Decide(order("a"), state, now).Admitted).To(BeTrue())
-		decision := taught(admission.Options{MemoryLimit: true}, state).Decide(order("a"), state, now)
+		Expect(trained(admission.Options{}, state).Decide(request("a"), state, now).Admitted).To(BeTrue())
+		decision := trained(admission.Options{MemoryLimit: true}, state).Decide(request("a"), state, now)
 		Expect(decision.Admitted).To(BeFalse())
 		Expect(decision.Reason).To(Equal(admission.ReasonMemory))
 	})
 
-	It("refuses nobody for the sake of tools, whose calls wait shortly", func() {
+	It("does not limit programs by the slots of tool services", func() {
 		state := stateOf(200, 270)
 		state.Services = append(state.Services, admission.Service{Name: tools, Slots: 48, Engines: 8, Running: 40})
 		name, calls := admission.ToolCallRoute(tools, 40)
 		state.Total.Routes[name] = calls
-		controller := taught(admission.Options{}, state)
+		controller := trained(admission.Options{}, state)
 		crowded := stateOf(320, 600)
 		crowded.Services = append(crowded.Services, state.Services[1])
-		Expect(controller.Decide(order("a"), crowded, now).Admitted).To(BeTrue(), "320 programs will have 64 calls at 48 slots")
+		Expect(controller.Decide(request("a"), crowded, now).Admitted).To(BeTrue(), "64 tool calls are expected for 48 slots")
 		crowded = stateOf(320, 270)
 		crowded.Services = append(crowded.Services, state.Services[1])
-		Expect(controller.Decide(order("a"), crowded, now).Service).To(Equal(models))
+		Expect(controller.Decide(request("a"), crowded, now).Service).To(Equal(models))
 	})
 
-	It("learns nothing while it owns no shard and is told of no programs", func() {
-		untold := stateOf(200, 270)
-		untold.OwnerShare = 0
-		clear(untold.Total.Routes)
-		controller := taught(admission.Options{}, untold)
-		decision := controller.Decide(order("a"), stateOf(200, 270), now)
+	It("updates no estimates while it owns no shard and receives no program counts", func() {
+		unowned := stateOf(200, 270)
+		unowned.OwnerShare = 0
+		clear(unowned.Total.Routes)
+		controller := trained(admission.Options{}, unowned)
+		decision := controller.Decide(request("a"), stateOf(200, 270), now)
 		Expect(decision.Admitted).To(BeTrue())
-		Expect(decision.Demand).To(BeNumerically("<", 270), "what runs are its programs' turns")
+		Expect(decision.Demand).To(BeNumerically("<", 270), "requests at the engines are the programs' own turns")
 	})
 
-	It("leaves services out that programs do not call, however full", func() {
+	It("ignores services that programs do not call", func() {
 		state := stateOf(200, 270)
 		state.Services = append(state.Services, admission.Service{Name: "pages", Slots: 48, Engines: 8, Running: 48})
 		state.Total.Waiting[load.QueueKey{Service: "pages"}] = 400
-		Expect(taught(admission.Options{}, state).Decide(order("a"), state, now).Admitted).To(BeTrue())
+		Expect(trained(admission.Options{}, state).Decide(request("a"), state, now).Admitted).To(BeTrue())
 	})
 })
--- a/internal/admission/forecast.go
+++ b/internal/admission/forecast.go
@@ -8,128 +8,127 @@
 )
 
 const (
-	// chanceSlots times the root of a service's slots is room that chance needs: what
-	// programs that come at a steady rate use together varies by about the root of it,
-	// times the root of the slots of one. Without it 6 slots that are half used would
-	// refuse 7 in 100 programs.
-	chanceSlots = 2.0
-	// memoryShare is the part of engines' memory that prompts of programs under way may
-	// take. The shared beginnings in them are counted for each, so that it is not reached
-	// before the memory is.
-	memoryShare = 1.0
-	// ahead is how far a program that begins now looks ahead: its first turn is over then,
-	// and what begins at the rate of a burst has come.
-	ahead = 300 * time.Millisecond
-	// nominalNeed is the part of a resource from which on a program is held to need any.
-	nominalNeed = 1e-6
+	// varianceFactor times the square root of a service's slots is added to the limit, since
+	// the number of slots in use varies randomly by about that. It matters for services with
+	// few slots.
+	varianceFactor = 2.0
+	// memoryFraction is the fraction of engine memory that the prompts of running programs may
+	// use. Shared prompt prefixes are counted once per program, so that the limit is
+	// conservative.
+	memoryFraction = 1.0
+	// forecastHorizon is how far ahead demand is forecast, about the duration of a program's
+	// first turn.
+	forecastHorizon = 300 * time.Millisecond
+	// minDemandFraction is the fraction of a resource below which a program's demand counts as
+	// none.
+	minDemandFraction = 1e-6
 )
 
-// resource is a thing that programs share.
+// resource is a limited resource that programs share: slots or memory of a service's engines.
 type resource struct {
 	service  string
 	memory   bool
 	capacity float64
-	// limit is how much of it programs may use, demand how much they are expected to.
+	// limit is how much of it programs may use, demand how much they are expected to use.
 	limit  float64
 	demand float64
-	// ends is how much becomes free in a second by programs that end.
-	ends float64
+	// releaseRate is the demand released per second by programs that finish.
+	releaseRate float64
 }
 
-// need is what a program of a route uses of the resource in the mean of its life.
-func (known *learned) need(shared *resource, name, service string) float64 {
-	use := known.routes[name]
+// programDemand returns a program's mean demand for the resource over its lifetime.
+func (estimator *estimator) programDemand(resource *resource, name, service string) float64 {
+	usage := estimator.routes[name]
 	switch {
-	case shared.service != service:
+	case resource.service != service:
 		return 0
-	case shared.memory:
-		return use.promptTokens()
+	case resource.memory:
+		return usage.promptTokensPerProgram()
 	}
-	return use.slots()
+	return usage.slotsPerProgram()
 }
 
-// resources lists what programs share, with the demand that the state shows. Tools are left
-// out: calls of some tens of milliseconds that wait for one another cost a program little of
-// the seconds that it lives, and one that is refused for their sake is lost. With tools among
-// them, two engines of six slots that served all in time refused 17 in 100 programs.
-func (known *learned) resources(state *State, withMemory bool) []*resource {
+// resources returns the shared resources, with their demand as of the state. Services used for
+// tool calls only are not included: their calls are short, and queueing there costs a program
+// less than a refusal.
+func (estimator *estimator) resources(state *State, withMemory bool) []*resource {
 	var all []*resource
 	models := map[string]bool{}
 	for name, route := range state.Total.Routes {
-		if known.runsPrograms(name, route) {
+		if estimator.hasPrograms(name, route) {
 			models[route.Service] = true
 		}
 	}
 	for index := range state.Services {
 		service := &state.Services[index]
 		if service.Slots > 0 && models[service.Name] {
-			all = append(all, known.slotsOf(service, state))
+			all = append(all, estimator.slotResource(service, state))
 		}
 		if withMemory && service.MemoryTokens > 0 && models[service.Name] {
-			all = append(all, known.memoryOf(service, state))
+			all = append(all, estimator.memoryResource(service, state))
 		}
 	}
 	return all
 }
 
-func (known *learned) slotsOf(service *Service, state *State) *resource {
-	use := known.service(service.Name)
+func (estimator *estimator) slotResource(service *Service, state *State) *resource {
+	usage := estimator.service(service.Name)
 	slots := float64(service.Slots)
-	made := &resource{service: service.Name, capacity: slots}
-	made.demand = max(known.sum(made, state)+max(use.foreign.value, 0), use.present.value)
-	made.limit = (use.bound.level+use.bound.opened(known.growth(made, state)))*made.capacity + chanceSlots*math.Sqrt(slots)
-	return made
+	result := &resource{service: service.Name, capacity: slots}
+	result.demand = max(estimator.totalDemand(result, state)+max(usage.otherTraffic.value, 0), usage.occupancy.value)
+	result.limit = (usage.limit.level+usage.limit.burstAllowance(estimator.demandGrowth(result, state)))*result.capacity + varianceFactor*math.Sqrt(slots)
+	return result
 }
 
-func (known *learned) memoryOf(service *Service, state *State) *resource {
-	made := &resource{service: service.Name, memory: true, capacity: float64(service.Engines * service.MemoryTokens)}
-	made.limit = memoryShare * made.capacity
-	known.sum(made, state)
+func (estimator *estimator) memoryResource(service *Service, state *State) *resource {
+	result := &resource{service: service.Name, memory: true, capacity: float64(service.Engines * service.MemoryTokens)}
+	result.limit = memoryFraction * result.capacity
+	estimator.totalDemand(result, state)
 	for _, route := range state.Total.Routes {
 		if route.Service == service.Name {
-			made.demand += float64(route.PromptTokens)
+			result.demand += float64(route.PromptTokens)
 		}
 	}
-	return made
+	return result
 }
 
-// sum is what the programs under way are expected to use of a resource. It sets also what
-// becomes free by those that end.
-func (known *learned) sum(shared *resource, state *State) float64 {
+// totalDemand returns the expected demand of the running programs. It also sets the resource's
+// releaseRate.
+func (estimator *estimator) totalDemand(resource *resource, state *State) float64 {
 	total := 0.0
 	for name, route := range state.Total.Routes {
-		used := float64(route.Programs) * known.need(shared, name, route.Service)
+		used := float64(route.Programs) * estimator.programDemand(resource, name, route.Service)
 		total += used
-		shared.ends += used / known.routes[name].life().Seconds()
+		resource.releaseRate += used / estimator.routes[name].lifetime().Seconds()
 	}
 	return total
 }
 
-// begun is one admission of this owner.
-type begun struct {
+// admittedProgram is one admission by this owner.
+type admittedProgram struct {
 	route   string
 	service string
 	at      time.Time
 }
 
-// moved is how the demand will have changed since the moment that the state shows: by the
-// programs that this owner has admitted, those that others are likely to have, those that
-// are likely to have ended, and what begins and ends in the time ahead.
-func (known *learned) moved(shared *resource, state *State, own []begun) float64 {
+// demandChange returns the change in demand since the state was reported: programs admitted by
+// this owner, expected admissions of the others, expected completions, and the change until
+// forecastHorizon from now.
+func (estimator *estimator) demandChange(resource *resource, state *State, admitted []admittedProgram) float64 {
 	change := 0.0
-	for _, admission := range own {
-		change += known.need(shared, admission.route, admission.service)
+	for _, program := range admitted {
+		change += estimator.programDemand(resource, program.route, program.service)
 	}
-	begins := known.rate(shared, state, func(route load.Route) float64 { return route.ProgramsStarted })
-	since := state.Age.Seconds() * ((1-state.OwnerShare)*begins - shared.ends)
-	return change + since + ahead.Seconds()*(begins-shared.ends)
+	startRate := estimator.demandRate(resource, state, func(route load.Route) float64 { return route.ProgramsStarted })
+	sinceState := state.Age.Seconds() * ((1-state.OwnerShare)*startRate - resource.releaseRate)
+	return change + sinceState + forecastHorizon.Seconds()*(startRate-resource.releaseRate)
 }
 
-// rate is how much of a resource programs ask for in a second, by a count of them.
-func (known *learned) rate(shared *resource, state *State, count func(route load.Route) float64) float64 {
+// demandRate returns the demand for a resource per second, given a count of programs by route.
+func (estimator *estimator) demandRate(resource *resource, state *State, count func(route load.Route) float64) float64 {
 	total := 0.0
 	for name, route := range state.Total.Routes {
-		total += perSecond(count(route)) * known.need(shared, name, route.Service)
+		total += perSecond(count(route)) * estimator.programDemand(resource, name, route.Service)
 	}
 	return total
 }
--- a/internal/admission/return_test.go
+++ b/internal/admission/retry_after_test.go
@@ -11,14 +11,13 @@
 	. "github.com/onsi/gomega"
 )
 
-// TestTriesOfARefusedProgramOutlastABurst has a program asked for while there is no room: its
-// caller comes back when it is told to, twice a turn, and sends the turn anew twice after a
-// quarter of a second. Bursts of 2 s are over by its last try.
-func TestTriesOfARefusedProgramOutlastABurst(t *testing.T) {
+// Guards against a refused program using up its retries within a 2 s burst. The caller follows
+// RetryAfter for two attempts per turn, and sends the turn again twice after 250 ms.
+func TestRetriesOfRefusedProgramOutlastBurst(t *testing.T) {
 	const (
-		tries      = 6
-		betweenOwn = 250 * time.Millisecond
-		burstTime  = 2 * time.Second
+		attempts            = 6
+		callerRetryInterval = 250 * time.Millisecond
+		burstDuration       = 2 * time.Second
 	)
 	expect := NewWithT(t)
 	controller := admission.NewController(admission.Options{})
@@ -32,24 +31,24 @@
 		now = now.Add(200 * time.Millisecond)
 		controller.Observe(state, now)
 	}
-	began := now
-	for try := range tries {
-		// Others ask too, and take what may begin.
+	firstAttempt := now
+	for attempt := range attempts {
+		// Other programs compete for the start rate.
 		for other := range 300 {
-			controller.Decide(admission.Request{Program: tenant.Program{ID: fmt.Sprint(try, "-", other)}, Route: route, Service: models}, state, now)
+			controller.Decide(admission.Request{Program: tenant.Program{ID: fmt.Sprint(attempt, "-", other)}, Route: route, Service: models}, state, now)
 		}
-		order := admission.Request{Program: tenant.Program{ID: "p"}, Route: route, Service: models, UntilSoftDeadline: 500*time.Millisecond - now.Sub(began), HasSoftDeadline: true}
-		decision := controller.Decide(order, state, now)
+		request := admission.Request{Program: tenant.Program{ID: "p"}, Route: route, Service: models, UntilSoftDeadline: 500*time.Millisecond - now.Sub(firstAttempt), HasSoftDeadline: true}
+		decision := controller.Decide(request, state, now)
 		expect.Expect(decision.Admitted).To(BeFalse())
-		expect.Expect(decision.RetryAfter).To(BeNumerically("<=", 1300*time.Millisecond), "callers heed a third of a turn's 4 s")
-		if try == tries-1 {
+		expect.Expect(decision.RetryAfter).To(BeNumerically("<=", 1300*time.Millisecond), "callers accept waits up to a third of a turn's 4 s timeout")
+		if attempt == attempts-1 {
 			break
 		}
-		if try%2 == 0 {
+		if attempt%2 == 0 {
 			now = now.Add(decision.RetryAfter)
 		} else {
-			now = now.Add(betweenOwn)
+			now = now.Add(callerRetryInterval)
 		}
 	}
-	expect.Expect(now.Sub(began)).To(BeNumerically(">", burstTime))
+	expect.Expect(now.Sub(firstAttempt)).To(BeNumerically(">", burstDuration))
 }
--- a/internal/admission/short_burst_test.go
+++ b/internal/admission/short_burst_test.go
@@ -8,38 +8,37 @@
 	. "github.com/onsi/gomega"
 )
 
-// mostReturning of the programs may be told to come back: callers have a second try, and two
-// refusals in a row then meet one in four hundred.
-const mostReturning = 0.05
+// maxRefusedFraction bounds the refusals in a short burst.
+const maxRefusedFraction = 0.05
 
-// shortBurst is the load of two routes, each asked for by tenants of two ranks, that use half
-// of the slots: short programs of 1.2 s a third of them, long ones of 3.6 s the rest. All come
-// 1.8 times as often for 6 s, the long ones 1.8 times as often again from 4.3 s to 8 s.
-// Without admission they ask for all slots and a third more for less than 2 s, which delays
-// each by less than its aim leaves, and for half of the slots two seconds later.
-func shortBurst() []*kind {
+// shortBurst returns the load of two routes, each with two priorities, that use half of the
+// slots: a third for short programs of 1.2 s, the rest for long ones of 3.6 s. All rates rise
+// by 1.8 for 6 s, and those of long programs by another 1.8 from 4.3 s to 8 s. Without
+// admission control the demand exceeds the slots by a third for less than 2 s, which delays
+// programs by less than their deadlines allow.
+func shortBurst() []*programClass {
 	const shortSlots, longSlots = 1.2 * 0.8, 3.6 * 0.8
 	const used = 0.5 * modelSlots
-	all := burstRate(1, 1.8, settled, settled+6*time.Second)
-	longOnes := burstRate(1, 1.8, settled+4300*time.Millisecond, settled+8*time.Second)
-	var kinds []*kind
-	for rank := range 2 {
-		kinds = append(kinds,
-			&kind{route: fmt.Sprint("short", rank), rank: rank, rate: func(at time.Duration) float64 { return used / 3 / shortSlots / 2 * all(at) }, life: 1200 * time.Millisecond, width: 1, loops: 0.03},
-			&kind{route: fmt.Sprint("long", rank), rank: rank, rate: func(at time.Duration) float64 { return used * 2 / 3 / longSlots / 2 * all(at) * longOnes(at) }, life: 3600 * time.Millisecond, width: 1, loops: 0.03})
+	all := burstRate(1, 1.8, warmUp, warmUp+6*time.Second)
+	longOnes := burstRate(1, 1.8, warmUp+4300*time.Millisecond, warmUp+8*time.Second)
+	var classes []*programClass
+	for priority := range 2 {
+		classes = append(classes,
+			&programClass{route: fmt.Sprint("short", priority), priority: priority, rate: func(at time.Duration) float64 { return used / 3 / shortSlots / 2 * all(at) }, lifetime: 1200 * time.Millisecond, concurrentTurns: 1, loopFraction: 0.03},
+			&programClass{route: fmt.Sprint("long", priority), priority: priority, rate: func(at time.Duration) float64 { return used * 2 / 3 / longSlots / 2 * all(at) * longOnes(at) }, lifetime: 3600 * time.Millisecond, concurrentTurns: 1, loopFraction: 0.03})
 	}
-	return kinds
+	return classes
 }
 
-var _ = Describe("A burst that is over before the programs of it are", func() {
+var _ = Describe("A burst shorter than its programs", func() {
 	for seed := range uint64(4) {
-		It(fmt.Sprintf("is served, and leaves nobody refused behind it, seed %d", seed), func() {
-			run := replayOf(shortBurst(), 14)
-			run.seed = seed
-			run.play(settled + 16*time.Second)
-			all := run.within(settled, settled+16*time.Second)
-			after := run.within(settled+8*time.Second, settled+16*time.Second)
-			Expect(all.refusedShare("")).To(BeNumerically("<", mostReturning))
+		It(fmt.Sprintf("is admitted, with no refusals afterwards, seed %d", seed), func() {
+			sim := newSimulation(shortBurst(), 14)
+			sim.seed = seed
+			sim.run(warmUp + 16*time.Second)
+			all := sim.between(warmUp, warmUp+16*time.Second)
+			after := sim.between(warmUp+8*time.Second, warmUp+16*time.Second)
+			Expect(all.refusedFraction("")).To(BeNumerically("<", maxRefusedFraction))
 			Expect(after.refused[""]).To(BeZero(), "with half of the slots free")
 		})
 	}
--- a/internal/admission/smoothing.go
+++ b/internal/admission/smoothing.go
@@ -5,40 +5,40 @@
 	"time"
 )
 
-// DecayTimeConstant is the time constant by which events count for less as they get older. What
-// begins in a view's age is judged by them, so that it is not much longer than that.
+// DecayTimeConstant is the time constant of the exponential decay of event counts. It is not
+// much longer than the age of a load view.
 const DecayTimeConstant = 500 * time.Millisecond
 
-// fading counts events, older ones for less.
-type fading struct {
-	value float64
-	at    time.Time
+// decayingCount is an exponentially decaying count of events.
+type decayingCount struct {
+	value     float64
+	updatedAt time.Time
 }
 
-func (count *fading) add(events float64, now time.Time) {
-	count.value = count.read(now) + events
-	count.at = now
+func (count *decayingCount) add(events float64, now time.Time) {
+	count.value = count.valueAt(now) + events
+	count.updatedAt = now
 }
 
-func (count *fading) read(now time.Time) float64 {
-	return count.value * math.Exp(-max(now.Sub(count.at), 0).Seconds()/DecayTimeConstant.Seconds())
+func (count *decayingCount) valueAt(now time.Time) float64 {
+	return count.value * math.Exp(-max(now.Sub(count.updatedAt), 0).Seconds()/DecayTimeConstant.Seconds())
 }
 
-// perSecond turns a fading count into a rate.
+// perSecond converts a decaying count into a rate.
 func perSecond(count float64) float64 { return count / DecayTimeConstant.Seconds() }
 
-// smoothed is the mean of a figure over a span of time, and over all that was seen where
-// that is less.
-type smoothed struct {
-	value float64
-	seen  time.Duration
+// runningMean is the mean of a value over a time window, or over all samples while they cover
+// less.
+type runningMean struct {
+	value      float64
+	sampledFor time.Duration
 }
 
-// observe takes in a sample that stands for some time.
-func (mean *smoothed) observe(sample float64, stands, span time.Duration) {
-	mean.seen = min(mean.seen+stands, span)
-	if mean.seen <= 0 {
+// observe adds a sample that covers a duration.
+func (mean *runningMean) observe(sample float64, duration, window time.Duration) {
+	mean.sampledFor = min(mean.sampledFor+duration, window)
+	if mean.sampledFor <= 0 {
 		return
 	}
-	mean.value += (sample - mean.value) * min(stands.Seconds()/mean.seen.Seconds(), 1)
+	mean.value += (sample - mean.value) * min(duration.Seconds()/mean.sampledFor.Seconds(), 1)
 }
--- a/internal/admission/starvation_test.go
+++ b/internal/admission/starvation_test.go
@@ -10,53 +10,52 @@
 	. "github.com/onsi/gomega"
 )
 
-var _ = Describe("Overload without an end", func() {
+var _ = Describe("Sustained overload", func() {
 	const (
-		span = 45 * time.Second
-		part = 15 * time.Second
-		// tenants is how many there are.
-		tenants = 12
+		span     = 45 * time.Second
+		interval = 15 * time.Second
+		tenants  = 12
 	)
-	// All tenants ask for programs of all kinds alike.
+	// Requests are spread evenly over the tenants.
 	anyTenant := func(_ time.Duration, random *rand.Rand) string { return fmt.Sprint("t", random.IntN(tenants)) }
 	type tenantOf = func(time.Duration, *rand.Rand) string
-	// crowded are three ranks that all ask for more than there is. Of the last one "dear"
-	// needs twenty times the work of "cheap".
-	crowded := func(tenant tenantOf) []*kind {
-		return []*kind{
-			{route: "urgent", rank: 0, rate: steadyRate(400), life: time.Second, width: 1, tenant: tenant},
-			{route: "usual", rank: 1, rate: steadyRate(200), life: time.Second, width: 1, tenant: tenant},
-			{route: "cheap", rank: 2, rate: steadyRate(200), life: time.Second, width: 1, tenant: tenant},
-			{route: "dear", rank: 2, rate: steadyRate(20), life: 8 * time.Second, width: 4, tenant: tenant},
+	// threePriorities returns three priorities with more demand than capacity. Of the last,
+	// "dear" needs twenty times the work of "cheap".
+	threePriorities := func(tenant tenantOf) []*programClass {
+		return []*programClass{
+			{route: "urgent", priority: 0, rate: steadyRate(400), lifetime: time.Second, concurrentTurns: 1, tenant: tenant},
+			{route: "usual", priority: 1, rate: steadyRate(200), lifetime: time.Second, concurrentTurns: 1, tenant: tenant},
+			{route: "cheap", priority: 2, rate: steadyRate(200), lifetime: time.Second, concurrentTurns: 1, tenant: tenant},
+			{route: "dear", priority: 2, rate: steadyRate(20), lifetime: 8 * time.Second, concurrentTurns: 4, tenant: tenant},
 		}
 	}
-	// alone are the last two kinds only.
-	alone := func(tenant tenantOf) []*kind {
-		kinds := crowded(tenant)[2:]
-		kinds[0].rate = steadyRate(600)
-		return kinds
+	// onePriority returns the last two classes only.
+	onePriority := func(tenant tenantOf) []*programClass {
+		classes := threePriorities(tenant)[2:]
+		classes[0].rate = steadyRate(600)
+		return classes
 	}
-	// begun is how many programs of a route begin in a part of the run.
-	begun := func(run *replay, route string, from time.Duration) int {
-		sum := run.within(from, from+part)
+	// started returns the number of programs of a route that start in an interval.
+	started := func(sim *simulation, route string, from time.Duration) int {
+		sum := sim.between(from, from+interval)
 		count := 0
 		for tenant := range tenants {
 			key := fmt.Sprint(route, "t", tenant)
-			count += sum.asked[key] - sum.refused[key]
+			count += sum.requested[key] - sum.refused[key]
 		}
 		return count
 	}
 
-	for name, kinds := range map[string]func(tenantOf) []*kind{"three ranks": crowded, "one rank": alone} {
+	for name, classes := range map[string]func(tenantOf) []*programClass{"three priorities": threePriorities, "one priority": onePriority} {
 		for _, shares := range []bool{false, true} {
-			It(fmt.Sprintf("still has programs of each route begin, with %s, shares of tenants %t", name, shares), func() {
+			It(fmt.Sprintf("still starts programs of each route, with %s, tenant shares %t", name, shares), func() {
 				for seed := range uint64(2) {
-					run := &replay{kinds: kinds(anyTenant), owners: 14, age: 300 * time.Millisecond, seed: seed, options: admission.Options{TenantShares: shares}}
-					run.play(span)
-					for _, each := range run.kinds {
-						for from := part; from < span; from += part {
-							GinkgoWriter.Println(seed, each.route, from, "begun", begun(run, each.route, from), "demand", run.within(from, from+part).demand)
-							Expect(begun(run, each.route, from)).To(BeNumerically(">", 0), "%s from %s, seed %d", each.route, from, seed)
+					sim := &simulation{classes: classes(anyTenant), owners: 14, viewAge: 300 * time.Millisecond, seed: seed, options: admission.Options{TenantShares: shares}}
+					sim.run(span)
+					for _, class := range sim.classes {
+						for from := interval; from < span; from += interval {
+							GinkgoWriter.Println(seed, class.route, from, "begun", started(sim, class.route, from), "demand", sim.between(from, from+interval).demand)
+							Expect(started(sim, class.route, from)).To(BeNumerically(">", 0), "%s from %s, seed %d", class.route, from, seed)
 						}
 					}
 				}
--- a/internal/admission/status.go
+++ b/internal/admission/status.go
@@ -9,34 +9,34 @@
 	"github.com/magpielug/magpielug/internal/tenant"
 )
 
-// TenantShare is what a tenant has under way at a rank, against its share.
+// TenantShare is a tenant's number of running programs of one priority, with its fair share.
 type TenantShare struct {
 	load.TenantPriority
 	Programs int
-	// FairShare is how many programs it may have before it is refused for the sake of others;
-	// infinite while there is room for all.
+	// FairShare is the number of programs it may run before it is refused in favour of other
+	// tenants; infinite while there is capacity for all.
 	FairShare float64
 }
 
-// TenantShares returns the tenants with programs under way, those with the most first. Their
-// shares are those that a decision finds now at the resource that binds most, before it
-// counts what has begun since the state's moment.
+// TenantShares returns the tenants with running programs, the largest first. Fair shares are
+// computed for the binding resource, without the programs admitted since the state was
+// reported.
 func (controller *Controller) TenantShares(state *State) []TenantShare {
-	part := controller.uncontestedPart(state)
-	holdings := map[int]map[string]holding{}
+	fraction := controller.uncontestedFraction(state)
+	usages := map[int]map[string]tenantUsage{}
 	levels := map[int]float64{}
 	all := make([]TenantShare, 0, len(state.Total.Tenants))
-	for holder, programs := range state.Total.Tenants {
+	for key, programs := range state.Total.Tenants {
 		if programs <= 0 {
 			continue
 		}
-		if holdings[holder.Priority] == nil {
-			held := state.holdings(Request{Priority: holder.Priority, Program: tenant.Program{Tenant: holder.Tenant}})
-			holdings[holder.Priority] = held
-			levels[holder.Priority] = shareLevel(held, part)
+		if usages[key.Priority] == nil {
+			usage := state.tenantUsages(Request{Priority: key.Priority, Program: tenant.Program{Tenant: key.Tenant}})
+			usages[key.Priority] = usage
+			levels[key.Priority] = fairLevelForFraction(usage, fraction)
 		}
-		fair := levels[holder.Priority] * holdings[holder.Priority][holder.Tenant].weight
-		all = append(all, TenantShare{TenantPriority: holder, Programs: programs, FairShare: fair})
+		fairShare := levels[key.Priority] * usages[key.Priority][key.Tenant].weight
+		all = append(all, TenantShare{TenantPriority: key, Programs: programs, FairShare: fairShare})
 	}
 	slices.SortFunc(all, func(left, right TenantShare) int {
 		return cmp.Or(cmp.Compare(right.Programs, left.Programs), cmp.Compare(left.Tenant, right.Tenant), cmp.Compare(left.Priority, right.Priority))
@@ -44,33 +44,33 @@
 	return all
 }
 
-// uncontestedPart is the part of the programs under way for which there is room before
-// shares matter, 1 or more where there is for all.
-func (controller *Controller) uncontestedPart(state *State) float64 {
-	part := math.Inf(1)
+// uncontestedFraction returns the fraction of the running programs that fits before fair shares
+// apply, 1 or more if all do.
+func (controller *Controller) uncontestedFraction(state *State) float64 {
+	fraction := math.Inf(1)
 	if !controller.options.TenantShares {
-		return part
+		return fraction
 	}
-	for _, shared := range controller.Resources(state) {
-		if shared.Demand > 0 {
-			part = min(part, (shared.Limit-sharedReserve*shared.Capacity)/shared.Demand)
+	for _, resource := range controller.Resources(state) {
+		if resource.Demand > 0 {
+			fraction = min(fraction, (resource.Limit-fairShareMargin*resource.Capacity)/resource.Demand)
 		}
 	}
-	return part
+	return fraction
 }
 
-// shareLevel is the programs for each unit of weight that tenants may have if a part of all
-// fits.
-func shareLevel(holdings map[string]holding, part float64) float64 {
-	if part >= 1 || len(holdings) < 2 {
+// fairLevelForFraction returns the fair number of programs per unit of weight if a fraction of
+// all programs fits.
+func fairLevelForFraction(usages map[string]tenantUsage, fraction float64) float64 {
+	if fraction >= 1 || len(usages) < 2 {
 		return math.Inf(1)
 	}
 	total := 0.0
-	for _, held := range holdings {
-		total += held.programs
+	for _, usage := range usages {
+		total += usage.programs
 	}
-	return fairLevel(holdings, total*max(part, 0))
+	return fairLevel(usages, total*max(fraction, 0))
 }
 
-// DecayedRate turns a count of recent events, as load.Route holds them, into a rate.
+// DecayedRate converts a decaying count of a load.Route into a rate per second.
 func DecayedRate(count float64) float64 { return perSecond(count) }
--- a/internal/admission/status_test.go
+++ b/internal/admission/status_test.go
@@ -8,7 +8,7 @@
 	. "github.com/onsi/gomega"
 )
 
-func TestTenantSharesShowWhoHasMoreThanItsPart(t *testing.T) {
+func TestTenantSharesListFairShares(t *testing.T) {
 	expect := NewWithT(t)
 	report := load.NewReport()
 	report.Tenants[load.TenantPriority{Tenant: "hot", Priority: 1}] = 60
@@ -21,7 +21,7 @@
 	}
 	shares := func(state *State) map[string]float64 {
 		controller := NewController(Options{TenantShares: true})
-		controller.learned.service("s").present.value = float64(state.Services[0].Running)
+		controller.estimator.service("s").occupancy.value = float64(state.Services[0].Running)
 		found := map[string]float64{}
 		for _, share := range controller.TenantShares(state) {
 			found[share.Tenant] = share.FairShare
@@ -30,14 +30,14 @@
 	}
 
 	roomy := shares(stateWith(10))
-	expect.Expect(roomy["hot"]).To(Equal(math.Inf(1)), "there is room for all")
+	expect.Expect(roomy["hot"]).To(Equal(math.Inf(1)), "there is capacity for all")
 	scarce := shares(stateWith(80))
 	expect.Expect(scarce["hot"]).To(And(BeNumerically("<", 60), BeNumerically(">", 8)))
-	expect.Expect(scarce["small"]).To(Equal(scarce["hot"]), "tenants of one size have one share")
-	expect.Expect(scarce["urgent"]).To(Equal(math.Inf(1)), "nobody else asks at its rank")
+	expect.Expect(scarce["small"]).To(Equal(scarce["hot"]), "tenants of equal weight have equal shares")
+	expect.Expect(scarce["urgent"]).To(Equal(math.Inf(1)), "no other tenant has this priority")
 
 	ordered := NewController(Options{}).TenantShares(stateWith(80))
 	expect.Expect(ordered[0].Tenant).To(Equal("hot"))
-	expect.Expect(ordered[0].FairShare).To(Equal(math.Inf(1)), "shares are switched off")
+	expect.Expect(ordered[0].FairShare).To(Equal(math.Inf(1)), "tenant shares are disabled")
 	expect.Expect(ordered).To(HaveLen(4))
 }
--- a/internal/admission/table.go
+++ b/internal/admission/table.go
@@ -9,27 +9,25 @@
 )
 
 const (
-	// remembered is how long after its last turn a program is still known to have
-	// begun. It is as long as assignments of engines last.
-	remembered = time.Minute
-	// firstPause is taken for the usual pause between two turns until it is known: those
-	// of agents that think and call tools last some tenths of a second.
-	firstPause = 150 * time.Millisecond
-	// pauseWeight is the weight of the newest pause in the usual one.
+	// programRetention is how long after its last turn a program still counts as started. It
+	// equals the retention of engine assignments.
+	programRetention = time.Minute
+	// defaultPause is assumed for the pause between two turns until pauses were observed.
+	defaultPause = 150 * time.Millisecond
+	// pauseWeight is the weight of the latest pause in the moving average.
 	pauseWeight = 0.05
-	// pausesToEnd is after how many usual pauses a program counts as over. Of pauses
-	// that vary like those between chance events 5 in 100 are longer; such a program
-	// counts again from its next turn on.
-	pausesToEnd = 3
-	// leastSilence and mostSilence bound that. A program that counts for long after its
-	// end hides how many have begun lately.
-	leastSilence = 250 * time.Millisecond
-	mostSilence  = 2 * time.Second
-	// endMargin is how long after a turn's time its end may still come in.
-	endMargin = time.Second
+	// idlePauses is the number of average pauses without a turn after which a program counts as
+	// finished. One that pauses longer counts again from its next turn.
+	idlePauses = 3
+	// minIdleTimeout and maxIdleTimeout bound the idle timeout. Counting finished programs for
+	// long would hide how many have started recently.
+	minIdleTimeout = 250 * time.Millisecond
+	maxIdleTimeout = 2 * time.Second
+	// turnEndGrace is how long after a turn's expiry its end may still be reported.
+	turnEndGrace = time.Second
 )
 
-// Turn is a turn whose tokens were reserved.
+// Turn is a turn for which tokens were reserved.
 type Turn struct {
 	Program tenant.Program
 	// RequestID is the key of its reservation.
@@ -38,259 +36,262 @@
 	Route     string
 	Service   string
 	Priority  int
-	// PromptTokens is the length of its prompt, tokens.
+	// PromptTokens is the length of its prompt in tokens.
 	PromptTokens int64
-	// ExpiresAt is when its time is over, also where its end is never heard of.
+	// ExpiresAt is when the turn counts as ended if its end is not reported.
 	ExpiresAt time.Time
-	// SoftDeadline is when its program should be over, zero where it names no such time.
+	// SoftDeadline is when the program should finish, zero if it has none.
 	SoftDeadline time.Time
-	// FirstTurn is true for the first turn of a program.
+	// FirstTurn is true for a program's first turn.
 	FirstTurn bool
 }
 
-// underWay is a program that has begun.
-type underWay struct {
+// startedProgram is a program that has started.
+type startedProgram struct {
 	route  string
-	holder load.TenantPriority
-	// main is the session of its first line of turns; lines are all that it has.
-	main  string
-	lines map[string]*line
-	// open holds the turns under way, by their reservations.
-	open map[string]openTurn
-	// seen is when a turn last began or ended.
-	seen time.Time
-	aim  time.Time
-	// late is true once the program was seen at work after its aim, returned where it was
-	// refused before it began: it lost a part of its time then, and its being late says
-	// nothing of the engines.
-	late     bool
-	returned bool
+	tenant load.TenantPriority
+	// mainSession is the program's first session, sessions are all of them.
+	mainSession string
+	sessions    map[string]*programSession
+	// openTurns are the turns in flight, by reservation.
+	openTurns map[string]openTurn
+	// lastActivity is when a turn last started or ended.
+	lastActivity time.Time
+	softDeadline time.Time
+	// late is true once the program had a turn in flight after its soft deadline. refusedBefore
+	// is true if it was refused before it started; it is then not counted as late, since the
+	// refusal cost it part of its time.
+	late          bool
+	refusedBefore bool
 }
 
-// line is one of a program's lines of turns.
-type line struct {
-	// prompt is the length of its newest prompt, tokens.
-	prompt int64
-	// open is the number of its turns under way, seen when one last began or ended.
-	open int
-	seen time.Time
+// programSession is one of a program's sessions: a conversation of the program itself or of a
+// sub-agent.
+type programSession struct {
+	// promptTokens is the length of its latest prompt.
+	promptTokens int64
+	// openTurns is the number of its turns in flight, lastActivity when a turn last started or
+	// ended.
+	openTurns    int
+	lastActivity time.Time
 }
 
-// openTurn is a turn under way; its time is over at until.
+// openTurn is a turn in flight.
 type openTurn struct {
-	session string
-	until   time.Time
+	session   string
+	expiresAt time.Time
 }
 
-// tokens is how much of engines' memory a program's prompts use: its main line, and what
-// each line of a sub-agent adds to that, for its prompt begins with the main line's. A
-// sub-agent's line without a turn for as long as a program may pause is over, and dropped.
-func (program *underWay) tokens(silence time.Duration, now time.Time) int64 {
-	var first int64
-	if main := program.lines[program.main]; main != nil {
-		first = main.prompt
+// promptTokens returns the engine memory that a program's prompts use: the prompt of the main
+// session, and what each sub-agent's session adds to it, since their prompts share a prefix. A
+// sub-agent's session that is idle for longer than idleTimeout is dropped.
+func (program *startedProgram) promptTokens(idleTimeout time.Duration, now time.Time) int64 {
+	var mainTokens int64
+	if main := program.sessions[program.mainSession]; main != nil {
+		mainTokens = main.promptTokens
 	}
-	total := first
-	for session, held := range program.lines {
+	total := mainTokens
+	for id, session := range program.sessions {
 		switch {
-		case session == program.main:
-		case held.open == 0 && now.Sub(held.seen) > silence:
-			delete(program.lines, session)
+		case id == program.mainSession:
+		case session.openTurns == 0 && now.Sub(session.lastActivity) > idleTimeout:
+			delete(program.sessions, id)
 		default:
-			total += max(held.prompt-first, 0)
+			total += max(session.promptTokens-mainTokens, 0)
 		}
 	}
 	return total
 }
 
-// begin notes a turn of a line.
-func (program *underWay) begin(turn Turn, now time.Time) {
-	if _, again := program.open[turn.RequestID]; !again {
-		held := program.lines[turn.Session]
-		if held == nil {
-			held = &line{}
-			program.lines[turn.Session] = held
+// startTurn records the start of a turn.
+func (program *startedProgram) startTurn(turn Turn, now time.Time) {
+	if _, repeated := program.openTurns[turn.RequestID]; !repeated {
+		session := program.sessions[turn.Session]
+		if session == nil {
+			session = &programSession{}
+			program.sessions[turn.Session] = session
 		}
-		held.open++
-		held.prompt = turn.PromptTokens
-		held.seen = now
+		session.openTurns++
+		session.promptTokens = turn.PromptTokens
+		session.lastActivity = now
 	}
-	program.open[turn.RequestID] = openTurn{session: turn.Session, until: turn.ExpiresAt.Add(endMargin)}
+	program.openTurns[turn.RequestID] = openTurn{session: turn.Session, expiresAt: turn.ExpiresAt.Add(turnEndGrace)}
 }
 
-// end notes a turn's end.
-func (program *underWay) end(request string, now time.Time) {
-	turn := program.open[request]
-	delete(program.open, request)
-	if held := program.lines[turn.session]; held != nil {
-		held.open--
-		held.seen = now
+// endTurn records the end of a turn.
+func (program *startedProgram) endTurn(requestID string, now time.Time) {
+	turn := program.openTurns[requestID]
+	delete(program.openTurns, requestID)
+	if session := program.sessions[turn.session]; session != nil {
+		session.openTurns--
+		session.lastActivity = now
 	}
 }
 
-// routeCounts is what the table counts of a route.
-type routeCounts struct {
-	service string
-	rank    int
-	begun   fading
-	refused fading
-	late    fading
-	// pause is the usual pause between two turns.
-	pause time.Duration
+// routeStats holds the counts of a route.
+type routeStats struct {
+	service  string
+	priority int
+	started  decayingCount
+	refused  decayingCount
+	late     decayingCount
+	// usualPause is the moving average of the pause between two turns.
+	usualPause time.Duration
 }
 
-// silence is how long a program of the route may pause without counting as over.
-func (counts *routeCounts) silence() time.Duration {
-	return min(max(pausesToEnd*counts.pause, leastSilence), mostSilence)
+// idleTimeout returns how long a program of the route may pause before it counts as finished.
+func (stats *routeStats) idleTimeout() time.Duration {
+	return min(max(idlePauses*stats.usualPause, minIdleTimeout), maxIdleTimeout)
 }
 
-// leastCount is a count of recent events that is none any more.
-const leastCount = 0.01
+// minCount is the decaying count below which there are no recent events.
+const minCount = 0.01
 
-// idle tells whether nothing was counted lately.
-func (counts *routeCounts) idle(now time.Time) bool {
-	return counts.begun.read(now)+counts.refused.read(now)+counts.late.read(now) < leastCount
+// idle reports whether the route has no recent events.
+func (stats *routeStats) idle(now time.Time) bool {
+	return stats.started.valueAt(now)+stats.refused.valueAt(now)+stats.late.valueAt(now) < minCount
 }
 
 // Table holds the programs of an owner's shards. It is not safe for concurrent use.
 type Table struct {
-	programs map[tenant.Program]*underWay
-	routes   map[string]*routeCounts
-	// refused holds when programs were refused that have not begun.
+	programs map[tenant.Program]*startedProgram
+	routes   map[string]*routeStats
+	// refused holds the time of the last refusal of programs that have not started.
 	refused map[tenant.Program]time.Time
 }
 
 // NewTable returns an empty table.
 func NewTable() *Table {
-	return &Table{programs: map[tenant.Program]*underWay{}, routes: map[string]*routeCounts{}, refused: map[tenant.Program]time.Time{}}
+	return &Table{programs: map[tenant.Program]*startedProgram{}, routes: map[string]*routeStats{}, refused: map[tenant.Program]time.Time{}}
 }
 
-// HasStarted tells whether a program has begun.
+// HasStarted reports whether a program has started.
 func (table *Table) HasStarted(program tenant.Program) bool { return table.programs[program] != nil }
 
-func (table *Table) countsOf(name, service string, rank int) *routeCounts {
-	counts := table.routes[name]
-	if counts == nil {
-		counts = &routeCounts{pause: firstPause}
-		table.routes[name] = counts
+func (table *Table) statsFor(name, service string, priority int) *routeStats {
+	stats := table.routes[name]
+	if stats == nil {
+		stats = &routeStats{usualPause: defaultPause}
+		table.routes[name] = stats
 	}
-	counts.service = service
-	counts.rank = rank
-	return counts
+	stats.service = service
+	stats.priority = priority
+	return stats
 }
 
-// RecordTurnStart notes a turn.
+// RecordTurnStart records the start of a turn.
 func (table *Table) RecordTurnStart(turn Turn, now time.Time) {
 	name := RouteName(turn.Route, turn.Service, turn.Priority)
-	counts := table.countsOf(name, turn.Service, turn.Priority)
+	stats := table.statsFor(name, turn.Service, turn.Priority)
 	program := table.programs[turn.Program]
 	if program == nil {
-		program = &underWay{main: turn.Session, lines: map[string]*line{}, open: map[string]openTurn{}}
-		_, program.returned = table.refused[turn.Program]
+		program = &startedProgram{mainSession: turn.Session, sessions: map[string]*programSession{}, openTurns: map[string]openTurn{}}
+		_, program.refusedBefore = table.refused[turn.Program]
 		delete(table.refused, turn.Program)
 		table.programs[turn.Program] = program
-	} else if len(program.open) == 0 {
-		counts.notePause(now.Sub(program.seen))
+	} else if len(program.openTurns) == 0 {
+		stats.recordPause(now.Sub(program.lastActivity))
 	}
 	if turn.FirstTurn {
-		counts.begun.add(1, now)
+		stats.started.add(1, now)
 	}
 	program.route = name
-	program.holder = load.TenantPriority{Tenant: turn.Program.Tenant, Priority: turn.Priority}
-	program.begin(turn, now)
-	program.seen = now
-	program.aim = turn.SoftDeadline
-	table.noteLate(program, now)
+	program.tenant = load.TenantPriority{Tenant: turn.Program.Tenant, Priority: turn.Priority}
+	program.startTurn(turn, now)
+	program.lastActivity = now
+	program.softDeadline = turn.SoftDeadline
+	table.recordLate(program, now)
 }
 
-// notePause learns how long programs pause.
-func (counts *routeCounts) notePause(pause time.Duration) {
-	if pause <= mostSilence {
-		counts.pause += time.Duration(pauseWeight * float64(pause-counts.pause))
+// recordPause updates the average pause between turns.
+func (stats *routeStats) recordPause(pause time.Duration) {
+	if pause <= maxIdleTimeout {
+		stats.usualPause += time.Duration(pauseWeight * float64(pause-stats.usualPause))
 	}
 }
 
-// noteLate counts a program that is at work after its aim, once.
-func (table *Table) noteLate(program *underWay, now time.Time) {
-	if program.late || program.returned || program.aim.IsZero() || now.Before(program.aim) || len(program.open) == 0 {
+// recordLate counts, once, a program with turns in flight after its soft deadline.
+func (table *Table) recordLate(program *startedProgram, now time.Time) {
+	if program.late || program.refusedBefore || program.softDeadline.IsZero() || now.Before(program.softDeadline) || len(program.openTurns) == 0 {
 		return
 	}
 	program.late = true
 	table.routes[program.route].late.add(1, now)
 }
 
-// RecordTurnEnd notes the end of a turn.
-func (table *Table) RecordTurnEnd(name tenant.Program, request string, now time.Time) {
+// RecordTurnEnd records the end of a turn. Unknown turns are ignored.
+func (table *Table) RecordTurnEnd(name tenant.Program, requestID string, now time.Time) {
 	program := table.programs[name]
 	if program == nil {
 		return
 	}
-	if _, open := program.open[request]; !open {
+	if _, open := program.openTurns[requestID]; !open {
 		return
 	}
-	table.noteLate(program, now)
-	program.end(request, now)
-	program.seen = now
+	table.recordLate(program, now)
+	program.endTurn(requestID, now)
+	program.lastActivity = now
 }
 
-// RecordRefusal notes that a program was refused.
-func (table *Table) RecordRefusal(order Request, now time.Time) {
-	table.countsOf(order.Route, order.Service, order.Priority).refused.add(1, now)
-	table.refused[order.Program] = now
+// RecordRefusal records that a program was refused.
+func (table *Table) RecordRefusal(request Request, now time.Time) {
+	table.statsFor(request.Route, request.Service, request.Priority).refused.add(1, now)
+	table.refused[request.Program] = now
 }
 
-// Report returns what the programs have under way, by route and by tenant.
+// Report returns the load of the programs, by route and by tenant.
 func (table *Table) Report(now time.Time) (map[string]load.Route, map[load.TenantPriority]int) {
-	maps.DeleteFunc(table.refused, func(_ tenant.Program, at time.Time) bool { return now.Sub(at) > returnSpan })
+	maps.DeleteFunc(table.refused, func(_ tenant.Program, at time.Time) bool { return now.Sub(at) > refusalRetention })
 	routes := make(map[string]load.Route, len(table.routes))
 	tenants := map[load.TenantPriority]int{}
 	for name, program := range table.programs {
 		table.expire(name, program, now)
-		table.noteLate(program, now)
-		if !table.counts(program, now) {
+		table.recordLate(program, now)
+		if !table.isActive(program, now) {
 			continue
 		}
 		route := routes[program.route]
 		route.Programs++
-		route.Turns += len(program.open)
-		route.PromptTokens += program.tokens(table.routes[program.route].silence(), now)
+		route.Turns += len(program.openTurns)
+		route.PromptTokens += program.promptTokens(table.routes[program.route].idleTimeout(), now)
 		routes[program.route] = route
-		tenants[program.holder]++
+		tenants[program.tenant]++
 	}
-	for name, counts := range table.routes {
+	for name, stats := range table.routes {
 		route := routes[name]
-		if route.Programs == 0 && counts.idle(now) {
+		if route.Programs == 0 && stats.idle(now) {
 			continue
 		}
-		route.Service = counts.service
-		route.Priority = counts.rank
-		route.ProgramsStarted = counts.begun.read(now)
-		route.Refused = counts.refused.read(now)
-		route.Late = counts.late.read(now)
+		route.Service = stats.service
+		route.Priority = stats.priority
+		route.ProgramsStarted = stats.started.valueAt(now)
+		route.Refused = stats.refused.valueAt(now)
+		route.Late = stats.late.valueAt(now)
 		routes[name] = route
 	}
 	return routes, tenants
 }
 
-// counts tells whether a program is under way.
-func (table *Table) counts(program *underWay, now time.Time) bool {
-	return len(program.open) > 0 || now.Sub(program.seen) <= table.routes[program.route].silence()
+// isActive reports whether a program has turns in flight or has paused for less than its idle
+// timeout.
+func (table *Table) isActive(program *startedProgram, now time.Time) bool {
+	return len(program.openTurns) > 0 || now.Sub(program.lastActivity) <= table.routes[program.route].idleTimeout()
 }
 
-// expire drops turns whose end was never heard of, and a program that is long over.
-func (table *Table) expire(name tenant.Program, program *underWay, now time.Time) {
-	for request, turn := range program.open {
-		if now.After(turn.until) {
-			program.end(request, now)
+// expire drops turns past their expiry, and programs idle for longer than programRetention.
+func (table *Table) expire(name tenant.Program, program *startedProgram, now time.Time) {
+	for requestID, turn := range program.openTurns {
+		if now.After(turn.expiresAt) {
+			program.endTurn(requestID, now)
 		}
 	}
-	if len(program.open) == 0 && now.Sub(program.seen) > remembered {
+	if len(program.openTurns) == 0 && now.Sub(program.lastActivity) > programRetention {
 		delete(table.programs, name)
 	}
 }
 
-// RemoveWhere forgets the programs for which a condition holds: their shard is owned by
-// another node.
+// RemoveWhere removes the programs that satisfy a condition, because another node owns their
+// shard.
 func (table *Table) RemoveWhere(condition func(program tenant.Program) bool) {
 	for name := range table.programs {
 		if condition(name) {
--- a/internal/admission/table_test.go
+++ b/internal/admission/table_test.go
@@ -23,9 +23,9 @@
 		prompt = 500
 	})
 
-	begin := func(request, session string, begins bool) {
+	startTurn := func(request, session string, first bool) {
 		table.RecordTurnStart(admission.Turn{Program: program, RequestID: request, Session: session, Route: "r", Service: models, Priority: 2, PromptTokens: prompt,
-			ExpiresAt: now.Add(3 * time.Second), SoftDeadline: time.Unix(1002, 0), FirstTurn: begins}, now)
+			ExpiresAt: now.Add(3 * time.Second), SoftDeadline: time.Unix(1002, 0), FirstTurn: first}, now)
 	}
 	after := func(wait time.Duration) load.Route {
 		now = now.Add(wait)
@@ -33,44 +33,44 @@
 		return routes[name]
 	}
 
-	It("tells programs, turns and tokens of their prompts by route, and programs by tenant", func() {
-		begin("1", "main", true)
+	It("reports programs, turns and prompt tokens by route, and programs by tenant", func() {
+		startTurn("1", "main", true)
 		prompt = 800
-		begin("2", "helper", false)
-		begin("3", "other", false)
+		startTurn("2", "helper", false)
+		startTurn("3", "other", false)
 		routes, tenants := table.Report(now)
 		Expect(routes[name]).To(Equal(load.Route{Service: models, Priority: 2, Programs: 1, Turns: 3, ProgramsStarted: 1, PromptTokens: 500 + 2*300}),
-			"helpers' prompts begin with the main line's")
+			"sub-agents' prompts share the main session's prefix")
 		Expect(tenants).To(Equal(map[load.TenantPriority]int{{Tenant: "t", Priority: 2}: 1}))
 	})
 
-	It("counts the prompt of a helper's line while it has a turn, and no more once it is over", func() {
-		begin("1", "main", true)
+	It("counts the prompt of a sub-agent's session until the session is idle", func() {
+		startTurn("1", "main", true)
 		prompt = 900
-		begin("2", "helper", false)
-		Expect(after(1500*time.Millisecond).PromptTokens).To(BeEquivalentTo(900), "its turn lasts")
+		startTurn("2", "helper", false)
+		Expect(after(1500*time.Millisecond).PromptTokens).To(BeEquivalentTo(900), "its turn is in flight")
 		table.RecordTurnEnd(program, "2", now)
-		Expect(after(100*time.Millisecond).PromptTokens).To(BeEquivalentTo(900), "it may go on")
+		Expect(after(100*time.Millisecond).PromptTokens).To(BeEquivalentTo(900), "the session may continue")
 		Expect(after(900 * time.Millisecond).PromptTokens).To(BeEquivalentTo(500))
 	})
 
-	It("counts a program while it pauses, and as over soon after its last turn", func() {
-		begin("1", "main", true)
+	It("counts a program during pauses, and as finished soon after its last turn", func() {
+		startTurn("1", "main", true)
 		table.RecordTurnEnd(program, "1", now)
 		Expect(after(200 * time.Millisecond).Programs).To(Equal(1))
 		Expect(after(time.Second).Programs).To(BeZero())
-		Expect(table.HasStarted(program)).To(BeTrue(), "it is none that begins when it goes on")
-		begin("2", "main", false)
+		Expect(table.HasStarted(program)).To(BeTrue(), "it is not a new program if it continues")
+		startTurn("2", "main", false)
 		Expect(after(0).Programs).To(Equal(1))
-		Expect(after(0).ProgramsStarted).To(BeNumerically("<", 1), "it began once")
+		Expect(after(0).ProgramsStarted).To(BeNumerically("<", 1), "it started once")
 		table.RecordTurnEnd(program, "2", now)
 		after(2 * time.Minute)
 		Expect(table.HasStarted(program)).To(BeFalse())
 	})
 
-	It("learns how long programs pause", func() {
+	It("adapts to the duration of pauses", func() {
 		for range 60 {
-			begin("1", "main", false)
+			startTurn("1", "main", false)
 			table.RecordTurnEnd(program, "1", now)
 			now = now.Add(600 * time.Millisecond)
 		}
@@ -78,8 +78,8 @@
 		Expect(after(2 * time.Second).Programs).To(BeZero())
 	})
 
-	It("ends a turn whose end is never heard of, and heeds an end only once", func() {
-		begin("1", "main", true)
+	It("expires a turn whose end is not reported, and ignores a repeated end", func() {
+		startTurn("1", "main", true)
 		table.RecordTurnEnd(program, "other", now)
 		Expect(after(3 * time.Second).Turns).To(Equal(1))
 		Expect(after(1100 * time.Millisecond).Turns).To(BeZero())
@@ -87,11 +87,11 @@
 		Expect(after(0).Programs).To(BeZero())
 	})
 
-	It("counts a program once that is at work after its aim, and none that was over by then", func() {
-		begin("1", "main", true)
+	It("counts a program as late once, and only if it runs past its soft deadline", func() {
+		startTurn("1", "main", true)
 		Expect(after(1900 * time.Millisecond).Late).To(BeZero())
 		Expect(after(200 * time.Millisecond).Late).To(BeNumerically("~", 1, 0.01))
-		begin("2", "main", false)
+		startTurn("2", "main", false)
 		Expect(after(0).Late).To(BeNumerically("~", 1, 0.01))
 
 		other := tenant.Program{Tenant: "t", ID: "in time"}
@@ -101,8 +101,8 @@
 		Expect(routes[admission.RouteName("s", models, 0)].Late).To(BeZero())
 	})
 
-	It("counts what was begun, refused and late lately, and forgets it", func() {
-		begin("1", "main", true)
+	It("reports recent starts, refusals and late programs, and drops them once decayed", func() {
+		startTurn("1", "main", true)
 		table.RecordRefusal(admission.Request{Program: tenant.Program{ID: "q"}, Route: name, Service: models, Priority: 2}, now)
 		Expect(after(0).Refused).To(BeNumerically("==", 1))
 		Expect(after(admission.DecayTimeConstant).Refused).To(BeNumerically("~", 0.37, 0.01))
@@ -111,8 +111,8 @@
 		Expect(routes).To(BeEmpty())
 	})
 
-	It("forgets the programs of a shard that another node owns", func() {
-		begin("1", "main", true)
+	It("drops the programs of a shard that another node owns", func() {
+		startTurn("1", "main", true)
 		table.RemoveWhere(func(tenant.Program) bool { return true })
 		Expect(table.HasStarted(program)).To(BeFalse())
 		table.RecordTurnEnd(program, "1", now)
