--- a/internal/assignment/assignment.go
+++ b/internal/assignment/assignment.go
@@ -1,10 +1,10 @@
-// Package assignment gives each line of a program's turns an engine that keeps
-// it, chosen by what runs where at the moment the line begins.
+// Package assignment assigns an engine to each session of an agent program, chosen by the load
+// at the time the session starts. The session stays on that engine.
 //
-// The owner of a program's shard assigns. It goes by what the nodes tell it with their
-// requests for tokens. A line stays where it is for the sake of the engine's memory; a
-// sub-agent's line follows its program unless that engine is full. A program of
-// which an engine has failed a turn goes to other engines.
+// The owner of a program's shard assigns. It knows the load from the nodes, which report it
+// with their requests to reserve tokens. A session stays on its engine because the engine's
+// memory holds its prompt; a sub-agent's session follows its program unless that engine is
+// full. After an engine has failed a turn, the turn's program moves to other engines.
 package assignment
 
 import (
@@ -16,63 +16,58 @@
 )
 
 const (
-	// reportAge is how long a node's report counts.
-	reportAge = 2 * time.Second
-	// recentAge is how long an assignment counts beside the reports, which may
-	// not show it yet.
-	recentAge = 400 * time.Millisecond
-	// retention is how long an assignment outlasts its last turn.
+	// reportTTL is how long a node's report is valid.
+	reportTTL = 2 * time.Second
+	// recentAssignmentTTL is how long an assignment is counted in addition to the reports,
+	// which may not include it yet.
+	recentAssignmentTTL = 400 * time.Millisecond
+	// retention is how long an assignment is kept after its last turn.
 	retention = 60 * time.Second
-	// otherZoneCost is the cost of another zone than the caller's, in requests.
-	otherZoneCost = 0.5
-	// spareSlots is how many slots of an engine a further line of a program leaves free
-	// where engines' memory has room for copies of prompts.
+	// crossZoneCost is the cost of an engine in another zone than the caller's, in requests.
+	crossZoneCost = 0.5
+	// spareSlots is the number of slots that must stay free for a further session of a program
+	// to follow it, on engines with ample memory.
 	spareSlots = 2
-	// queuedLines is how many more requests than an engine runs at once may be there for
-	// a further line to follow its program where memory binds. A copy of its prompt would
-	// drive other programs' prompts out of another engine's memory: with lines that move
-	// as soon as two slots are left, engines of 2.3 prompts a slot read 18.5 instead of
-	// 12.6 million tokens in 35 s of 2,000 requests a second, and 14 instead of 2 in 100
-	// programs were late.
-	queuedLines = 4
-	// roomyPrompts is how many prompts for each slot an engine's memory holds from which on
-	// it does not bind: one that runs, and those of programs that pause. Lines that follow
-	// their program then wait for nothing in return: with 6.1 a slot, 24 instead of 17 in
-	// 100 programs were late or failed on an overloaded day, with 2.8 a slot 1.4 instead
-	// of 0.5.
-	roomyPrompts = 2.5
-	// failedFor is how long a program stays away from an engine that has failed a turn of it.
-	// Callers come back up to three times within two seconds; by the end of it the engine
-	// has recovered, or all nodes know that it has not.
-	failedFor = 5 * time.Second
-	// leavingSlowness is how many times the usual time an engine takes that a line leaves.
-	// Its prompt is computed again elsewhere: of 3,000 tokens that takes a tenth of a usual
-	// turn, and it saves one and a half of them on the next turn.
-	leavingSlowness = 2.5
-	// promptWeight is the weight of the newest turn in the usual length of a prompt.
+	// maxQueuedRequests is the number of requests beyond an engine's slots up to which a
+	// further session follows its program where memory is scarce. On another engine, a copy of
+	// its prompt would evict the prompts of other programs.
+	maxQueuedRequests = 4
+	// ampleMemoryPrompts is the number of prompts per slot from which an engine's memory is
+	// ample: enough for the running program and those that pause. Sessions then gain nothing by
+	// queueing on their program's engine.
+	ampleMemoryPrompts = 2.5
+	// failureTTL is how long a program avoids an engine that has failed one of its turns. It
+	// covers the caller's retries; afterwards the engine has recovered, or all nodes know that
+	// it has not.
+	failureTTL = 5 * time.Second
+	// maxSlowness is the slowness above which a session leaves its engine. Recomputing its
+	// prompt elsewhere costs less than the next turn saves.
+	maxSlowness = 2.5
+	// promptWeight is the weight of the latest turn in the moving average of prompt lengths.
 	promptWeight = 0.01
 )
 
 // Candidate is an engine that may be assigned.
 type Candidate struct {
 	ID string
-	// Incarnation tells the engine's starts under one id apart: a line that it kept in an earlier
-	// one finds nothing there.
+	// Incarnation distinguishes starts of an engine under one ID; prompts cached in an earlier
+	// one are lost.
 	Incarnation int64
 	Zone        string
 	Slots       int
-	// MemoryTokens is how many tokens of prompts the engine holds, 0 where that is not known.
+	// MemoryTokens is the number of prompt tokens that the engine holds, 0 if unknown.
 	MemoryTokens int
-	// OwnerMemoryTokens is the part of that which this owner's lines may take, 0 where nothing
-	// bounds it.
+	// OwnerMemoryTokens is the part of MemoryTokens that sessions of this owner may use, 0 if
+	// unlimited.
 	OwnerMemoryTokens int
-	// TieBreak breaks ties, the highest first; alike for all owners.
+	// TieBreak decides between engines of equal cost, the highest first. It is the same for all
+	// owners.
 	TieBreak uint64
-	// Slowness is how many times the usual time the engine takes, 0 where that is not known.
+	// Slowness is the engine's latency relative to the usual one, 0 if unknown.
 	Slowness float64
 }
 
-// slowness is how many times the usual time the engine takes.
+// slowness returns Slowness, or 1 if it is unknown.
 func (candidate *Candidate) slowness() float64 {
 	if candidate.Slowness <= 0 {
 		return 1
@@ -80,96 +75,96 @@
 	return candidate.Slowness
 }
 
-// Session names a line of turns.
+// Session identifies a session, with the properties of its current turn.
 type Session struct {
 	Program tenant.Program
 	ID      string
-	// Zone is where the caller came in.
+	// Zone is the zone in which the call arrived.
 	Zone string
-	// PromptTokens is the length of the turn's prompt, tokens; 0 where that is not known.
+	// PromptTokens is the length of the turn's prompt in tokens, 0 if unknown.
 	PromptTokens int
 }
 
-// session names the line among all tenants' lines.
-func (line Session) session() tenant.Program {
-	return tenant.Program{Tenant: line.Program.Tenant, ID: line.ID}
+// key identifies the session among those of all tenants.
+func (session Session) key() tenant.Program {
+	return tenant.Program{Tenant: session.Program.Tenant, ID: session.ID}
 }
 
-type report struct {
+type nodeReport struct {
 	running map[string]int
 	at      time.Time
 }
 
-type assigned struct {
-	engine string
-	life   int64
-	used   time.Time
-	// prompt is the length of a line's newest prompt, tokens.
-	prompt int
+type placement struct {
+	engine      string
+	incarnation int64
+	lastUsed    time.Time
+	// promptTokens is the length of a session's latest prompt.
+	promptTokens int
 }
 
-// failure is an engine's failure of a program's turn.
+// failure is an engine's failure of a turn.
 type failure struct {
 	engine string
 	at     time.Time
 }
 
-type recent struct {
+type recentAssignment struct {
 	engine string
 	at     time.Time
 }
 
-// Assigner holds the assignments of an owner's programs. It is safe for
-// concurrent use.
+// Assigner holds the assignments of an owner's programs. It is safe for concurrent use.
 type Assigner struct {
 	mutex   sync.Mutex
-	reports map[string]report
-	// sessions are lines of turns, each named by its session in place of the program.
-	sessions map[tenant.Program]assigned
-	programs map[tenant.Program]assigned
-	// failures are engines' failures of programs, the oldest first.
-	failures map[tenant.Program][]failure
-	recents  []recent
-	// prompt is the usual length of a prompt, tokens.
-	prompt float64
+	reports map[string]nodeReport
+	// sessions are the placements of sessions, by Session.key.
+	sessions map[tenant.Program]placement
+	programs map[tenant.Program]placement
+	// failures are the engine failures of each program, the oldest first.
+	failures          map[tenant.Program][]failure
+	recentAssignments []recentAssignment
+	// meanPromptTokens is the moving average of prompt lengths, 0 before the first prompt.
+	meanPromptTokens float64
 }
 
-// New returns an assigner that knows nothing.
+// New returns an assigner without assignments or reports.
 func New() *Assigner {
-	return &Assigner{reports: map[string]report{}, sessions: map[tenant.Program]assigned{}, programs: map[tenant.Program]assigned{},
+	return &Assigner{reports: map[string]nodeReport{}, sessions: map[tenant.Program]placement{}, programs: map[tenant.Program]placement{},
 		failures: map[tenant.Program][]failure{}}
 }
 
-// UpdateRunning takes in what a node has under way, by engine.
+// UpdateRunning replaces a node's report of its requests in flight, by engine.
 func (assigner *Assigner) UpdateRunning(node string, running map[string]int, now time.Time) {
 	assigner.mutex.Lock()
 	defer assigner.mutex.Unlock()
-	assigner.reports[node] = report{running: running, at: now}
+	assigner.reports[node] = nodeReport{running: running, at: now}
 }
 
-// RecordFailure notes that an engine has failed a turn of a line: its program goes to others.
-func (assigner *Assigner) RecordFailure(line Session, engine string, now time.Time) {
+// RecordFailure records that an engine has failed a turn of a session. The session's program
+// avoids the engine for a while.
+func (assigner *Assigner) RecordFailure(session Session, engine string, now time.Time) {
 	assigner.mutex.Lock()
 	defer assigner.mutex.Unlock()
-	assigner.failures[line.Program] = append(assigner.failures[line.Program], failure{engine: engine, at: now})
-	if assigner.sessions[line.session()].engine == engine {
-		delete(assigner.sessions, line.session())
+	assigner.failures[session.Program] = append(assigner.failures[session.Program], failure{engine: engine, at: now})
+	if assigner.sessions[session.key()].engine == engine {
+		delete(assigner.sessions, session.key())
 	}
-	if assigner.programs[line.Program].engine == engine {
-		delete(assigner.programs, line.Program)
+	if assigner.programs[session.Program].engine == engine {
+		delete(assigner.programs, session.Program)
 	}
 }
 
-// sound returns the candidates that have not failed the program of late, or all where
+// withoutFailures returns the candidates that have not recently failed the program, or all if
 // there are no others.
-func (assigner *Assigner) sound(line Session, candidates []Candidate, now time.Time) []Candidate {
-	failures := assigner.failures[line.Program]
+func (assigner *Assigner) withoutFailures(session Session, candidates []Candidate, now time.Time) []Candidate {
+	failures := assigner.failures[session.Program]
 	if len(failures) == 0 {
 		return candidates
 	}
 	left := slices.DeleteFunc(slices.Clone(candidates), func(candidate Candidate) bool {
 		return slices.ContainsFunc(failures, func(failed failure) bool {
-			return failed.engine == candidate.ID && now.Sub(failed.at) <= failedFor
+			return failed.engine == candidate.ID && now.Sub(failed.at) <= failureTTL
 		})
 	})
 	if len(left) == 0 {
@@ -178,92 +173,92 @@
 	return left
 }
 
-// Assign returns the engine of a line, empty where there is no candidate.
-func (assigner *Assigner) Assign(line Session, candidates []Candidate, now time.Time) string {
+// Assign returns the engine of a session, empty if there are no candidates.
+func (assigner *Assigner) Assign(session Session, candidates []Candidate, now time.Time) string {
 	assigner.mutex.Lock()
 	defer assigner.mutex.Unlock()
 	if len(candidates) == 0 {
 		return ""
 	}
-	candidates = assigner.sound(line, candidates, now)
-	assigner.notePrompt(line.PromptTokens)
-	requests := assigner.requests(now)
-	engine, held := assigner.present(line, candidates, requests)
-	if !held {
-		engine = least(assigner.withMemory(candidates, line.PromptTokens, now), requests, line.Zone)
-		assigner.recents = append(assigner.recents, recent{engine: engine.ID, at: now})
+	candidates = assigner.withoutFailures(session, candidates, now)
+	assigner.recordPrompt(session.PromptTokens)
+	requests := assigner.requestsByEngine(now)
+	engine, found := assigner.existing(session, candidates, requests)
+	if !found {
+		engine = cheapest(assigner.withFreeMemory(candidates, session.PromptTokens, now), requests, session.Zone)
+		assigner.recentAssignments = append(assigner.recentAssignments, recentAssignment{engine: engine.ID, at: now})
 	}
-	assigner.sessions[line.session()] = assigned{engine: engine.ID, life: engine.Incarnation, used: now, prompt: line.PromptTokens}
-	if _, known := assigner.programs[line.Program]; !known || line.ID == line.Program.ID {
-		assigner.programs[line.Program] = assigned{engine: engine.ID, life: engine.Incarnation, used: now}
+	assigner.sessions[session.key()] = placement{engine: engine.ID, incarnation: engine.Incarnation, lastUsed: now, promptTokens: session.PromptTokens}
+	if _, known := assigner.programs[session.Program]; !known || session.ID == session.Program.ID {
+		assigner.programs[session.Program] = placement{engine: engine.ID, incarnation: engine.Incarnation, lastUsed: now}
 	}
 	return engine.ID
 }
 
-// present returns the engine that the line, or else its program, has already.
-func (assigner *Assigner) present(line Session, candidates []Candidate, requests map[string]int) (*Candidate, bool) {
-	if session, known := assigner.sessions[line.session()]; known {
-		if candidate := find(candidates, session); candidate != nil && candidate.slowness() <= leavingSlowness {
+// existing returns the engine to which the session, or else its program, is assigned already.
+func (assigner *Assigner) existing(session Session, candidates []Candidate, requests map[string]int) (*Candidate, bool) {
+	if placed, known := assigner.sessions[session.key()]; known {
+		if candidate := find(candidates, placed); candidate != nil && candidate.slowness() <= maxSlowness {
 			return candidate, true
 		}
 	}
-	program, known := assigner.programs[line.Program]
+	placed, known := assigner.programs[session.Program]
 	if !known {
 		return nil, false
 	}
-	candidate := find(candidates, program)
-	if candidate == nil || candidate.slowness() > leavingSlowness || (candidate.Slots > 0 && requests[candidate.ID] >= assigner.mostToFollow(candidate)) {
+	candidate := find(candidates, placed)
+	if candidate == nil || candidate.slowness() > maxSlowness || (candidate.Slots > 0 && requests[candidate.ID] >= assigner.maxRequestsToFollow(candidate)) {
 		return nil, false
 	}
 	return candidate, true
 }
 
-// mostToFollow is how many requests may be at an engine for a further line of a program to
-// follow it there.
-func (assigner *Assigner) mostToFollow(candidate *Candidate) int {
-	if float64(candidate.MemoryTokens) < roomyPrompts*assigner.prompt*float64(candidate.Slots) && candidate.MemoryTokens > 0 {
-		return candidate.Slots + queuedLines
+// maxRequestsToFollow returns the number of requests at an engine from which a further session
+// of a program does not follow the program there.
+func (assigner *Assigner) maxRequestsToFollow(candidate *Candidate) int {
+	if float64(candidate.MemoryTokens) < ampleMemoryPrompts*assigner.meanPromptTokens*float64(candidate.Slots) && candidate.MemoryTokens > 0 {
+		return candidate.Slots + maxQueuedRequests
 	}
 	return candidate.Slots - spareSlots
 }
 
-// notePrompt learns how long prompts are.
-func (assigner *Assigner) notePrompt(tokens int) {
+// recordPrompt updates the average length of prompts.
+func (assigner *Assigner) recordPrompt(tokens int) {
 	switch {
 	case tokens <= 0:
-	case assigner.prompt == 0:
-		assigner.prompt = float64(tokens)
+	case assigner.meanPromptTokens == 0:
+		assigner.meanPromptTokens = float64(tokens)
 	default:
-		assigner.prompt += promptWeight * (float64(tokens) - assigner.prompt)
+		assigner.meanPromptTokens += promptWeight * (float64(tokens) - assigner.meanPromptTokens)
 	}
 }
 
-// find returns the candidate that an assignment names, nil where it is none, or has begun a
-// new life since.
-func find(candidates []Candidate, made assigned) *Candidate {
+// find returns the candidate of a placement, nil if it is no candidate or was restarted since.
+func find(candidates []Candidate, placed placement) *Candidate {
 	for index := range candidates {
-		if candidates[index].ID == made.engine && candidates[index].Incarnation == made.life {
+		if candidates[index].ID == placed.engine && candidates[index].Incarnation == placed.incarnation {
 			return &candidates[index]
 		}
 	}
 	return nil
 }
 
-// requests returns the requests at the engines, those on their way included.
-func (assigner *Assigner) requests(now time.Time) map[string]int {
-	sum := assigner.reported(now)
-	assigner.recents = slices.DeleteFunc(assigner.recents, func(made recent) bool { return now.Sub(made.at) > recentAge })
-	for _, made := range assigner.recents {
-		sum[made.engine]++
+// requestsByEngine returns the number of requests at the engines, including recently assigned
+// ones.
+func (assigner *Assigner) requestsByEngine(now time.Time) map[string]int {
+	sum := assigner.reportedByEngine(now)
+	assigner.recentAssignments = slices.DeleteFunc(assigner.recentAssignments, func(placed recentAssignment) bool { return now.Sub(placed.at) > recentAssignmentTTL })
+	for _, placed := range assigner.recentAssignments {
+		sum[placed.engine]++
 	}
 	return sum
 }
 
-// reported sums the reports that still count.
-func (assigner *Assigner) reported(now time.Time) map[string]int {
+// reportedByEngine sums the valid reports.
+func (assigner *Assigner) reportedByEngine(now time.Time) map[string]int {
 	sum := map[string]int{}
 	for node, reported := range assigner.reports {
-		if now.Sub(reported.at) > reportAge {
+		if now.Sub(reported.at) > reportTTL {
 			delete(assigner.reports, node)
 			continue
 		}
@@ -274,8 +269,8 @@
 	return sum
 }
 
-// least returns the candidate that costs least.
-func least(candidates []Candidate, requests map[string]int, zone string) *Candidate {
+// cheapest returns the candidate of the lowest cost.
+func cheapest(candidates []Candidate, requests map[string]int, zone string) *Candidate {
 	best := &candidates[0]
 	for index := range candidates {
 		best = cheaper(best, &candidates[index], requests, zone)
@@ -283,7 +278,7 @@
 	return best
 }
 
-// cheaper returns that of two candidates which costs less, or comes first in the order.
+// cheaper returns the candidate of the lower cost, or the one that the tie-break selects.
 func cheaper(left, right *Candidate, requests map[string]int, zone string) *Candidate {
 	leftCost, rightCost := cost(left, requests, zone), cost(right, requests, zone)
 	if rightCost < leftCost || (rightCost == leftCost && right.TieBreak > left.TieBreak) {
@@ -292,30 +287,30 @@
 	return left
 }
 
-// cost compares engines by how long a turn takes there, a usual one at an idle engine being
-// 1. One with free slots is as fast as its speed; once all are in use, turns wait the longer
-// the slower it is. A slow engine therefore gets work when the faster ones are about full.
+// cost estimates the duration of a turn at an engine, relative to a usual one at an idle
+// engine. It grows with the engine's load in proportion to its slowness, so that slow engines
+// are chosen only when faster ones are nearly full.
 func cost(candidate *Candidate, running map[string]int, zone string) float64 {
 	requests := float64(running[candidate.ID])
 	if candidate.Zone != zone {
-		requests += otherZoneCost
+		requests += crossZoneCost
 	}
 	return candidate.slowness() * (1 + requests/float64(max(candidate.Slots, 1)))
 }
 
-// Expire drops assignments that were not used for a while.
+// Expire drops assignments and failures that have exceeded their retention.
 func (assigner *Assigner) Expire(now time.Time) {
 	assigner.mutex.Lock()
 	defer assigner.mutex.Unlock()
-	for _, table := range []map[tenant.Program]assigned{assigner.sessions, assigner.programs} {
-		for key, made := range table {
-			if now.Sub(made.used) > retention {
+	for _, table := range []map[tenant.Program]placement{assigner.sessions, assigner.programs} {
+		for key, placed := range table {
+			if now.Sub(placed.lastUsed) > retention {
 				delete(table, key)
 			}
 		}
 	}
 	for program, failures := range assigner.failures {
-		if now.Sub(failures[len(failures)-1].at) > failedFor {
+		if now.Sub(failures[len(failures)-1].at) > failureTTL {
 			delete(assigner.failures, program)
 		}
 	}
--- a/internal/assignment/assignment_test.go
+++ b/internal/assignment/assignment_test.go
@@ -21,15 +21,15 @@
 }
 
 var _ = Describe("Assigner", func() {
-	line := func(program, session string) assignment.Session {
-		return assignment.Session{Program: tenant.Program{ID: program}, ID: session, Zone: "z"}
+	sessionOf := func(program, id string) assignment.Session {
+		return assignment.Session{Program: tenant.Program{ID: program}, ID: id, Zone: "z"}
 	}
 
-	It("spreads programs that begin at once", func() {
+	It("spreads programs that start at the same time", func() {
 		assigner := assignment.New()
 		seen := map[string]int{}
 		for number := range 8 {
-			seen[assigner.Assign(line(fmt.Sprint(number), fmt.Sprint(number)), candidates(4), now)]++
+			seen[assigner.Assign(sessionOf(fmt.Sprint(number), fmt.Sprint(number)), candidates(4), now)]++
 		}
 		Expect(seen).To(HaveLen(4))
 		for _, count := range seen {
@@ -37,50 +37,50 @@
 		}
 	})
 
-	It("goes by what all nodes have under way, while their reports are fresh", func() {
+	It("uses the reported load of all nodes while the reports are valid", func() {
 		assigner := assignment.New()
 		assigner.UpdateRunning("a", map[string]int{"e0": 3, "e1": 1}, now)
 		assigner.UpdateRunning("b", map[string]int{"e1": 4}, now)
-		Expect(assigner.Assign(line("p", "p"), candidates(2), now)).To(Equal("e0"))
+		Expect(assigner.Assign(sessionOf("p", "p"), candidates(2), now)).To(Equal("e0"))
 		assigner.UpdateRunning("a", map[string]int{"e0": 9}, now)
-		Expect(assigner.Assign(line("q", "q"), candidates(2), now)).To(Equal("e1"))
+		Expect(assigner.Assign(sessionOf("q", "q"), candidates(2), now)).To(Equal("e1"))
 		later := now.Add(time.Minute)
-		Expect(assigner.Assign(line("r", "r"), candidates(2), later)).To(Equal("e1"), "old reports count no more")
+		Expect(assigner.Assign(sessionOf("r", "r"), candidates(2), later)).To(Equal("e1"), "expired reports are ignored")
 	})
 
-	It("keeps a line on its engine, and moves it when the engine goes", func() {
+	It("keeps a session on its engine until the engine is gone", func() {
 		assigner := assignment.New()
-		first := assigner.Assign(line("p", "p"), candidates(4), now)
+		first := assigner.Assign(sessionOf("p", "p"), candidates(4), now)
 		assigner.UpdateRunning("a", map[string]int{first: 11}, now)
-		Expect(assigner.Assign(line("p", "p"), candidates(4), now)).To(Equal(first))
+		Expect(assigner.Assign(sessionOf("p", "p"), candidates(4), now)).To(Equal(first))
 		var left []assignment.Candidate
 		for _, candidate := range candidates(4) {
 			if candidate.ID != first {
 				left = append(left, candidate)
 			}
 		}
-		Expect(assigner.Assign(line("p", "p"), left, now)).NotTo(Equal(first))
+		Expect(assigner.Assign(sessionOf("p", "p"), left, now)).NotTo(Equal(first))
 	})
 
-	It("moves a line off an engine at the first turn that the engine fails, and its program's other lines", func() {
+	It("moves all sessions of a program off an engine after the first failed turn", func() {
 		assigner := assignment.New()
-		main, other := line("p", "p"), line("q", "q")
+		main, other := sessionOf("p", "p"), sessionOf("q", "q")
 		first := assigner.Assign(main, candidates(4), now)
-		Expect(assigner.Assign(line("p", "r"), candidates(4), now)).To(Equal(first))
+		Expect(assigner.Assign(sessionOf("p", "r"), candidates(4), now)).To(Equal(first))
 		assigner.UpdateRunning("a", map[string]int{"e0": 5, "e1": 5, "e2": 5, "e3": 5, first: 0}, now)
 		assigner.RecordFailure(main, first, now)
 		second := assigner.Assign(main, candidates(4), now)
 		Expect(second).NotTo(Equal(first))
 		assigner.RecordFailure(main, second, now)
 		Expect(assigner.Assign(main, candidates(4), now)).NotTo(Or(Equal(first), Equal(second)))
-		Expect(assigner.Assign(line("p", "r"), candidates(4), now)).NotTo(Or(Equal(first), Equal(second)))
-		Expect(assigner.Assign(line("p", "s"), candidates(4), now)).NotTo(Or(Equal(first), Equal(second)))
-		Expect(assigner.Assign(other, candidates(4), now)).To(Equal(first), "another program's")
+		Expect(assigner.Assign(sessionOf("p", "r"), candidates(4), now)).NotTo(Or(Equal(first), Equal(second)))
+		Expect(assigner.Assign(sessionOf("p", "s"), candidates(4), now)).NotTo(Or(Equal(first), Equal(second)))
+		Expect(assigner.Assign(other, candidates(4), now)).To(Equal(first), "another program's session stays")
 	})
 
-	It("takes an engine that has failed the line where there is no other, and after a while", func() {
+	It("uses an engine that has failed the program if there is no other, and after a while", func() {
 		assigner := assignment.New()
-		main := line("p", "p")
+		main := sessionOf("p", "p")
 		Expect(assigner.Assign(main, candidates(1), now)).To(Equal("e0"))
 		assigner.RecordFailure(main, "e0", now)
 		Expect(assigner.Assign(main, candidates(1), now)).To(Equal("e0"))
@@ -89,21 +89,21 @@
 		later := now.Add(6 * time.Second)
 		assigner.UpdateRunning("a", map[string]int{"e1": 9}, later)
 		assigner.Expire(later)
-		Expect(assigner.Assign(line("p", "s"), candidates(1), later)).To(Equal("e0"))
+		Expect(assigner.Assign(sessionOf("p", "s"), candidates(1), later)).To(Equal("e0"))
 		assigner.RecordFailure(main, "e1", later)
 		Expect(assigner.Assign(main, candidates(2), later)).To(Equal("e0"))
 	})
 
-	It("sends a sub-agent to its program's engine unless that is full", func() {
+	It("assigns a sub-agent to its program's engine unless that is full", func() {
 		assigner := assignment.New()
-		first := assigner.Assign(line("p", "p"), candidates(4), now)
-		Expect(assigner.Assign(line("p", "s1"), candidates(4), now)).To(Equal(first))
+		first := assigner.Assign(sessionOf("p", "p"), candidates(4), now)
+		Expect(assigner.Assign(sessionOf("p", "s1"), candidates(4), now)).To(Equal(first))
 		assigner.UpdateRunning("a", map[string]int{first: 12}, now)
-		Expect(assigner.Assign(line("p", "s2"), candidates(4), now)).NotTo(Equal(first))
+		Expect(assigner.Assign(sessionOf("p", "s2"), candidates(4), now)).NotTo(Equal(first))
 	})
 
-	It("lets a sub-agent wait at its program's engine where engines hold few prompts", func() {
-		bound := func(slots int) []assignment.Candidate {
+	It("lets a sub-agent queue at its program's engine if memory is scarce", func() {
+		limitedMemory := func(slots int) []assignment.Candidate {
 			list := candidates(4)
 			for index := range list {
 				list[index].MemoryTokens = 2 * slots * 1000
@@ -111,17 +111,17 @@
 			return list
 		}
 		assigner := assignment.New()
-		long := line("p", "p")
+		long := sessionOf("p", "p")
 		long.PromptTokens = 1000
-		first := assigner.Assign(long, bound(12), now)
+		first := assigner.Assign(long, limitedMemory(12), now)
 		assigner.UpdateRunning("a", map[string]int{first: 14}, now)
-		Expect(assigner.Assign(line("p", "s1"), bound(12), now)).To(Equal(first))
+		Expect(assigner.Assign(sessionOf("p", "s1"), limitedMemory(12), now)).To(Equal(first))
 		assigner.UpdateRunning("a", map[string]int{first: 16}, now)
-		Expect(assigner.Assign(line("p", "s2"), bound(12), now)).NotTo(Equal(first))
+		Expect(assigner.Assign(sessionOf("p", "s2"), limitedMemory(12), now)).NotTo(Equal(first))
 	})
 
 	Describe("with engines of unequal speed", func() {
-		// uneven makes a third of the engines slow.
+		// uneven returns candidates of which a third are slow.
 		uneven := func() []assignment.Candidate {
 			list := candidates(6)
 			for index := range list {
@@ -129,57 +129,57 @@
 			}
 			return list
 		}
-		// begin has programs begin that stay, and counts them by engine.
-		begin := func(programs int) map[string]int {
+		// start assigns a number of new programs, and counts them by engine.
+		start := func(programs int) map[string]int {
 			assigner := assignment.New()
 			counts := map[string]int{}
 			for number := range programs {
 				name := fmt.Sprint(number)
-				counts[assigner.Assign(line(name, name), uneven(), now)]++
+				counts[assigner.Assign(sessionOf(name, name), uneven(), now)]++
 			}
 			return counts
 		}
 
-		It("fills the fast ones first, and keeps waits alike where all are full", func() {
-			few := begin(24)
+		It("fills fast engines first, and uses slow ones once those are full", func() {
+			few := start(24)
 			Expect(few["e2"] + few["e5"]).To(BeZero())
-			many := begin(120)
+			many := start(120)
 			Expect(many["e0"]).To(BeNumerically(">", many["e2"]*2))
 			Expect(many["e2"]).To(BeNumerically(">", 4))
 		})
 
-		It("moves a line off an engine that has become very slow, and off no other", func() {
+		It("moves a session off an engine only once that is very slow", func() {
 			assigner := assignment.New()
 			list := uneven()
-			first := assigner.Assign(line("p", "p"), list, now)
+			first := assigner.Assign(sessionOf("p", "p"), list, now)
 			for index := range list {
 				if list[index].ID == first {
 					list[index].Slowness = 2
 				}
 			}
-			Expect(assigner.Assign(line("p", "p"), list, now)).To(Equal(first))
+			Expect(assigner.Assign(sessionOf("p", "p"), list, now)).To(Equal(first))
 			for index := range list {
 				if list[index].ID == first {
 					list[index].Slowness = 4
 				}
 			}
-			second := assigner.Assign(line("p", "p"), list, now)
+			second := assigner.Assign(sessionOf("p", "p"), list, now)
 			Expect(second).NotTo(Equal(first))
-			Expect(assigner.Assign(line("p", "s"), list, now)).To(Equal(second))
+			Expect(assigner.Assign(sessionOf("p", "s"), list, now)).To(Equal(second))
 		})
 	})
 
-	It("has no engine where there is none", func() {
-		Expect(assignment.New().Assign(line("p", "p"), nil, now)).To(BeEmpty())
+	It("returns no engine without candidates", func() {
+		Expect(assignment.New().Assign(sessionOf("p", "p"), nil, now)).To(BeEmpty())
 	})
 
-	It("takes two tenants' programs and lines of one name for different ones", func() {
+	It("separates programs and sessions of different tenants with equal IDs", func() {
 		assigner := assignment.New()
 		of := func(holder string) assignment.Session {
 			return assignment.Session{Program: tenant.Program{Tenant: holder, ID: "p"}, ID: "s", Zone: "z"}
 		}
 		first := assigner.Assign(of("a"), candidates(2), now)
-		Expect(assigner.Assign(of("b"), candidates(2), now)).NotTo(Equal(first), "the less busy engine, and not the line's of the other tenant")
+		Expect(assigner.Assign(of("b"), candidates(2), now)).NotTo(Equal(first), "the less busy engine, not that of the other tenant's session")
 		Expect(assigner.Assign(of("a"), candidates(2), now)).To(Equal(first))
 	})
 })
--- a/internal/assignment/memory_test.go
+++ b/internal/assignment/memory_test.go
@@ -20,61 +20,62 @@
 		}
 		return list
 	}
-	line := func(number, prompt int) assignment.Session {
+	sessionOf := func(number, prompt int) assignment.Session {
 		id := fmt.Sprint("p", number)
 		return assignment.Session{Program: tenant.Program{ID: id}, ID: id, Zone: "z", PromptTokens: prompt}
 	}
-	// lead has e1 and e2 so busy that load alone would choose e0 each time.
-	lead := func(assigner *assignment.Assigner) {
+	// loadOthers makes e1 and e2 so busy that load alone would always select e0.
+	loadOthers := func(assigner *assignment.Assigner) {
 		assigner.UpdateRunning("a", map[string]int{"e1": 11, "e2": 11}, now)
 	}
-	// onFirst is how many of five lines with prompts of 12,000 tokens go to e0.
+	// onFirst assigns five sessions with prompts of 12,000 tokens, and returns how many go to
+	// e0.
 	onFirst := func(assigner *assignment.Assigner, candidates []assignment.Candidate, at time.Time) int {
 		count := 0
 		for number := range 5 {
-			if assigner.Assign(line(number, 12_000), candidates, at) == "e0" {
+			if assigner.Assign(sessionOf(number, 12_000), candidates, at) == "e0" {
 				count++
 			}
 		}
 		return count
 	}
 
-	It("bounds what goes to the least busy engine while others have half of theirs", func() {
+	It("limits what the least busy engine gets while others have ample memory", func() {
 		assigner := assignment.New()
-		lead(assigner)
+		loadOthers(assigner)
 		Expect(onFirst(assigner, with(memory), now)).To(Equal(4), "48,000 of 50,000 tokens")
 	})
 
-	It("does not count where the owner's part holds too few prompts to tell, or is not known", func() {
+	It("does not apply if the owner's part is unknown or too small for an estimate", func() {
 		for _, own := range []int{0, memory / 14} {
 			assigner := assignment.New()
-			lead(assigner)
+			loadOthers(assigner)
 			Expect(onFirst(assigner, with(own), now)).To(Equal(5))
 		}
 	})
 
-	It("forgets prompts of lines that are over", func() {
+	It("drops the prompts of idle sessions", func() {
 		assigner := assignment.New()
-		lead(assigner)
+		loadOthers(assigner)
 		onFirst(assigner, with(memory), now)
 		later := now.Add(3 * time.Second)
 		assigner.UpdateRunning("a", map[string]int{"e1": 11, "e2": 11}, later)
-		Expect(assigner.Assign(line(9, 12_000), with(memory), later)).To(Equal("e0"))
+		Expect(assigner.Assign(sessionOf(9, 12_000), with(memory), later)).To(Equal("e0"))
 	})
 
-	It("leaves a line where it is, also at a full engine", func() {
+	It("keeps a session on its engine even if the memory is full", func() {
 		assigner := assignment.New()
-		lead(assigner)
+		loadOthers(assigner)
 		onFirst(assigner, with(memory), now)
-		Expect(assigner.Assign(line(0, 40_000), with(memory), now)).To(Equal("e0"))
+		Expect(assigner.Assign(sessionOf(0, 40_000), with(memory), now)).To(Equal("e0"))
 	})
 
-	It("goes by load where all are full", func() {
+	It("uses the load if all are full", func() {
 		assigner := assignment.New()
 		for number := range 12 {
-			assigner.Assign(line(number, 12_000), with(memory), now)
+			assigner.Assign(sessionOf(number, 12_000), with(memory), now)
 		}
-		lead(assigner)
-		Expect(assigner.Assign(line(20, 12_000), with(memory), now)).To(Equal("e0"))
+		loadOthers(assigner)
+		Expect(assigner.Assign(sessionOf(20, 12_000), with(memory), now)).To(Equal("e0"))
 	})
 })
