--- a/internal/load/load.go
+++ b/internal/load/load.go
@@ -1,7 +1,7 @@
-// Package load tells what all nodes together have under way: at each engine, waiting for
-// engines, and in programs. Each node reports its own part to a node that gathers; what it
-// hears back is its view. The view is a hint, some hundred milliseconds old. What must
-// hold, such as budgets and running at most once, never depends on it.
+// Package load holds the load of all nodes together: requests at each engine, calls queued for
+// engines, and running programs. Each node reports its own load to an aggregator node, which
+// answers with the total; that is the node's view. The view is only a hint, some hundred
+// milliseconds old. Guarantees such as budgets and at-most-once execution never depend on it.
 package load
 
 import (
@@ -9,20 +9,19 @@
 	"time"
 )
 
-// Engine is what is under way at one engine.
+// Engine is the load of one engine.
 type Engine struct {
-	// Running is the number of requests sent that have not ended, Silent that of those
-	// without a byte of an answer.
+	// Running is the number of requests in flight, AwaitingFirstByte the number of those
+	// without a byte of the response.
 	Running           int
 	AwaitingFirstByte int
-	// Succeeded and Failed count requests that ended well, and badly by the engine's own
-	// doing, in the last seconds, older ones for less. In a view Succeeded is 0 at engines
-	// without failures, where it would be sent for nothing.
+	// Succeeded and Failed are decaying counts of requests that recently succeeded, or failed
+	// because of the engine. In a view, Succeeded is 0 at engines without failures, where it is
+	// not transmitted.
 	Succeeded float64
 	Failed    float64
 }
 
-// add sums two parts.
 func (engine Engine) add(other Engine) Engine {
 	return Engine{
 		Running:           engine.Running + other.Running,
@@ -32,40 +31,39 @@
 	}
 }
 
-// without takes a part out of a sum that holds it.
-func (engine Engine) without(part Engine) Engine {
+// subtract removes the load of one node from a total that includes it.
+func (engine Engine) subtract(other Engine) Engine {
 	return Engine{
-		Running:           max(engine.Running-part.Running, 0),
-		AwaitingFirstByte: max(engine.AwaitingFirstByte-part.AwaitingFirstByte, 0),
-		Succeeded:         max(engine.Succeeded-part.Succeeded, 0),
-		Failed:            max(engine.Failed-part.Failed, 0),
+		Running:           max(engine.Running-other.Running, 0),
+		AwaitingFirstByte: max(engine.AwaitingFirstByte-other.AwaitingFirstByte, 0),
+		Succeeded:         max(engine.Succeeded-other.Succeeded, 0),
+		Failed:            max(engine.Failed-other.Failed, 0),
 	}
 }
 
-// QueueKey names the calls of one rank that wait for an engine of a service; rank 0 is the
-// most urgent.
+// QueueKey identifies the calls of one priority that are queued for a service; priority 0 is
+// the most urgent.
 type QueueKey struct {
 	Service  string
 	Priority int
 }
 
-// Route is what the programs of a route have under way, as their owners know it.
+// Route is the load of a route's programs, as reported by their owners.
 type Route struct {
 	Service  string
 	Priority int
-	// Programs have begun and are not over; Turns is the number of their turns under way.
+	// Programs is the number of running programs, Turns the number of their turns in flight.
 	Programs int
 	Turns    int
-	// ProgramsStarted, Refused and Late count programs that began, that were refused for want of
-	// room, and that passed their aim, in the last seconds, older ones for less.
+	// ProgramsStarted, Refused and Late are decaying counts of programs that recently started,
+	// were refused for lack of capacity, or passed their soft deadline.
 	ProgramsStarted float64
 	Refused         float64
 	Late            float64
-	// PromptTokens is the length of the prompts of the programs under way.
+	// PromptTokens is the total length of the running programs' prompts.
 	PromptTokens int64
 }
 
-// add sums two parts.
 func (route Route) add(other Route) Route {
 	return Route{
 		Service:         other.Service,
@@ -79,19 +77,19 @@
 	}
 }
 
-// TenantPriority is a tenant's programs of one rank.
+// TenantPriority identifies a tenant's programs of one priority.
 type TenantPriority struct {
 	Tenant   string
 	Priority int
 }
 
-// Report is what one or several nodes have under way.
+// Report is the load of one or more nodes.
 type Report struct {
 	Engines map[string]Engine
-	// Waiting counts calls that wait at nodes for an engine.
+	// Waiting is the number of calls queued at nodes for an engine.
 	Waiting map[QueueKey]int
 	Routes  map[string]Route
-	// Tenants counts the programs under way of each tenant.
+	// Tenants is the number of running programs of each tenant.
 	Tenants map[TenantPriority]int
 }
 
@@ -100,7 +98,7 @@
 	return Report{Engines: map[string]Engine{}, Waiting: map[QueueKey]int{}, Routes: map[string]Route{}, Tenants: map[TenantPriority]int{}}
 }
 
-// Add sums another report into this one.
+// Add adds another report to this one.
 func (report Report) Add(other Report) {
 	for id, engine := range other.Engines {
 		report.Engines[id] = report.Engines[id].add(engine)
@@ -111,62 +109,64 @@
 	for name, route := range other.Routes {
 		report.Routes[name] = report.Routes[name].add(route)
 	}
-	for holder, programs := range other.Tenants {
-		report.Tenants[holder] += programs
+	for key, programs := range other.Tenants {
+		report.Tenants[key] += programs
 	}
 }
 
-// MaxViewAge is how old a view may be to count. Reports go out some times a second; after a
-// second the programs that began since outweigh what is known.
+// MaxViewAge is the age up to which a view is valid. Later, the programs started since outweigh
+// what it shows.
 const MaxViewAge = time.Second
 
-// View is what a node knows of the load over all nodes. It is safe for concurrent use.
+// View is a node's view of the load of all nodes. It is safe for concurrent use.
 type View struct {
 	mutex sync.RWMutex
 	total Report
 	own   Report
-	// from is the moment that the view shows, zero where there is none.
-	from time.Time
+	// asOf is the time that the view shows, zero if there is no view.
+	asOf time.Time
 }
 
-// NewView returns a view that knows nothing.
+// NewView returns a view without data.
 func NewView() *View { return &View{total: NewReport(), own: NewReport()} }
 
-// Update takes in the sum over all nodes, of an age, with this node's own part in it.
+// Update sets the total over all nodes, which has the given age, and this node's own load
+// within it.
 func (view *View) Update(total, own Report, age time.Duration, now time.Time) {
 	view.mutex.Lock()
 	defer view.mutex.Unlock()
 	view.total = total
 	view.own = own
-	view.from = now.Add(-age)
+	view.asOf = now.Add(-age)
 }
 
-// RemoteEngine returns what the other nodes have at an engine, false where that is not known.
+// RemoteEngine returns the load that other nodes put on an engine, and false if the view is not
+// valid.
 func (view *View) RemoteEngine(engine string, now time.Time) (Engine, bool) {
 	view.mutex.RLock()
 	defer view.mutex.RUnlock()
 	if !view.fresh(now) {
 		return Engine{}, false
 	}
-	return view.total.Engines[engine].without(view.own.Engines[engine]), true
+	return view.total.Engines[engine].subtract(view.own.Engines[engine]), true
 }
 
-// Total returns the sum over all nodes, false where it is not known. The caller must not
-// change it.
+// Total returns the total over all nodes, and false if the view is not valid. The caller must
+// not modify it.
 func (view *View) Total(now time.Time) (Report, bool) {
 	view.mutex.RLock()
 	defer view.mutex.RUnlock()
 	return view.total, view.fresh(now)
 }
 
-// Age is the age of the view, false where there is none.
+// Age returns the age of the view, and false if there is none.
 func (view *View) Age(now time.Time) (time.Duration, bool) {
 	view.mutex.RLock()
 	defer view.mutex.RUnlock()
-	return now.Sub(view.from), !view.from.IsZero()
+	return now.Sub(view.asOf), !view.asOf.IsZero()
 }
 
-// fresh tells whether the view counts. The caller holds the mutex.
+// fresh reports whether the view is valid. The caller holds the mutex.
 func (view *View) fresh(now time.Time) bool {
-	return !view.from.IsZero() && now.Sub(view.from) <= MaxViewAge
+	return !view.asOf.IsZero() && now.Sub(view.asOf) <= MaxViewAge
 }
--- a/internal/load/load_test.go
+++ b/internal/load/load_test.go
@@ -10,14 +10,14 @@
 
 var now = time.Unix(1000, 0)
 
-// reportOf is a node's report of requests at one engine.
+// reportOf returns a node's report of requests at one engine.
 func reportOf(engine string, running int) load.Report {
 	report := load.NewReport()
 	report.Engines[engine] = load.Engine{Running: running}
 	return report
 }
 
-func TestViewTellsWhatOtherNodesHave(t *testing.T) {
+func TestViewReturnsLoadOfOtherNodes(t *testing.T) {
 	expect := NewWithT(t)
 	own := reportOf("e", 2)
 	total := load.NewReport()
@@ -26,19 +26,19 @@
 	view := load.NewView()
 	view.Update(total, own, 100*time.Millisecond, now)
 
-	others, known := view.RemoteEngine("e", now)
+	remote, known := view.RemoteEngine("e", now)
 	expect.Expect(known).To(BeTrue())
-	expect.Expect(others.Running).To(Equal(5))
-	others, known = view.RemoteEngine("f", now)
+	expect.Expect(remote.Running).To(Equal(5))
+	remote, known = view.RemoteEngine("f", now)
 	expect.Expect(known).To(BeTrue(), "an engine without requests is known to have none")
-	expect.Expect(others).To(BeZero())
+	expect.Expect(remote).To(BeZero())
 }
 
-func TestAnOldViewCountsAsUnknown(t *testing.T) {
+func TestOutdatedViewIsInvalid(t *testing.T) {
 	expect := NewWithT(t)
 	view := load.NewView()
 	_, known := view.RemoteEngine("e", now)
-	expect.Expect(known).To(BeFalse(), "nothing was heard yet")
+	expect.Expect(known).To(BeFalse(), "there is no view yet")
 	view.Update(reportOf("e", 1), load.NewReport(), 0, now)
 	_, known = view.Total(now.Add(load.MaxViewAge))
 	expect.Expect(known).To(BeTrue())
@@ -46,7 +46,7 @@
 	expect.Expect(known).To(BeFalse())
 }
 
-func TestReportsAddUp(t *testing.T) {
+func TestReportAdd(t *testing.T) {
 	expect := NewWithT(t)
 	total := load.NewReport()
 	for range 3 {
