--- a/internal/quota/programs.go
+++ b/internal/quota/programs.go
@@ -3,44 +3,44 @@
 import "time"
 
 const (
-	// programOver is how long a program sends nothing before it counts as over: longer
-	// than its pauses and calls of tools take.
-	programOver = 5 * time.Second
-	// sweepPause separates two looks for programs that are over.
-	sweepPause = time.Second
+	// programTimeout is how long a program sends no requests before it counts as finished. It
+	// exceeds the duration of pauses and tool calls.
+	programTimeout = 5 * time.Second
+	// sweepInterval is the time between two sweeps for finished programs.
+	sweepInterval = time.Second
 )
 
-// programs are those of a tenant that are under way.
+// programs are the running programs of a tenant.
 type programs struct {
-	seen  map[string]time.Time
-	swept time.Time
+	lastRequest map[string]time.Time
+	sweptAt     time.Time
 }
 
 func newPrograms(now time.Time) programs {
-	return programs{seen: map[string]time.Time{}, swept: now}
+	return programs{lastRequest: map[string]time.Time{}, sweptAt: now}
 }
 
-// begins tells whether a request is a new program's first one.
-func (programs *programs) begins(ask Request) bool {
-	if ask.Program == "" || ask.Continues {
+// startsProgram reports whether a request is the first of a new program.
+func (programs *programs) startsProgram(request Request) bool {
+	if request.Program == "" || request.Continues {
 		return false
 	}
-	_, underWay := programs.seen[ask.Program]
-	return !underWay
+	_, known := programs.lastRequest[request.Program]
+	return !known
 }
 
-// note counts a granted request of a program.
-func (programs *programs) note(ask Request, now time.Time) {
-	if ask.Program != "" {
-		programs.seen[ask.Program] = now
+// record records a granted request of a program.
+func (programs *programs) record(request Request, now time.Time) {
+	if request.Program != "" {
+		programs.lastRequest[request.Program] = now
 	}
-	if now.Sub(programs.swept) < sweepPause {
+	if now.Sub(programs.sweptAt) < sweepInterval {
 		return
 	}
-	programs.swept = now
-	for id, seen := range programs.seen {
-		if now.Sub(seen) > programOver {
-			delete(programs.seen, id)
+	programs.sweptAt = now
+	for id, last := range programs.lastRequest {
+		if now.Sub(last) > programTimeout {
+			delete(programs.lastRequest, id)
 		}
 	}
 }
--- a/internal/quota/quota.go
+++ b/internal/quota/quota.go
@@ -1,22 +1,21 @@
-// Package quota bounds how many requests of a tenant run in any span of time, counted
-// over all nodes, also while nodes are cut off, lost, frozen or started anew.
+// Package quota limits the requests of each tenant in any time window, counted over all nodes,
+// also while nodes are partitioned, lost, frozen or restarted.
 //
-// Each of n nodes holds an n-th of every tenant's limit. It lends that share to one
-// keeper at a time, for LentFor from a moment of the keeper's own clock that the node
-// has heard. A Keeper grants requests out of what it has been lent: where all nodes lend
-// to one keeper that is the whole limit, in a part of the system that is cut off it is
-// the share of the nodes there. A node lends to another keeper only after the former one
-// can't count its share any more. Nothing of this needs the platform's log, so that a
-// limit holds, and is granted in full, while the log is away.
+// Each of n nodes holds 1/n of every tenant's limit. It leases that share to one coordinator at
+// a time, for LeaseDuration from a time of the coordinator's own clock that the node has
+// observed. A Coordinator grants requests out of what is leased to it: the whole limit if all
+// nodes lease to it, and in a partition the share of the nodes there. A node leases to another
+// coordinator only after its lease to the former one has expired. The platform's log is not
+// used, so that limits hold, and are granted in full, while the log is unavailable.
 //
-// A limit is judged over a window: in any span of that length a tenant's requests are at
-// most PerSecond x Window + Burst, and what the operators tolerate above that. A keeper
-// does not know what another one has granted before. It therefore begins empty, at a part
-// of the rate, and has the whole limit at its disposal once the nodes have lent to it for
-// a window; before that each keeper leaves as much of the window's limit unused as its
-// successor may grant in the rest of the window (Tolerance.envelope).
+// A limit applies to a sliding window: in any window a tenant's requests are at most PerSecond
+// x Window + Burst, plus the configured tolerance. A coordinator does not know what a former
+// one has granted. It therefore starts empty and at a reduced rate, and grants the whole limit
+// only once the nodes have leased to it for a full window. Until then each coordinator leaves
+// unused as much of the limit as its successor may grant within the window (see
+// Tolerance.envelope).
 //
-// Keeper and Lender are pure state machines without clock, input and output.
+// Coordinator and Lessor are state machines that perform no I/O and read no clock.
 package quota
 
 import (
@@ -25,32 +24,29 @@
 	"github.com/magpielug/magpielug/internal/tenant"
 )
 
-// LeaseDuration is how long a share counts from the keeper's moment that its lender names. It
-// bounds what nodes that are all started anew may grant too much, in seconds of a
-// limit, and how long a limit is held up when its keeper is lost.
+// LeaseDuration is how long a share is leased, counted from the coordinator's time that the
+// lessor names. It bounds the excess grants after a restart of all nodes, in seconds of a
+// limit, and the interruption when a coordinator is lost.
 const LeaseDuration = 500 * time.Millisecond
 
 const (
-	// defaultWindow is the span over which requests are counted where the operators name
-	// none: that of the deployments seen.
+	// defaultWindow is the window if the configuration names none.
 	defaultWindow = 5 * time.Second
-	// successorShare is the part of a limit's rate that a new keeper grants from the
-	// start. Tenants use 0.6 of their limits in the mean, and more after the loss of all
-	// nodes, when all programs come back at once. More of it leaves less for bursts while
-	// a keeper lasts: 0.55 x PerSecond for each tenth.
+	// successorShare is the fraction of a limit's rate that a new coordinator grants from the
+	// start. A larger one leaves less for bursts while a coordinator lasts.
 	successorShare = 0.9
 )
 
-// Tolerance is how the operators judge a limit. The zero value tolerates nothing.
+// Tolerance is how far a limit may be exceeded. The zero value tolerates no excess.
 type Tolerance struct {
-	// Window is the span over which requests are counted, 0 where it is not known.
+	// Window is the time window over which requests are counted, 0 if unknown.
 	Window time.Duration
-	// ExcessFraction of a window's limit, and Requests beside it, may run above it.
+	// ExcessFraction of a window's limit, and in addition ExcessRequests, may run above it.
 	ExcessFraction float64
 	ExcessRequests float64
 }
 
-// window is the span over which requests are counted.
+// window returns the time window over which requests are counted.
 func (tolerance Tolerance) window() time.Duration {
 	if tolerance.Window <= 0 {
 		return defaultWindow
@@ -58,17 +54,17 @@
 	return tolerance.Window
 }
 
-// envelope is what a keeper may grant: over the last s seconds no more than depth + rate x
-// s requests, for each s up to the window.
+// envelope bounds the grants of a coordinator: over the last s seconds at most depth + rate x s
+// requests, for each s up to the window.
 type envelope struct {
 	depth  float64
 	rate   float64
 	window time.Duration
 }
 
-// envelope leaves room for a successor, which grants at the rate from empty on, and for the
-// time in which shares may count twice after all nodes were started anew. A limit may run
-// one request at once however small it is.
+// envelope returns the envelope of a limit. It leaves capacity for a successor, which starts
+// empty and grants at the rate, and for the time in which shares may count twice after a
+// restart of all nodes. At least one request may run at once.
 func (tolerance Tolerance) envelope(limit tenant.Limit) envelope {
 	window := tolerance.window()
 	most := (limit.PerSecond*window.Seconds()+limit.Burst)*(1+tolerance.ExcessFraction) + tolerance.ExcessRequests
@@ -76,58 +72,58 @@
 	return envelope{depth: max(most-rate*(window+LeaseDuration).Seconds(), 1), rate: rate, window: window}
 }
 
-// CoordinatorTime is a moment by the clock of one keeper's process. The zero value is none.
+// CoordinatorTime is a time on the clock of one coordinator process. The zero value is no time.
 type CoordinatorTime struct {
 	Incarnation string
 	Elapsed     time.Duration
 }
 
-// Request is a request of a node to a keeper. Without a tenant it only lends.
+// Request is a node's request to a coordinator. Without a tenant it only renews the lease.
 type Request struct {
-	// Node asks, and knows of Nodes nodes, itself included.
+	// Node is the requesting node; it knows of Nodes nodes, including itself.
 	Node  string
 	Nodes int
-	// Group is the group of tenants that is asked for.
+	// Group is the group of tenants that the request refers to.
 	Group int
-	// LeaseStart is the keeper's moment from which on the node's share is lent; zero lends
+	// LeaseStart is the coordinator's time from which the node's share is leased; zero leases
 	// nothing.
 	LeaseStart CoordinatorTime
-	// LeasedFor is for how long the node has lent its share to no other keeper.
+	// LeasedFor is how long the node has leased its share to no other coordinator.
 	LeasedFor time.Duration
-	// Tenant sends the request, under a limit that stands in a version of the
-	// configuration.
+	// Tenant sends the request; Limit is its limit in the given version of the configuration.
 	Tenant        string
 	Limit         tenant.Limit
 	Configuration int64
-	// Program is empty for a request that belongs to none. Continues is true where the
-	// request is known to go on with what the program has begun.
+	// Program is empty for a request that belongs to none. Continues is true if the program is
+	// known to have started before.
 	Program   string
 	Continues bool
-	// MaxWait is how long the request may wait for room.
+	// MaxWait is how long the request may be delayed.
 	MaxWait time.Duration
 }
 
-// Verdict is a keeper's answer.
+// Verdict is a coordinator's decision.
 type Verdict int
 
 // Verdicts.
 const (
-	// Granted: the request may run, after Answer.Delay.
+	// Granted: the request may run, after Response.Delay.
 	Granted Verdict = iota + 1
-	// Refused: the limit has no room. Answer.RetryAfter says when it will have.
+	// Refused: the limit is exhausted. Response.RetryAfter says when to retry.
 	Refused
-	// Undetermined: the keeper was lent too little to tell, as while nodes change keepers.
+	// Undetermined: too small a share is leased for a decision, for example while nodes change
+	// coordinators.
 	Undetermined
 )
 
-// Response is a keeper's answer to an Ask.
+// Response is a coordinator's answer to a Request.
 type Response struct {
 	Clock      CoordinatorTime
 	Verdict    Verdict
 	Delay      time.Duration
 	RetryAfter time.Duration
-	// What decided: the part of the limit that is lent and, of a refusal, the requests
-	// that might run at once.
+	// Share is the fraction of the limit that is leased. Available, of a refusal, is the number
+	// of requests that might run at once.
 	Share     float64
 	Available float64
 }
