--- a/internal/arrival/arrival_test.go
+++ b/internal/arrival/arrival_test.go
@@ -11,28 +11,28 @@
 	"github.com/magpielug/magpielug/internal/arrival"
 )
 
-const waits = 2 * time.Second
+const timeout = 2 * time.Second
 
-func stamped(sender *arrival.Sender) http.Header {
+func stampedHeader(sender *arrival.Sender) http.Header {
 	header := make(http.Header)
-	sender.Stamp(header, waits)
+	sender.Stamp(header, timeout)
 	return header
 }
 
-var _ = Describe("late requests", func() {
-	It("are those that their sender has given up, whatever the clocks' difference", func() {
+var _ = Describe("expired requests", func() {
+	It("are those past their sender's timeout, whatever the clock difference", func() {
 		sender, receiver := arrival.NewSender(), arrival.NewReceiver()
-		held := stamped(sender)
-		far := 30 * 24 * time.Hour
-		Expect(receiver.Expired(stamped(sender), far)).To(BeFalse())
-		Expect(receiver.Expired(stamped(sender), far+waits/2)).To(BeFalse())
-		Expect(receiver.Expired(held, far+2*waits)).To(BeTrue())
-		Expect(receiver.Expired(stamped(arrival.NewSender()), far+2*waits)).To(BeFalse())
+		delayed := stampedHeader(sender)
+		clockDifference := 30 * 24 * time.Hour
+		Expect(receiver.Expired(stampedHeader(sender), clockDifference)).To(BeFalse())
+		Expect(receiver.Expired(stampedHeader(sender), clockDifference+timeout/2)).To(BeFalse())
+		Expect(receiver.Expired(delayed, clockDifference+2*timeout)).To(BeTrue())
+		Expect(receiver.Expired(stampedHeader(arrival.NewSender()), clockDifference+2*timeout)).To(BeFalse())
 	})
 
-	It("are not found where one clock runs a little faster", func() {
+	It("are not reported because of clock drift", func() {
 		receiver := arrival.NewReceiver()
-		stamp := stamped(arrival.NewSender())
+		stamp := stampedHeader(arrival.NewSender())
 		// The receiver's clock gains 5 s in 10,000.
 		for second := int64(0); second < 10_000; second += 100 {
 			stamp.Set("X-Magpielug-Sent-Ms", strconv.FormatInt(second*1000, 10))
@@ -41,12 +41,12 @@
 		}
 	})
 
-	It("are never ones without a stamp that can be read", func() {
+	It("are never those without a valid stamp", func() {
 		receiver := arrival.NewReceiver()
 		Expect(receiver.Expired(make(http.Header), time.Hour)).To(BeFalse())
-		broken := stamped(arrival.NewSender())
-		Expect(receiver.Expired(broken, 0)).To(BeFalse())
-		broken.Set("X-Magpielug-Sent-Ms", "soon")
-		Expect(receiver.Expired(broken, time.Hour)).To(BeFalse())
+		invalid := stampedHeader(arrival.NewSender())
+		Expect(receiver.Expired(invalid, 0)).To(BeFalse())
+		invalid.Set("X-Magpielug-Sent-Ms", "soon")
+		Expect(receiver.Expired(invalid, time.Hour)).To(BeFalse())
 	})
 })
--- a/internal/arrival/receiver.go
+++ b/internal/arrival/receiver.go
@@ -8,73 +8,74 @@
 )
 
 const (
-	// driftShare bounds how much faster one machine's clock may run than
-	// another's: the least difference rises by this share of the time.
-	driftShare = 0.001
-	// senderMemory is how long a sender that is not heard is remembered, and
-	// maximumSenders bounds how many are.
-	senderMemory   = time.Hour
-	maximumSenders = 4096
+	// maxClockDrift bounds the drift between the clocks of two machines: the smallest
+	// difference grows by this fraction of the time.
+	maxClockDrift = 0.001
+	// senderTTL is how long an inactive sender is remembered, and maxSenders how many senders
+	// are.
+	senderTTL  = time.Hour
+	maxSenders = 4096
 )
 
-// Receiver judges the stamped requests of all senders. It is safe for
-// concurrent use.
+// Receiver checks the stamped requests of all senders. It is safe for concurrent use.
 type Receiver struct {
 	lock    sync.Mutex
-	senders map[string]*baseline
+	senders map[string]*clockOffset
 }
 
-// baseline is the least difference of clocks that a sender's requests showed.
-type baseline struct {
-	difference time.Duration
-	at         time.Duration
+// clockOffset is the smallest difference between the receiver's clock and a sender's, as of
+// updatedAt.
+type clockOffset struct {
+	offset    time.Duration
+	updatedAt time.Duration
 }
 
-// NewReceiver returns a receiver that has heard nobody.
+// NewReceiver returns a receiver that knows no senders.
 func NewReceiver() *Receiver {
-	return &Receiver{senders: make(map[string]*baseline)}
+	return &Receiver{senders: make(map[string]*clockOffset)}
 }
 
-// Expired tells whether the sender of a request has given it up by now, the
-// receiver's own monotonic time. A request without a stamp, and the first one
-// of a sender, is not late.
+// Expired reports whether the sender of a request has given it up by now, the receiver's own
+// monotonic time. It is false for a request without a valid stamp, and for the first one of a
+// sender.
 func (receiver *Receiver) Expired(header http.Header, now time.Duration) bool {
 	sender := header.Get(headerSender)
 	sent, sentErr := milliseconds(header.Get(headerSent))
-	waits, waitsErr := milliseconds(header.Get(headerWaits))
-	if sender == "" || sentErr != nil || waitsErr != nil {
+	timeout, timeoutErr := milliseconds(header.Get(headerTimeout))
+	if sender == "" || sentErr != nil || timeoutErr != nil {
 		return false
 	}
-	return receiver.delay(sender, now-sent, now) > waits
+	return receiver.transitDelay(sender, now-sent, now) > timeout
 }
 
-// delay is how much longer a request was under way than the fastest one.
-func (receiver *Receiver) delay(sender string, difference, now time.Duration) time.Duration {
+// transitDelay returns how much longer a request was in transit than the fastest one of its
+// sender.
+func (receiver *Receiver) transitDelay(sender string, offset, now time.Duration) time.Duration {
 	receiver.lock.Lock()
 	defer receiver.lock.Unlock()
 	known := receiver.senders[sender]
 	if known == nil {
-		receiver.forget(now)
-		receiver.senders[sender] = &baseline{difference: difference, at: now}
+		receiver.evictSenders(now)
+		receiver.senders[sender] = &clockOffset{offset: offset, updatedAt: now}
 		return 0
 	}
-	drift := time.Duration(float64(now-known.at) * driftShare)
-	known.difference = min(known.difference+drift, difference)
-	known.at = now
-	return difference - known.difference
+	drift := time.Duration(float64(now-known.updatedAt) * maxClockDrift)
+	known.offset = min(known.offset+drift, offset)
+	known.updatedAt = now
+	return offset - known.offset
 }
 
-// forget makes room for a new sender.
-func (receiver *Receiver) forget(now time.Duration) {
-	if len(receiver.senders) < maximumSenders {
+// evictSenders makes space for a new sender.
+func (receiver *Receiver) evictSenders(now time.Duration) {
+	if len(receiver.senders) < maxSenders {
 		return
 	}
-	for name, known := range receiver.senders {
-		if now-known.at > senderMemory {
+	for name, sender := range receiver.senders {
+		if now-sender.updatedAt > senderTTL {
 			delete(receiver.senders, name)
 		}
 	}
-	if len(receiver.senders) >= maximumSenders {
+	if len(receiver.senders) >= maxSenders {
 		clear(receiver.senders)
 	}
 }
