--- a/internal/tenant/tenant.go
+++ b/internal/tenant/tenant.go
@@ -1,6 +1,4 @@
-// Package tenant holds who may send calls: the tenants of the operators'
-// configuration and the keys that prove them. It decides nothing and keeps no state
-// beside the configuration.
+// Package tenant holds the configured tenants and their API keys. It keeps no other state.
 package tenant
 
 import (
@@ -8,50 +6,49 @@
 	"encoding/hex"
 )
 
-// Tenant is one customer of the operators.
+// Tenant is a customer of the operators.
 type Tenant struct {
 	Name string
-	// Priority is the rank of its calls, 0 the most urgent; nil leaves each call the
-	// rank of its route.
+	// Priority is the priority of its calls, 0 the most urgent; nil uses the priority of each
+	// call's route.
 	Priority *int
 	Limit    Limit
-	// Regions are those in which its requests may be served and kept; none for all.
+	// Regions are the regions in which its requests may be served and stored; empty for all.
 	Regions []string
 }
 
-// Limit bounds a tenant's requests, counted over all nodes together.
+// Limit bounds a tenant's request rate over all nodes together.
 type Limit struct {
-	// PerSecond is how many requests a second may run, 0 for any number.
+	// PerSecond is the sustained number of requests per second, 0 for no limit.
 	PerSecond float64
-	// Burst is how many may run on top of that at once.
+	// Burst is the number of requests that may run at once in addition.
 	Burst float64
 }
 
-// Limited tells whether there is a limit at all.
+// Limited reports whether there is a limit.
 func (limit Limit) Limited() bool { return limit.PerSecond > 0 }
 
-// Program names an agent program: two tenants may use the same id.
+// Program identifies an agent program; IDs are unique only within a tenant.
 type Program struct {
-	// Tenant is empty where no tenants are configured.
+	// Tenant is empty if no tenants are configured.
 	Tenant string
 	ID     string
 }
 
-// WithoutTenant is the program of the same id as a node names it that knows no tenants.
+// WithoutTenant returns the program as identified by a node without configured tenants.
 func (program Program) WithoutTenant() Program { return Program{ID: program.ID} }
 
-// digest stands for a key, so that a copy of the memory or a log line gives none away.
-type digest [sha256.Size]byte
+// keyDigest stands for a key, so that a memory dump or a log line does not disclose it.
+type keyDigest [sha256.Size]byte
 
-// Directory finds the tenant that holds a key. The zero value has no tenants. It never
-// changes once built.
+// Directory finds the tenant of a key. The zero value has no tenants. It is immutable.
 type Directory struct {
-	byKey map[digest]*Tenant
-	// configured is true where calls need a key.
-	configured bool
-	// limited is true where any tenant has a limit.
-	limited bool
-	// rates are the tenants' limits in requests a second, of those that have one.
+	byKeyDigest map[keyDigest]*Tenant
+	// requiresKey is true if calls need a key.
+	requiresKey bool
+	// hasLimits is true if any tenant has a limit.
+	hasLimits bool
+	// rates are the tenants' limits in requests per second, of those that have one.
 	rates map[string]float64
 }
 
@@ -61,49 +58,49 @@
 	Keys   []string
 }
 
-// NewDirectory builds a directory. Of two tenants with one key the first holds it.
-func NewDirectory(holders []TenantKeys) Directory {
-	built := Directory{byKey: map[digest]*Tenant{}, configured: true, rates: map[string]float64{}}
-	for index := range holders {
-		holder := &holders[index]
-		built.limited = built.limited || holder.Tenant.Limit.Limited()
-		if holder.Tenant.Limit.Limited() {
-			built.rates[holder.Tenant.Name] = holder.Tenant.Limit.PerSecond
+// NewDirectory builds a directory. A key listed for two tenants belongs to the first.
+func NewDirectory(tenants []TenantKeys) Directory {
+	directory := Directory{byKeyDigest: map[keyDigest]*Tenant{}, requiresKey: true, rates: map[string]float64{}}
+	for index := range tenants {
+		entry := &tenants[index]
+		directory.hasLimits = directory.hasLimits || entry.Tenant.Limit.Limited()
+		if entry.Tenant.Limit.Limited() {
+			directory.rates[entry.Tenant.Name] = entry.Tenant.Limit.PerSecond
 		}
-		for _, key := range holder.Keys {
-			sum := digest(sha256.Sum256([]byte(key)))
-			if _, held := built.byKey[sum]; !held && key != "" {
-				built.byKey[sum] = &holder.Tenant
+		for _, key := range entry.Keys {
+			digest := keyDigest(sha256.Sum256([]byte(key)))
+			if _, taken := directory.byKeyDigest[digest]; !taken && key != "" {
+				directory.byKeyDigest[digest] = &entry.Tenant
 			}
 		}
 	}
-	return built
+	return directory
 }
 
-// RequiresKey tells whether calls need a key at all.
-func (directory Directory) RequiresKey() bool { return directory.configured }
+// RequiresKey reports whether calls need a key.
+func (directory Directory) RequiresKey() bool { return directory.requiresKey }
 
-// TenantForKey returns the tenant that holds a key, nil for a key that nobody holds.
+// TenantForKey returns the tenant of a key, nil for an unknown key.
 func (directory Directory) TenantForKey(key string) *Tenant {
 	if key == "" {
 		return nil
 	}
-	return directory.byKey[sha256.Sum256([]byte(key))]
+	return directory.byKeyDigest[sha256.Sum256([]byte(key))]
 }
 
-// Rates returns the limits of the tenants that have one, requests a second: what the
-// operators say of the tenants' sizes. The caller must not change it.
+// Rates returns the limits of the tenants that have one, in requests per second; they serve as
+// the tenants' weights. The caller must not modify it.
 func (directory Directory) Rates() map[string]float64 { return directory.rates }
 
-// HasLimits tells whether any tenant has a limit.
-func (directory Directory) HasLimits() bool { return directory.limited }
+// HasLimits reports whether any tenant has a limit.
+func (directory Directory) HasLimits() bool { return directory.hasLimits }
 
-// shortDigestBytes is how much of a key's digest names it in a log: enough to compare
-// with the digest of a key at hand, too little to find the key.
-const shortDigestBytes = 4
+// fingerprintBytes is the length of the digest prefix that identifies a key in logs: enough to
+// compare with a known key, too short to recover one.
+const fingerprintBytes = 4
 
-// KeyFingerprint names a key for logs.
+// KeyFingerprint identifies a key in logs.
 func KeyFingerprint(key string) string {
-	sum := sha256.Sum256([]byte(key))
-	return hex.EncodeToString(sum[:shortDigestBytes])
+	digest := sha256.Sum256([]byte(key))
+	return hex.EncodeToString(digest[:fingerprintBytes])
 }
--- a/internal/tenant/tenant_test.go
+++ b/internal/tenant/tenant_test.go
@@ -15,16 +15,16 @@
 		{Tenant: tenant.Tenant{Name: "c"}},
 	})
 
-	It("finds who holds a key, and nobody for any other one", func() {
+	It("finds the tenant of a key, and none for unknown keys", func() {
 		Expect(directory.TenantForKey("key-2").Name).To(Equal("a"))
 		Expect(directory.TenantForKey("key-3").Name).To(Equal("b"))
-		Expect(directory.TenantForKey("key-1").Name).To(Equal("a"), "the first of two that name it")
+		Expect(directory.TenantForKey("key-1").Name).To(Equal("a"), "the first of two tenants that list it")
 		for _, unknown := range []string{"", "key", "key-11", "KEY-1"} {
 			Expect(directory.TenantForKey(unknown)).To(BeNil())
 		}
 	})
 
-	It("tells no tenants from tenants without keys", func() {
+	It("distinguishes no tenants from tenants without keys", func() {
 		Expect(tenant.Directory{}.RequiresKey()).To(BeFalse())
 		Expect(tenant.NewDirectory(nil).RequiresKey()).To(BeTrue())
 		Expect(tenant.NewDirectory(nil).TenantForKey("key-1")).To(BeNil())
@@ -32,12 +32,12 @@
 		Expect(tenant.NewDirectory(nil).HasLimits()).To(BeFalse())
 	})
 
-	It("tells the rates of the tenants that have a limit", func() {
+	It("returns the rates of the tenants that have a limit", func() {
 		Expect(directory.Rates()).To(Equal(map[string]float64{"a": 3}))
 		Expect(tenant.Directory{}.Rates()).To(BeEmpty())
 	})
 
-	It("holds no key that a dump of it would show", func() {
+	It("does not disclose keys when printed", func() {
 		Expect(fmt.Sprintf("%+v", directory)).NotTo(ContainSubstring("key-2"))
 		Expect(tenant.KeyFingerprint("key-2")).To(HaveLen(8))
 	})
