--- a/internal/region/region.go
+++ b/internal/region/region.go
@@ -1,5 +1,5 @@
-// Package region tells in which zones a call may be served where its route or its tenant
-// binds it to some regions.
+// Package region determines the zones in which a call may be served if its route or its tenant
+// is restricted to regions.
 package region
 
 import (
@@ -8,20 +8,20 @@
 	"strings"
 )
 
-// ZoneSet holds the zones in which a call may be served. The nil set holds all zones, an
+// ZoneSet holds the zones in which a call may be served. The nil set contains all zones, an
 // empty one none.
 type ZoneSet []string
 
-// Contains tells whether a call may be served in a zone.
+// Contains reports whether a call may be served in a zone.
 func (zones ZoneSet) Contains(zone string) bool {
 	return zones == nil || slices.Contains(zones, zone)
 }
 
-// Map holds the region of each zone. It never changes once built.
+// Map holds the region of each zone. It is immutable.
 type Map map[string]string
 
-// Parse reads a list of zones and their regions: zone=region, with commas. The empty list is
-// an empty map.
+// Parse parses a comma-separated list of zone=region entries. The empty list yields an empty
+// map.
 func Parse(list string) (Map, error) {
 	regions := Map{}
 	if list == "" {
@@ -30,24 +30,23 @@
 	for entry := range strings.SplitSeq(list, ",") {
 		zone, region, found := strings.Cut(strings.TrimSpace(entry), "=")
 		if !found || zone == "" || region == "" {
-			return nil, fmt.Errorf("%q is not a zone and its region, as zone=region", entry)
+			return nil, fmt.Errorf("invalid entry %q in the list of zones: want zone=region", entry)
 		}
 		regions[zone] = region
 	}
 	return regions, nil
 }
 
-// AllowedZones returns the zones that lie in a region of each of several lists. A list without
-// entries binds nothing; with no other the set is nil. A zone whose region is not known
-// lies in none.
+// AllowedZones returns the zones whose region is in each of the lists. An empty list is no
+// restriction; without any restriction the set is nil. A zone of unknown region is in no list.
 func (regions Map) AllowedZones(lists ...[]string) ZoneSet {
-	binding := slices.DeleteFunc(slices.Clone(lists), func(list []string) bool { return len(list) == 0 })
-	if len(binding) == 0 {
+	restrictions := slices.DeleteFunc(slices.Clone(lists), func(list []string) bool { return len(list) == 0 })
+	if len(restrictions) == 0 {
 		return nil
 	}
 	zones := ZoneSet{}
 	for zone, region := range regions {
-		if inAll(binding, region) {
+		if inEvery(restrictions, region) {
 			zones = append(zones, zone)
 		}
 	}
@@ -55,6 +54,6 @@
 	return zones
 }
 
-func inAll(lists [][]string, region string) bool {
+func inEvery(lists [][]string, region string) bool {
 	return !slices.ContainsFunc(lists, func(list []string) bool { return !slices.Contains(list, region) })
 }
--- a/internal/region/region_test.go
+++ b/internal/region/region_test.go
@@ -7,7 +7,7 @@
 	. "github.com/onsi/gomega"
 )
 
-func TestACallIsServedOnlyWhereAllThatBindItAllow(t *testing.T) {
+func TestAllowedZonesSatisfyAllRestrictions(t *testing.T) {
 	expect := NewWithT(t)
 	regions := region.Map{"a": "north", "b": "north", "c": "south", "d": "east"}
 	expect.Expect(regions.AllowedZones(nil, nil)).To(BeNil())
