--- a/internal/routing/routing.go
+++ b/internal/routing/routing.go
@@ -1,5 +1,5 @@
-// Package routing holds the operators' configuration of routes and services:
-// which requests are taken, which service runs them, and under what bounds.
+// Package routing holds the configuration of routes and services: which requests are accepted,
+// which service runs them, and with which limits.
 package routing
 
 import (
@@ -13,26 +13,26 @@
 	"github.com/magpielug/magpielug/internal/tenant"
 )
 
-// Kind says what may be repeated.
+// Kind says which requests of a route may be repeated.
 type Kind int
 
 // Kinds of routes.
 const (
 	// Unsafe requests run at most once.
 	Unsafe Kind = iota
-	// Safe requests may run again.
+	// Safe requests may be repeated.
 	Safe
-	// Streaming requests are answered by events.
+	// Streaming requests are answered with a stream of events.
 	Streaming
 )
 
-// Share is a service's part of a route's requests.
+// Share is a service's share of a route's requests.
 type Share struct {
 	Service string
 	Weight  float64
 }
 
-// Route is one rule of the operators: requests of a host under a path prefix.
+// Route is a rule for the requests of a host under a path prefix.
 type Route struct {
 	Name   string
 	Host   string
@@ -40,39 +40,41 @@
 	Kind   Kind
 	// Shares has at least one entry.
 	Shares []Share
-	// MaxAttempts is the most engines that may run one request, at least 1.
+	// MaxAttempts is the maximum number of engines that may run one request, at least 1.
 	MaxAttempts int
-	// Timeout is how long a request may be held; zero is no bound.
+	// Timeout is the maximum duration of a request; zero for none.
 	Timeout time.Duration
-	// Objective is the time within which an answer is in time.
+	// Objective is the latency objective of a response.
 	Objective time.Duration
-	// Priority is the rank, 0 the most urgent.
+	// Priority is 0 for the most urgent requests.
 	Priority int
-	// Resumable streams may go on at another engine.
+	// Resumable streams may continue at another engine.
 	Resumable bool
-	// StoresTurns says that the system keeps what was said, for Retention.
+	// StoresTurns keeps conversation history for Retention.
 	StoresTurns bool
 	Retention   time.Duration
-	// AllowsAnonymous routes take calls without a key, also where there are tenants.
+	// AllowsAnonymous accepts calls without a key, even if tenants are configured.
 	AllowsAnonymous bool
-	// Regions are those in which the route's requests may be served and kept; none for all.
+	// Regions are the regions in which the route's requests may be served and stored; empty for
+	// all.
 	Regions []string
 
-	// phase is where the choice of services begins, picked how often it was made.
-	phase  float64
-	picked atomic.Uint64
+	// phase is the random start of the sequence that PickService follows, pickCount its
+	// position.
+	phase     float64
+	pickCount atomic.Uint64
 }
 
-// Repeatable tells whether a request of the route may run more than once.
+// Repeatable reports whether a request of the route may run more than once.
 func (route *Route) Repeatable() bool {
 	return route.Kind == Safe || (route.Kind == Streaming && route.Resumable)
 }
 
-// goldenRatio steps through [0, 1) so that any run of steps is spread evenly.
+// goldenRatio is the step of a low-discrepancy sequence in [0, 1).
 const goldenRatio = 0.6180339887498949
 
-// PickService chooses a service by the route's weights. The shares of any run
-// of requests differ from the weights by little, unlike those of a draw.
+// PickService selects a service by the route's weights. Unlike random selection, it keeps close
+// to the weights over any number of consecutive requests.
 func (route *Route) PickService() string {
 	if len(route.Shares) == 1 {
 		return route.Shares[0].Service
@@ -81,11 +83,11 @@
 	for _, share := range route.Shares {
 		total += share.Weight
 	}
-	_, place := math.Modf(route.phase + goldenRatio*float64(route.picked.Add(1)))
-	place *= total
+	_, point := math.Modf(route.phase + goldenRatio*float64(route.pickCount.Add(1)))
+	point *= total
 	for _, share := range route.Shares {
-		place -= share.Weight
-		if place < 0 {
+		point -= share.Weight
+		if point < 0 {
 			return share.Service
 		}
 	}
@@ -95,22 +97,21 @@
 // Service is a set of engines that run the same requests.
 type Service struct {
 	Name string
-	// MaxConnections is what one engine takes from all callers together.
+	// MaxConnections is the number of connections that one engine accepts from all callers
+	// together.
 	MaxConnections int
-	// Slots is the number of requests that an engine runs at once; zero where
-	// the configuration does not say.
+	// Slots is the number of requests that an engine runs concurrently, 0 if not configured.
 	Slots int
-	// MemoryTokens is how many tokens of prompts an engine holds; zero where the
-	// configuration does not say.
+	// MemoryTokens is the number of prompt tokens that an engine holds, 0 if not configured.
 	MemoryTokens int
-	// TokensPerEvent is the number of tokens that one event of a stream counts.
+	// TokensPerEvent is the number of tokens that one event of a stream represents.
 	TokensPerEvent int
-	// ColdPerSecond is how many requests a second an engine bears that has just started, over
-	// all nodes; zero is no bound.
+	// ColdPerSecond is the maximum number of requests per second, over all nodes, for an engine
+	// that has just started; 0 for no limit.
 	ColdPerSecond float64
 }
 
-// Limits bound what callers may send.
+// Limits bound the requests of callers.
 type Limits struct {
 	MaxHeaderBytes int
 	MaxBodyBytes   int
@@ -118,45 +119,43 @@
 	IdleTimeout    time.Duration
 }
 
-// Configuration is one version of the operators' rules. It never changes once
-// built.
+// Configuration is one version of the configuration. It is immutable.
 type Configuration struct {
 	Version  int64
 	Services map[string]Service
 	Limits   Limits
-	// Tenants hold the keys that calls carry; none where it is the zero value.
+	// Tenants are the tenants and their keys; the zero value has none.
 	Tenants tenant.Directory
 	byHost  map[string][]*Route
 }
 
 // New builds a configuration.
 func New(version int64, routes []*Route, services []Service, limits Limits) *Configuration {
-	built := &Configuration{
+	configuration := &Configuration{
 		Version:  version,
 		Services: make(map[string]Service, len(services)),
 		Limits:   limits,
 		byHost:   map[string][]*Route{},
 	}
 	for _, service := range services {
-		built.Services[service.Name] = service
+		configuration.Services[service.Name] = service
 	}
 	for _, route := range routes {
 		route.phase = rand.Float64()
 		host := strings.ToLower(route.Host)
-		built.byHost[host] = append(built.byHost[host], route)
+		configuration.byHost[host] = append(configuration.byHost[host], route)
 	}
-	for _, list := range built.byHost {
+	for _, list := range configuration.byHost {
 		sort.SliceStable(list, func(left, right int) bool {
 			return len(list[left].Prefix) > len(list[right].Prefix)
 		})
 	}
-	return built
+	return configuration
 }
 
-// Match returns the route of the host with the longest prefix that begins the
-// path, or nil.
+// Match returns the route of the host with the longest prefix of the path, or nil.
 func (configuration *Configuration) Match(host, path string) *Route {
-	host = strings.ToLower(withoutPort(host))
+	host = strings.ToLower(stripPort(host))
 	for _, route := range configuration.byHost[host] {
 		if strings.HasPrefix(path, route.Prefix) {
 			return route
@@ -165,8 +164,7 @@
 	return nil
 }
 
-// withoutPort cuts a port off a host.
-func withoutPort(host string) string {
+func stripPort(host string) string {
 	colon := strings.LastIndexByte(host, ':')
 	if colon < 0 || strings.HasSuffix(host, "]") {
 		return host
@@ -174,23 +172,24 @@
 	return host[:colon]
 }
 
-// ActiveConfiguration holds the configuration in force. It never goes back to an older
-// version. It is safe for concurrent use.
+// ActiveConfiguration holds the active configuration. It never returns to an older version. It
+// is safe for concurrent use.
 type ActiveConfiguration struct {
 	pointer atomic.Pointer[Configuration]
 }
 
-// Load returns the configuration in force, nil where none is known yet.
-func (current *ActiveConfiguration) Load() *Configuration { return current.pointer.Load() }
+// Load returns the active configuration, nil if there is none yet.
+func (active *ActiveConfiguration) Load() *Configuration { return active.pointer.Load() }
 
-// Apply puts a newer version in force and tells whether it was newer.
-func (current *ActiveConfiguration) Apply(next *Configuration) bool {
+// Apply activates a configuration if it is newer than the active one, and reports whether it
+// was.
+func (active *ActiveConfiguration) Apply(next *Configuration) bool {
 	for {
-		present := current.pointer.Load()
-		if present != nil && present.Version >= next.Version {
+		previous := active.pointer.Load()
+		if previous != nil && previous.Version >= next.Version {
 			return false
 		}
-		if current.pointer.CompareAndSwap(present, next) {
+		if active.pointer.CompareAndSwap(previous, next) {
 			return true
 		}
 	}
