--- a/internal/wait/wait.go
+++ b/internal/wait/wait.go
@@ -1,4 +1,4 @@
-// Package wait holds pauses that end early with their context.
+// Package wait provides sleeps that end early when their context is done.
 package wait
 
 import (
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Sleep waits for a duration, or until ctx ends.
+// Sleep blocks for the given duration or until ctx is done, whichever comes first.
 func Sleep(ctx context.Context, duration time.Duration) {
 	timer := time.NewTimer(duration)
 	defer timer.Stop()
