--- a/internal/heldbytes/heldbytes.go
+++ b/internal/heldbytes/heldbytes.go
@@ -1,53 +1,53 @@
-// Package heldbytes bounds what a process keeps on behalf of others: bodies that callers
-// send, and answers that they have not taken. Single calls are bounded elsewhere; many
-// callers that are slow at once would hold many times that, and a process that passes its
-// memory is killed with all its calls.
+// Package heldbytes limits the memory that a process uses for buffered data over all calls:
+// request bodies, and responses that callers have not read yet. Limits per call exist
+// elsewhere; many slow callers at once could still exceed the process's memory and get it
+// killed by the OOM killer.
 package heldbytes
 
 import "sync/atomic"
 
-// Limiter counts bytes held for one purpose over all calls. A nil Limiter and one made with no
-// limit take everything. It is safe for concurrent use.
+// Limiter counts the buffered bytes of one kind over all calls. A nil Limiter and one without a
+// limit accept everything. It is safe for concurrent use.
 type Limiter struct {
-	most int64
-	held atomic.Int64
+	limit int64
+	inUse atomic.Int64
 }
 
-// New returns a bound of a number of bytes; 0 or less is no limit.
-func New(most int64) *Limiter { return &Limiter{most: most} }
+// New returns a limiter for the given number of bytes; 0 or less is unlimited.
+func New(limit int64) *Limiter { return &Limiter{limit: limit} }
 
-// TryAcquire counts further bytes, or returns false where they don't fit and counts nothing.
-func (bound *Limiter) TryAcquire(count int64) bool {
-	if bound == nil {
+// TryAcquire counts more bytes, or returns false and counts nothing if they exceed the limit.
+func (limiter *Limiter) TryAcquire(count int64) bool {
+	if limiter == nil {
 		return true
 	}
-	held := bound.held.Add(count)
-	if bound.most > 0 && held > bound.most {
-		bound.held.Add(-count)
+	inUse := limiter.inUse.Add(count)
+	if limiter.limit > 0 && inUse > limiter.limit {
+		limiter.inUse.Add(-count)
 		return false
 	}
 	return true
 }
 
-// ForceAcquire counts bytes that are held already, whether they fit or not.
-func (bound *Limiter) ForceAcquire(count int64) {
-	if bound != nil {
-		bound.held.Add(count)
+// ForceAcquire counts bytes that are buffered already, even above the limit.
+func (limiter *Limiter) ForceAcquire(count int64) {
+	if limiter != nil {
+		limiter.inUse.Add(count)
 	}
 }
 
-// Release takes back what was counted.
-func (bound *Limiter) Release(count int64) { bound.ForceAcquire(-count) }
+// Release returns acquired bytes.
+func (limiter *Limiter) Release(count int64) { limiter.ForceAcquire(-count) }
 
-// InUse returns the bytes counted now.
-func (bound *Limiter) InUse() int64 {
-	if bound == nil {
+// InUse returns the number of acquired bytes.
+func (limiter *Limiter) InUse() int64 {
+	if limiter == nil {
 		return 0
 	}
-	return bound.held.Load()
+	return limiter.inUse.Load()
 }
 
-// Exhausted tells whether nothing more fits.
-func (bound *Limiter) Exhausted() bool {
-	return bound != nil && bound.most > 0 && bound.held.Load() >= bound.most
+// Exhausted reports whether the limit has been reached.
+func (limiter *Limiter) Exhausted() bool {
+	return limiter != nil && limiter.limit > 0 && limiter.inUse.Load() >= limiter.limit
 }
--- a/internal/heldbytes/heldbytes_test.go
+++ b/internal/heldbytes/heldbytes_test.go
@@ -8,37 +8,37 @@
 	. "github.com/onsi/gomega"
 )
 
-func TestABoundIsNeverPassedByCallersThatAsk(t *testing.T) {
+func TestTryAcquireNeverExceedsTheLimit(t *testing.T) {
 	expect := NewWithT(t)
-	bound := heldbytes.New(1000)
-	var takers sync.WaitGroup
-	taken := make(chan bool, 300)
-	for range cap(taken) {
-		takers.Go(func() { taken <- bound.TryAcquire(10) })
+	limiter := heldbytes.New(1000)
+	var callers sync.WaitGroup
+	results := make(chan bool, 300)
+	for range cap(results) {
+		callers.Go(func() { results <- limiter.TryAcquire(10) })
 	}
-	takers.Wait()
-	close(taken)
+	callers.Wait()
+	close(results)
 	granted := 0
-	for each := range taken {
-		if each {
+	for acquired := range results {
+		if acquired {
 			granted++
 		}
 	}
-	expect.Expect(bound.InUse()).To(Equal(int64(10 * granted)))
-	expect.Expect(bound.InUse()).To(BeNumerically("<=", 1000))
-	bound.Release(bound.InUse())
-	expect.Expect(bound.TryAcquire(1000)).To(BeTrue())
-	expect.Expect(bound.TryAcquire(1)).To(BeFalse())
-	expect.Expect(bound.Exhausted()).To(BeTrue())
+	expect.Expect(limiter.InUse()).To(Equal(int64(10 * granted)))
+	expect.Expect(limiter.InUse()).To(BeNumerically("<=", 1000))
+	limiter.Release(limiter.InUse())
+	expect.Expect(limiter.TryAcquire(1000)).To(BeTrue())
+	expect.Expect(limiter.TryAcquire(1)).To(BeFalse())
+	expect.Expect(limiter.Exhausted()).To(BeTrue())
 }
 
-func TestNoLimitTakesEverything(t *testing.T) {
+func TestNilAndUnlimitedLimitersAcceptEverything(t *testing.T) {
 	expect := NewWithT(t)
 	var none *heldbytes.Limiter
 	expect.Expect(none.TryAcquire(1 << 40)).To(BeTrue())
 	expect.Expect(none.InUse()).To(BeZero())
-	open := heldbytes.New(0)
-	expect.Expect(open.TryAcquire(1 << 40)).To(BeTrue())
-	expect.Expect(open.InUse()).To(Equal(int64(1 << 40)))
-	expect.Expect(open.Exhausted()).To(BeFalse())
+	unlimited := heldbytes.New(0)
+	expect.Expect(unlimited.TryAcquire(1 << 40)).To(BeTrue())
+	expect.Expect(unlimited.InUse()).To(Equal(int64(1 << 40)))
+	expect.Expect(unlimited.Exhausted()).To(BeFalse())
 }
