--- a/internal/egress/silence.go
+++ b/internal/egress/silence.go
@@ -37,7 +37,7 @@
 		limit: max(leastSilence, engines.FirstByteTimeout(engine.Service))}
 	watched.mutex.Lock()
 	defer watched.mutex.Unlock()
-	watched.timer = freezes.After(watched.limit, watched.count)
+	watched.timer = freezes.AfterFunc(watched.limit, watched.count)
 	return watched
 }
 
--- a/internal/forward/watch.go
+++ b/internal/forward/watch.go
@@ -63,7 +63,7 @@
 	current.endSilence = sync.OnceFunc(func() { engines.EndFirstByteWait(engine) })
 	var silent atomic.Bool
 	count := &silentCount{engines: engines, engine: engine.Instance}
-	timer := current.service.FreezeDetector.After(limit, func() {
+	timer := current.service.FreezeDetector.AfterFunc(limit, func() {
 		silent.Store(true)
 		engines.Suspect(engine, time.Now())
 		if !attempt.Delegated.Load() {
@@ -116,7 +116,7 @@
 		return func() {}
 	}
 	patience := max(current.route.Objective, leastRepeat, current.service.Engines.FirstByteTimeout(current.serviceName))
-	timer := current.service.FreezeDetector.After(patience, func() {
+	timer := current.service.FreezeDetector.AfterFunc(patience, func() {
 		current.service.Logger.Info("request repeated elsewhere", zap.String("request", current.call.ID),
 			zap.String("engine", engine.ID), zap.Duration("silent", patience))
 		giveUp()
--- a/internal/freeze/freeze.go
+++ b/internal/freeze/freeze.go
@@ -1,6 +1,7 @@
-// Package freeze tells when this process was frozen: stopped by its machine for a while, with
-// all goroutines and timers, and then gone on. What the process knew is then older than it
-// seems, what it measured took longer, and timers that it set fire for nothing.
+// Package freeze detects when this process was frozen: suspended by its host for a while, with
+// all goroutines and timers, and then resumed. After a freeze, the state the process holds is
+// older than it assumes, durations it measured include the freeze, and its timers fire although
+// the events they wait for may have arrived meanwhile.
 package freeze
 
 import (
@@ -12,108 +13,110 @@
 )
 
 const (
-	// frozenAfter is for how long the process may not have run to count as frozen: longer
-	// than its scheduler or a processor's quota delays a beat, and short beside the bounds
-	// within which a change has to be heeded.
-	frozenAfter = 500 * time.Millisecond
-	// beatPause separates two beats, by which a freeze of an idle process is seen.
-	beatPause = 200 * time.Millisecond
+	// freezeThreshold is the gap between two heartbeats that counts as a freeze. It is longer
+	// than scheduling delays and CPU throttling make a heartbeat late, and short compared with
+	// the times within which changes must take effect.
+	freezeThreshold = 500 * time.Millisecond
+	// heartbeatInterval makes freezes of an idle process detectable.
+	heartbeatInterval = 200 * time.Millisecond
 )
 
-// Detector notes freezes of the process. It is safe for concurrent use; of a nil Detector nothing
-// was ever frozen.
+// Detector detects freezes of the process. It is safe for concurrent use. A nil Detector
+// reports no freezes.
 type Detector struct {
 	clock func() time.Time
 
 	mutex sync.Mutex
-	// beat is when the process last was seen to run, woken when it did after its last freeze.
-	beat  time.Time
-	woken time.Time
+	// lastHeartbeat is when the process was last known to run.
+	lastHeartbeat time.Time
+	// lastResume is when the process resumed after its last freeze, zero if there was none.
+	lastResume time.Time
 }
 
-// NewDetector returns a watch that has seen no freeze. Run must be called.
+// NewDetector returns a detector that has seen no freeze. The caller must call Run.
 func NewDetector() *Detector { return NewDetectorWithClock(time.Now) }
 
-// NewDetectorWithClock is NewWatch by a clock of its own, for tests.
+// NewDetectorWithClock is NewDetector with a clock for tests.
 func NewDetectorWithClock(clock func() time.Time) *Detector {
-	return &Detector{clock: clock, beat: clock()}
+	return &Detector{clock: clock, lastHeartbeat: clock()}
 }
 
-// Run beats until ctx ends.
-func (watch *Detector) Run(ctx context.Context) {
+// Run records heartbeats until ctx is done.
+func (detector *Detector) Run(ctx context.Context) {
 	for ctx.Err() == nil {
-		wait.Sleep(ctx, beatPause)
-		watch.LastResume()
+		wait.Sleep(ctx, heartbeatInterval)
+		detector.LastResume()
 	}
 }
 
-// LastResume is when the process went on after its last freeze, false where it never was frozen. A
-// freeze that has just ended is seen also before the next beat.
-func (watch *Detector) LastResume() (time.Time, bool) {
-	if watch == nil {
+// LastResume returns when the process resumed after its last freeze, false if it was never
+// frozen. It counts as a heartbeat itself, so it reports a freeze that has just ended before Run
+// notices it.
+func (detector *Detector) LastResume() (time.Time, bool) {
+	if detector == nil {
 		return time.Time{}, false
 	}
-	watch.mutex.Lock()
-	defer watch.mutex.Unlock()
-	now := watch.clock()
-	if now.Sub(watch.beat) > frozenAfter {
-		watch.woken = now
+	detector.mutex.Lock()
+	defer detector.mutex.Unlock()
+	now := detector.clock()
+	if now.Sub(detector.lastHeartbeat) > freezeThreshold {
+		detector.lastResume = now
 	}
-	if now.After(watch.beat) {
-		watch.beat = now
+	if now.After(detector.lastHeartbeat) {
+		detector.lastHeartbeat = now
 	}
-	return watch.woken, !watch.woken.IsZero()
+	return detector.lastResume, !detector.lastResume.IsZero()
 }
 
-// FrozenSince tells whether the process was frozen at any time since a moment.
-func (watch *Detector) FrozenSince(moment time.Time) bool {
-	woken, frozen := watch.LastResume()
-	return frozen && moment.Before(woken)
+// FrozenSince reports whether the process resumed from a freeze after start.
+func (detector *Detector) FrozenSince(start time.Time) bool {
+	resumed, frozen := detector.LastResume()
+	return frozen && start.Before(resumed)
 }
 
-// ClampAge bounds an age by the time since the process went on: nothing could be heard while it
-// was frozen.
-func (watch *Detector) ClampAge(age time.Duration, now time.Time) time.Duration {
-	woken, frozen := watch.LastResume()
+// ClampAge limits the age of received data to the time since the last resume: the process could
+// receive nothing while it was frozen.
+func (detector *Detector) ClampAge(age time.Duration, now time.Time) time.Duration {
+	resumed, frozen := detector.LastResume()
 	if !frozen {
 		return age
 	}
-	return min(age, max(now.Sub(woken), 0))
+	return min(age, max(now.Sub(resumed), 0))
 }
 
-// Timer runs a function once a time has passed in which the process was not frozen.
+// Timer runs a function after a duration without a freeze.
 type Timer struct {
-	watch *Detector
-	run   func()
+	detector *Detector
+	function func()
 
-	mutex  sync.Mutex
-	length time.Duration
-	set    time.Time
-	timer  *time.Timer
+	mutex    sync.Mutex
+	duration time.Duration
+	started  time.Time
+	timer    *time.Timer
 }
 
-// After runs a function after a time, which begins anew where the process is frozen in it:
-// what the function waits for may have come meanwhile.
-func (watch *Detector) After(length time.Duration, run func()) *Timer {
-	made := &Timer{watch: watch, run: run}
-	made.Reset(length)
-	return made
+// AfterFunc runs a function after a duration. A freeze during that time restarts the timer: the
+// event that the function would report as missing may have arrived meanwhile.
+func (detector *Detector) AfterFunc(duration time.Duration, function func()) *Timer {
+	timer := &Timer{detector: detector, function: function}
+	timer.Reset(duration)
+	return timer
 }
 
-// Reset begins the time anew.
-func (timer *Timer) Reset(length time.Duration) {
+// Reset restarts the timer with a new duration.
+func (timer *Timer) Reset(duration time.Duration) {
 	timer.mutex.Lock()
 	defer timer.mutex.Unlock()
-	timer.length = length
-	timer.set = time.Now()
+	timer.duration = duration
+	timer.started = time.Now()
 	if timer.timer == nil {
-		timer.timer = time.AfterFunc(length, timer.fire)
+		timer.timer = time.AfterFunc(duration, timer.fire)
 		return
 	}
-	timer.timer.Reset(length)
+	timer.timer.Reset(duration)
 }
 
-// Stop keeps the function from being run, unless it is run already.
+// Stop prevents the function from running unless it has already started.
 func (timer *Timer) Stop() {
 	timer.mutex.Lock()
 	defer timer.mutex.Unlock()
@@ -121,20 +124,21 @@
 }
 
 func (timer *Timer) fire() {
-	if timer.beginsAnew() {
+	if timer.restartAfterFreeze() {
 		return
 	}
-	timer.run()
+	timer.function()
 }
 
-// beginsAnew sets the timer again where the process was frozen since it was set.
-func (timer *Timer) beginsAnew() bool {
+// restartAfterFreeze restarts the timer and returns true if the process was frozen since the
+// timer started.
+func (timer *Timer) restartAfterFreeze() bool {
 	timer.mutex.Lock()
 	defer timer.mutex.Unlock()
-	if !timer.watch.FrozenSince(timer.set) {
+	if !timer.detector.FrozenSince(timer.started) {
 		return false
 	}
-	timer.set = time.Now()
-	timer.timer.Reset(timer.length)
+	timer.started = time.Now()
+	timer.timer.Reset(timer.duration)
 	return true
 }
--- a/internal/freeze/freeze_test.go
+++ b/internal/freeze/freeze_test.go
@@ -8,65 +8,65 @@
 	. "github.com/onsi/gomega"
 )
 
-// steppedClock is a clock that a test sets.
-type steppedClock struct{ now time.Time }
+// manualClock is a clock that only the test advances.
+type manualClock struct{ now time.Time }
 
-func (clock *steppedClock) read() time.Time { return clock.now }
+func (clock *manualClock) read() time.Time { return clock.now }
 
-func newWatch() (*freeze.Detector, *steppedClock) {
-	clock := &steppedClock{now: time.Now()}
+func newDetector() (*freeze.Detector, *manualClock) {
+	clock := &manualClock{now: time.Now()}
 	return freeze.NewDetectorWithClock(clock.read), clock
 }
 
-func TestAProcessThatRunsWasNeverFrozen(t *testing.T) {
+func TestRunningProcessIsNeverReportedFrozen(t *testing.T) {
 	expect := NewWithT(t)
-	watch, clock := newWatch()
-	begun := clock.now
+	detector, clock := newDetector()
+	start := clock.now
 	for range 100 {
 		clock.now = clock.now.Add(300 * time.Millisecond)
-		expect.Expect(watch.FrozenSince(begun)).To(BeFalse())
+		expect.Expect(detector.FrozenSince(start)).To(BeFalse())
 	}
-	expect.Expect(watch.ClampAge(time.Hour, clock.now)).To(Equal(time.Hour))
+	expect.Expect(detector.ClampAge(time.Hour, clock.now)).To(Equal(time.Hour))
 }
 
-func TestAFreezeIsSeenByTheFirstWhoAsks(t *testing.T) {
+func TestFreezeIsReportedByTheFirstCallAfterIt(t *testing.T) {
 	expect := NewWithT(t)
-	watch, clock := newWatch()
-	begun := clock.now
+	detector, clock := newDetector()
+	start := clock.now
 	clock.now = clock.now.Add(3 * time.Second)
-	woken := clock.now
-	expect.Expect(watch.FrozenSince(begun)).To(BeTrue())
-	expect.Expect(watch.FrozenSince(woken)).To(BeFalse(), "what began with the wake has seen no freeze")
+	resumed := clock.now
+	expect.Expect(detector.FrozenSince(start)).To(BeTrue())
+	expect.Expect(detector.FrozenSince(resumed)).To(BeFalse(), "an operation started at the resume was not frozen")
 	clock.now = clock.now.Add(200 * time.Millisecond)
-	expect.Expect(watch.FrozenSince(begun)).To(BeTrue())
-	expect.Expect(watch.ClampAge(3*time.Second, clock.now)).To(Equal(200 * time.Millisecond))
-	expect.Expect(watch.ClampAge(100*time.Millisecond, clock.now)).To(Equal(100 * time.Millisecond))
+	expect.Expect(detector.FrozenSince(start)).To(BeTrue())
+	expect.Expect(detector.ClampAge(3*time.Second, clock.now)).To(Equal(200 * time.Millisecond))
+	expect.Expect(detector.ClampAge(100*time.Millisecond, clock.now)).To(Equal(100 * time.Millisecond))
 }
 
-func TestOfNoWatchNothingWasFrozen(t *testing.T) {
+func TestNilDetectorReportsNoFreeze(t *testing.T) {
 	expect := NewWithT(t)
-	var watch *freeze.Detector
-	expect.Expect(watch.FrozenSince(time.Now().Add(-time.Hour))).To(BeFalse())
-	expect.Expect(watch.ClampAge(time.Second, time.Now())).To(Equal(time.Second))
+	var detector *freeze.Detector
+	expect.Expect(detector.FrozenSince(time.Now().Add(-time.Hour))).To(BeFalse())
+	expect.Expect(detector.ClampAge(time.Second, time.Now())).To(Equal(time.Second))
 }
 
-func TestATimerBeginsAnewAfterAFreeze(t *testing.T) {
+func TestTimerRestartsAfterFreeze(t *testing.T) {
 	expect := NewWithT(t)
-	watch, clock := newWatch()
+	detector, clock := newDetector()
 	fired := make(chan struct{}, 1)
-	const length = 100 * time.Millisecond
-	timer := watch.After(length, func() { fired <- struct{}{} })
+	const duration = 100 * time.Millisecond
+	timer := detector.AfterFunc(duration, func() { fired <- struct{}{} })
 	defer timer.Stop()
 	clock.now = clock.now.Add(time.Second)
-	// It goes off once as a timer of a process that has just woken does.
-	expect.Consistently(fired, length+length/2).ShouldNot(Receive())
+	// The underlying timer expires once right after the resume and must be restarted.
+	expect.Consistently(fired, duration+duration/2).ShouldNot(Receive())
 	expect.Eventually(fired, 10*time.Second).Should(Receive())
 }
 
-func TestATimerOfAProcessThatRunsFires(t *testing.T) {
+func TestTimerFiresWithoutFreeze(t *testing.T) {
 	expect := NewWithT(t)
-	watch, _ := newWatch()
+	detector, _ := newDetector()
 	fired := make(chan struct{}, 1)
-	watch.After(time.Millisecond, func() { fired <- struct{}{} })
+	detector.AfterFunc(time.Millisecond, func() { fired <- struct{}{} })
 	expect.Eventually(fired, 10*time.Second).Should(Receive())
 }
--- a/internal/freeze/freezetest/freezetest.go
+++ b/internal/freeze/freezetest/freezetest.go
@@ -1,4 +1,4 @@
-// Package freezetest gives tests processes that have been frozen.
+// Package freezetest provides detectors of frozen processes for tests.
 package freezetest
 
 import (
@@ -7,12 +7,12 @@
 	"github.com/magpielug/magpielug/internal/freeze"
 )
 
-// JustWoken returns the watch of a process that goes on now after a freeze of a length.
-func JustWoken(length time.Duration) *freeze.Detector {
+// JustWoken returns the detector of a process that resumes now from a freeze of the given duration.
+func JustWoken(duration time.Duration) *freeze.Detector {
 	now := time.Now()
-	clock := now.Add(-length)
-	watch := freeze.NewDetectorWithClock(func() time.Time { return clock })
+	clock := now.Add(-duration)
+	detector := freeze.NewDetectorWithClock(func() time.Time { return clock })
 	clock = now
-	watch.LastResume()
-	return watch
+	detector.LastResume()
+	return detector
 }
