--- a/internal/reach/reach.go
+++ b/internal/reach/reach.go
@@ -1,7 +1,7 @@
-// Package reach tells which zones a node reaches. A zone that is cut off says nothing: its
-// nodes and engines time out one by one, each for itself, and a node within it goes on
-// taking callers whom it can't serve. What is seen of any node or engine of a zone is
-// therefore put together here, and probes confirm a suspicion within a second.
+// Package reach tracks which zones a node can reach. A partitioned zone sends nothing: calls to its
+// nodes and engines time out one by one, and a node inside it keeps accepting calls that it
+// cannot serve. The package therefore combines the responses and failures of all nodes and
+// engines of a zone, and probes a suspected zone so that a partition is known within a second.
 package reach
 
 import (
@@ -11,151 +11,155 @@
 )
 
 const (
-	// unreachedAfter is how long nothing of a zone may have answered for it to count as
-	// unreached. Callers give a stream up after two seconds without an event; half of that
-	// is left for another try.
-	unreachedAfter = 700 * time.Millisecond
-	// leastUnanswered is how many probes in a row have to be unanswered as well: without
-	// calls between them two zones hear nothing of each other for long.
-	leastUnanswered = 2
-	// suspectedAfter is how long after its last answer a suspected zone is probed.
-	suspectedAfter = 300 * time.Millisecond
-	// suspicion is how long a failed call makes its zone a suspect, and how long a zone counts
-	// as unreached after the last probe of it: a zone without nodes is not probed any more,
-	// and its engines would get no work for good.
-	suspicion = 2 * time.Second
+	// unreachableAfter is how long a zone must be silent to count as unreachable. Callers
+	// abandon a stream after two seconds without an event; this leaves time for a retry.
+	unreachableAfter = 700 * time.Millisecond
+	// minUnansweredProbes is the number of consecutive unanswered probes that is required as
+	// well, because zones without traffic between them may hear nothing of each other for long.
+	minUnansweredProbes = 2
+	// probeAfter is how long after its last response a suspected zone is probed.
+	probeAfter = 300 * time.Millisecond
+	// failureTTL is how long a failure counts. It limits how long a zone stays suspected after
+	// a failed call, and unreachable after the last probe: a zone without nodes is not probed
+	// any more, and its engines would otherwise never get requests again.
+	failureTTL = 2 * time.Second
 )
 
-// zone is what was seen of one zone.
-type zone struct {
-	// heard is when a node or an engine there last answered, failed when one last did not.
-	heard  time.Time
-	failed time.Time
-	// unanswered counts probes in a row.
-	unanswered int
-	// enginesAnswer is true where the engine there that was asked last has answered.
-	enginesAnswer bool
+// zoneState is what was observed of one zone.
+type zoneState struct {
+	// lastResponse and lastFailure are when a node or an engine of the zone last responded, and
+	// last failed to.
+	lastResponse time.Time
+	lastFailure  time.Time
+	// unansweredProbes counts consecutive probes without a response.
+	unansweredProbes int
+	// engineResponded is true if the most recently called engine responded.
+	engineResponded bool
 }
 
-func (zone *zone) unreached(now time.Time) bool {
-	return zone.unanswered >= leastUnanswered && now.Sub(zone.heard) > unreachedAfter && now.Sub(zone.failed) <= suspicion
+func (zone *zoneState) unreachable(now time.Time) bool {
+	return zone.unansweredProbes >= minUnansweredProbes && now.Sub(zone.lastResponse) > unreachableAfter && now.Sub(zone.lastFailure) <= failureTTL
 }
 
-func (zone *zone) suspected(now time.Time) bool {
-	return zone.failed.After(zone.heard) && now.Sub(zone.failed) <= suspicion
+func (zone *zoneState) suspected(now time.Time) bool {
+	return zone.lastFailure.After(zone.lastResponse) && now.Sub(zone.lastFailure) <= failureTTL
 }
 
-// Zones holds what was seen of the zones but the node's own. It is safe for concurrent use.
+// Zones tracks the reachability of the remote zones. It is safe for concurrent use.
 type Zones struct {
-	mutex sync.Mutex
-	own   string
-	zones map[string]*zone
+	mutex     sync.Mutex
+	localZone string
+	zones     map[string]*zoneState
 }
 
-// NewZones returns the zones of a node that has seen nothing yet. All count as reached.
-func NewZones(own string) *Zones { return &Zones{own: own, zones: map[string]*zone{}} }
+// NewZones returns the state of a node that has observed nothing yet: all zones count as
+// reachable.
+func NewZones(localZone string) *Zones {
+	return &Zones{localZone: localZone, zones: map[string]*zoneState{}}
+}
 
-// of returns a zone's state, nil for the own one. The caller holds the mutex.
-func (zones *Zones) of(name string) *zone {
-	if name == "" || name == zones.own {
+// remoteZone returns a zone's state, nil for the local zone. The caller holds the mutex.
+func (zones *Zones) remoteZone(name string) *zoneState {
+	if name == "" || name == zones.localZone {
 		return nil
 	}
-	found := zones.zones[name]
-	if found == nil {
-		found = &zone{}
-		zones.zones[name] = found
+	zone := zones.zones[name]
+	if zone == nil {
+		zone = &zoneState{}
+		zones.zones[name] = zone
 	}
-	return found
+	return zone
 }
 
-// RecordNodeResponse notes an answer of a node.
+// RecordNodeResponse records that a node of the zone responded.
 func (zones *Zones) RecordNodeResponse(name string, now time.Time) {
 	zones.mutex.Lock()
 	defer zones.mutex.Unlock()
-	if found := zones.of(name); found != nil {
-		found.heard = now
-		found.unanswered = 0
+	if zone := zones.remoteZone(name); zone != nil {
+		zone.lastResponse = now
+		zone.unansweredProbes = 0
 	}
 }
 
-// RecordNodeFailure notes that a node did not answer.
+// RecordNodeFailure records that a node of the zone did not respond.
 func (zones *Zones) RecordNodeFailure(name string, now time.Time) {
 	zones.mutex.Lock()
 	defer zones.mutex.Unlock()
-	if found := zones.of(name); found != nil {
-		found.failed = now
+	if zone := zones.remoteZone(name); zone != nil {
+		zone.lastFailure = now
 	}
 }
 
-// RecordEngineResponse notes an answer of an engine.
+// RecordEngineResponse records that an engine of the zone responded.
 func (zones *Zones) RecordEngineResponse(name string, now time.Time) {
-	zones.noteEngine(name, true, now)
+	zones.recordEngine(name, true, now)
 }
 
-// RecordEngineFailure notes that an engine did not answer.
+// RecordEngineFailure records that an engine of the zone did not respond.
 func (zones *Zones) RecordEngineFailure(name string, now time.Time) {
-	zones.noteEngine(name, false, now)
+	zones.recordEngine(name, false, now)
 }
 
-func (zones *Zones) noteEngine(name string, answers bool, now time.Time) {
-	if answers {
+func (zones *Zones) recordEngine(name string, responded bool, now time.Time) {
+	if responded {
 		zones.RecordNodeResponse(name, now)
 	} else {
 		zones.RecordNodeFailure(name, now)
 	}
 	zones.mutex.Lock()
 	defer zones.mutex.Unlock()
-	if found := zones.of(name); found != nil {
-		found.enginesAnswer = answers
+	if zone := zones.remoteZone(name); zone != nil {
+		zone.engineResponded = responded
 	}
 }
 
-// EnginesRespond tells whether the engine of a zone that was asked last has answered.
+// EnginesRespond reports whether the most recently called engine of the zone responded.
 func (zones *Zones) EnginesRespond(name string) bool {
 	zones.mutex.Lock()
 	defer zones.mutex.Unlock()
-	found := zones.zones[name]
-	return found != nil && found.enginesAnswer
+	zone := zones.zones[name]
+	return zone != nil && zone.engineResponded
 }
 
-// RecordProbeTimeout notes that a probe sent at a time was not answered. It says nothing where the
-// zone was heard since.
+// RecordProbeTimeout records that a probe was not answered. It is ignored if the zone responded
+// after the probe was sent.
 func (zones *Zones) RecordProbeTimeout(name string, sent, now time.Time) {
 	zones.mutex.Lock()
 	defer zones.mutex.Unlock()
-	if found := zones.of(name); found != nil && !found.heard.After(sent) {
-		found.failed = now
-		found.unanswered++
+	if zone := zones.remoteZone(name); zone != nil && !zone.lastResponse.After(sent) {
+		zone.lastFailure = now
+		zone.unansweredProbes++
 	}
 }
 
-// Reachable tells whether a zone is reached as far as is known.
+// Reachable reports whether a zone counts as reachable, as the local zone and unknown zones do.
 func (zones *Zones) Reachable(name string, now time.Time) bool {
 	zones.mutex.Lock()
 	defer zones.mutex.Unlock()
-	found := zones.zones[name]
-	return found == nil || !found.unreached(now)
+	zone := zones.zones[name]
+	return zone == nil || !zone.unreachable(now)
 }
 
-// Isolated tells whether none of the other zones named is reached, false where there is none.
+// Isolated reports whether none of the given remote zones is reachable. It returns false if none
+// is given.
 func (zones *Zones) Isolated(others []string, now time.Time) bool {
 	return len(others) > 0 && !slices.ContainsFunc(others, func(name string) bool { return zones.Reachable(name, now) })
 }
 
-// ProbeTargets returns those of the zones named that are to be probed now. all has each probed that
-// was not heard just now, whether calls there failed or not.
+// ProbeTargets returns those of the given zones that need a probe: suspected zones without a
+// recent response or, if all is set, every zone without one.
 func (zones *Zones) ProbeTargets(others []string, all bool, now time.Time) []string {
 	zones.mutex.Lock()
 	defer zones.mutex.Unlock()
-	var due []string
+	var targets []string
 	for _, name := range others {
-		found := zones.of(name)
-		if found == nil || now.Sub(found.heard) <= suspectedAfter {
+		zone := zones.remoteZone(name)
+		if zone == nil || now.Sub(zone.lastResponse) <= probeAfter {
 			continue
 		}
-		if all || found.unanswered > 0 || found.suspected(now) {
-			due = append(due, name)
+		if all || zone.unansweredProbes > 0 || zone.suspected(now) {
+			targets = append(targets, name)
 		}
 	}
-	return due
+	return targets
 }
