--- a/internal/egress/demand.go
+++ b/internal/egress/demand.go
@@ -7,37 +7,36 @@
 )
 
 const (
-	// keptFor is how long a connection is kept without a request, about: engines close
-	// idle ones after ten seconds on the deployments seen.
-	keptFor = 10 * time.Second
-	// worthKeeping is how many turns a node must have for an engine in keptFor to open
-	// connections of its own. With fewer most find the connection closed, or wait for
-	// another one to be opened: bursts double the number and pass.
-	worthKeeping = 4.0
+	// connectionIdleTimeout approximates the idle time after which engines close a connection.
+	connectionIdleTimeout = 10 * time.Second
+	// minTurnsPerEngine is the number of turns per engine within connectionIdleTimeout from
+	// which a node sends directly. With fewer, most turns would need a new connection or wait
+	// for one.
+	minTurnsPerEngine = 4.0
 )
 
-// demand counts this node's turns for the engines of each zone, older ones for less.
-// It is safe for concurrent use.
+// demand tracks the rate of this node's turns by group of engines with an exponentially decaying
+// count. It is safe for concurrent use.
 type demand struct {
 	mutex  sync.Mutex
-	counts map[string]fadingCount
+	counts map[string]decayingCount
 }
 
-type fadingCount struct {
-	count float64
-	at    time.Time
+type decayingCount struct {
+	count     float64
+	updatedAt time.Time
 }
 
-func newDemand() *demand { return &demand{counts: map[string]fadingCount{}} }
+func newDemand() *demand { return &demand{counts: map[string]decayingCount{}} }
 
-// note counts a turn for a group of engines, and returns how many turns of about the
-// last keptFor there are.
-func (demand *demand) note(group string, now time.Time) float64 {
+// record counts a turn for a group of engines and returns the approximate number of its turns
+// within the last connectionIdleTimeout.
+func (demand *demand) record(group string, now time.Time) float64 {
 	demand.mutex.Lock()
 	defer demand.mutex.Unlock()
-	held := demand.counts[group]
-	faded := math.Exp(-max(now.Sub(held.at), 0).Seconds() / keptFor.Seconds())
-	held = fadingCount{count: held.count*faded + 1, at: now}
-	demand.counts[group] = held
-	return held.count
+	current := demand.counts[group]
+	decay := math.Exp(-max(now.Sub(current.updatedAt), 0).Seconds() / connectionIdleTimeout.Seconds())
+	current = decayingCount{count: current.count*decay + 1, updatedAt: now}
+	demand.counts[group] = current
+	return current.count
 }
--- a/internal/egress/freeze_test.go
+++ b/internal/egress/freeze_test.go
@@ -17,37 +17,36 @@
 	"go.uber.org/zap"
 )
 
-// wokenViews are those of a node that has just woken: it hears that its engine has left with
-// the first reading after that.
-type wokenViews struct{ read atomic.Bool }
+// staleViews are not current until refreshed, as after a freeze.
+type staleViews struct{ refreshed atomic.Bool }
 
-func (views *wokenViews) Current() bool                   { return views.read.Load() }
-func (views *wokenViews) ConfigurationAge() time.Duration { return 0 }
+func (views *staleViews) Current() bool                   { return views.refreshed.Load() }
+func (views *staleViews) ConfigurationAge() time.Duration { return 0 }
 
-// leavingEngine is known until the views were read.
-type leavingEngine struct {
+// removedEngine is known until the views are refreshed.
+type removedEngine struct {
 	oneEngine
-	views *wokenViews
+	views *staleViews
 }
 
-func (engine leavingEngine) Instance(id string) (backend.Instance, bool) {
-	return backend.Instance{ID: id}, !engine.views.read.Load()
+func (engine removedEngine) Instance(id string) (backend.Instance, bool) {
+	return backend.Instance{ID: id}, !engine.views.refreshed.Load()
 }
 
-// An egress node that wakes finds requests in its sockets that other nodes handed over before
-// or during the freeze. It sent them by what it knew from before.
+// After a freeze, an egress node finds requests in its sockets that other nodes delegated before
+// or during the freeze. It must not send them on outdated views.
 var _ = Describe("An egress node that was frozen", func() {
 	var (
-		views   *wokenViews
+		views   *staleViews
 		sent    atomic.Int64
 		handler *Handler
 	)
 
 	BeforeEach(func() {
-		views = &wokenViews{}
+		views = &staleViews{}
 		sent.Store(0)
 		var failed atomic.Int64
-		handler = &Handler{Engines: leavingEngine{oneEngine: oneEngine{id: "e", failed: &failed}, views: views}, Logger: zap.NewNop(),
+		handler = &Handler{Engines: removedEngine{oneEngine: oneEngine{id: "e", failed: &failed}, views: views}, Logger: zap.NewNop(),
 			Stopping: func() bool { return false }, Views: views,
 			Sender: senderFunc(func(context.Context, *forward.Attempt) (*forward.EngineResponse, error) {
 				sent.Add(1)
@@ -55,7 +54,7 @@
 			})}
 	})
 
-	hand := func(ctx context.Context) *httptest.ResponseRecorder {
+	delegate := func(ctx context.Context) *httptest.ResponseRecorder {
 		content, err := encodeRequest(&forward.Attempt{Call: &forward.Call{ID: "r"}, Engine: backend.Instance{ID: "e"}, Remaining: time.Second})
 		Expect(err).NotTo(HaveOccurred())
 		recorder := httptest.NewRecorder()
@@ -63,29 +62,29 @@
 		return recorder
 	}
 
-	It("sends nothing to an engine that left meanwhile", func() {
-		time.AfterFunc(20*time.Millisecond, func() { views.read.Store(true) })
-		head, err := readHead(hand(context.Background()).Body)
+	It("does not send to an engine that was removed during the freeze", func() {
+		time.AfterFunc(20*time.Millisecond, func() { views.refreshed.Store(true) })
+		head, err := readHead(delegate(context.Background()).Body)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(head.Outcome).To(Equal(nodev1.EgressOutcome_EGRESS_OUTCOME_UNKNOWN_ENGINE))
 		Expect(sent.Load()).To(BeZero())
 	})
 
-	It("sends nothing for a node that has left it since", func() {
-		gone, leave := context.WithCancel(context.Background())
-		leave()
-		hand(gone)
+	It("does not send for a requesting node that is gone", func() {
+		canceled, cancel := context.WithCancel(context.Background())
+		cancel()
+		delegate(canceled)
 		Expect(sent.Load()).To(BeZero())
 	})
 
-	It("counts no answer against its engine that broke off while nothing was read", func() {
+	It("does not count a response that was interrupted during the freeze against its engine", func() {
 		var failed atomic.Int64
 		clock := time.Now()
-		freezes := freeze.NewDetectorWithClock(func() time.Time { return clock })
-		watched := watchSilence(context.Background(), oneEngine{id: "e", failed: &failed}, freezes, backend.Instance{ID: "e"})
-		defer watched.stop()
+		freezeDetector := freeze.NewDetectorWithClock(func() time.Time { return clock })
+		monitor := startStallMonitor(context.Background(), oneEngine{id: "e", failed: &failed}, freezeDetector, backend.Instance{ID: "e"})
+		defer monitor.stop()
 		clock = clock.Add(3 * time.Second)
-		watched.broken()
+		monitor.responseInterrupted()
 		Expect(failed.Load()).To(BeZero())
 	})
 })
--- a/internal/egress/handler.go
+++ b/internal/egress/handler.go
@@ -17,43 +17,45 @@
 )
 
 const (
-	// pieceBytes is the most of an answer that is passed on at once.
-	pieceBytes = 16 << 10
-	// remainingSlack is how long after the engine's time an answer is still waited for:
-	// a node that handed a request over and lost power does not close its connection.
-	remainingSlack = time.Second
+	// relayBufferBytes is the most of a response that is relayed in one write.
+	relayBufferBytes = 16 << 10
+	// responseGrace is added to the engine's deadline. The bound is needed because a requesting
+	// node that loses power does not close its connection.
+	responseGrace = time.Second
 )
 
-// Engines knows the engines that may get requests.
+// Engines provides the engines of the zone.
 type Engines interface {
-	// Instance returns an engine, false where it is not known or leaves.
+	// Instance returns an engine, false if it is unknown or draining.
 	Instance(id string) (backend.Instance, bool)
-	// FirstByteTimeout is how long a request to a service may at least be silent.
+	// FirstByteTimeout returns how long a request to a service may normally wait for its first
+	// byte.
 	FirstByteTimeout(service string) time.Duration
-	// CountFailed counts a request that an engine fails, UncountFailed takes that back.
+	// CountFailed counts a request that an engine failed, UncountFailed reverts it.
 	CountFailed(engine backend.Instance, now time.Time)
 	UncountFailed(engine backend.Instance, now time.Time)
 }
 
-// Handler sends requests that other nodes hand over.
+// Handler sends requests that other nodes delegate to this one.
 type Handler struct {
 	Engines Engines
 	Sender  forward.Sender
 	Logger  *zap.Logger
-	// Views tells what is known from before a freeze, Freezes when the process was frozen.
+	// Views and FreezeDetector may be nil. The handler then does not wait for fresh views after
+	// a freeze, and sees no freezes.
 	Views          forward.Views
 	FreezeDetector *freeze.Detector
-	// Stopping tells whether the node stops: it then takes no more requests.
+	// Stopping reports whether the node is shutting down and accepts no more requests.
 	Stopping func() bool
 
-	underWay atomic.Int64
+	inFlight atomic.Int64
 }
 
 // InFlight returns the number of requests that are being sent for other nodes.
-func (handler *Handler) InFlight() int { return int(handler.underWay.Load()) }
+func (handler *Handler) InFlight() int { return int(handler.inFlight.Load()) }
 
-// ServeHTTP implements http.Handler. The answer's headers go out at once: they tell the
-// asker that the request has arrived.
+// ServeHTTP implements http.Handler. It sends the response headers as soon as it has read the
+// request, so that the requesting node knows that the request has arrived.
 func (handler *Handler) ServeHTTP(writer http.ResponseWriter, request *http.Request) {
 	content, err := io.ReadAll(request.Body)
 	if err != nil {
@@ -68,41 +70,41 @@
 	control := http.NewResponseController(writer)
 	writer.WriteHeader(http.StatusOK)
 	if control.Flush() != nil {
-		return // The asker is gone.
+		return // The requesting node is gone.
 	}
-	handler.underWay.Add(1)
-	defer handler.underWay.Add(-1)
+	handler.inFlight.Add(1)
+	defer handler.inFlight.Add(-1)
 	forward.AwaitFreshViews(request.Context(), handler.Views, message.Request, handler.Logger)
 	if request.Context().Err() != nil {
-		return // The asker is gone, and takes the request for lost.
+		return // The requesting node is gone and treats the request as lost.
 	}
 	engine, known := handler.Engines.Instance(message.Engine)
 	if !known || handler.Stopping() {
-		handler.end(writer, message, nodev1.EgressOutcome_EGRESS_OUTCOME_UNKNOWN_ENGINE, nil)
+		handler.writeFailure(writer, message, nodev1.EgressOutcome_EGRESS_OUTCOME_UNKNOWN_ENGINE, nil)
 		return
 	}
-	attempt := attemptOf(message, engine)
+	attempt := newAttempt(message, engine)
 	chosen := time.Now()
 	attempt.Frozen = func() bool { return handler.FreezeDetector.FrozenSince(chosen) }
-	bounded, cancel := context.WithTimeout(request.Context(), attempt.Remaining+remainingSlack)
+	bounded, cancel := context.WithTimeout(request.Context(), attempt.Remaining+responseGrace)
 	defer cancel()
-	watched := watchSilence(request.Context(), handler.Engines, handler.FreezeDetector, engine)
-	defer watched.stop()
-	reply, err := handler.Sender.Send(bounded, attempt)
+	monitor := startStallMonitor(request.Context(), handler.Engines, handler.FreezeDetector, engine)
+	defer monitor.stop()
+	response, err := handler.Sender.Send(bounded, attempt)
 	if err != nil {
 		if request.Context().Err() == nil {
-			watched.takeBack() // The asker hears of the failure, and counts it.
+			monitor.uncountFailure() // The requesting node is told of the failure and counts it.
 		}
-		handler.end(writer, message, outcomeOf(err), err)
+		handler.writeFailure(writer, message, outcomeOf(err), err)
 		return
 	}
-	defer func() { _ = reply.Body.Close() }()
-	relay(writer, control, reply, watched)
+	defer func() { _ = response.Body.Close() }()
+	relay(writer, control, response, monitor)
 }
 
-// end answers that no engine's answer follows.
-func (handler *Handler) end(writer http.ResponseWriter, message *nodev1.EgressRequest, outcome nodev1.EgressOutcome, cause error) {
-	handler.Logger.Info("request for another node not answered", zap.String("request", message.Request),
+// writeFailure sends a response head that says why no engine response follows.
+func (handler *Handler) writeFailure(writer http.ResponseWriter, message *nodev1.EgressRequest, outcome nodev1.EgressOutcome, cause error) {
+	handler.Logger.Info("delegated request failed", zap.String("request", message.Request),
 		zap.String("engine", message.Engine), zap.Stringer("outcome", outcome), logging.Cause(cause))
 	head := &nodev1.EgressHead{Outcome: outcome}
 	if cause != nil {
@@ -123,39 +125,40 @@
 	return nodev1.EgressOutcome_EGRESS_OUTCOME_LOST
 }
 
-// relay passes an engine's answer on as it comes, its head with its first piece. One that breaks off is broken off
-// here too, so that it can't be taken for whole.
-func relay(writer http.ResponseWriter, control *http.ResponseController, reply *forward.EngineResponse, watched *silence) {
-	watched.heard()
+// relay streams an engine's response to the requesting node. The head is flushed with the first
+// part of the body. If the engine breaks the response off, the handler aborts its own so that
+// the requesting node cannot mistake it for complete.
+func relay(writer http.ResponseWriter, control *http.ResponseController, response *forward.EngineResponse, monitor *stallMonitor) {
+	monitor.dataReceived()
 	err := writeHead(writer, &nodev1.EgressHead{
 		Outcome:     nodev1.EgressOutcome_EGRESS_OUTCOME_ANSWERED,
-		Status:      int32(reply.Status),
-		Headers:     toHeaders(reply.Header),
-		NotRun:      reply.NotRun,
-		Misdirected: reply.Misdirected,
+		Status:      int32(response.Status),
+		Headers:     headersToProto(response.Header),
+		NotRun:      response.NotRun,
+		Misdirected: response.Misdirected,
 	})
 	if err != nil {
 		panic(http.ErrAbortHandler)
 	}
-	buffer := make([]byte, pieceBytes)
+	buffer := make([]byte, relayBufferBytes)
 	for err == nil {
 		var count int
-		watched.awaits()
-		count, err = reply.Body.Read(buffer)
+		monitor.awaitData()
+		count, err = response.Body.Read(buffer)
 		if count == 0 {
 			continue
 		}
-		watched.heard()
-		_, failure := writer.Write(buffer[:count])
-		if failure == nil {
-			failure = control.Flush()
+		monitor.dataReceived()
+		_, writeErr := writer.Write(buffer[:count])
+		if writeErr == nil {
+			writeErr = control.Flush()
 		}
-		if failure != nil {
+		if writeErr != nil {
 			panic(http.ErrAbortHandler)
 		}
 	}
 	if !errors.Is(err, io.EOF) {
-		watched.broken()
+		monitor.responseInterrupted()
 		panic(http.ErrAbortHandler)
 	}
 }
--- a/internal/egress/sender.go
+++ b/internal/egress/sender.go
@@ -20,27 +20,27 @@
 )
 
 const (
-	// acceptTimeout is how long an egress node may take to say that a request has
-	// arrived. A turn whose node did not say so in time is lost, also where that node or
-	// this one is only slow: hence longer than the wait for other nodes' answers, and
-	// shorter than the silence for which an engine is passed over.
+	// acceptTimeout is how long an egress node may take to confirm that a request has arrived. A
+	// turn without a confirmation counts as lost, even if one of the nodes was only slow. The
+	// timeout is therefore longer than those of other calls between nodes, and shorter than the
+	// one after which an engine counts as unresponsive.
 	acceptTimeout = 500 * time.Millisecond
-	// firstSuspicion is how long an egress node gets nothing after it did not answer:
-	// about as long as machines freeze or are started anew. It doubles with each further
-	// failure up to longestSuspicion, since a machine may be gone for good.
-	firstSuspicion   = 3 * time.Second
-	longestSuspicion = 24 * time.Second
-	// mostDoublings is how many lead from the first to the longest one.
-	mostDoublings = 3
-	// mostTried is how many egress nodes are tried before a node sends itself.
-	mostTried = 2
+	// initialBackoff is how long an egress node is skipped after a failure: about as long as a
+	// host freezes or restarts. It doubles with each further failure up to maxBackoff, because
+	// the node may be gone permanently.
+	initialBackoff = 3 * time.Second
+	maxBackoff     = 24 * time.Second
+	// maxDoublings is the number of doublings from initialBackoff to maxBackoff.
+	maxDoublings = 3
+	// maxNodesTried is the number of egress nodes to try before the node sends the turn itself.
+	maxNodesTried = 2
 )
 
-// errNotHandedOver says that no egress node got the request.
-var errNotHandedOver = errors.New("the request was not handed over")
+// errNotDelegated means that no egress node received the request.
+var errNotDelegated = errors.New("request was not delegated")
 
-// Sender implements forward.Sender: it hands turns to egress nodes where that spares
-// connections, and sends everything else itself. It is safe for concurrent use.
+// Sender implements forward.Sender. It delegates turns to egress nodes if that saves
+// connections, and sends everything else directly. It is safe for concurrent use.
 type Sender struct {
 	direct   forward.Sender
 	topology Topology
@@ -49,43 +49,44 @@
 	observe  Observe
 	demand   *demand
 
-	// mutex guards suspects.
+	// mutex guards backoffs.
 	mutex    sync.Mutex
-	suspects map[string]suspect
+	backoffs map[string]backoff
 }
 
-// suspect is an egress node that did not answer.
-type suspect struct {
+// backoff is the state of an egress node that failed.
+type backoff struct {
 	until    time.Time
 	failures int
 }
 
-// NewSender returns a sender that uses direct where it hands nothing over.
+// NewSender returns a sender that uses direct for what it does not delegate.
 func NewSender(direct forward.Sender, topology Topology, client *http.Client, logger *zap.Logger, observe Observe) *Sender {
 	return &Sender{direct: direct, topology: topology, client: client, logger: logger, observe: observe,
-		demand: newDemand(), suspects: map[string]suspect{}}
+		demand: newDemand(), backoffs: map[string]backoff{}}
 }
 
-// Observe is told how each hand-over ended, by one of the Handed names.
+// Observe is called with the outcome of each delegation, one of the Delegation constants.
 type Observe func(outcome string)
 
-// Ends of a hand-over.
+// Outcomes of a delegation.
 const (
-	// DelegationSucceeded: the engine answered.
+	// DelegationSucceeded: the engine responded.
 	DelegationSucceeded = "answered"
-	// DelegationNotReached: the egress node did not get the request, or does not know the engine.
+	// DelegationNotReached: the egress node did not receive the request, or did not send it
+	// because it does not know the engine or is shutting down.
 	DelegationNotReached = "not_reached"
-	// DelegationNodeLost: the egress node may have got the request and did not answer.
+	// DelegationNodeLost: the egress node may have received the request and did not respond.
 	DelegationNodeLost = "node_lost"
-	// DelegationFailed: the egress node got no answer of the engine, or the caller left.
+	// DelegationFailed: the egress node got no response from the engine, or the caller canceled.
 	DelegationFailed = "failed"
 )
 
-func handedOutcome(err error) string {
+func delegationOutcome(err error) string {
 	switch {
 	case err == nil:
 		return DelegationSucceeded
-	case errors.Is(err, errNotHandedOver):
+	case errors.Is(err, errNotDelegated):
 		return DelegationNotReached
 	case errors.Is(err, backend.ErrNodeLost):
 		return DelegationNodeLost
@@ -95,116 +96,119 @@
 
 // Send implements forward.Sender.
 func (sender *Sender) Send(ctx context.Context, attempt *forward.Attempt) (*forward.EngineResponse, error) {
-	for _, node := range sender.nodesFor(attempt) {
+	for _, node := range sender.egressNodes(attempt) {
 		attempt.Delegated.Store(true)
-		reply, err := sender.handOver(ctx, node, attempt)
-		sender.observe(handedOutcome(err))
-		if !errors.Is(err, errNotHandedOver) {
-			return reply, err
+		response, err := sender.delegate(ctx, node, attempt)
+		sender.observe(delegationOutcome(err))
+		if !errors.Is(err, errNotDelegated) {
+			return response, err
 		}
 		attempt.Delegated.Store(false)
-		sender.logger.Info("request not handed over", zap.String("request", attempt.Call.ID),
+		sender.logger.Info("delegation failed", zap.String("request", attempt.Call.ID),
 			zap.String("engine", attempt.Engine.ID), zap.String("node", node.Name), logging.Cause(err))
 	}
 	return sender.direct.Send(ctx, attempt)
 }
 
-// nodesFor returns the egress nodes to try, none where this node sends itself.
-func (sender *Sender) nodesFor(attempt *forward.Attempt) []Node {
+// egressNodes returns the egress nodes to try, none if this node is to send the turn itself.
+func (sender *Sender) egressNodes(attempt *forward.Attempt) []Node {
 	if !attempt.Streaming || !feature.Enabled(feature.Egress) {
 		return nil
 	}
 	now := time.Now()
-	turns := sender.demand.note(attempt.Engine.Service+"/"+attempt.Engine.Zone, now)
-	if turns >= worthKeeping*float64(sender.topology.EngineCount(attempt.Engine)) {
+	turns := sender.demand.record(attempt.Engine.Service+"/"+attempt.Engine.Zone, now)
+	if turns >= minTurnsPerEngine*float64(sender.topology.EngineCount(attempt.Engine)) {
 		return nil
 	}
 	nodes, self := sender.topology.EgressNodes(attempt.Engine)
 	if self {
 		return nil
 	}
-	trusted := make([]Node, 0, mostTried)
+	candidates := make([]Node, 0, maxNodesTried)
 	for _, node := range nodes {
-		if len(trusted) < mostTried && !sender.suspected(node, now) {
-			trusted = append(trusted, node)
+		if len(candidates) < maxNodesTried && !sender.backingOff(node, now) {
+			candidates = append(candidates, node)
 		}
 	}
-	return trusted
+	return candidates
 }
 
-func (sender *Sender) suspected(node Node, now time.Time) bool {
+// backingOff reports whether an egress node failed recently and is skipped.
+func (sender *Sender) backingOff(node Node, now time.Time) bool {
 	sender.mutex.Lock()
 	defer sender.mutex.Unlock()
-	return now.Before(sender.suspects[node.Name].until)
+	return now.Before(sender.backoffs[node.Name].until)
 }
 
-// noteFailure passes a node over for a while.
-func (sender *Sender) noteFailure(node Node, now time.Time) {
+// recordFailure makes the sender skip an egress node for a while.
+func (sender *Sender) recordFailure(node Node, now time.Time) {
 	sender.mutex.Lock()
 	defer sender.mutex.Unlock()
-	failures := sender.suspects[node.Name].failures
-	pause := min(firstSuspicion<<min(failures, mostDoublings), longestSuspicion)
-	sender.suspects[node.Name] = suspect{until: now.Add(pause), failures: failures + 1}
+	failures := sender.backoffs[node.Name].failures
+	duration := min(initialBackoff<<min(failures, maxDoublings), maxBackoff)
+	sender.backoffs[node.Name] = backoff{until: now.Add(duration), failures: failures + 1}
 }
 
-// noteSuccess forgets a node's failures.
-func (sender *Sender) noteSuccess(node Node) {
+// recordSuccess clears an egress node's failures.
+func (sender *Sender) recordSuccess(node Node) {
 	sender.mutex.Lock()
 	defer sender.mutex.Unlock()
-	delete(sender.suspects, node.Name)
+	delete(sender.backoffs, node.Name)
 }
 
-// handOver has an egress node send the request. Its error is errNotHandedOver where
-// neither that node nor the engine can have got it.
-func (sender *Sender) handOver(ctx context.Context, node Node, attempt *forward.Attempt) (*forward.EngineResponse, error) {
+// delegate sends the request to an egress node and returns the engine's response. The error is
+// errNotDelegated only if the engine cannot have received the request.
+func (sender *Sender) delegate(ctx context.Context, node Node, attempt *forward.Attempt) (*forward.EngineResponse, error) {
 	content, err := encodeRequest(attempt)
 	if err != nil {
-		return nil, errors.Join(errNotHandedOver, err)
+		return nil, errors.Join(errNotDelegated, err)
 	}
-	exchanging, giveUp := context.WithCancel(ctx)
-	accepting := time.AfterFunc(acceptTimeout, giveUp)
-	request, err := http.NewRequestWithContext(exchanging, http.MethodPost, "http://"+node.Address+ExchangePath, bytes.NewReader(content))
+	exchange, cancel := context.WithCancel(ctx)
+	acceptTimer := time.AfterFunc(acceptTimeout, cancel)
+	request, err := http.NewRequestWithContext(exchange, http.MethodPost, "http://"+node.Address+ExchangePath, bytes.NewReader(content))
 	if err != nil {
-		giveUp()
-		return nil, errors.Join(errNotHandedOver, err)
+		cancel()
+		return nil, errors.Join(errNotDelegated, err)
 	}
 	response, err := sender.client.Do(request)
-	inTime := accepting.Stop()
-	if err == nil && !inTime {
+	accepted := acceptTimer.Stop()
+	if err == nil && !accepted {
 		_ = response.Body.Close()
 	}
-	if err != nil || !inTime {
-		giveUp()
-		return nil, sender.refused(ctx, node, err)
+	if err != nil || !accepted {
+		cancel()
+		return nil, sender.delegationError(ctx, node, err)
 	}
-	sender.noteSuccess(node)
-	reply, err := answerOf(response, giveUp)
+	sender.recordSuccess(node)
+	engineResponse, err := readResponse(response, cancel)
 	if err != nil {
 		_ = response.Body.Close()
-		giveUp()
+		cancel()
 		return nil, err
 	}
-	reply.Via = node.Name
-	return reply, nil
+	engineResponse.Via = node.Name
+	return engineResponse, nil
 }
 
-// refused tells what the failure of a hand-over leaves open.
-func (sender *Sender) refused(ctx context.Context, node Node, cause error) error {
+// delegationError classifies a failed delegation by whether the egress node may have received the
+// request, and makes the sender skip the node unless the caller canceled.
+func (sender *Sender) delegationError(ctx context.Context, node Node, cause error) error {
 	if ctx.Err() != nil {
-		return eris.Wrap(backend.ErrResponseLost, "the caller left")
+		return eris.Wrap(backend.ErrResponseLost, "caller canceled the request")
 	}
-	sender.noteFailure(node, time.Now())
+	sender.recordFailure(node, time.Now())
 	var operation *net.OpError
 	if errors.As(cause, &operation) && operation.Op == "dial" {
-		return errors.Join(errNotHandedOver, cause)
+		return errors.Join(errNotDelegated, cause)
 	}
-	return eris.Wrapf(backend.ErrNodeLost, "%s did not accept the request: %v", node.Name, cause)
+	return eris.Wrapf(backend.ErrNodeLost, "egress node %s did not accept the request: %v", node.Name, cause)
 }
 
-// answerOf reads the head of an egress node's answer.
-func answerOf(response *http.Response, done context.CancelFunc) (*forward.EngineResponse, error) {
+// readResponse reads the head of an egress node's response. cancel is called when the body of the
+// returned response is closed.
+func readResponse(response *http.Response, cancel context.CancelFunc) (*forward.EngineResponse, error) {
 	if response.StatusCode != http.StatusOK {
-		return nil, eris.Wrapf(errNotHandedOver, "status %d", response.StatusCode)
+		return nil, eris.Wrapf(errNotDelegated, "egress node returned status %d", response.StatusCode)
 	}
 	head, err := readHead(response.Body)
 	if err != nil {
@@ -214,30 +218,31 @@
 	case nodev1.EgressOutcome_EGRESS_OUTCOME_ANSWERED:
 		return &forward.EngineResponse{
 			Status:      int(head.Status),
-			Header:      fromHeaders(head.Headers),
+			Header:      headersFromProto(head.Headers),
 			NotRun:      head.NotRun,
 			Misdirected: head.Misdirected,
-			Body:        &replyBody{ReadCloser: response.Body, done: done},
+			Body:        &responseBody{ReadCloser: response.Body, cancel: cancel},
 		}, nil
 	case nodev1.EgressOutcome_EGRESS_OUTCOME_NO_CONNECTION:
 		return nil, eris.Wrap(backend.ErrTooManyConnections, head.Failure)
 	case nodev1.EgressOutcome_EGRESS_OUTCOME_NOT_SENT:
 		return nil, eris.Wrap(backend.ErrNotSent, head.Failure)
 	case nodev1.EgressOutcome_EGRESS_OUTCOME_UNKNOWN_ENGINE:
-		return nil, eris.Wrap(errNotHandedOver, "the node does not know the engine, or stops")
+		return nil, eris.Wrap(errNotDelegated, "egress node does not know the engine or is shutting down")
 	}
 	return nil, eris.Wrap(backend.ErrResponseLost, head.Failure)
 }
 
-// replyBody is an answer's body; closing it before its end ends the engine's work.
-type replyBody struct {
+// responseBody is the body of a delegated response. Closing it before its end cancels the
+// exchange, and with it the engine's work.
+type responseBody struct {
 	io.ReadCloser
-	done context.CancelFunc
+	cancel context.CancelFunc
 }
 
 // Close implements io.Closer.
-func (body *replyBody) Close() error {
+func (body *responseBody) Close() error {
 	err := body.ReadCloser.Close()
-	body.done()
+	body.cancel()
 	return err
 }
--- a/internal/egress/sender_test.go
+++ b/internal/egress/sender_test.go
@@ -18,9 +18,9 @@
 	"go.uber.org/zap"
 )
 
-const patience = 20 * time.Second
+const eventuallyTimeout = 20 * time.Second
 
-// senderFunc is a forward.Sender made of a function.
+// senderFunc adapts a function to forward.Sender.
 type senderFunc func(ctx context.Context, attempt *forward.Attempt) (*forward.EngineResponse, error)
 
 func (send senderFunc) Send(ctx context.Context, attempt *forward.Attempt) (*forward.EngineResponse, error) {
@@ -29,18 +29,18 @@
 
 // oneNode is a topology with one egress node.
 type oneNode struct {
-	node     Node
-	self     bool
-	siblings int
+	node        Node
+	self        bool
+	engineCount int
 }
 
 func (topology oneNode) EgressNodes(backend.Instance) ([]Node, bool) {
 	return []Node{topology.node}, topology.self
 }
 
-func (topology oneNode) EngineCount(backend.Instance) int { return topology.siblings }
+func (topology oneNode) EngineCount(backend.Instance) int { return topology.engineCount }
 
-// oneEngine knows a single engine, and counts what it fails.
+// oneEngine knows a single engine and counts its failed requests.
 type oneEngine struct {
 	id     string
 	failed *atomic.Int64
@@ -54,27 +54,27 @@
 	return backend.Instance{ID: id, Address: "10.0.0.9:80"}, id == engines.id
 }
 
-var _ = Describe("A turn handed to an egress node", func() {
+var _ = Describe("A turn delegated to an egress node", func() {
 	var (
-		// atEgress is what the egress node's own sending does.
-		atEgress senderFunc
-		// direct counts what the asking node sends itself.
-		direct   atomic.Int64
-		topology oneNode
-		sender   *Sender
-		outcomes []string
-		stopping atomic.Bool
-		// failed counts requests against the engine.
+		// egressSend is how the egress node sends to the engine.
+		egressSend senderFunc
+		// directSends counts the turns that the requesting node sends itself.
+		directSends atomic.Int64
+		topology    oneNode
+		sender      *Sender
+		outcomes    []string
+		stopping    atomic.Bool
+		// failed counts requests that the engine failed.
 		failed atomic.Int64
 	)
 
 	BeforeEach(func() {
-		direct.Store(0)
+		directSends.Store(0)
 		stopping.Store(false)
 		failed.Store(0)
 		handler := &Handler{Engines: oneEngine{id: "engine-1", failed: &failed}, Logger: zap.NewNop(), Stopping: stopping.Load,
 			Sender: senderFunc(func(ctx context.Context, attempt *forward.Attempt) (*forward.EngineResponse, error) {
-				return atEgress(ctx, attempt)
+				return egressSend(ctx, attempt)
 			})}
 		server, err := httpserver.Start("127.0.0.1:0", handler, httpserver.Limits{DrainGrace: time.Millisecond})
 		Expect(err).NotTo(HaveOccurred())
@@ -83,21 +83,21 @@
 			defer cancel()
 			_ = server.Shutdown(bounded)
 		})
-		topology = oneNode{node: Node{Name: "egress-1", Address: server.Address()}, siblings: 1000}
+		topology = oneNode{node: Node{Name: "egress-1", Address: server.Address()}, engineCount: 1000}
 	})
 
 	JustBeforeEach(func() {
 		client, err := httpclient.New(httpclient.Options{DialTimeout: 250 * time.Millisecond})
 		Expect(err).NotTo(HaveOccurred())
-		own := senderFunc(func(context.Context, *forward.Attempt) (*forward.EngineResponse, error) {
-			direct.Add(1)
+		direct := senderFunc(func(context.Context, *forward.Attempt) (*forward.EngineResponse, error) {
+			directSends.Add(1)
 			return &forward.EngineResponse{Status: http.StatusOK, Body: http.NoBody}, nil
 		})
 		outcomes = nil
-		sender = NewSender(own, topology, client, zap.NewNop(), func(outcome string) { outcomes = append(outcomes, outcome) })
+		sender = NewSender(direct, topology, client, zap.NewNop(), func(outcome string) { outcomes = append(outcomes, outcome) })
 	})
 
-	turn := func() *forward.Attempt {
+	newTurn := func() *forward.Attempt {
 		return &forward.Attempt{
 			Call: &forward.Call{ID: "turn-1", Method: http.MethodPost, Host: "h", Target: "/stream/?a=b",
 				Header: http.Header{"Model": {"m"}, "Request-Id": {"turn-1"}}},
@@ -106,158 +106,158 @@
 			Remaining: 3 * time.Second,
 			Streaming: true,
 			Priority:  2,
-			// The egress node's own bound, not the asker's.
+			// The egress node applies MaxSharedConnections, not MaxConnections.
 			MaxConnections: 5, MaxSharedConnections: 40,
 		}
 	}
 
-	It("reaches the engine as it is, and its answer comes back piece by piece", func() {
-		pieces, written := io.Pipe()
-		var got *forward.Attempt
-		atEgress = func(_ context.Context, attempt *forward.Attempt) (*forward.EngineResponse, error) {
-			got = attempt
-			return &forward.EngineResponse{Status: http.StatusOK, Header: http.Header{"Response-Stamp": {"s"}}, Body: pieces}, nil
+	It("reaches the engine unchanged, and its response is streamed back", func() {
+		body, engine := io.Pipe()
+		var sent *forward.Attempt
+		egressSend = func(_ context.Context, attempt *forward.Attempt) (*forward.EngineResponse, error) {
+			sent = attempt
+			return &forward.EngineResponse{Status: http.StatusOK, Header: http.Header{"Response-Stamp": {"s"}}, Body: body}, nil
 		}
-		parts := []string{"data: 1\n\n", "data: 2\n\n"}
-		go func() { _, _ = io.WriteString(written, parts[0]) }()
-		reply, err := sender.Send(context.Background(), turn())
+		chunks := []string{"data: 1\n\n", "data: 2\n\n"}
+		go func() { _, _ = io.WriteString(engine, chunks[0]) }()
+		response, err := sender.Send(context.Background(), newTurn())
 		Expect(err).NotTo(HaveOccurred())
-		Expect(reply.Status).To(Equal(http.StatusOK))
-		Expect(reply.Header).To(Equal(http.Header{"Response-Stamp": {"s"}}))
-		Expect(reply.Via).To(Equal("egress-1"))
-		Expect(got.Call.ID).To(Equal("turn-1"))
-		Expect(got.Call.Method).To(Equal(http.MethodPost))
-		Expect(got.Call.Host).To(Equal("h"))
-		Expect(got.Call.Target).To(Equal("/stream/?a=b"))
-		Expect(got.Call.Header).To(Equal(turn().Call.Header))
-		Expect(got.Engine.Address).To(Equal("10.0.0.9:80"))
-		Expect(string(got.Body)).To(Equal("input"))
-		Expect(got.Remaining).To(Equal(3 * time.Second))
-		Expect(got.Streaming).To(BeTrue())
-		Expect(got.Priority).To(Equal(2))
-		Expect(got.MaxConnections).To(Equal(40))
-		for number, piece := range parts {
-			received := make([]byte, len(piece))
-			_, err = io.ReadFull(reply.Body, received)
+		Expect(response.Status).To(Equal(http.StatusOK))
+		Expect(response.Header).To(Equal(http.Header{"Response-Stamp": {"s"}}))
+		Expect(response.Via).To(Equal("egress-1"))
+		Expect(sent.Call.ID).To(Equal("turn-1"))
+		Expect(sent.Call.Method).To(Equal(http.MethodPost))
+		Expect(sent.Call.Host).To(Equal("h"))
+		Expect(sent.Call.Target).To(Equal("/stream/?a=b"))
+		Expect(sent.Call.Header).To(Equal(newTurn().Call.Header))
+		Expect(sent.Engine.Address).To(Equal("10.0.0.9:80"))
+		Expect(string(sent.Body)).To(Equal("input"))
+		Expect(sent.Remaining).To(Equal(3 * time.Second))
+		Expect(sent.Streaming).To(BeTrue())
+		Expect(sent.Priority).To(Equal(2))
+		Expect(sent.MaxConnections).To(Equal(40))
+		for index, chunk := range chunks {
+			received := make([]byte, len(chunk))
+			_, err = io.ReadFull(response.Body, received)
 			Expect(err).NotTo(HaveOccurred())
-			Expect(string(received)).To(Equal(piece))
-			// The next piece is written only once this one has come.
-			if number+1 < len(parts) {
-				go func() { _, _ = io.WriteString(written, parts[number+1]) }()
+			Expect(string(received)).To(Equal(chunk))
+			// Each chunk must arrive before the next one is written.
+			if index+1 < len(chunks) {
+				go func() { _, _ = io.WriteString(engine, chunks[index+1]) }()
 			}
 		}
-		Expect(written.Close()).To(Succeed())
-		rest, err := io.ReadAll(reply.Body)
+		Expect(engine.Close()).To(Succeed())
+		rest, err := io.ReadAll(response.Body)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(rest).To(BeEmpty())
-		Expect(reply.Body.Close()).To(Succeed())
-		Expect(direct.Load()).To(BeZero())
+		Expect(response.Body.Close()).To(Succeed())
+		Expect(directSends.Load()).To(BeZero())
 		Expect(outcomes).To(Equal([]string{DelegationSucceeded}))
 	})
 
-	It("ends as broken off where the engine breaks off", func() {
-		pieces, written := io.Pipe()
-		atEgress = func(context.Context, *forward.Attempt) (*forward.EngineResponse, error) {
-			return &forward.EngineResponse{Status: http.StatusOK, Body: pieces}, nil
+	It("fails if the engine breaks its response off", func() {
+		body, engine := io.Pipe()
+		egressSend = func(context.Context, *forward.Attempt) (*forward.EngineResponse, error) {
+			return &forward.EngineResponse{Status: http.StatusOK, Body: body}, nil
 		}
 		go func() {
-			_, _ = io.WriteString(written, "data: 1\n\n")
-			_ = written.CloseWithError(errors.New("reset"))
+			_, _ = io.WriteString(engine, "data: 1\n\n")
+			_ = engine.CloseWithError(errors.New("reset"))
 		}()
-		reply, err := sender.Send(context.Background(), turn())
+		response, err := sender.Send(context.Background(), newTurn())
 		Expect(err).NotTo(HaveOccurred())
-		received, err := io.ReadAll(reply.Body)
+		received, err := io.ReadAll(response.Body)
 		Expect(string(received)).To(Equal("data: 1\n\n"))
 		Expect(err).To(HaveOccurred())
-		Expect(failed.Load()).To(BeEquivalentTo(1), "counted where the engine's part is known")
+		Expect(failed.Load()).To(BeEquivalentTo(1), "counted by the egress node, which knows that the engine failed")
 	})
 
-	It("counts against an engine that sends nothing for long, until it does", func() {
-		pieces, written := io.Pipe()
-		answering := make(chan struct{})
-		atEgress = func(context.Context, *forward.Attempt) (*forward.EngineResponse, error) {
-			<-answering
-			return &forward.EngineResponse{Status: http.StatusOK, Body: pieces}, nil
+	It("counts as failed while the engine stalls", func() {
+		body, engine := io.Pipe()
+		respond := make(chan struct{})
+		egressSend = func(context.Context, *forward.Attempt) (*forward.EngineResponse, error) {
+			<-respond
+			return &forward.EngineResponse{Status: http.StatusOK, Body: body}, nil
 		}
-		attempt := turn()
-		replies := make(chan *forward.EngineResponse, 1)
+		attempt := newTurn()
+		responses := make(chan *forward.EngineResponse, 1)
 		go func() {
 			defer GinkgoRecover()
-			reply, err := sender.Send(context.Background(), attempt)
+			response, err := sender.Send(context.Background(), attempt)
 			Expect(err).NotTo(HaveOccurred())
-			replies <- reply
+			responses <- response
 		}()
-		Eventually(attempt.Delegated.Load, patience).Should(BeTrue())
-		Eventually(failed.Load, patience).Should(BeEquivalentTo(1))
-		close(answering)
-		Eventually(failed.Load, patience).Should(BeZero())
-		Eventually(failed.Load, patience).Should(BeEquivalentTo(1), "silent after its head")
-		go func() { _, _ = io.WriteString(written, "data: 1\n\n") }()
-		Eventually(failed.Load, patience).Should(BeZero())
-		Expect(written.Close()).To(Succeed())
-		var reply *forward.EngineResponse
-		Eventually(replies, patience).Should(Receive(&reply))
-		_, err := io.ReadAll(reply.Body)
+		Eventually(attempt.Delegated.Load, eventuallyTimeout).Should(BeTrue())
+		Eventually(failed.Load, eventuallyTimeout).Should(BeEquivalentTo(1))
+		close(respond)
+		Eventually(failed.Load, eventuallyTimeout).Should(BeZero())
+		Eventually(failed.Load, eventuallyTimeout).Should(BeEquivalentTo(1), "stalled after the response head")
+		go func() { _, _ = io.WriteString(engine, "data: 1\n\n") }()
+		Eventually(failed.Load, eventuallyTimeout).Should(BeZero())
+		Expect(engine.Close()).To(Succeed())
+		var response *forward.EngineResponse
+		Eventually(responses, eventuallyTimeout).Should(Receive(&response))
+		_, err := io.ReadAll(response.Body)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(failed.Load()).To(BeZero())
 	})
 
-	It("leaves it to the asker to count what the egress node answers", func() {
-		atEgress = func(context.Context, *forward.Attempt) (*forward.EngineResponse, error) {
-			time.Sleep(2 * leastSilence)
+	It("leaves it to the requesting node to count failures reported to it", func() {
+		egressSend = func(context.Context, *forward.Attempt) (*forward.EngineResponse, error) {
+			time.Sleep(2 * minStallTimeout)
 			return nil, backend.ErrResponseLost
 		}
-		_, err := sender.Send(context.Background(), turn())
+		_, err := sender.Send(context.Background(), newTurn())
 		Expect(err).To(MatchError(backend.ErrResponseLost))
 		Expect(failed.Load()).To(BeZero())
 	})
 
 	It("ends at the engine once its caller has left", func() {
-		sending := make(chan context.Context, 1)
-		atEgress = func(ctx context.Context, _ *forward.Attempt) (*forward.EngineResponse, error) {
-			sending <- ctx
+		engineContexts := make(chan context.Context, 1)
+		egressSend = func(ctx context.Context, _ *forward.Attempt) (*forward.EngineResponse, error) {
+			engineContexts <- ctx
 			<-ctx.Done()
 			return nil, backend.ErrResponseLost
 		}
-		ctx, leave := context.WithCancel(context.Background())
-		ended := make(chan error, 1)
+		ctx, cancel := context.WithCancel(context.Background())
+		errs := make(chan error, 1)
 		go func() {
-			_, err := sender.Send(ctx, turn())
-			ended <- err
+			_, err := sender.Send(ctx, newTurn())
+			errs <- err
 		}()
-		var atEngine context.Context
-		Eventually(sending, patience).Should(Receive(&atEngine))
-		leave()
-		Eventually(atEngine.Done(), patience).Should(BeClosed())
-		Eventually(ended, patience).Should(Receive(HaveOccurred()))
-		Expect(direct.Load()).To(BeZero())
+		var engineContext context.Context
+		Eventually(engineContexts, eventuallyTimeout).Should(Receive(&engineContext))
+		cancel()
+		Eventually(engineContext.Done(), eventuallyTimeout).Should(BeClosed())
+		Eventually(errs, eventuallyTimeout).Should(Receive(HaveOccurred()))
+		Expect(directSends.Load()).To(BeZero())
 	})
 
-	DescribeTable("fails as it did at the egress node",
+	DescribeTable("fails with the egress node's error",
 		func(cause, expected error) {
-			atEgress = func(context.Context, *forward.Attempt) (*forward.EngineResponse, error) { return nil, cause }
-			_, err := sender.Send(context.Background(), turn())
+			egressSend = func(context.Context, *forward.Attempt) (*forward.EngineResponse, error) { return nil, cause }
+			_, err := sender.Send(context.Background(), newTurn())
 			Expect(err).To(MatchError(expected))
-			Expect(direct.Load()).To(BeZero())
+			Expect(directSends.Load()).To(BeZero())
 		},
 		Entry("not sent", backend.ErrNotSent, backend.ErrNotSent),
 		Entry("no free connection", backend.ErrTooManyConnections, backend.ErrTooManyConnections),
 		Entry("lost", backend.ErrResponseLost, backend.ErrResponseLost),
 	)
 
-	It("is sent by the node itself where the egress node does not know the engine", func() {
-		other := turn()
+	It("is sent directly if the egress node does not know the engine", func() {
+		other := newTurn()
 		other.Engine.ID = "engine-2"
 		_, err := sender.Send(context.Background(), other)
 		Expect(err).NotTo(HaveOccurred())
-		Expect(direct.Load()).To(BeEquivalentTo(1))
+		Expect(directSends.Load()).To(BeEquivalentTo(1))
 	})
 
-	It("is sent by the node itself where the egress node stops", func() {
+	It("is sent directly if the egress node is shutting down", func() {
 		stopping.Store(true)
-		_, err := sender.Send(context.Background(), turn())
+		_, err := sender.Send(context.Background(), newTurn())
 		Expect(err).NotTo(HaveOccurred())
-		Expect(direct.Load()).To(BeEquivalentTo(1))
+		Expect(directSends.Load()).To(BeEquivalentTo(1))
 		Expect(outcomes).To(Equal([]string{DelegationNotReached}))
 	})
 
@@ -269,12 +269,12 @@
 			Expect(listener.Close()).To(Succeed())
 		})
 
-		It("is sent by the node itself", func() {
-			reply, err := sender.Send(context.Background(), turn())
+		It("is sent directly", func() {
+			response, err := sender.Send(context.Background(), newTurn())
 			Expect(err).NotTo(HaveOccurred())
-			Expect(reply.Via).To(BeEmpty())
-			Expect(direct.Load()).To(BeEquivalentTo(1))
-			Expect(sender.nodesFor(turn())).To(BeEmpty())
+			Expect(response.Via).To(BeEmpty())
+			Expect(directSends.Load()).To(BeEquivalentTo(1))
+			Expect(sender.egressNodes(newTurn())).To(BeEmpty())
 			Expect(outcomes).To(Equal([]string{DelegationNotReached}))
 		})
 	})
@@ -309,46 +309,46 @@
 			})
 		})
 
-		It("is not sent again, since it may run there later", func() {
-			_, err := sender.Send(context.Background(), turn())
+		It("is not sent again, because it may still run there later", func() {
+			_, err := sender.Send(context.Background(), newTurn())
 			Expect(err).To(MatchError(backend.ErrNodeLost))
-			Expect(direct.Load()).To(BeZero())
-			// Later turns pass that node over.
-			_, err = sender.Send(context.Background(), turn())
+			Expect(directSends.Load()).To(BeZero())
+			// Later turns skip that node.
+			_, err = sender.Send(context.Background(), newTurn())
 			Expect(err).NotTo(HaveOccurred())
-			Expect(direct.Load()).To(BeEquivalentTo(1))
+			Expect(directSends.Load()).To(BeEquivalentTo(1))
 			Expect(connected.Load()).To(BeEquivalentTo(1))
 			Expect(outcomes).To(Equal([]string{DelegationNodeLost}))
 		})
 	})
 
-	It("is sent by the node itself where it is no stream, or the node is the engine's egress node", func() {
-		whole := turn()
-		whole.Streaming = false
-		Expect(sender.nodesFor(whole)).To(BeEmpty())
-		sender.topology = oneNode{node: topology.node, self: true, siblings: 1000}
-		Expect(sender.nodesFor(turn())).To(BeEmpty())
+	It("is sent directly if it is not a stream, or if this node is the preferred egress node", func() {
+		unary := newTurn()
+		unary.Streaming = false
+		Expect(sender.egressNodes(unary)).To(BeEmpty())
+		sender.topology = oneNode{node: topology.node, self: true, engineCount: 1000}
+		Expect(sender.egressNodes(newTurn())).To(BeEmpty())
 	})
 
-	It("is sent by the node itself while that has enough turns to keep connections in use", func() {
-		sender.topology = oneNode{node: topology.node, siblings: 2}
+	It("is sent directly while the node has enough turns to keep connections in use", func() {
+		sender.topology = oneNode{node: topology.node, engineCount: 2}
 		for range 7 {
-			Expect(sender.nodesFor(turn())).To(HaveLen(1))
+			Expect(sender.egressNodes(newTurn())).To(HaveLen(1))
 		}
 		for range 3 {
-			sender.nodesFor(turn())
+			sender.egressNodes(newTurn())
 		}
-		Expect(sender.nodesFor(turn())).To(BeEmpty())
+		Expect(sender.egressNodes(newTurn())).To(BeEmpty())
 	})
 })
 
 var _ = Describe("Demand", func() {
-	It("fades, and is counted for each group alone", func() {
-		counted := newDemand()
+	It("decays, and is counted separately for each group", func() {
+		demand := newDemand()
 		now := time.Now()
-		Expect(counted.note("a", now)).To(BeNumerically("==", 1))
-		Expect(counted.note("a", now)).To(BeNumerically("==", 2))
-		Expect(counted.note("b", now)).To(BeNumerically("==", 1))
-		Expect(counted.note("a", now.Add(10*keptFor))).To(BeNumerically("~", 1, 0.01))
+		Expect(demand.record("a", now)).To(BeNumerically("==", 1))
+		Expect(demand.record("a", now)).To(BeNumerically("==", 2))
+		Expect(demand.record("b", now)).To(BeNumerically("==", 1))
+		Expect(demand.record("a", now.Add(10*connectionIdleTimeout))).To(BeNumerically("~", 1, 0.01))
 	})
 })
--- a/internal/egress/wire.go
+++ b/internal/egress/wire.go
@@ -14,10 +14,10 @@
 )
 
 const (
-	// lengthBytes is the size of the head's length.
-	lengthBytes = 4
-	// maxHead bounds an answer's head, bytes.
-	maxHead = 1 << 20
+	// headLengthBytes is the size of the length prefix of a response head.
+	headLengthBytes = 4
+	// maxHeadBytes is the largest response head that is accepted.
+	maxHeadBytes = 1 << 20
 )
 
 func encodeRequest(attempt *forward.Attempt) ([]byte, error) {
@@ -26,7 +26,7 @@
 		Method:         attempt.Call.Method,
 		Host:           attempt.Call.Host,
 		Target:         attempt.Call.Target,
-		Headers:        toHeaders(attempt.Call.Header),
+		Headers:        headersToProto(attempt.Call.Header),
 		Body:           attempt.Body,
 		Engine:         attempt.Engine.ID,
 		RemainingMs:    attempt.Remaining.Milliseconds(),
@@ -36,24 +36,24 @@
 		Tenant:         attempt.Call.Tenant,
 	}
 	content, err := proto.Marshal(message)
-	return content, eris.Wrap(err, "encode a request for an egress node")
+	return content, eris.Wrap(err, "encode egress request")
 }
 
 func decodeRequest(content []byte) (*nodev1.EgressRequest, error) {
 	message := &nodev1.EgressRequest{}
 	err := proto.Unmarshal(content, message)
-	return message, eris.Wrap(err, "decode a request for an egress node")
+	return message, eris.Wrap(err, "decode egress request")
 }
 
-// attemptOf makes an attempt of a request that another node has handed over.
-func attemptOf(message *nodev1.EgressRequest, engine backend.Instance) *forward.Attempt {
+// newAttempt returns the attempt for a delegated request.
+func newAttempt(message *nodev1.EgressRequest, engine backend.Instance) *forward.Attempt {
 	return &forward.Attempt{
 		Call: &forward.Call{
 			ID:     message.Request,
 			Method: message.Method,
 			Host:   message.Host,
 			Target: message.Target,
-			Header: fromHeaders(message.Headers),
+			Header: headersFromProto(message.Headers),
 			Tenant: message.Tenant,
 		},
 		Engine:         engine,
@@ -65,7 +65,7 @@
 	}
 }
 
-func toHeaders(header http.Header) []*nodev1.Header {
+func headersToProto(header http.Header) []*nodev1.Header {
 	headers := make([]*nodev1.Header, 0, len(header))
 	for name, values := range header {
 		for _, value := range values {
@@ -75,10 +75,10 @@
 	return headers
 }
 
-func fromHeaders(headers []*nodev1.Header) http.Header {
+func headersFromProto(headers []*nodev1.Header) http.Header {
 	header := make(http.Header, len(headers))
-	for _, each := range headers {
-		header[each.Name] = append(header[each.Name], each.Value)
+	for _, entry := range headers {
+		header[entry.Name] = append(header[entry.Name], entry.Value)
 	}
 	return header
 }
@@ -86,29 +86,29 @@
 func writeHead(writer io.Writer, head *nodev1.EgressHead) error {
 	content, err := proto.Marshal(head)
 	if err != nil {
-		return eris.Wrap(err, "encode an answer's head")
+		return eris.Wrap(err, "encode response head")
 	}
-	framed := binary.BigEndian.AppendUint32(make([]byte, 0, lengthBytes+len(content)), uint32(len(content)))
+	framed := binary.BigEndian.AppendUint32(make([]byte, 0, headLengthBytes+len(content)), uint32(len(content)))
 	_, err = writer.Write(append(framed, content...))
-	return eris.Wrap(err, "write an answer's head")
+	return eris.Wrap(err, "write response head")
 }
 
 func readHead(reader io.Reader) (*nodev1.EgressHead, error) {
-	var length [lengthBytes]byte
+	var length [headLengthBytes]byte
 	_, err := io.ReadFull(reader, length[:])
 	if err != nil {
-		return nil, eris.Wrap(err, "read an answer's head")
+		return nil, eris.Wrap(err, "read response head")
 	}
 	size := binary.BigEndian.Uint32(length[:])
-	if size > maxHead {
-		return nil, eris.Errorf("an answer's head has %d bytes", size)
+	if size > maxHeadBytes {
+		return nil, eris.Errorf("response head too large: %d bytes", size)
 	}
 	content := make([]byte, size)
 	_, err = io.ReadFull(reader, content)
 	if err != nil {
-		return nil, eris.Wrap(err, "read an answer's head")
+		return nil, eris.Wrap(err, "read response head")
 	}
 	head := &nodev1.EgressHead{}
 	err = proto.Unmarshal(content, head)
-	return head, eris.Wrap(err, "decode an answer's head")
+	return head, eris.Wrap(err, "decode response head")
 }
