--- a/internal/forward/admission.go
+++ b/internal/forward/admission.go
@@ -9,87 +9,87 @@
 	"github.com/magpielug/magpielug/internal/tenant"
 )
 
-// Quotas asks whether a request fits into its tenant's limit.
+// Quotas enforces the request limits of tenants.
 type Quotas interface {
-	// Admit returns once the request may run, or may not.
-	Admit(ctx context.Context, order *AdmissionRequest) Admission
+	// Admit waits until the request is admitted or refused.
+	Admit(ctx context.Context, request *AdmissionRequest) Admission
 }
 
-// AdmissionRequest is a request that asks to be admitted.
+// AdmissionRequest asks for the admission of a call under its tenant's limit.
 type AdmissionRequest struct {
 	Call   *Call
 	Holder *tenant.Tenant
-	// Configuration is the version that the holder's limit stands in.
+	// Configuration is the version of the configuration that defines the tenant's limit.
 	Configuration int64
-	// Continues is true where the call's program has begun for certain.
+	// Continues is true if the call's program is known to have started.
 	Continues bool
-	// MaxWait is how long the request may wait for room.
+	// MaxWait is how long the request may wait for admission.
 	MaxWait time.Duration
 }
 
-// AdmissionVerdict is how a request for admission ended.
+// AdmissionVerdict is the outcome of an AdmissionRequest.
 type AdmissionVerdict int
 
-// Verdicts of admission.
+// Admission verdicts.
 const (
-	// Admitted: the request may run.
+	// Admitted: the call may run.
 	Admitted AdmissionVerdict = iota + 1
-	// OverLimit: the tenant's limit has no room before Admission.RetryAfter.
+	// OverLimit: the tenant's limit admits no call before Admission.RetryAfter.
 	OverLimit
-	// LimitUnavailable: nobody who keeps the limit could be asked.
+	// LimitUnavailable: no coordinator of the limit could be reached.
 	LimitUnavailable
 )
 
-// Admission is the answer to an AdmissionOrder.
+// Admission is the response to an AdmissionRequest.
 type Admission struct {
 	Verdict    AdmissionVerdict
 	RetryAfter time.Duration
 }
 
 const (
-	// admissionPatience is the share of its time that a request waits for room in its
-	// tenant's limit: a caller that is refused loses as much by coming back.
-	admissionPatience = 0.35
-	// limitRetry is when to come back to another node where this one reaches nobody
-	// that keeps the tenant's limit.
-	limitRetry = 100 * time.Millisecond
+	// admissionWaitFraction of its remaining time is how long a call waits for admission. A
+	// refused caller would lose as much time by retrying.
+	admissionWaitFraction = 0.35
+	// quotaRetryAfter is the delay before a retry on another node if this one reaches no
+	// coordinator of the tenant's limit.
+	quotaRetryAfter = 100 * time.Millisecond
 )
 
-// admit asks for admission. It comes before the turn's tokens are reserved: a reservation
-// that is open when the program's owner stops counts as spent to the next one, also where
-// the limit then refuses the turn, and the program was told that its budget is spent.
-func (current *course) admit(ctx context.Context) error {
-	if current.tenant == nil || !current.tenant.Limit.Limited() || current.service.Quotas == nil {
+// admit waits for admission under the tenant's limit. It precedes the reservation of the turn's
+// tokens: a reservation that is open when the program's owner fails counts as spent, so a turn
+// that the limit then refuses would use up the program's budget.
+func (inflight *inflightCall) admit(ctx context.Context) error {
+	if inflight.tenant == nil || !inflight.tenant.Limit.Limited() || inflight.service.Quotas == nil {
 		return nil
 	}
 	began := time.Now()
-	admission := current.service.Quotas.Admit(ctx, current.admissionOrder())
-	current.admitTook = time.Since(began)
-	return current.afterAdmission(ctx, admission)
+	admission := inflight.service.Quotas.Admit(ctx, inflight.admissionRequest())
+	inflight.admitDuration = time.Since(began)
+	return inflight.admissionError(ctx, admission)
 }
 
-func (current *course) admissionOrder() *AdmissionRequest {
-	order := &AdmissionRequest{
-		Call:          current.call,
-		Holder:        current.tenant,
-		Configuration: current.version,
-		MaxWait:       time.Duration(admissionPatience * float64(time.Until(current.end))),
+func (inflight *inflightCall) admissionRequest() *AdmissionRequest {
+	request := &AdmissionRequest{
+		Call:          inflight.call,
+		Holder:        inflight.tenant,
+		Configuration: inflight.configurationVersion,
+		MaxWait:       time.Duration(admissionWaitFraction * float64(time.Until(inflight.deadline))),
 	}
-	// A program begins with a turn, and calls tools later.
-	goesOn := current.call.Turn != nil && current.call.Turn.Previous != ""
-	order.Continues = goesOn || current.route.Kind != routing.Streaming
-	return order
+	// Programs start with a turn and call tools only later.
+	continues := inflight.call.Turn != nil && inflight.call.Turn.Previous != ""
+	request.Continues = continues || inflight.route.Kind != routing.Streaming
+	return request
 }
 
-func (current *course) afterAdmission(ctx context.Context, admission Admission) error {
+func (inflight *inflightCall) admissionError(ctx context.Context, admission Admission) error {
 	switch {
 	case admission.Verdict == OverLimit:
-		return resultcode.New(resultcode.QuotaExceeded, "tenant %s has reached its limit of %g requests a second", current.tenant.Name,
-			current.tenant.Limit.PerSecond).After(admission.RetryAfter)
+		return resultcode.New(resultcode.QuotaExceeded, "tenant %s exceeded its limit of %g requests per second", inflight.tenant.Name,
+			inflight.tenant.Limit.PerSecond).After(admission.RetryAfter)
 	case ctx.Err() != nil:
-		return current.timedOut(ctx)
+		return inflight.timeoutError(ctx)
 	case admission.Verdict == Admitted:
 		return nil
 	}
-	return resultcode.New(resultcode.QuotaUnknown, "no node that keeps the limit of tenant %s could be asked", current.tenant.Name).After(limitRetry)
+	return resultcode.New(resultcode.QuotaUnknown, "no coordinator of the limit of tenant %s could be reached", inflight.tenant.Name).After(quotaRetryAfter)
 }
--- a/internal/forward/authenticate.go
+++ b/internal/forward/authenticate.go
@@ -5,31 +5,30 @@
 	"github.com/magpielug/magpielug/internal/routing"
 )
 
-// headerCredentials is where HTTP carries what proves the sender.
-const headerCredentials = "Authorization"
+const authorizationHeader = "Authorization"
 
-// authenticate finds the tenant that sends the call. Where there are tenants no engine
-// gets the key: it would let an engine, or whoever reads its logs, call in their name.
-func (current *course) authenticate(configuration *routing.Configuration) error {
+// authenticate determines the tenant of the call. If tenants are configured, the key is removed
+// from the headers, because engines and readers of their logs could otherwise impersonate them.
+func (inflight *inflightCall) authenticate(configuration *routing.Configuration) error {
 	if !configuration.Tenants.RequiresKey() {
 		return nil
 	}
-	current.call.Header.Del(headerCredentials)
-	current.tenant = configuration.Tenants.TenantForKey(current.call.Key)
-	if current.tenant != nil {
-		current.call.Tenant = current.tenant.Name
+	inflight.call.Header.Del(authorizationHeader)
+	inflight.tenant = configuration.Tenants.TenantForKey(inflight.call.Key)
+	if inflight.tenant != nil {
+		inflight.call.Tenant = inflight.tenant.Name
 		return nil
 	}
-	if current.route.AllowsAnonymous {
+	if inflight.route.AllowsAnonymous {
 		return nil
 	}
-	return current.denied(resultcode.BadKey, "the call carries no key that a tenant holds")
+	return inflight.denialError(resultcode.BadKey, "call has no valid tenant key")
 }
 
-// urgency is the rank of the call at engines: its tenant's, or else its route's.
-func (current *course) urgency() int {
-	if current.tenant != nil && current.tenant.Priority != nil {
-		return *current.tenant.Priority
+// priority returns the tenant's priority if it has one, otherwise the route's.
+func (inflight *inflightCall) priority() int {
+	if inflight.tenant != nil && inflight.tenant.Priority != nil {
+		return *inflight.tenant.Priority
 	}
-	return current.route.Priority
+	return inflight.route.Priority
 }
--- a/internal/forward/call.go
+++ b/internal/forward/call.go
@@ -1,6 +1,6 @@
-// Package forward takes one opaque call its way: route, reservation, engine,
-// answer. A call is relayed as bytes; what the product needs of it stands in
-// typed fields that the interface's translation fills in.
+// Package forward runs calls: it selects the route, reserves turns with the program's owner,
+// chooses an engine, sends the request and relays the response. Calls are opaque bytes; what
+// scheduling needs to know of them is in typed fields that the HTTP interface fills in.
 package forward
 
 import (
@@ -15,122 +15,120 @@
 	"github.com/magpielug/magpielug/internal/tenant"
 )
 
-// Call is a request of a caller.
+// Call is one request of a caller.
 type Call struct {
-	// ID names this attempt of the caller; each attempt has its own.
+	// ID identifies the request; a caller's retry has a new one.
 	ID     string
 	Method string
 	Host   string
-	// Target is the path with its query, as the caller sent it.
+	// Target is the path and query as the caller sent them.
 	Target string
 	Path   string
-	// Header holds what is passed on to an engine.
+	// Header holds the headers that are sent to the engine.
 	Header http.Header
 	Body   []byte
 
-	// Key proves the tenant that sends the call; empty where it carries none that can
-	// be read.
+	// Key is the credential of the tenant that sends the call, empty if there is none or it
+	// cannot be parsed.
 	Key string
-	// Tenant is the name of that tenant, once the key has been looked up; empty where
-	// there is none.
+	// Tenant is the name of that tenant, set when the key is looked up; empty if there is none.
 	Tenant string
 
 	Received time.Time
-	// Deadline is when the caller gives up; zero where it did not say.
+	// Deadline is when the caller stops waiting; zero if unknown.
 	Deadline time.Time
 
 	// Program, Session and Turn are set for calls of agent programs.
 	Program string
 	Session string
-	// SoftDeadline is when the program should be over; zero where it does not say.
+	// SoftDeadline is when the program should be complete; zero if unset.
 	SoftDeadline time.Time
-	// Turn is nil for a call that is no turn of a program.
+	// Turn is nil if the call is not a turn of a program.
 	Turn *TurnRequest
-	// Resumes is true where the caller continues a stream it has a part of.
+	// Resumes is true if the caller resumes a stream of which it has received a part.
 	Resumes bool
-	// SharedPrompt names the parts of the prompt that others share.
+	// SharedPrompt identifies the parts of the prompt that other calls share.
 	SharedPrompt string
 }
 
-// TurnRequest is what a call says as a turn of a program.
+// TurnRequest holds the parameters of a turn.
 type TurnRequest struct {
-	// Budget is what the program may spend over all turns, tokens; Unlimited
-	// where the caller names no bound.
+	// Budget is the number of tokens that the program may use over all turns; Unlimited if the
+	// caller sets no limit.
 	Budget int64
-	// MaxTokens is what the turn may emit, tokens.
+	// MaxTokens is the number of tokens that the turn may generate.
 	MaxTokens int64
-	// PromptTokens is the length of its prompt, tokens; 0 where the caller does not say.
+	// PromptTokens is the length of the prompt in tokens; 0 if unknown.
 	PromptTokens int64
-	// Previous is the turn to go on from, empty at the start.
+	// Previous is the ID of the turn that this one continues, empty for the first one.
 	Previous string
 }
 
-// Unlimited is the budget of a program that names none.
+// Unlimited is the budget of a program without a limit.
 const Unlimited = math.MaxInt64 / 4
 
-// ProgramName names the call's program with its tenant.
+// ProgramName returns the call's program qualified by its tenant.
 func (call *Call) ProgramName() tenant.Program {
 	return tenant.Program{Tenant: call.Tenant, ID: call.Program}
 }
 
-// ResponseWriter takes what the caller gets. Its methods are called from one goroutine,
-// Fail alone or Begin first.
+// ResponseWriter sends the response to the caller. Its methods are called from one goroutine:
+// either Fail alone, or Begin first.
 type ResponseWriter interface {
-	// Begin sends status and headers.
+	// Begin sends the status and headers.
 	Begin(status int, header http.Header) error
-	// Write sends bytes of the body at once.
+	// Write sends a part of the body without delay.
 	Write(data []byte) error
-	// End completes the answer.
+	// End completes the response.
 	End()
-	// Abort ends an answer that has begun so that it can't be taken for whole.
+	// Abort ends a started response so that the caller cannot mistake it for complete. It
+	// panics with http.ErrAbortHandler.
 	Abort()
-	// Fail answers with a result code in place of an engine's answer.
+	// Fail responds with a result code instead of an engine's response.
 	Fail(err error)
 }
 
-// Attempt is one sending of a call to an engine.
+// Attempt is one attempt to send a call to an engine.
 type Attempt struct {
 	Call   *Call
 	Engine backend.Instance
-	// Body is the call's body, with the chain of turns before it where the
-	// route keeps them.
+	// Body is the call's body, preceded by the chain of previous turns on routes that store them.
 	Body []byte
-	// Remaining is how long the engine may work.
+	// Remaining is the engine's time limit.
 	Remaining time.Duration
 	// Streaming is true on a streaming route.
 	Streaming bool
-	// Priority is 0 for the most urgent calls.
+	// Priority is 0 for the highest priority.
 	Priority int
-	// MaxConnections bounds this node's connections to the engine, MaxSharedConnections
-	// those of a node that sends for many; 0 is no bound.
+	// MaxConnections limits this node's connections to the engine, MaxSharedConnections those of
+	// an egress node; 0 is unlimited.
 	MaxConnections       int
 	MaxSharedConnections int
-	// Delegated is true while another node sends the request: what becomes of it at the
-	// engine is that node's to count.
+	// Delegated is true while another node sends the request. That node counts the engine's
+	// failures.
 	Delegated atomic.Bool
-	// Frozen tells whether the process was frozen since the engine was chosen; nil where that
-	// is not known. Nothing is sent then.
+	// Frozen reports whether the process was frozen since the engine was chosen. If so, the
+	// request must not be sent. It is nil if unknown.
 	Frozen func() bool
 }
 
-// EngineResponse is an engine's answer.
+// EngineResponse is an engine's response.
 type EngineResponse struct {
 	Status int
 	Header http.Header
-	// NotRun is true where the engine says that it did not run the request.
+	// NotRun is true if the engine reports that it did not run the request.
 	NotRun bool
-	// Misdirected is true where another engine has the address.
+	// Misdirected is true if the address now belongs to another engine.
 	Misdirected bool
-	// Via is the node that sent the attempt for this one, empty where none did.
+	// Via is the node to which the attempt was delegated, empty if it was not.
 	Via string
-	// Body ends with io.EOF only where the answer is whole. Closing it before
-	// that closes the connection, and the engine stops.
+	// Body returns io.EOF only if the response is complete. Closing it earlier closes the
+	// connection, and the engine stops working.
 	Body io.ReadCloser
 }
 
-// Sender sends attempts to engines. Errors are backend.ErrNotSent where the
-// engine got nothing, otherwise the request may have run. The exchange ends
-// when ctx does.
+// Sender sends attempts to engines. An error other than backend.ErrNotSent means that the engine
+// may have run the request. The exchange is canceled when ctx is done.
 type Sender interface {
 	Send(ctx context.Context, attempt *Attempt) (*EngineResponse, error)
 }
--- a/internal/forward/freeze_test.go
+++ b/internal/forward/freeze_test.go
@@ -18,7 +18,7 @@
 	"go.uber.org/zap"
 )
 
-// fakeViews are as current and as old as a test says.
+// fakeViews returns what the test sets.
 type fakeViews struct {
 	current atomic.Bool
 	age     time.Duration
@@ -27,11 +27,8 @@
 func (views *fakeViews) Current() bool                   { return views.current.Load() }
 func (views *fakeViews) ConfigurationAge() time.Duration { return views.age }
 
-// A scheduler that had just woken sent a call to an engine that had left during the freeze, by
-// what it had known before. Nodes were found to do the same by reading: a call that came at the
-// wake was routed by the old configuration and sent to an engine of the old list, what was
-// measured over the freeze counted as the engines' slowness, and timers that fired at the wake
-// counted engines as silent whose answers lay in the sockets.
+// After a freeze, a node must not route by an outdated configuration or list of engines, attribute
+// the freeze to the engines' latency, or count engines as failed whose responses wait in sockets.
 var _ = Describe("A node that was frozen", func() {
 	var (
 		service   *forward.Service
@@ -44,22 +41,22 @@
 		directory = backend.NewDirectory()
 		directory.Upsert(backend.Instance{ID: "left", Service: "s", Address: "left"}, time.Time{})
 		sender = &fakeSender{}
-		sender.replies = append(sender.replies, func() (*forward.EngineResponse, error) { return answerOf(200, strings.NewReader("out"))() })
+		sender.responses = append(sender.responses, func() (*forward.EngineResponse, error) { return respondWith(200, strings.NewReader("out"))() })
 		views = &fakeViews{}
 		routes := &routing.ActiveConfiguration{}
-		routes.Apply(oldRoutes(1, "/tool/"))
-		service = &forward.Service{Routes: routes, Engines: directory, Sender: sender, WaitQueue: backend.NewWaitQueue(), Meter: silentMeter{},
+		routes.Apply(singleRouteConfiguration(1, "/tool/"))
+		service = &forward.Service{Routes: routes, Engines: directory, Sender: sender, WaitQueue: backend.NewWaitQueue(), Meter: noopMetrics{},
 			Logger: zap.NewNop(), Nodes: func() int { return 1 }, ViewAge: func() time.Duration { return 0 }, Views: views}
 	})
 
-	serve := func(path string) *fakeAnswer {
-		answer := &fakeAnswer{}
+	serve := func(path string) *fakeResponseWriter {
+		response := &fakeResponseWriter{}
 		service.Serve(context.Background(), &forward.Call{ID: "r", Method: "POST", Host: "h", Target: path, Path: path,
-			Received: time.Now(), Deadline: time.Now().Add(2 * time.Second)}, answer)
-		return answer
+			Received: time.Now(), Deadline: time.Now().Add(2 * time.Second)}, response)
+		return response
 	}
 
-	It("sends nothing by the list of engines from before the freeze", func() {
+	It("does not send to an engine that was removed during the freeze", func() {
 		time.AfterFunc(30*time.Millisecond, func() {
 			directory.Remove("left")
 			directory.Upsert(backend.Instance{ID: "there", Service: "s", Address: "there"}, time.Now())
@@ -69,21 +66,21 @@
 		Expect(sender.sent[0].Engine.ID).To(Equal("there"))
 	})
 
-	It("denies no route by the configuration from before the freeze", func() {
+	It("does not deny a route that was added during the freeze", func() {
 		time.AfterFunc(30*time.Millisecond, func() {
-			service.Routes.Apply(oldRoutes(2, "/new/"))
+			service.Routes.Apply(singleRouteConfiguration(2, "/new/"))
 			views.current.Store(true)
 		})
 		Expect(serve("/new/x").status).To(Equal(200))
 	})
 
-	It("goes on by what it knows where nothing newer is to be had", func() {
+	It("continues with its old views if they are not refreshed", func() {
 		began := time.Now()
 		Expect(serve("/tool/x").status).To(Equal(200))
 		Expect(time.Since(began)).To(BeNumerically(">=", 300*time.Millisecond))
 	})
 
-	It("denies nothing by a configuration that was not confirmed for long, and says so", func() {
+	It("returns a retryable error instead of a denial if its configuration is outdated", func() {
 		views.current.Store(true)
 		views.age = time.Second
 		Expect(resultcode.CodeOf(serve("/new/x").failure)).To(Equal(resultcode.UnknownRoute))
@@ -94,37 +91,37 @@
 		Expect(failure.RetryAfter).To(BeNumerically(">", 0))
 	})
 
-	It("chooses an engine anew for a call that was held up before it was sent, and blames none", func() {
+	It("chooses an engine again for a call that a freeze delayed before it was sent, without blaming one", func() {
 		views.current.Store(true)
-		held := true
-		sender.replies = nil
-		sender.replies = append(sender.replies, func() (*forward.EngineResponse, error) {
-			if held {
-				held = false
+		frozen := true
+		sender.responses = nil
+		sender.responses = append(sender.responses, func() (*forward.EngineResponse, error) {
+			if frozen {
+				frozen = false
 				return nil, backend.ErrProcessFrozen
 			}
-			return answerOf(200, strings.NewReader("out"))()
+			return respondWith(200, strings.NewReader("out"))()
 		})
 		Expect(serve("/tool/x").status).To(Equal(200))
 		Expect(sender.sent).To(HaveLen(2))
 		Expect(directory.Avoided(time.Now())).To(BeEmpty())
 	})
 
-	It("tells its sender that it was frozen since the engine was chosen", func() {
+	It("reports to its sender that it was frozen since the engine was chosen", func() {
 		views.current.Store(true)
-		heldUp := []bool{}
-		for _, freezes := range []*freeze.Detector{nil, freezetest.JustWoken(0), wokenSoon(time.Minute)} {
-			service.FreezeDetector = freezes
+		frozen := []bool{}
+		for _, detector := range []*freeze.Detector{nil, freezetest.JustWoken(0), resumingAfter(time.Minute)} {
+			service.FreezeDetector = detector
 			sender.sent = nil
 			serve("/tool/x")
-			heldUp = append(heldUp, sender.sent[0].Frozen())
+			frozen = append(frozen, sender.sent[0].Frozen())
 		}
-		Expect(heldUp).To(Equal([]bool{false, false, true}))
+		Expect(frozen).To(Equal([]bool{false, false, true}))
 	})
 
-	It("learns nothing of engines from requests that were under way in the freeze", func() {
+	It("takes no measurements of engines from requests that were in flight during a freeze", func() {
 		views.current.Store(true)
-		service.FreezeDetector = wokenSoon(time.Minute)
+		service.FreezeDetector = resumingAfter(time.Minute)
 		for range 10 {
 			serve("/tool/x")
 		}
@@ -136,11 +133,11 @@
 		Expect(directory.FirstByteTimeout("s")).NotTo(BeZero())
 	})
 
-	It("counts nothing against an engine that broke off while the node could not read", func() {
+	It("does not count a response that was interrupted during a freeze against its engine", func() {
 		views.current.Store(true)
-		service.FreezeDetector = wokenSoon(time.Minute)
-		sender.replies = nil
-		sender.replies = append(sender.replies, func() (*forward.EngineResponse, error) { return nil, backend.ErrResponseLost })
+		service.FreezeDetector = resumingAfter(time.Minute)
+		sender.responses = nil
+		sender.responses = append(sender.responses, func() (*forward.EngineResponse, error) { return nil, backend.ErrResponseLost })
 		for range 4 {
 			Expect(resultcode.CodeOf(serve("/tool/x").failure)).To(Equal(resultcode.OutcomeUnknown))
 		}
@@ -148,18 +145,18 @@
 	})
 })
 
-// wokenSoon is the watch of a process whose requests all have a freeze in them: it goes on a
-// time from now.
-func wokenSoon(ahead time.Duration) *freeze.Detector {
-	begun := time.Now()
-	clock := begun
-	watch := freeze.NewDetectorWithClock(func() time.Time { return clock })
-	clock = begun.Add(ahead)
-	return watch
+// resumingAfter returns the detector of a process that resumes from a freeze at a time in the
+// future, so that every request spans the freeze.
+func resumingAfter(delay time.Duration) *freeze.Detector {
+	start := time.Now()
+	clock := start
+	detector := freeze.NewDetectorWithClock(func() time.Time { return clock })
+	clock = start.Add(delay)
+	return detector
 }
 
-// oldRoutes is a version of the configuration with one route.
-func oldRoutes(version int64, prefix string) *routing.Configuration {
+// singleRouteConfiguration returns a configuration with one route.
+func singleRouteConfiguration(version int64, prefix string) *routing.Configuration {
 	return routing.New(version, []*routing.Route{
 		{Name: "tool", Host: "h", Prefix: prefix, Shares: []routing.Share{{Service: "s", Weight: 1}}, Objective: 50 * time.Millisecond},
 	}, []routing.Service{{Name: "s"}}, routing.Limits{})
--- /dev/null
+++ b/internal/forward/log_wait.go
@@ -0,0 +1,59 @@
+package forward
+
+import (
+	"context"
+	"time"
+
+	"github.com/magpielug/magpielug/internal/resultcode"
+	"github.com/magpielug/magpielug/internal/wait"
+	"go.uber.org/zap"
+)
+
+const (
+	// logWaitFraction of its time is how long a turn that must be recorded waits for the log to
+	// become available. It leaves the caller time for a retry, and stays below the two seconds
+	// that callers wait for the first event of a stream.
+	logWaitFraction = 0.4
+	// logRetryFraction of the time that is then left is the retry delay: callers do not retry
+	// after more than a third of it.
+	logRetryFraction = 0.3
+	// IsolatedRetryAfter is the retry delay in an isolated zone. The load balancer in front of the
+	// nodes needs two health checks, a second apart, to send callers to other zones.
+	IsolatedRetryAfter = time.Second
+	logPollInterval    = 25 * time.Millisecond
+)
+
+// waitForLog makes a turn that must be recorded wait while the log is unavailable. Its response
+// could not be completed without the log, and the engine's work would be wasted if the caller gives
+// up meanwhile.
+func (inflight *inflightCall) waitForLog(ctx context.Context) error {
+	if !inflight.mustRecord() || !inflight.service.logUnavailable() {
+		return nil
+	}
+	if inflight.service.ZoneIsolated != nil && inflight.service.ZoneIsolated() {
+		return resultcode.New(resultcode.LogAway, "zone is isolated from the other zones and the log").After(inflight.clampRetryAfter(IsolatedRetryAfter))
+	}
+	began := time.Now()
+	waitUntil := began.Add(time.Duration(logWaitFraction * float64(inflight.deadline.Sub(began))))
+	for inflight.service.logUnavailable() {
+		if ctx.Err() != nil {
+			return inflight.timeoutError(ctx)
+		}
+		if time.Now().After(waitUntil) {
+			retryAfter := time.Duration(logRetryFraction * float64(time.Until(inflight.deadline)))
+			return resultcode.New(resultcode.LogAway, "log unavailable for too long to record the turn").After(retryAfter)
+		}
+		wait.Sleep(ctx, logPollInterval)
+	}
+	inflight.service.Logger.Info("log available again", zap.String("request", inflight.call.ID), zap.Duration("waited", time.Since(began)))
+	return nil
+}
+
+// mustRecord reports whether the call is a turn that must be recorded before its response ends.
+func (inflight *inflightCall) mustRecord() bool {
+	return inflight.route.StoresTurns && inflight.call.Turn != nil
+}
+
+func (service *Service) logUnavailable() bool {
+	return service.LogUnavailable != nil && service.LogUnavailable()
+}
--- a/internal/forward/outcome.go
+++ b/internal/forward/outcome.go
@@ -12,79 +12,79 @@
 	"go.uber.org/zap"
 )
 
-// finish answers a failure and writes the call's line.
-func (current *course) finish(ctx context.Context, failure error) {
-	took := time.Since(current.call.Received)
+// finish records the call's result, and sends the failure if there is one.
+func (inflight *inflightCall) finish(ctx context.Context, failure error) {
+	took := time.Since(inflight.call.Received)
 	code := resultcode.OK
 	if failure != nil {
 		code = resultcode.CodeOf(failure)
-		if errors.Is(failure, errCallerGone) || ctx.Err() != nil {
+		if errors.Is(failure, errCallerCanceled) || ctx.Err() != nil {
 			code = resultcode.CallStopped
 		}
 	}
 	kind := routing.Unsafe
 	routeName := ""
-	if current.route != nil {
-		kind = current.route.Kind
-		routeName = current.route.Name
+	if inflight.route != nil {
+		kind = inflight.route.Kind
+		routeName = inflight.route.Name
 	}
-	current.service.Meter.Finished(kind, code, took)
-	current.logEnd(routeName, code, took, failure)
+	inflight.service.Meter.Finished(kind, code, took)
+	inflight.logResult(routeName, code, took, failure)
 	switch {
 	case failure == nil:
-	case current.begun:
-		// Abort leaves by a panic, so it comes last.
-		current.answer.Abort()
+	case inflight.responseStarted:
+		// Abort panics, so it must come last.
+		inflight.writer.Abort()
 	default:
-		current.answer.Fail(failure)
+		inflight.writer.Fail(failure)
 	}
 }
 
-// logEnd writes the one line that says how the call ended and on what.
-func (current *course) logEnd(routeName string, code resultcode.Code, took time.Duration, failure error) {
+// logResult writes the single log line that describes the call's result.
+func (inflight *inflightCall) logResult(routeName string, code resultcode.Code, took time.Duration, failure error) {
 	event := "call answered"
 	if failure != nil {
 		event = "call failed"
 	}
-	entry := current.service.Logger.Check(zap.InfoLevel, event)
+	entry := inflight.service.Logger.Check(zap.InfoLevel, event)
 	if entry == nil {
 		return
 	}
-	fields := []zap.Field{zap.String("request", current.call.ID), zap.String("route", routeName),
-		zap.Int64("configuration", current.version), zap.Uint32("code", uint32(code)), zap.Stringer("result", code),
+	fields := []zap.Field{zap.String("request", inflight.call.ID), zap.String("route", routeName),
+		zap.Int64("configuration", inflight.configurationVersion), zap.Uint32("code", uint32(code)), zap.Stringer("result", code),
 		zap.Duration("took", took)}
-	if current.call.Program != "" {
-		fields = append(fields, zap.String("program", current.call.Program))
+	if inflight.call.Program != "" {
+		fields = append(fields, zap.String("program", inflight.call.Program))
 	}
-	if current.call.Tenant != "" {
-		fields = append(fields, zap.String("tenant", current.call.Tenant))
+	if inflight.call.Tenant != "" {
+		fields = append(fields, zap.String("tenant", inflight.call.Tenant))
 	}
-	if code == resultcode.BadKey && current.call.Key != "" {
-		fields = append(fields, zap.String("key_digest", tenant.KeyFingerprint(current.call.Key)))
+	if code == resultcode.BadKey && inflight.call.Key != "" {
+		fields = append(fields, zap.String("key_digest", tenant.KeyFingerprint(inflight.call.Key)))
 	}
-	if current.reservation.Verdict != 0 {
-		fields = append(fields, zap.Stringer("verdict", current.reservation.Verdict), zap.String("owner", current.reservation.Grant.Owner),
-			zap.Int64("epoch", current.reservation.Grant.Epoch), zap.Duration("reserve_took", current.reserveTook))
+	if inflight.reservation.Verdict != 0 {
+		fields = append(fields, zap.Stringer("verdict", inflight.reservation.Verdict), zap.String("owner", inflight.reservation.Grant.Owner),
+			zap.Int64("epoch", inflight.reservation.Grant.Epoch), zap.Duration("reserve_took", inflight.reserveDuration))
 	}
-	if current.admitTook > 0 {
-		fields = append(fields, zap.Duration("admit_took", current.admitTook))
+	if inflight.admitDuration > 0 {
+		fields = append(fields, zap.Duration("admit_took", inflight.admitDuration))
 	}
-	if len(current.tried) > 0 || current.usable > 0 {
-		fields = append(fields, zap.String("engine", current.lastEngine), zap.Int("engines", current.usable),
-			zap.Duration("engines_age", current.viewAge), zap.Int("runs", current.runs), zap.Int("refusals", current.asking.Refusals))
+	if len(inflight.triedEngines) > 0 || inflight.eligibleEngines > 0 {
+		fields = append(fields, zap.String("engine", inflight.lastEngine), zap.Int("engines", inflight.eligibleEngines),
+			zap.Duration("engines_age", inflight.engineViewAge), zap.Int("runs", inflight.executions), zap.Int("refusals", inflight.refusalState.Refusals))
 	}
-	if current.waited || current.forecast.Wait > 0 {
-		fields = append(fields, zap.Bool("waited", current.waited), zap.Int("ahead", current.forecast.Ahead),
-			zap.Duration("predicted_wait", current.forecast.Wait))
+	if inflight.hasWaited || inflight.initialForecast.Wait > 0 {
+		fields = append(fields, zap.Bool("waited", inflight.hasWaited), zap.Int("ahead", inflight.initialForecast.Ahead),
+			zap.Duration("predicted_wait", inflight.initialForecast.Wait))
 	}
-	if current.failedEngine != "" && current.status >= http.StatusInternalServerError {
-		fields = append(fields, zap.Int("status", current.status))
+	if inflight.failedEngine != "" && inflight.lastStatus >= http.StatusInternalServerError {
+		fields = append(fields, zap.Int("status", inflight.lastStatus))
 	}
-	if current.via != "" {
-		fields = append(fields, zap.String("via", current.via))
+	if inflight.via != "" {
+		fields = append(fields, zap.String("via", inflight.via))
 	}
-	if current.route != nil && current.route.Kind == routing.Streaming {
-		fields = append(fields, zap.Int64("events", current.events), zap.Duration("record_took", current.recordTook))
+	if inflight.route != nil && inflight.route.Kind == routing.Streaming {
+		fields = append(fields, zap.Int64("events", inflight.eventCount), zap.Duration("record_took", inflight.recordDuration))
 	}
 	if failure != nil {
 		fields = append(fields, zap.String("failure", failure.Error()))
--- a/internal/forward/region_test.go
+++ b/internal/forward/region_test.go
@@ -18,17 +18,16 @@
 	"go.uber.org/zap"
 )
 
-// engineNoted answers each attempt and notes its engine.
-type engineNoted struct{ engines []string }
+// engineRecorder responds to each attempt and records its engine.
+type engineRecorder struct{ engines []string }
 
-func (sender *engineNoted) Send(_ context.Context, attempt *forward.Attempt) (*forward.EngineResponse, error) {
+func (sender *engineRecorder) Send(_ context.Context, attempt *forward.Attempt) (*forward.EngineResponse, error) {
 	sender.engines = append(sender.engines, attempt.Engine.ID)
-	return answerOf(http.StatusOK, strings.NewReader("ok"))()
+	return respondWith(http.StatusOK, strings.NewReader("ok"))()
 }
 
-// TestCallsStayInTheRegionsOfTheirRouteAndTenant has two regions, a route bound to one and a
-// tenant bound to the other.
-func TestCallsStayInTheRegionsOfTheirRouteAndTenant(t *testing.T) {
+// A call may only run in regions that both its route and its tenant allow.
+func TestCallsStayInRegionsAllowedByRouteAndTenant(t *testing.T) {
 	expect := NewWithT(t)
 	directory := backend.NewDirectory()
 	directory.Upsert(backend.Instance{ID: "north", Service: "s", Address: "n", Zone: "a", Slots: 4}, time.Time{})
@@ -44,17 +43,17 @@
 	})
 	routes := &routing.ActiveConfiguration{}
 	routes.Apply(configuration)
-	sender := &engineNoted{}
-	waiting := backend.NewWaitQueue()
-	waiting.SetCapacitySource(directory)
-	service := &forward.Service{Routes: routes, Engines: directory, WaitQueue: waiting, Meter: &fakeMeter{}, Logger: zap.NewNop(),
+	sender := &engineRecorder{}
+	waitQueue := backend.NewWaitQueue()
+	waitQueue.SetCapacitySource(directory)
+	service := &forward.Service{Routes: routes, Engines: directory, WaitQueue: waitQueue, Meter: &fakeMetrics{}, Logger: zap.NewNop(),
 		Programs: &fakePrograms{}, Sender: sender, Zone: "b", Regions: region.Map{"a": "north", "b": "south"},
 		Nodes: func() int { return 1 }, ViewAge: func() time.Duration { return 0 }}
-	serve := func(path, key string) *fakeAnswer {
-		answer := &fakeAnswer{}
+	serve := func(path, key string) *fakeResponseWriter {
+		response := &fakeResponseWriter{}
 		service.Serve(context.Background(), &forward.Call{ID: "r", Method: "POST", Host: "h", Target: path, Path: path, Header: http.Header{},
-			Key: key, Received: time.Now(), Deadline: time.Now().Add(2 * time.Second)}, answer)
-		return answer
+			Key: key, Received: time.Now(), Deadline: time.Now().Add(2 * time.Second)}, response)
+		return response
 	}
 	for range 4 {
 		serve("/bound/x", "k-free")
@@ -67,10 +66,10 @@
 	expect.Expect(sender.engines).To(HaveEach("south"))
 
 	sender.engines = nil
-	answer := serve("/bound/x", "k-bound")
+	response := serve("/bound/x", "k-bound")
 	var failure *resultcode.Error
-	expect.Expect(errors.As(answer.failure, &failure)).To(BeTrue())
+	expect.Expect(errors.As(response.failure, &failure)).To(BeTrue())
 	expect.Expect(failure.Code).To(Equal(resultcode.NoBackEnd))
 	expect.Expect(failure.RetryAfter).To(BeNumerically(">", 0))
-	expect.Expect(sender.engines).To(BeEmpty(), "no region is allowed by both")
+	expect.Expect(sender.engines).To(BeEmpty(), "no region is allowed by both the route and the tenant")
 }
--- a/internal/forward/send.go
+++ b/internal/forward/send.go
@@ -14,178 +14,176 @@
 	"go.uber.org/zap"
 )
 
-// sendUntilAnswered tries engines until one answers, or nothing may be tried any
-// more. It returns nil once the caller has its answer.
-func (current *course) sendUntilAnswered(ctx context.Context) error {
-	current.searching = time.Now()
+// sendWithRetries tries engines until the caller has a response, or no further attempt is
+// allowed. It returns nil if the response is complete.
+func (inflight *inflightCall) sendWithRetries(ctx context.Context) error {
+	inflight.searchStarted = time.Now()
 	for {
-		current.awaitViews(ctx)
-		remaining := time.Until(current.end)
-		if remaining < minimumWork || ctx.Err() != nil {
-			return current.timedOut(ctx)
+		inflight.awaitFreshViews(ctx)
+		remaining := time.Until(inflight.deadline)
+		if remaining < minRemaining || ctx.Err() != nil {
+			return inflight.timeoutError(ctx)
 		}
-		engine := current.pick()
+		engine := inflight.pickEngine()
 		if engine == nil {
-			failure := current.awaitEngine(ctx)
+			failure := inflight.waitForEngine(ctx)
 			if failure != nil {
 				return failure
 			}
 			continue
 		}
-		done, failure := current.attempt(ctx, engine, remaining)
+		done, failure := inflight.tryEngine(ctx, engine, remaining)
 		if done {
 			return failure
 		}
 	}
 }
 
-// pick chooses an engine, nil where none has room, others wait for one, or the call may
-// not ask again.
-func (current *course) pick() *backend.Engine {
-	if !current.waited && current.service.WaitQueue.HasWaiters(current.serviceName) {
+// pickEngine chooses an engine and takes an attempt from the retry budget. It returns nil if no
+// engine has capacity, other calls are queued, or the call may not attempt again now.
+func (inflight *inflightCall) pickEngine() *backend.Engine {
+	if !inflight.hasWaited && inflight.service.WaitQueue.HasWaiters(inflight.serviceName) {
 		return nil
 	}
-	if !current.asking.AcquireAttempt(&current.service.RetryBudget, time.Now()) {
+	if !inflight.refusalState.AcquireAttempt(&inflight.service.RetryBudget, time.Now()) {
 		return nil
 	}
-	engine := current.pickAmong()
+	engine := inflight.selectEngine()
 	if engine == nil {
-		current.asking.ReleaseAttempt(&current.service.RetryBudget)
+		inflight.refusalState.ReleaseAttempt(&inflight.service.RetryBudget)
 	}
 	return engine
 }
 
-// pickAmong chooses among the engines that may get the call.
-func (current *course) pickAmong() *backend.Engine {
-	request := &backend.Request{Service: current.serviceName, Zone: current.service.Zone, Zones: current.zones, Tried: current.tried,
-		Repeatable: current.route.Kind == routing.Safe}
-	if current.route.Kind == routing.Streaming {
-		request.Program = current.call.Program
-		request.Session = current.call.Session
-		request.Assigned = current.reservation.Engine
-		request.Prompt = current.call.SharedPrompt
+// selectEngine chooses one of the engines that are eligible for the call.
+func (inflight *inflightCall) selectEngine() *backend.Engine {
+	request := &backend.Request{Service: inflight.serviceName, Zone: inflight.service.Zone, Zones: inflight.zones, Tried: inflight.triedEngines,
+		Repeatable: inflight.route.Kind == routing.Safe}
+	if inflight.route.Kind == routing.Streaming {
+		request.Program = inflight.call.Program
+		request.Session = inflight.call.Session
+		request.Assigned = inflight.reservation.Engine
+		request.Prompt = inflight.call.SharedPrompt
 	}
-	current.viewAge = current.service.ViewAge()
-	current.usable = current.service.Engines.EligibleCount(current.serviceName)
-	return current.service.Engines.Pick(request, time.Now())
+	inflight.engineViewAge = inflight.service.ViewAge()
+	inflight.eligibleEngines = inflight.service.Engines.EligibleCount(inflight.serviceName)
+	return inflight.service.Engines.Pick(request, time.Now())
 }
 
-// attempt sends the call to one engine. It returns true once the call is over.
-func (current *course) attempt(ctx context.Context, engine *backend.Engine, remaining time.Duration) (bool, error) {
-	current.tried = append(current.tried, engine.ID)
-	current.lastEngine = engine.ID
-	sending, cancel := context.WithCancel(ctx)
+// tryEngine sends the call to one engine. It returns true when the call is finished.
+func (inflight *inflightCall) tryEngine(ctx context.Context, engine *backend.Engine, remaining time.Duration) (bool, error) {
+	inflight.triedEngines = append(inflight.triedEngines, engine.ID)
+	inflight.lastEngine = engine.ID
+	sendCtx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	outcome := backend.Abandoned
 	began := time.Now()
-	current.release = current.releaseOnce(engine, began)
-	attempt := current.newAttempt(engine, remaining)
-	stopWatch := current.watch(engine, attempt)
+	inflight.releaseEngine = inflight.newEngineRelease(engine, began)
+	attempt := inflight.newAttempt(engine, remaining)
+	stopFirstByteWatch := inflight.watchFirstByte(engine, attempt)
 	defer func() {
-		outcome = stopWatch(outcome)
-		if outcome == backend.Failed && current.service.FreezeDetector.FrozenSince(began) {
-			// The engine gave a node up that read nothing for long.
+		outcome = stopFirstByteWatch(outcome)
+		if outcome == backend.Failed && inflight.service.FreezeDetector.FrozenSince(began) {
+			// The engine may have closed the connection because the frozen node did not read.
 			outcome = backend.Abandoned
 		}
-		current.release(outcome)
-		current.noteFailure(engine, outcome)
+		inflight.releaseEngine(outcome)
+		inflight.recordFailedEngine(engine, outcome)
 	}()
-	stopRepeat := current.repeatWhereSilent(engine, cancel)
-	defer stopRepeat()
-	reply, err := current.service.Sender.Send(sending, attempt)
+	stopRetryTimer := inflight.startRetryTimer(engine, cancel)
+	defer stopRetryTimer()
+	response, err := inflight.service.Sender.Send(sendCtx, attempt)
 	if err != nil {
-		outcome = outcomeOfSending(ctx, err)
+		outcome = sendOutcome(ctx, err)
 		if errors.Is(err, backend.ErrProcessFrozen) {
-			current.tried = current.tried[:len(current.tried)-1]
+			inflight.triedEngines = inflight.triedEngines[:len(inflight.triedEngines)-1]
 		}
-		return current.afterSendFailure(ctx, err)
+		return inflight.handleSendFailure(ctx, err)
 	}
-	stopRepeat()
-	current.via = reply.Via
-	current.status = reply.Status
-	defer func() { _ = reply.Body.Close() }()
-	if reply.NotRun || reply.Misdirected {
-		outcome = current.refusedBy(engine, reply, cancel)
+	stopRetryTimer()
+	inflight.via = response.Via
+	inflight.lastStatus = response.Status
+	defer func() { _ = response.Body.Close() }()
+	if response.NotRun || response.Misdirected {
+		outcome = inflight.handleRefusal(engine, response, cancel)
 		return false, nil
 	}
-	current.runs++
-	if current.route.Kind == routing.Streaming && isSuccess(reply.Status) {
-		outcome, err = current.relayStream(ctx, reply)
+	inflight.executions++
+	if inflight.route.Kind == routing.Streaming && isSuccess(response.Status) {
+		outcome, err = inflight.relayStream(ctx, response)
 		return true, err
 	}
-	outcome, err = current.relayWhole(ctx, reply)
-	outcome = outcomeOfStatus(outcome, reply.Status)
-	if errors.Is(err, errBrokenOff) {
-		return current.afterSendFailure(ctx, err)
+	outcome, err = inflight.relayBuffered(ctx, response)
+	outcome = statusOutcome(outcome, response.Status)
+	if errors.Is(err, errResponseInterrupted) {
+		return inflight.handleSendFailure(ctx, err)
 	}
 	return true, err
 }
 
-// refusedBy reads an engine's refusal to its end, and returns what it says of the engine.
-func (current *course) refusedBy(engine *backend.Engine, reply *EngineResponse, giveUp context.CancelFunc) backend.Outcome {
+// handleRefusal reads an engine's refusal and returns the outcome of the attempt.
+func (inflight *inflightCall) handleRefusal(engine *backend.Engine, response *EngineResponse, cancel context.CancelFunc) backend.Outcome {
 	outcome := backend.Misdirected
-	if !reply.Misdirected {
+	if !response.Misdirected {
 		outcome = backend.Full
-		current.asking.RecordRefusal()
+		inflight.refusalState.RecordRefusal()
 	}
-	drain(reply, giveUp)
-	current.service.Logger.Info("engine refused", zap.String("request", current.call.ID),
-		zap.String("engine", engine.ID), zap.Int("status", reply.Status))
+	drainRefusal(response, cancel)
+	inflight.service.Logger.Info("engine refused", zap.String("request", inflight.call.ID),
+		zap.String("engine", engine.ID), zap.Int("status", response.Status))
 	return outcome
 }
 
-// releaseOnce returns what ends the attempt at its engine, once: the engine has a place free
-// from then on, also where the call's answer still waits for its record.
-func (current *course) releaseOnce(engine *backend.Engine, began time.Time) func(backend.Outcome) {
+// newEngineRelease returns a function that ends the attempt at its engine; only the first call has
+// an effect. The engine's slot is free from then on, even if the turn has yet to be recorded.
+func (inflight *inflightCall) newEngineRelease(engine *backend.Engine, began time.Time) func(backend.Outcome) {
 	released := false
 	return func(outcome backend.Outcome) {
 		if released {
 			return
 		}
 		released = true
-		current.endSilence()
-		current.service.Engines.Finish(engine, outcome, time.Now())
+		inflight.endFirstByteWait()
+		inflight.service.Engines.Finish(engine, outcome, time.Now())
 		if outcome == backend.Succeeded {
-			if !current.service.FreezeDetector.FrozenSince(began) {
-				current.service.Engines.RecordDuration(current.serviceName, time.Since(began))
+			if !inflight.service.FreezeDetector.FrozenSince(began) {
+				inflight.service.Engines.RecordDuration(inflight.serviceName, time.Since(began))
 			}
-			current.service.RetryBudget.RecordSuccess()
+			inflight.service.RetryBudget.RecordSuccess()
 		}
 		if outcome != backend.Full && outcome != backend.NoConnection {
-			// After a refusal the next one waits for the queue's own pace.
-			current.service.WaitQueue.WakeNext(current.serviceName)
+			// After a refusal the queue wakes the next waiter at its own interval.
+			inflight.service.WaitQueue.WakeNext(inflight.serviceName)
 		}
 	}
 }
 
-// drain reads a refusal to its end, so that its connection can be kept: a new one for each
-// ask after a refusal costs a full engine more than the ask.
-func drain(reply *EngineResponse, giveUp context.CancelFunc) {
-	timer := time.AfterFunc(refusalDrain, giveUp)
+// drainRefusal reads the body of a refusal so that the connection can be reused: opening a new one
+// for each attempt costs a full engine more than the attempt itself. If the body cannot be read in
+// time, closing it closes the connection.
+func drainRefusal(response *EngineResponse, cancel context.CancelFunc) {
+	timer := time.AfterFunc(refusalDrainTimeout, cancel)
 	defer timer.Stop()
-	// Where it can't be read the connection is closed with the body.
-	_, _ = io.Copy(io.Discard, io.LimitReader(reply.Body, refusalBytes))
+	_, _ = io.Copy(io.Discard, io.LimitReader(response.Body, maxRefusalBytes))
 }
 
-// newAttempt makes an attempt of the call at an engine.
-func (current *course) newAttempt(engine *backend.Engine, remaining time.Duration) *Attempt {
+func (inflight *inflightCall) newAttempt(engine *backend.Engine, remaining time.Duration) *Attempt {
 	chosen := time.Now()
 	return &Attempt{
-		Frozen:         func() bool { return current.service.FreezeDetector.FrozenSince(chosen) },
-		Call:           current.call,
-		Engine:         engine.Instance,
-		Body:           current.body,
-		Remaining:      max(remaining-answerMargin, time.Millisecond),
-		Streaming:      current.route.Kind == routing.Streaming,
-		Priority:       current.urgency(),
-		MaxConnections: current.maxConnections(),
-		// A quarter for each: few nodes send to an engine for all others.
-		MaxSharedConnections: current.definition.MaxConnections / sharedConnections,
+		Frozen:               func() bool { return inflight.service.FreezeDetector.FrozenSince(chosen) },
+		Call:                 inflight.call,
+		Engine:               engine.Instance,
+		Body:                 inflight.body,
+		Remaining:            max(remaining-responseMargin, time.Millisecond),
+		Streaming:            inflight.route.Kind == routing.Streaming,
+		Priority:             inflight.priority(),
+		MaxConnections:       inflight.maxConnections(),
+		MaxSharedConnections: inflight.serviceConfig.MaxConnections / egressNodesPerEngine,
 	}
 }
 
-// outcomeOfSending tells what a failed sending says of the engine.
-func outcomeOfSending(ctx context.Context, err error) backend.Outcome {
+// sendOutcome returns the outcome at the engine of a failed Send.
+func sendOutcome(ctx context.Context, err error) backend.Outcome {
 	switch {
 	case ctx.Err() != nil:
 		return backend.Abandoned
@@ -201,126 +199,126 @@
 	return backend.Failed
 }
 
-// outcomeOfStatus tells an engine's own failure from an answer.
-func outcomeOfStatus(outcome backend.Outcome, status int) backend.Outcome {
+// statusOutcome counts a complete response with a server error status as a failure of the engine.
+func statusOutcome(outcome backend.Outcome, status int) backend.Outcome {
 	if outcome == backend.Succeeded && status >= http.StatusInternalServerError {
 		return backend.EngineError
 	}
 	return outcome
 }
 
-// noteFailure keeps the engine that ran a call and failed it, for the owner of its program.
-func (current *course) noteFailure(engine *backend.Engine, outcome backend.Outcome) {
+// recordFailedEngine records the engine that ran and failed the call, for the program's owner.
+func (inflight *inflightCall) recordFailedEngine(engine *backend.Engine, outcome backend.Outcome) {
 	switch outcome {
 	case backend.EngineError, backend.Failed, backend.FailedRemotely, backend.NoResponse:
-		current.failedEngine = engine.ID
+		inflight.failedEngine = engine.ID
 	}
 }
 
 func isSuccess(status int) bool { return status >= 200 && status < 300 }
 
-// sharedConnections is how many nodes may share what an engine takes of connections
-// where they send for all others: more than do at a time, so that a change of them and
-// the nodes that send themselves find room.
-const sharedConnections = 4
+// egressNodesPerEngine is the number of egress nodes among which an engine's connections are
+// divided. It is higher than the usual number, which leaves connections for changes of the egress
+// nodes and for nodes that send directly.
+const egressNodesPerEngine = 4
 
-// maxConnections is this node's share of what an engine takes.
-func (current *course) maxConnections() int {
-	if current.definition.MaxConnections == 0 {
+// maxConnections returns this node's share of the engine's connections, 0 for unlimited.
+func (inflight *inflightCall) maxConnections() int {
+	if inflight.serviceConfig.MaxConnections == 0 {
 		return 0
 	}
-	const least = 4
-	return max(current.definition.MaxConnections/max(current.service.Nodes(), 1), least)
+	const minConnections = 4
+	return max(inflight.serviceConfig.MaxConnections/max(inflight.service.Nodes(), 1), minConnections)
 }
 
-// afterSendFailure tells whether another engine may be tried.
-func (current *course) afterSendFailure(ctx context.Context, err error) (bool, error) {
-	current.service.Logger.Info("send failed", zap.String("request", current.call.ID),
-		zap.String("engine", current.lastEngine), zap.Duration("after", time.Since(current.call.Received)), logging.Cause(err))
+// handleSendFailure returns true and the call's error unless another engine may be tried.
+func (inflight *inflightCall) handleSendFailure(ctx context.Context, err error) (bool, error) {
+	inflight.service.Logger.Info("send failed", zap.String("request", inflight.call.ID),
+		zap.String("engine", inflight.lastEngine), zap.Duration("after", time.Since(inflight.call.Received)), logging.Cause(err))
 	if errors.Is(err, backend.ErrNotSent) {
 		return false, nil
 	}
-	if !errors.Is(err, errBrokenOff) {
-		current.runs++
+	if !errors.Is(err, errResponseInterrupted) {
+		inflight.executions++
 	}
 	if ctx.Err() != nil {
-		return true, current.timedOut(ctx)
+		return true, inflight.timeoutError(ctx)
 	}
-	if current.route.Kind == routing.Safe && current.runs < max(current.route.MaxAttempts, 1) {
+	if inflight.route.Kind == routing.Safe && inflight.executions < max(inflight.route.MaxAttempts, 1) {
 		return false, nil
 	}
-	return true, current.outcomeUnknown()
+	return true, inflight.outcomeUnknownError()
 }
 
-func (current *course) outcomeUnknown() error {
-	return resultcode.New(resultcode.OutcomeUnknown, "engine %s got the request and gave no whole answer", current.lastEngine)
+func (inflight *inflightCall) outcomeUnknownError() error {
+	return resultcode.New(resultcode.OutcomeUnknown, "engine %s received the request but returned no complete response", inflight.lastEngine)
 }
 
-// timedOut is the answer once the call's time is over.
-func (current *course) timedOut(ctx context.Context) error {
+// timeoutError returns errCallerCanceled if the caller canceled, otherwise the error of a call that
+// missed its deadline.
+func (inflight *inflightCall) timeoutError(ctx context.Context) error {
 	if errors.Is(ctx.Err(), context.Canceled) {
-		return errCallerGone
+		return errCallerCanceled
 	}
-	if current.runs > 0 || current.begun {
-		return resultcode.New(resultcode.ToolTimeout, "no answer in the time allowed")
+	if inflight.executions > 0 || inflight.responseStarted {
+		return resultcode.New(resultcode.ToolTimeout, "no response before the deadline")
 	}
-	return resultcode.New(resultcode.NoBackEnd, "no engine took the request in the time allowed").After(fullRetry)
+	return resultcode.New(resultcode.NoBackEnd, "no engine accepted the request before the deadline").After(defaultCapacityRetryAfter)
 }
 
 var (
-	errCallerGone = errors.New("the caller is gone")
-	errBrokenOff  = errors.New("the engine broke its answer off")
+	errCallerCanceled      = errors.New("caller canceled the request")
+	errResponseInterrupted = errors.New("engine broke off its response")
 )
 
-// relayWhole holds an answer until it is whole, so that a broken one can be
-// told as such or tried elsewhere. Of one over heldBytes the beginning is passed
-// on before its end has come.
-func (current *course) relayWhole(ctx context.Context, reply *EngineResponse) (backend.Outcome, error) {
-	content, whole, err := current.hold(reply.Body)
-	defer current.service.HeldResponses.Release(int64(cap(content)))
-	current.heard()
+// relayBuffered buffers a response until it is complete, so that an interrupted one can be retried
+// or reported as an error. A response that does not fit into the buffer is streamed.
+func (inflight *inflightCall) relayBuffered(ctx context.Context, response *EngineResponse) (backend.Outcome, error) {
+	content, complete, err := inflight.bufferResponse(response.Body)
+	defer inflight.service.HeldResponses.Release(int64(cap(content)))
+	inflight.firstByteReceived()
 	if err != nil {
-		return current.brokenAnswer(ctx, errBrokenOff)
+		return inflight.interruptedResponse(ctx, errResponseInterrupted)
 	}
-	current.begun = true
-	err = current.answer.Begin(reply.Status, reply.Header)
+	inflight.responseStarted = true
+	err = inflight.writer.Begin(response.Status, response.Header)
 	if err == nil && len(content) > 0 {
-		err = current.answer.Write(content)
+		err = inflight.writer.Write(content)
 	}
 	if err != nil {
-		return backend.Succeeded, errCallerGone
+		return backend.Succeeded, errCallerCanceled
 	}
-	if !whole {
-		outcome, failure := current.relayRest(ctx, reply)
+	if !complete {
+		outcome, failure := inflight.relayRemainder(ctx, response)
 		if failure != nil {
 			return outcome, failure
 		}
 	}
-	current.answer.End()
+	inflight.writer.End()
 	return backend.Succeeded, nil
 }
 
-// relayRest passes on what follows the held beginning of a long answer.
-func (current *course) relayRest(ctx context.Context, reply *EngineResponse) (backend.Outcome, error) {
-	buffer := make([]byte, restBytes)
+// relayRemainder streams the part of a response that follows the buffered one.
+func (inflight *inflightCall) relayRemainder(ctx context.Context, response *EngineResponse) (backend.Outcome, error) {
+	buffer := make([]byte, relayBufferBytes)
 	for {
-		count, err := reply.Body.Read(buffer)
-		if count > 0 && current.answer.Write(buffer[:count]) != nil {
-			return backend.Abandoned, errCallerGone
+		count, err := response.Body.Read(buffer)
+		if count > 0 && inflight.writer.Write(buffer[:count]) != nil {
+			return backend.Abandoned, errCallerCanceled
 		}
 		if errors.Is(err, io.EOF) {
 			return backend.Succeeded, nil
 		}
 		if err != nil {
-			return current.brokenAnswer(ctx, current.outcomeUnknown())
+			return inflight.interruptedResponse(ctx, inflight.outcomeUnknownError())
 		}
 	}
 }
 
-// brokenAnswer tells an engine's failure from the end of the call's time.
-func (current *course) brokenAnswer(ctx context.Context, failure error) (backend.Outcome, error) {
+// interruptedResponse distinguishes an engine's failure from the end of the call.
+func (inflight *inflightCall) interruptedResponse(ctx context.Context, failure error) (backend.Outcome, error) {
 	if ctx.Err() != nil {
-		return backend.Abandoned, current.timedOut(ctx)
+		return backend.Abandoned, inflight.timeoutError(ctx)
 	}
 	return backend.Failed, failure
 }
--- a/internal/forward/service.go
+++ b/internal/forward/service.go
@@ -17,372 +17,377 @@
 	"go.uber.org/zap"
 )
 
-// ReservationRequest is a turn that asks its program's owner.
+// ReservationRequest asks the owner of a turn's program for a reservation.
 type ReservationRequest struct {
 	Call *Call
 	// Service runs the turn.
 	Service string
-	// Route takes it, and Rank is how urgent it is: 0 is the most urgent.
+	// Route is the name of the turn's route, Priority that of the turn; 0 is the highest.
 	Route    string
 	Priority int
-	// Zones are those in which the turn may be served and kept.
+	// Zones are the zones in which the turn may be served and stored.
 	Zones region.ZoneSet
 }
 
-// Reservation is the owner's answer to a turn.
+// Reservation is the owner's response to a ReservationRequest.
 type Reservation struct {
 	Verdict nodev1.Verdict
 	Chain   []*history.Turn
 	Reason  string
 	Grant   Grant
-	// Engine keeps the line of turns, empty where the owner names none.
+	// Engine is the engine assigned to the turn's session, empty if there is none.
 	Engine string
-	// TryOtherNode is true where the owner could not be asked from this node, and may
-	// be from another one.
+	// TryOtherNode is true if this node could not reach the owner but another node may.
 	TryOtherNode bool
-	// RetryAfter is when there will be room for a program that may not begin now.
+	// RetryAfter is when the call may be retried, 0 if unknown.
 	RetryAfter time.Duration
 }
 
-// Grant names a reservation to the owner that made it.
+// Grant identifies a reservation to the owner that made it.
 type Grant struct {
 	Owner string
 	Epoch int64
 	Key   string
 }
 
-// TurnEnd is how a turn ended.
+// TurnEnd is the outcome of a turn that its owner is told.
 type TurnEnd struct {
-	// Tokens is what it spent.
+	// Tokens is the number of tokens that the turn used.
 	Tokens int64
-	// Turn is what is kept of it, nil where nothing is.
+	// Turn is the stored record of the turn, nil if none is stored.
 	Turn *history.Turn
-	// FailedEngine is the engine that ran the turn and failed it, empty where none did.
+	// FailedEngine is the engine that ran the turn and failed, empty if none did.
 	FailedEngine string
 }
 
-// Programs asks the owners of programs.
+// Programs gives access to the owners of programs.
 type Programs interface {
-	// Reserve asks for a turn's tokens, its chain and its engine of the service, and
-	// whether its program may begin.
-	Reserve(ctx context.Context, order *ReservationRequest) Reservation
-	// Settle tells how a turn ended. It does not wait.
+	// Reserve asks for a turn's tokens, its chain of previous turns and its engine, and whether
+	// its program may start.
+	Reserve(ctx context.Context, request *ReservationRequest) Reservation
+	// Settle reports the outcome of a reserved turn. It does not block.
 	Settle(call *Call, grant Grant, end TurnEnd)
-	// Record returns nil once the turn will outlast all machines.
+	// Record stores a turn and returns nil once it is durable.
 	Record(ctx context.Context, turn *history.Turn) error
 }
 
-// Metrics counts calls for the metrics.
+// Metrics receives measurements of calls.
 type Metrics interface {
-	// Finished notes a call's end: its route's kind, its result, how long it took.
+	// Finished records the end of a call: its route's kind, its result and its duration.
 	Finished(kind routing.Kind, code resultcode.Code, took time.Duration)
-	// FirstEvent notes the time to a stream's first event.
+	// FirstEvent records the time to a stream's first event.
 	FirstEvent(took time.Duration)
-	// RefusedForCapacity notes a call refused because no engine of a service had room in time.
+	// RefusedForCapacity records a call that was refused because no engine had capacity in time.
 	RefusedForCapacity(service string, reason CapacityRefusal)
 }
 
-// Service takes calls their way.
+// Service forwards calls to engines.
 type Service struct {
 	Routes  *routing.ActiveConfiguration
 	Engines *backend.Directory
 	// WaitQueue orders the calls that wait for an engine.
 	WaitQueue *backend.WaitQueue
-	// RetryBudget bounds the asks that follow on refusals, Returns spreads the calls that come
-	// back after their own.
+	// RetryBudget limits the attempts that follow refusals by engines. RetryScheduler spreads
+	// the times at which refused callers are told to retry.
 	RetryBudget    backend.RetryBudget
 	RetryScheduler backend.RetryScheduler
 	Sender         Sender
 	Programs       Programs
-	// Quotas bounds the requests of tenants; nil where none has a limit.
+	// Quotas enforces the request limits of tenants; nil if none has a limit.
 	Quotas Quotas
-	// ToolCalls counts what programs have under way beside turns; nil where nobody asks.
+	// ToolCalls counts the tool calls in flight; nil if they are not counted.
 	ToolCalls *ToolCalls
 	Meter     Metrics
 	Logger    *zap.Logger
 	Zone      string
-	// Regions holds the region of each zone.
+	// Regions maps each zone to its region.
 	Regions region.Map
 	// Started is when the process started.
 	Started time.Time
-	// Nodes returns how many nodes share the engines' connections.
+	// Nodes returns the number of nodes that share the engines' connections.
 	Nodes func() int
-	// ViewAge is how long ago the list of engines was last confirmed.
+	// ViewAge returns the time since the list of engines was last confirmed.
 	ViewAge func() time.Duration
-	// Views tells what configuration and engines are from before a freeze; nil where that is
-	// not known. Freezes tells when the process was frozen.
-	Views          Views
+	// Views tells whether the configuration and the list of engines predate a freeze; nil if
+	// unknown.
+	Views Views
+	// FreezeDetector detects freezes of the process; nil means none.
 	FreezeDetector *freeze.Detector
-	// HeldResponses bounds the bytes of answers that are held until they are whole; nil is no bound.
+	// HeldResponses limits the bytes of buffered responses; nil is unlimited.
 	HeldResponses *heldbytes.Limiter
-	// ZoneIsolated tells whether this node's zone reaches neither the store nor another zone; nil
-	// where that is not known.
+	// ZoneIsolated reports whether this node's zone reaches neither the store nor another zone;
+	// nil if unknown.
 	ZoneIsolated func() bool
-	// LogUnavailable tells whether the log answers nobody now; nil where that is not known.
+	// LogUnavailable reports whether the log currently responds to no node; nil if unknown.
 	LogUnavailable func() bool
 }
 
 const (
-	// unknownRetry is when to come back to a node that has just started. One that has
-	// no configuration after startupTime says unknownRetryMost: the store is away then,
-	// and a caller has only so many tries.
-	unknownRetry     = 150 * time.Millisecond
-	unknownRetryMost = 1200 * time.Millisecond
-	startupTime      = 150 * time.Millisecond
-	// ownerRetry is when to come back where a program's owner could not be found
-	// or could not write for longer than a call waits.
-	ownerRetry = 400 * time.Millisecond
-	// elsewhereRetry is when to come back to another node than this one.
-	elsewhereRetry = 50 * time.Millisecond
-	// fullRetry is when to come back where all engines are full and nothing tells for how
-	// long; at least so long where that is predicted.
-	fullRetry = 100 * time.Millisecond
-	// fullRetryShare of what is left of a call's time is the most that a predicted time to
-	// come back may be: callers that are told a later one do not come back in time.
-	fullRetryShare = 0.3
-	// refusalShare of the objective is how long a call waits for a free engine.
-	refusalShare = 0.8
-	// toolWaitShare of its time is how long a program's call of a tool waits for a
-	// free engine: where it fails, all that the program has used is lost.
-	toolWaitShare = 0.5
-	// turnWaitShare is the same for a turn of a program that has turns already. A call that
-	// is refused then costs its caller all that the program has used, and its second try has
-	// as much time again.
-	turnWaitShare = 0.3
-	// refusalDrain is how long the body of a refusal may take to be read, so that its
-	// connection can be kept, and refusalBytes how long it may be.
-	refusalDrain = 50 * time.Millisecond
-	refusalBytes = 4 << 10
-	// fallbackObjective is used where a route names none.
-	fallbackObjective = 200 * time.Millisecond
-	// fallbackDeadline is used where neither caller nor route names a bound.
-	fallbackDeadline = 30 * time.Second
-	// answerMargin is kept between an engine's deadline and the caller's.
-	answerMargin = 5 * time.Millisecond
-	// minimumWork is the least time worth sending a request for.
-	minimumWork = 3 * time.Millisecond
-	// silenceShare of the objective, and leastSilence at least, is how long an
-	// engine may give no byte of an answer before others pass it over.
-	silenceShare = 3
-	leastSilence = 600 * time.Millisecond
-	// leastRepeat is how long an engine may at least give no answer to a safe request
-	// before that is sent to another one.
-	leastRepeat = 50 * time.Millisecond
-	// heldBytes is how much of an answer is held until it is whole; restBytes is
-	// how much of a longer one is passed on at once.
-	heldBytes = 1 << 20
-	// firstHeldBytes is the room that an answer begins with; most are shorter. heldBytes is
-	// a power of two times that.
-	firstHeldBytes = 4 << 10
-	restBytes      = 16 << 10
+	// transientRetryAfter is the retry delay during startup, and for streams that cannot be
+	// resumed.
+	transientRetryAfter = 150 * time.Millisecond
+	// noConfigurationRetryAfter is the retry delay of a node that has no configuration after
+	// startupGrace. The store is then unavailable, and callers have a limited number of retries.
+	noConfigurationRetryAfter = 1200 * time.Millisecond
+	startupGrace              = 150 * time.Millisecond
+	// ownerRetryAfter is the retry delay if a program's owner could not be found, or could not
+	// write, for longer than a call waits.
+	ownerRetryAfter = 400 * time.Millisecond
+	// otherNodeRetryAfter is the retry delay if another node may be able to serve the call.
+	otherNodeRetryAfter = 50 * time.Millisecond
+	// defaultCapacityRetryAfter is the retry delay if all engines are full and no wait is
+	// predicted. A predicted delay is never shorter.
+	defaultCapacityRetryAfter = 100 * time.Millisecond
+	// maxCapacityRetryFraction limits a predicted retry delay to a fraction of the call's
+	// remaining time: callers do not retry after a longer one.
+	maxCapacityRetryFraction = 0.3
+	// engineWaitFraction of the route's objective is how long a call waits for an engine.
+	engineWaitFraction = 0.8
+	// toolWaitFraction of its total time is how long a program's tool call waits for an engine.
+	// It is longer because a failed tool call wastes all previous work of the program.
+	toolWaitFraction = 0.5
+	// continuedTurnWaitFraction is the same for a turn of a program that already has turns. It is
+	// shorter than for tools because a refused turn gets the full time again when it is retried.
+	continuedTurnWaitFraction = 0.3
+	// refusalDrainTimeout and maxRefusalBytes limit the reading of an engine's refusal, which is
+	// read to the end so that the connection can be reused.
+	refusalDrainTimeout = 50 * time.Millisecond
+	maxRefusalBytes     = 4 << 10
+	// defaultObjective applies to routes without an objective.
+	defaultObjective = 200 * time.Millisecond
+	// defaultTimeout applies if neither the caller nor the route sets a deadline.
+	defaultTimeout = 30 * time.Second
+	// responseMargin is how much earlier than the caller's deadline the engine's is.
+	responseMargin = 5 * time.Millisecond
+	// minRemaining is the least remaining time with which a request is still sent.
+	minRemaining = 3 * time.Millisecond
+	// firstByteObjectiveFactor times the objective, and at least minFirstByteTimeout, is how long
+	// an engine may take to send the first byte of a response before other requests avoid it.
+	firstByteObjectiveFactor = 3
+	minFirstByteTimeout      = 600 * time.Millisecond
+	// minRetryTimeout is the shortest time without a response after which a safe request is
+	// retried on another engine.
+	minRetryTimeout = 50 * time.Millisecond
+	// maxBufferedBytes is how much of a response is buffered before it is relayed. It is
+	// initialBufferBytes times a power of two.
+	maxBufferedBytes = 1 << 20
+	// initialBufferBytes is the initial size of a response's buffer.
+	initialBufferBytes = 4 << 10
+	// relayBufferBytes is the read size for the remainder of a longer response.
+	relayBufferBytes = 16 << 10
 )
 
-// course is one call under way.
-type course struct {
+// inflightCall is the state of one call.
+type inflightCall struct {
 	service *Service
 	call    *Call
-	answer  ResponseWriter
+	writer  ResponseWriter
 	route   *routing.Route
 	// serviceName is the service that runs the call.
-	serviceName string
-	definition  routing.Service
-	// zones are those in which the call may be served and kept.
-	zones   region.ZoneSet
-	version int64
-	// tenant is who sends the call, nil where nobody is known.
-	tenant *tenant.Tenant
-	end    time.Time
-	body   []byte
-	tried  []string
-	runs   int
-	// asking is how often engines have refused the call.
-	asking backend.RefusalState
-	// goesOn is true for a turn whose program has turns already.
-	goesOn     bool
-	lastEngine string
-	// status is that of the last engine's answer.
-	status int
-	// failedEngine is the engine that ran the call and failed it, empty where none did.
+	serviceName   string
+	serviceConfig routing.Service
+	// zones are the zones in which the call may be served and stored.
+	zones                region.ZoneSet
+	configurationVersion int64
+	// tenant sends the call, nil if it is anonymous.
+	tenant   *tenant.Tenant
+	deadline time.Time
+	body     []byte
+	// triedEngines are the engines not to choose again.
+	triedEngines []string
+	// executions counts the attempts that an engine may have run.
+	executions int
+	// refusalState counts the engines' refusals of the call.
+	refusalState backend.RefusalState
+	// continuesProgram is true for a turn whose program already has turns.
+	continuesProgram bool
+	lastEngine       string
+	// lastStatus is the HTTP status of the last engine's response.
+	lastStatus int
+	// failedEngine is the engine that ran the call and failed, empty if none did.
 	failedEngine string
-	// via is the node that sent the last attempt for this one.
-	via   string
-	begun bool
-	// release ends the attempt at its engine.
-	release func(backend.Outcome)
-	// heard is called with the first byte of an answer.
-	heard func()
-	// endSilence tells once that the attempt has got a byte, or has ended.
-	endSilence func()
-	// streamed is called once a stream has come whole.
-	streamed   func()
-	events     int64
-	firstEvent time.Time
-	lastEvent  time.Time
-	// awaiting is since when the engine's next event is awaited, writing how long the caller
-	// took to take events.
-	awaiting    time.Time
-	writing     time.Duration
-	reserved    bool
-	reservation Reservation
-	reserveTook time.Duration
-	admitTook   time.Duration
-	recordTook  time.Duration
-	viewAge     time.Duration
-	usable      int
-	// searching is when the search for an engine began; waited is true once the
-	// call has waited for one.
-	searching time.Time
-	waited    bool
-	// forecast is what the call found when it first had to wait.
-	forecast backend.Forecast
+	// via is the node to which the last attempt was delegated.
+	via             string
+	responseStarted bool
+	// releaseEngine ends the attempt at its engine.
+	releaseEngine func(backend.Outcome)
+	// firstByteReceived is called when the first byte of a response arrives.
+	firstByteReceived func()
+	// endFirstByteWait is called when the attempt gets its first byte, and when it ends.
+	endFirstByteWait func()
+	// streamCompleted is called when a stream has arrived completely.
+	streamCompleted func()
+	eventCount      int64
+	firstEventAt    time.Time
+	lastEventAt     time.Time
+	// awaitingSince is when the wait for the engine's next event began, writeDuration how long
+	// the caller took to read events.
+	awaitingSince   time.Time
+	writeDuration   time.Duration
+	reserved        bool
+	reservation     Reservation
+	reserveDuration time.Duration
+	admitDuration   time.Duration
+	recordDuration  time.Duration
+	// engineViewAge and eligibleEngines describe the list of engines at the last choice.
+	engineViewAge   time.Duration
+	eligibleEngines int
+	// searchStarted is when the search for an engine began; hasWaited is true once the call has
+	// waited for one.
+	searchStarted time.Time
+	hasWaited     bool
+	// initialForecast is the forecast when the call first had to wait.
+	initialForecast backend.Forecast
 }
 
-// Serve takes a call to its answer. ctx ends when the caller is gone.
-func (service *Service) Serve(ctx context.Context, call *Call, answer ResponseWriter) {
-	current := &course{service: service, call: call, answer: answer}
-	current.awaitViews(ctx)
-	failure := current.prepare()
+// Serve runs a call until its response is complete or has failed. ctx must be done when the
+// caller is gone.
+func (service *Service) Serve(ctx context.Context, call *Call, writer ResponseWriter) {
+	inflight := &inflightCall{service: service, call: call, writer: writer}
+	inflight.awaitFreshViews(ctx)
+	failure := inflight.prepare()
 	if failure == nil {
-		bounded, cancel := context.WithDeadline(ctx, current.end)
-		failure = current.run(bounded)
+		bounded, cancel := context.WithDeadline(ctx, inflight.deadline)
+		failure = inflight.run(bounded)
 		cancel()
 	}
-	current.finish(ctx, failure)
+	inflight.finish(ctx, failure)
 }
 
-// prepare finds the route and the bounds.
-func (current *course) prepare() error {
-	configuration := current.service.Routes.Load()
+// prepare determines the call's route, tenant, service and deadline.
+func (inflight *inflightCall) prepare() error {
+	configuration := inflight.service.Routes.Load()
 	if configuration == nil {
-		return resultcode.New(resultcode.ConfigurationStale, "no configuration is known yet").After(current.service.unknownRetry())
+		return resultcode.New(resultcode.ConfigurationStale, "no configuration loaded yet").After(inflight.service.configurationRetryAfter())
 	}
-	current.version = configuration.Version
-	current.route = configuration.Match(current.call.Host, current.call.Path)
-	if current.route == nil {
-		return current.denied(resultcode.UnknownRoute, "no route for this host and path")
+	inflight.configurationVersion = configuration.Version
+	inflight.route = configuration.Match(inflight.call.Host, inflight.call.Path)
+	if inflight.route == nil {
+		return inflight.denialError(resultcode.UnknownRoute, "no route for this host and path")
 	}
-	if current.route.StoresTurns && current.call.Resumes {
-		// The turn's record has to hold what the caller got from the start, and an
-		// earlier attempt's node may be gone with it.
-		return resultcode.New(resultcode.ResumeNotHeld, "the beginning of the stream is not held").After(unknownRetry)
+	if inflight.route.StoresTurns && inflight.call.Resumes {
+		// The turn's record must contain all of the response, and the node that has the
+		// beginning may be gone.
+		return resultcode.New(resultcode.ResumeNotHeld, "stream cannot be resumed: its beginning is not available").After(transientRetryAfter)
 	}
-	failure := current.authenticate(configuration)
+	failure := inflight.authenticate(configuration)
 	if failure != nil {
 		return failure
 	}
-	current.serviceName = current.route.PickService()
-	current.zones = current.allowedZones()
-	current.goesOn = current.call.Turn != nil && current.call.Turn.Previous != ""
-	current.definition = configuration.Services[current.serviceName]
-	current.body = current.call.Body
-	current.end = current.call.Received.Add(fallbackDeadline)
-	if !current.call.Deadline.IsZero() {
-		current.end = current.call.Deadline
+	inflight.serviceName = inflight.route.PickService()
+	inflight.zones = inflight.allowedZones()
+	inflight.continuesProgram = inflight.call.Turn != nil && inflight.call.Turn.Previous != ""
+	inflight.serviceConfig = configuration.Services[inflight.serviceName]
+	inflight.body = inflight.call.Body
+	inflight.deadline = inflight.call.Received.Add(defaultTimeout)
+	if !inflight.call.Deadline.IsZero() {
+		inflight.deadline = inflight.call.Deadline
 	}
-	if current.route.Timeout > 0 && current.call.Received.Add(current.route.Timeout).Before(current.end) {
-		current.end = current.call.Received.Add(current.route.Timeout)
+	if inflight.route.Timeout > 0 && inflight.call.Received.Add(inflight.route.Timeout).Before(inflight.deadline) {
+		inflight.deadline = inflight.call.Received.Add(inflight.route.Timeout)
 	}
 	return nil
 }
 
-// allowedZones returns where the call may be served: what binds its route and what binds its
-// tenant both hold.
-func (current *course) allowedZones() region.ZoneSet {
-	if current.tenant == nil {
-		return current.service.Regions.AllowedZones(current.route.Regions)
+// allowedZones returns the zones that both the route and the tenant allow.
+func (inflight *inflightCall) allowedZones() region.ZoneSet {
+	if inflight.tenant == nil {
+		return inflight.service.Regions.AllowedZones(inflight.route.Regions)
 	}
-	return current.service.Regions.AllowedZones(current.route.Regions, current.tenant.Regions)
+	return inflight.service.Regions.AllowedZones(inflight.route.Regions, inflight.tenant.Regions)
 }
 
-func (service *Service) unknownRetry() time.Duration {
-	if time.Since(service.Started) < startupTime || !feature.Enabled(feature.StaggeredRetries) {
-		return unknownRetry
+func (service *Service) configurationRetryAfter() time.Duration {
+	if time.Since(service.Started) < startupGrace || !feature.Enabled(feature.StaggeredRetries) {
+		return transientRetryAfter
 	}
-	return unknownRetryMost
+	return noConfigurationRetryAfter
 }
 
-func (current *course) run(ctx context.Context) error {
-	if current.service.Engines.NoneAvailable(current.serviceName, current.zones) {
-		return current.noRoom(NoEngineAvailable, backend.Forecast{})
+func (inflight *inflightCall) run(ctx context.Context) error {
+	if inflight.service.Engines.NoneAvailable(inflight.serviceName, inflight.zones) {
+		return inflight.refuseForCapacity(NoEngineAvailable, backend.Forecast{})
 	}
-	failure := current.awaitLog(ctx)
+	failure := inflight.waitForLog(ctx)
 	if failure != nil {
 		return failure
 	}
-	failure = current.admit(ctx)
+	failure = inflight.admit(ctx)
 	if failure != nil {
 		return failure
 	}
-	if current.isTurn() {
-		failure := current.reserve(ctx)
+	if inflight.needsReservation() {
+		failure := inflight.reserve(ctx)
 		if failure != nil {
 			return failure
 		}
 	}
-	defer current.countToolCall()()
-	failure = current.sendUntilAnswered(ctx)
-	if current.reserved {
-		current.settle(nil)
+	defer inflight.trackToolCall()()
+	failure = inflight.sendWithRetries(ctx)
+	if inflight.reserved {
+		inflight.settle(nil)
 	}
 	return failure
 }
 
-// isTurn tells whether the program's owner has to be asked: for what a bounded
-// program may spend, and for the turns to go on from.
-func (current *course) isTurn() bool {
-	turn := current.call.Turn
-	if turn == nil || current.route.Kind != routing.Streaming {
+// needsReservation reports whether the call is a turn that must be reserved with its program's
+// owner: the program has a budget, or the turn continues a stored one.
+func (inflight *inflightCall) needsReservation() bool {
+	turn := inflight.call.Turn
+	if turn == nil || inflight.route.Kind != routing.Streaming {
 		return false
 	}
-	return turn.Budget < Unlimited || (current.route.StoresTurns && turn.Previous != "")
+	return turn.Budget < Unlimited || (inflight.route.StoresTurns && turn.Previous != "")
 }
 
-// reserve asks the program's owner, and puts the chain before the input.
-func (current *course) reserve(ctx context.Context) error {
-	if !current.route.StoresTurns {
-		current.call.Turn.Previous = ""
+// reserve reserves the turn with its program's owner, and prepends the chain of previous turns to
+// the input.
+func (inflight *inflightCall) reserve(ctx context.Context) error {
+	if !inflight.route.StoresTurns {
+		inflight.call.Turn.Previous = ""
 	}
 	began := time.Now()
-	reservation := current.service.Programs.Reserve(ctx, &ReservationRequest{
-		Call: current.call, Service: current.serviceName, Route: current.route.Name, Priority: current.urgency(), Zones: current.zones})
-	current.reservation = reservation
-	current.reserveTook = time.Since(began)
+	reservation := inflight.service.Programs.Reserve(ctx, &ReservationRequest{
+		Call: inflight.call, Service: inflight.serviceName, Route: inflight.route.Name, Priority: inflight.priority(), Zones: inflight.zones})
+	inflight.reservation = reservation
+	inflight.reserveDuration = time.Since(began)
 	switch reservation.Verdict {
 	case nodev1.Verdict_VERDICT_GRANTED:
-		current.reserved = true
+		inflight.reserved = true
 		if len(reservation.Chain) > 0 {
-			current.body = history.BuildPrompt(reservation.Chain, current.call.Body)
+			inflight.body = history.BuildPrompt(reservation.Chain, inflight.call.Body)
 		}
 		return nil
 	case nodev1.Verdict_VERDICT_SPENT:
-		return resultcode.New(resultcode.ProgramCapReached, "the program's budget leaves no room for the turn: %s", reservation.Reason)
+		return resultcode.New(resultcode.ProgramCapReached, "program budget does not cover the turn: %s", reservation.Reason)
 	case nodev1.Verdict_VERDICT_NO_SUCH_TURN:
-		return resultcode.New(resultcode.UnknownTurn, "there is no turn %s to go on from", current.call.Turn.Previous)
+		return resultcode.New(resultcode.UnknownTurn, "previous turn %s does not exist", inflight.call.Turn.Previous)
 	case nodev1.Verdict_VERDICT_NO_ROOM:
-		return resultcode.New(resultcode.NoRoom, "there is no room for the program to begin: %s", reservation.Reason).After(reservation.RetryAfter)
+		return resultcode.New(resultcode.NoRoom, "no capacity to start the program: %s", reservation.Reason).After(reservation.RetryAfter)
 	default:
-		comeBack := ownerRetry
+		retryAfter := ownerRetryAfter
 		switch {
 		case reservation.RetryAfter > 0:
-			comeBack = current.retryWithin(reservation.RetryAfter)
+			retryAfter = inflight.clampRetryAfter(reservation.RetryAfter)
 		case reservation.TryOtherNode:
-			comeBack = elsewhereRetry
+			retryAfter = otherNodeRetryAfter
 		}
-		return resultcode.New(resultcode.NoLeader, "the program's owner can't tell now: %s", reservation.Reason).After(comeBack)
+		return resultcode.New(resultcode.NoLeader, "program owner cannot decide now: %s", reservation.Reason).After(retryAfter)
 	}
 }
 
-// retryWithin bounds a time to come back by what callers heed of it.
-func (current *course) retryWithin(wait time.Duration) time.Duration {
-	return max(min(wait, time.Duration(logRetryShare*float64(time.Until(current.end)))), 0)
+// clampRetryAfter limits a retry delay to a fraction of the call's remaining time: callers do not
+// retry after a longer one.
+func (inflight *inflightCall) clampRetryAfter(delay time.Duration) time.Duration {
+	return max(min(delay, time.Duration(logRetryFraction*float64(time.Until(inflight.deadline)))), 0)
 }
 
-// settle tells the owner what the turn spent, once.
-func (current *course) settle(turn *history.Turn) {
-	current.reserved = false
-	current.service.Programs.Settle(current.call, current.reservation.Grant, TurnEnd{
-		Tokens:       current.events * int64(current.definition.TokensPerEvent),
+// settle reports the outcome of the reserved turn to its owner.
+func (inflight *inflightCall) settle(turn *history.Turn) {
+	inflight.reserved = false
+	inflight.service.Programs.Settle(inflight.call, inflight.reservation.Grant, TurnEnd{
+		Tokens:       inflight.eventCount * int64(inflight.serviceConfig.TokensPerEvent),
 		Turn:         turn,
-		FailedEngine: current.failedEngine,
+		FailedEngine: inflight.failedEngine,
 	})
 }
--- a/internal/forward/stream.go
+++ b/internal/forward/stream.go
@@ -17,34 +17,34 @@
 )
 
 const (
-	// eventBuffer is the read buffer of a stream of events, bytes.
-	eventBuffer = 4 << 10
-	// maxEventBytes bounds one event.
+	// eventBufferBytes is the size of the read buffer for server-sent events.
+	eventBufferBytes = 4 << 10
+	// maxEventBytes is the size limit of one event.
 	maxEventBytes = 1 << 20
 )
 
-// event is one event of a stream.
+// event is a server-sent event.
 type event struct {
-	// raw is the event as the engine sent it, with the blank line behind it.
+	// raw is the event as the engine sent it, including the terminating blank line.
 	raw []byte
-	// data is what counts as said, and present where the event has data at all.
+	// data is the value of the data fields, hasData whether there is any.
 	data    []byte
-	present bool
+	hasData bool
 }
 
-// eventReader takes a body of events apart.
+// eventReader parses a body of server-sent events.
 type eventReader struct {
 	reader *bufio.Reader
 }
 
 func newEventReader(body io.Reader) *eventReader {
-	return &eventReader{reader: bufio.NewReaderSize(body, eventBuffer)}
+	return &eventReader{reader: bufio.NewReaderSize(body, eventBufferBytes)}
 }
 
 var dataField = []byte("data:")
 
-// next returns the next whole event. It returns io.EOF after the last one, and
-// io.ErrUnexpectedEOF where the body ends within one.
+// next returns the next complete event. It returns io.EOF after the last one, and
+// io.ErrUnexpectedEOF if the body ends within an event.
 func (reader *eventReader) next() (event, error) {
 	var read event
 	for {
@@ -54,165 +54,165 @@
 			continue
 		}
 		if err != nil {
-			return read, endOf(err, len(read.raw))
+			return read, readError(err, len(read.raw))
 		}
-		if isBlank(read.raw) {
-			read.split()
+		if endsWithBlankLine(read.raw) {
+			read.parseData()
 			return read, nil
 		}
 		if len(read.raw) > maxEventBytes {
-			return read, eris.New("an event is too long")
+			return read, eris.New("event exceeds the size limit")
 		}
 	}
 }
 
-func endOf(err error, pending int) error {
+// readError returns io.ErrUnexpectedEOF for an EOF within an event, otherwise err.
+func readError(err error, pending int) error {
 	if errors.Is(err, io.EOF) && pending > 0 {
 		return io.ErrUnexpectedEOF
 	}
 	return err
 }
 
-// isBlank tells whether the bytes end with a blank line.
-func isBlank(raw []byte) bool {
+func endsWithBlankLine(raw []byte) bool {
 	return bytes.HasSuffix(raw, []byte("\n\n")) || bytes.HasSuffix(raw, []byte("\n\r\n")) ||
 		string(raw) == "\n" || string(raw) == "\r\n"
 }
 
-// split gathers the event's data lines.
-func (read *event) split() {
+// parseData joins the values of the event's data fields.
+func (read *event) parseData() {
 	for line := range bytes.Lines(read.raw) {
 		if !bytes.HasPrefix(line, dataField) {
 			continue
 		}
 		value := bytes.TrimRight(line[len(dataField):], "\r\n")
 		value = bytes.TrimPrefix(value, []byte(" "))
-		if read.present {
+		if read.hasData {
 			read.data = append(read.data, '\n')
 		}
 		read.data = append(read.data, value...)
-		read.present = true
+		read.hasData = true
 	}
 }
 
-// relayStream passes events on as they come. The end of a kept turn's answer is
-// held until the turn is recorded.
-func (current *course) relayStream(ctx context.Context, reply *EngineResponse) (backend.Outcome, error) {
-	reader := newEventReader(reply.Body)
-	var said []byte
+// relayStream relays events as they arrive. If the turn must be recorded, the response ends only
+// once it is.
+func (inflight *inflightCall) relayStream(ctx context.Context, response *EngineResponse) (backend.Outcome, error) {
+	reader := newEventReader(response.Body)
+	var output []byte
 	for {
-		current.awaiting = time.Now()
+		inflight.awaitingSince = time.Now()
 		read, err := reader.next()
 		if errors.Is(err, io.EOF) {
-			current.release(backend.Succeeded)
-			current.streamed()
-			return backend.Succeeded, current.endStream(ctx, reply, said)
+			inflight.releaseEngine(backend.Succeeded)
+			inflight.streamCompleted()
+			return backend.Succeeded, inflight.finishStream(ctx, response, output)
 		}
 		if err != nil {
-			return current.brokenStream(ctx, err)
+			return inflight.interruptedStream(ctx, err)
 		}
-		if read.present {
-			said = append(said, read.data...)
-			said = append(said, '\n')
+		if read.hasData {
+			output = append(output, read.data...)
+			output = append(output, '\n')
 		}
-		failure := current.passOn(reply, read)
+		failure := inflight.relayEvent(response, read)
 		if failure != nil {
 			return backend.Abandoned, failure
 		}
 	}
 }
 
-// passOn gives the caller one event.
-func (current *course) passOn(reply *EngineResponse, read event) error {
-	if !current.begun {
-		current.begun = true
-		current.heard()
-		current.service.Meter.FirstEvent(time.Since(current.call.Received))
-		err := current.answer.Begin(reply.Status, reply.Header)
+// relayEvent sends one event to the caller.
+func (inflight *inflightCall) relayEvent(response *EngineResponse, read event) error {
+	if !inflight.responseStarted {
+		inflight.responseStarted = true
+		inflight.firstByteReceived()
+		inflight.service.Meter.FirstEvent(time.Since(inflight.call.Received))
+		err := inflight.writer.Begin(response.Status, response.Header)
 		if err != nil {
-			return errCallerGone
+			return errCallerCanceled
 		}
 	}
-	if read.present {
-		current.noteEvent(time.Now())
+	if read.hasData {
+		inflight.recordEvent(time.Now())
 	}
 	began := time.Now()
-	err := current.answer.Write(read.raw)
-	current.writing += time.Since(began)
+	err := inflight.writer.Write(read.raw)
+	inflight.writeDuration += time.Since(began)
 	if err != nil {
-		return errCallerGone
+		return errCallerCanceled
 	}
 	return nil
 }
 
-// noteEvent counts an event with data.
-func (current *course) noteEvent(now time.Time) {
-	current.events++
-	if current.events == 1 {
-		current.firstEvent = now
+func (inflight *inflightCall) recordEvent(now time.Time) {
+	inflight.eventCount++
+	if inflight.eventCount == 1 {
+		inflight.firstEventAt = now
 	}
-	current.lastEvent = now
+	inflight.lastEventAt = now
 }
 
-// brokenStream ends a stream that its engine broke off, or ceased to send.
-func (current *course) brokenStream(ctx context.Context, err error) (backend.Outcome, error) {
+// interruptedStream returns the outcome and the error of a stream that the engine broke off or
+// stopped sending.
+func (inflight *inflightCall) interruptedStream(ctx context.Context, err error) (backend.Outcome, error) {
 	outcome := backend.Failed
-	if current.via != "" {
+	if inflight.via != "" {
 		outcome = backend.FailedRemotely
 	}
 	if ctx.Err() != nil {
-		if !current.begun || time.Since(current.awaiting) < leastSilence {
+		if !inflight.responseStarted || time.Since(inflight.awaitingSince) < minFirstByteTimeout {
 			outcome = backend.Abandoned
 		}
-		return outcome, current.timedOut(ctx)
+		return outcome, inflight.timeoutError(ctx)
 	}
-	current.service.Logger.Info("stream broken off", zap.String("request", current.call.ID),
-		zap.String("engine", current.lastEngine), zap.Int64("events", current.events), logging.Cause(err))
-	return outcome, current.outcomeUnknown()
+	inflight.service.Logger.Info("stream interrupted", zap.String("request", inflight.call.ID),
+		zap.String("engine", inflight.lastEngine), zap.Int64("events", inflight.eventCount), logging.Cause(err))
+	return outcome, inflight.outcomeUnknownError()
 }
 
-// endStream completes the answer once nothing of it can be lost.
-func (current *course) endStream(ctx context.Context, reply *EngineResponse, said []byte) error {
-	if !current.begun {
-		current.begun = true
-		err := current.answer.Begin(reply.Status, reply.Header)
+// finishStream completes the response after recording the turn.
+func (inflight *inflightCall) finishStream(ctx context.Context, response *EngineResponse, output []byte) error {
+	if !inflight.responseStarted {
+		inflight.responseStarted = true
+		err := inflight.writer.Begin(response.Status, response.Header)
 		if err != nil {
-			return errCallerGone
+			return errCallerCanceled
 		}
 	}
 	var turn *history.Turn
-	if current.recorded() {
-		turn = current.turn(said)
+	if inflight.mustRecord() {
+		turn = inflight.newTurn(output)
 		began := time.Now()
-		err := current.service.Programs.Record(ctx, turn)
-		current.recordTook = time.Since(began)
+		err := inflight.service.Programs.Record(ctx, turn)
+		inflight.recordDuration = time.Since(began)
 		if err != nil {
-			current.service.Logger.Warn("turn not recorded", zap.String("request", current.call.ID),
-				zap.String("program", current.call.Program), logging.Cause(err))
-			return resultcodeOfRecord(err)
+			inflight.service.Logger.Warn("turn not recorded", zap.String("request", inflight.call.ID),
+				zap.String("program", inflight.call.Program), logging.Cause(err))
+			return recordError(err)
 		}
 	}
-	if current.reserved {
-		current.settle(turn)
+	if inflight.reserved {
+		inflight.settle(turn)
 	}
-	current.answer.End()
+	inflight.writer.End()
 	return nil
 }
 
-func (current *course) turn(said []byte) *history.Turn {
+func (inflight *inflightCall) newTurn(output []byte) *history.Turn {
 	return &history.Turn{
-		ID:         current.call.ID,
-		Tenant:     current.call.Tenant,
-		Program:    current.call.Program,
-		PreviousID: current.call.Turn.Previous,
-		Input:      current.call.Body,
-		Output:     said,
+		ID:         inflight.call.ID,
+		Tenant:     inflight.call.Tenant,
+		Program:    inflight.call.Program,
+		PreviousID: inflight.call.Turn.Previous,
+		Input:      inflight.call.Body,
+		Output:     output,
 		Ended:      time.Now(),
-		Retention:  current.route.Retention,
-		Zones:      current.zones,
+		Retention:  inflight.route.Retention,
+		Zones:      inflight.zones,
 	}
 }
 
-func resultcodeOfRecord(err error) error {
-	return resultcode.New(resultcode.LogUnavailable, "the turn could not be recorded in time: %v", err)
+func recordError(err error) error {
+	return resultcode.New(resultcode.LogUnavailable, "turn not recorded in time: %v", err)
 }
--- a/internal/forward/tenant_test.go
+++ b/internal/forward/tenant_test.go
@@ -20,17 +20,17 @@
 	"go.uber.org/zap/zaptest/observer"
 )
 
-// fakeQuotas answers with what it is given, and notes the orders.
+// fakeQuotas returns the given admission and records the requests.
 type fakeQuotas struct {
 	admission forward.Admission
-	orders    []*forward.AdmissionRequest
-	// holds lets each order wait until its caller is gone.
-	holds bool
+	requests  []*forward.AdmissionRequest
+	// blocks makes each request wait until its caller cancels.
+	blocks bool
 }
 
-func (quotas *fakeQuotas) Admit(ctx context.Context, order *forward.AdmissionRequest) forward.Admission {
-	quotas.orders = append(quotas.orders, order)
-	if quotas.holds {
+func (quotas *fakeQuotas) Admit(ctx context.Context, request *forward.AdmissionRequest) forward.Admission {
+	quotas.requests = append(quotas.requests, request)
+	if quotas.blocks {
 		<-ctx.Done()
 	}
 	return quotas.admission
@@ -46,7 +46,7 @@
 	BeforeEach(func() {
 		core, observed := observer.New(zap.InfoLevel)
 		logs = observed
-		sender = &fakeSender{replies: []func() (*forward.EngineResponse, error){answerOf(http.StatusOK, strings.NewReader("id: 1\ndata: x\n\n"))}}
+		sender = &fakeSender{responses: []func() (*forward.EngineResponse, error){respondWith(http.StatusOK, strings.NewReader("id: 1\ndata: x\n\n"))}}
 		programs = &fakePrograms{reservation: forward.Reservation{Verdict: nodev1.Verdict_VERDICT_GRANTED}}
 		quotas = &fakeQuotas{admission: forward.Admission{Verdict: forward.Admitted}}
 		directory := backend.NewDirectory()
@@ -57,32 +57,32 @@
 			{Name: "tool", Host: "h", Prefix: "/tool/", Shares: share},
 			{Name: "open", Host: "h", Prefix: "/open/", Shares: share, AllowsAnonymous: true},
 		}, []routing.Service{{Name: "s", TokensPerEvent: 9}}, routing.Limits{})
-		rank := 2
+		priority := 2
 		configuration.Tenants = tenant.NewDirectory([]tenant.TenantKeys{
-			{Tenant: tenant.Tenant{Name: "bounded", Priority: &rank, Limit: tenant.Limit{PerSecond: 5}}, Keys: []string{"key-1"}},
+			{Tenant: tenant.Tenant{Name: "bounded", Priority: &priority, Limit: tenant.Limit{PerSecond: 5}}, Keys: []string{"key-1"}},
 			{Tenant: tenant.Tenant{Name: "free"}, Keys: []string{"key-2"}},
 		})
 		routes := &routing.ActiveConfiguration{}
 		routes.Apply(configuration)
 		service = &forward.Service{Routes: routes, Engines: directory, Sender: sender, WaitQueue: backend.NewWaitQueue(), Programs: programs,
-			Quotas: quotas, Meter: &fakeMeter{}, Logger: zap.New(core), Nodes: func() int { return 1 }, ViewAge: func() time.Duration { return 0 }}
+			Quotas: quotas, Meter: &fakeMetrics{}, Logger: zap.New(core), Nodes: func() int { return 1 }, ViewAge: func() time.Duration { return 0 }}
 	})
 
-	serve := func(path, key, previous string) *fakeAnswer {
-		answer := &fakeAnswer{}
+	serve := func(path, key, previous string) *fakeResponseWriter {
+		response := &fakeResponseWriter{}
 		call := &forward.Call{ID: "r", Method: "POST", Host: "h", Target: path, Path: path, Received: time.Now(), Key: key,
 			Header:   http.Header{"Authorization": {"Token " + key}},
 			Deadline: time.Now().Add(2 * time.Second), Program: "p", Turn: &forward.TurnRequest{Budget: 1000, MaxTokens: 100, Previous: previous}}
-		service.Serve(context.Background(), call, answer)
-		return answer
+		service.Serve(context.Background(), call, response)
+		return response
 	}
-	failureOf := func(answer *fakeAnswer) *resultcode.Error {
+	failureOf := func(response *fakeResponseWriter) *resultcode.Error {
 		var failure *resultcode.Error
-		Expect(errors.As(answer.failure, &failure)).To(BeTrue())
+		Expect(errors.As(response.failure, &failure)).To(BeTrue())
 		return failure
 	}
 
-	It("go on with their tenant's name and rank, and without the key", func() {
+	It("are sent with their tenant's name and priority, and without the key", func() {
 		Expect(serve("/stream/x", "key-1", "").failure).NotTo(HaveOccurred())
 		Expect(sender.sent[0].Call.Tenant).To(Equal("bounded"))
 		Expect(sender.sent[0].Priority).To(Equal(2))
@@ -91,7 +91,7 @@
 		Expect(sender.sent[1].Priority).To(Equal(4))
 	})
 
-	It("are refused with a key that nobody holds, of which the log shows a digest", func() {
+	It("are refused with an unknown key, of which only a digest is logged", func() {
 		Expect(failureOf(serve("/tool/x", "secret", "")).Code).To(Equal(resultcode.BadKey))
 		Expect(sender.sent).To(BeEmpty())
 		failed := logs.FilterMessage("call failed").All()
@@ -102,42 +102,42 @@
 		}
 	})
 
-	It("are served without a key where the route is open, and by nobody's name", func() {
+	It("are served without a key and tenant on routes that allow anonymous calls", func() {
 		Expect(serve("/open/x", "", "").failure).NotTo(HaveOccurred())
 		Expect(sender.sent[0].Call.Tenant).To(BeEmpty())
-		Expect(quotas.orders).To(BeEmpty())
+		Expect(quotas.requests).To(BeEmpty())
 	})
 
-	It("keep their key where nobody holds any: then it is the engine's matter", func() {
+	It("keep their authorization header if no tenants are configured", func() {
 		service.Routes = &routing.ActiveConfiguration{}
 		service.Routes.Apply(routing.New(8, []*routing.Route{{Host: "h", Prefix: "/tool/", Shares: []routing.Share{{Service: "s", Weight: 1}}}}, nil, routing.Limits{}))
 		Expect(serve("/tool/x", "key", "").failure).NotTo(HaveOccurred())
 		Expect(sender.sent[0].Call.Header).To(HaveKey("Authorization"))
 	})
 
-	It("ask for their limit, told apart by whether their program has begun for certain", func() {
+	It("request admission, and state whether their program is known to have started", func() {
 		serve("/stream/x", "key-1", "")
 		serve("/stream/x", "key-1", "before")
 		serve("/tool/x", "key-1", "")
 		serve("/tool/x", "key-2", "")
-		Expect(quotas.orders).To(HaveLen(3))
-		Expect(quotas.orders[0].Continues).To(BeFalse())
-		Expect(quotas.orders[1].Continues).To(BeTrue())
-		Expect(quotas.orders[2].Continues).To(BeTrue())
-		Expect(quotas.orders[0].Configuration).To(Equal(int64(7)))
+		Expect(quotas.requests).To(HaveLen(3))
+		Expect(quotas.requests[0].Continues).To(BeFalse())
+		Expect(quotas.requests[1].Continues).To(BeTrue())
+		Expect(quotas.requests[2].Continues).To(BeTrue())
+		Expect(quotas.requests[0].Configuration).To(Equal(int64(7)))
 	})
 
-	It("run nothing and reserve nothing over their limit, and are told when there is room", func() {
+	It("are not reserved or run over their limit, and get a retry delay", func() {
 		quotas.admission = forward.Admission{Verdict: forward.OverLimit, RetryAfter: 700 * time.Millisecond}
 		failure := failureOf(serve("/stream/x", "key-1", ""))
 		Expect(failure.Code).To(Equal(resultcode.QuotaExceeded))
 		Expect(failure.RetryAfter).To(Equal(700 * time.Millisecond))
 		Expect(sender.sent).To(BeEmpty())
-		Expect(programs.reserves).To(BeZero(), "a reservation that is open when the program's owner stops counts as spent")
+		Expect(programs.reserveCalls).To(BeZero(), "a reservation that is open when the program's owner fails counts as spent")
 		Expect(programs.settled).To(BeEmpty())
 	})
 
-	It("are told to try another node where nobody who keeps the limit can be asked", func() {
+	It("get a retryable error if no coordinator of the limit can be reached", func() {
 		quotas.admission = forward.Admission{Verdict: forward.LimitUnavailable}
 		failure := failureOf(serve("/tool/x", "key-1", ""))
 		Expect(failure.Code).To(Equal(resultcode.QuotaUnknown))
@@ -145,15 +145,15 @@
 		Expect(sender.sent).To(BeEmpty())
 	})
 
-	It("send nothing to an engine once their caller has left while they waited for room", func() {
-		quotas.holds = true
-		ctx, leave := context.WithCancel(context.Background())
-		time.AfterFunc(20*time.Millisecond, leave)
-		answer := &fakeAnswer{}
+	It("are not sent to an engine if their caller cancels while they wait for admission", func() {
+		quotas.blocks = true
+		ctx, cancel := context.WithCancel(context.Background())
+		time.AfterFunc(20*time.Millisecond, cancel)
+		response := &fakeResponseWriter{}
 		service.Serve(ctx, &forward.Call{ID: "r", Method: "POST", Host: "h", Target: "/stream/x", Path: "/stream/x", Received: time.Now(), Key: "key-1",
-			Header: http.Header{}, Deadline: time.Now().Add(2 * time.Second), Program: "p", Turn: &forward.TurnRequest{Budget: 1000, MaxTokens: 100}}, answer)
+			Header: http.Header{}, Deadline: time.Now().Add(2 * time.Second), Program: "p", Turn: &forward.TurnRequest{Budget: 1000, MaxTokens: 100}}, response)
 		Expect(sender.sent).To(BeEmpty())
-		Expect(programs.reserves).To(BeZero())
+		Expect(programs.reserveCalls).To(BeZero())
 		Expect(programs.settled).To(BeEmpty())
 	})
 })
--- a/internal/forward/tool_calls.go
+++ b/internal/forward/tool_calls.go
@@ -7,17 +7,17 @@
 	"github.com/magpielug/magpielug/internal/routing"
 )
 
-// ToolCalls counts the calls under way that programs make beside their turns, by service.
-// It is safe for concurrent use.
+// ToolCalls counts the tool calls in flight by service: calls of programs other than turns. It is
+// safe for concurrent use.
 type ToolCalls struct {
 	mutex  sync.Mutex
 	counts map[string]int
 }
 
-// NewToolCalls returns a count of none.
+// NewToolCalls returns counts that are all zero.
 func NewToolCalls() *ToolCalls { return &ToolCalls{counts: map[string]int{}} }
 
-// Counts returns the number of calls under way at each service that has any.
+// Counts returns the number of tool calls in flight for each service that has any.
 func (calls *ToolCalls) Counts() map[string]int {
 	calls.mutex.Lock()
 	defer calls.mutex.Unlock()
@@ -33,12 +33,12 @@
 	}
 }
 
-// countToolCall counts the call where it is one of a tool. What it returns ends that.
-func (current *course) countToolCall() func() {
-	calls := current.service.ToolCalls
-	if calls == nil || current.call.Program == "" || current.route.Kind == routing.Streaming {
+// trackToolCall counts the call if it is a tool call. The returned function uncounts it.
+func (inflight *inflightCall) trackToolCall() func() {
+	calls := inflight.service.ToolCalls
+	if calls == nil || inflight.call.Program == "" || inflight.route.Kind == routing.Streaming {
 		return func() {}
 	}
-	calls.add(current.serviceName, 1)
-	return func() { calls.add(current.serviceName, -1) }
+	calls.add(inflight.serviceName, 1)
+	return func() { calls.add(inflight.serviceName, -1) }
 }
--- a/internal/forward/views.go
+++ b/internal/forward/views.go
@@ -10,52 +10,50 @@
 )
 
 const (
-	// viewPatience is how long a call waits for configuration and engines to be read anew
-	// after a freeze. A reading takes some tens of milliseconds; where it fails, or takes
-	// longer, the call goes on by what is known.
-	viewPatience = 300 * time.Millisecond
-	// viewLook separates two looks whether they are.
-	viewLook = 5 * time.Millisecond
-	// denialTrust is how old the configuration may be for a call to be denied by it: its
-	// reading waits for a change for 1.5 s, and may be late.
-	denialTrust = 2500 * time.Millisecond
+	// freshViewTimeout is how long a call waits for the configuration and the list of engines to
+	// be refreshed after a freeze. After that it uses what the node has.
+	freshViewTimeout = 300 * time.Millisecond
+	viewPollInterval = 5 * time.Millisecond
+	// maxDenialConfigurationAge is the age up to which a configuration may be used to deny a
+	// call. It exceeds the 1.5 s for which a read of the configuration waits for a change.
+	maxDenialConfigurationAge = 2500 * time.Millisecond
 )
 
-// Views tells how much what the node knows of configuration and engines may be relied on.
+// Views reports whether the node's configuration and list of engines are up to date.
 type Views interface {
-	// Current tells whether both were asked for since the process was last frozen.
+	// Current reports whether both were requested again since the last freeze of the process.
 	Current() bool
-	// ConfigurationAge is how old the configuration may be.
+	// ConfigurationAge returns the time since the configuration was last confirmed.
 	ConfigurationAge() time.Duration
 }
 
-// AwaitFreshViews lets a request wait while what is known of configuration and engines is from
-// before a freeze. A node that has just woken would send it to an engine that left meanwhile,
-// by a route or key that is in force no more.
+// AwaitFreshViews waits while the configuration and the list of engines predate a freeze, up to
+// freshViewTimeout. A node that has just resumed could otherwise send the request to an engine
+// that no longer exists, or accept a route or key that is no longer valid.
 func AwaitFreshViews(ctx context.Context, views Views, request string, logger *zap.Logger) {
 	if views == nil || views.Current() {
 		return
 	}
 	began := time.Now()
-	for !views.Current() && ctx.Err() == nil && time.Since(began) < viewPatience {
-		wait.Sleep(ctx, viewLook)
+	for !views.Current() && ctx.Err() == nil && time.Since(began) < freshViewTimeout {
+		wait.Sleep(ctx, viewPollInterval)
 	}
-	logger.Info("views awaited after a freeze", zap.String("request", request),
+	logger.Info("waited for fresh views after a freeze", zap.String("request", request),
 		zap.Duration("waited", time.Since(began)), zap.Bool("current", views.Current()))
 }
 
-func (current *course) awaitViews(ctx context.Context) {
-	AwaitFreshViews(ctx, current.service.Views, current.call.ID, current.service.Logger)
+func (inflight *inflightCall) awaitFreshViews(ctx context.Context) {
+	AwaitFreshViews(ctx, inflight.service.Views, inflight.call.ID, inflight.service.Logger)
 }
 
-// denied refuses a call that the configuration does not allow, or says that this can't be told
-// where the configuration is old: what was added meanwhile would be denied, and a caller that
-// is denied does not come back.
-func (current *course) denied(code resultcode.Code, reason string) error {
-	views := current.service.Views
-	if views == nil || views.ConfigurationAge() <= denialTrust {
+// denialError returns the error of a call that the configuration does not allow. If the
+// configuration is outdated, the error is retryable: the route or key may have been added
+// meanwhile, and callers do not retry a denied call.
+func (inflight *inflightCall) denialError(code resultcode.Code, reason string) error {
+	views := inflight.service.Views
+	if views == nil || views.ConfigurationAge() <= maxDenialConfigurationAge {
 		return resultcode.New(code, "%s", reason)
 	}
-	return resultcode.New(resultcode.ConfigurationStale, "%s, by a configuration last confirmed %s ago", reason,
-		views.ConfigurationAge().Round(time.Millisecond)).After(elsewhereRetry)
+	return resultcode.New(resultcode.ConfigurationStale, "%s (configuration last confirmed %s ago)", reason,
+		views.ConfigurationAge().Round(time.Millisecond)).After(otherNodeRetryAfter)
 }
--- a/internal/forward/wait.go
+++ b/internal/forward/wait.go
@@ -10,131 +10,133 @@
 	"github.com/magpielug/magpielug/internal/routing"
 )
 
-// CapacityRefusal is why a call was refused for want of room.
+// CapacityRefusal is the reason why a call was refused for lack of capacity.
 type CapacityRefusal string
 
-// Reasons of such a refusal.
+// Reasons for a refusal.
 const (
-	// WaitExpired: the call has waited as long as it may.
+	// WaitExpired: the call has waited for the maximum time.
 	WaitExpired CapacityRefusal = "patience"
-	// WaitPredictedTooLong: it would have to wait longer than it may.
+	// WaitPredictedTooLong: the predicted wait exceeds the maximum.
 	WaitPredictedTooLong CapacityRefusal = "predicted"
-	// DeadlineTooClose: its time would be over before an engine had answered.
+	// DeadlineTooClose: an engine could not respond before the deadline.
 	DeadlineTooClose CapacityRefusal = "time"
-	// NoEngineAvailable: engines of its service are known, and none takes new calls where it may
-	// be served.
+	// NoEngineAvailable: engines of the service are known, but none in the allowed zones accepts
+	// new calls.
 	NoEngineAvailable CapacityRefusal = "closed"
-	// TooManyRefusals: as many engines have refused it as may.
+	// TooManyRefusals: the call has reached its limit of refusals by engines.
 	TooManyRefusals CapacityRefusal = "refused"
 )
 
-// awaitEngine waits a moment for an engine with room, or refuses.
-func (current *course) awaitEngine(ctx context.Context) error {
-	waiter := backend.Waiter{Service: current.serviceName, Priority: current.urgency(), SoftDeadline: current.aim(), MayAttempt: current.mayAsk}
-	forecast, predicted := current.predict(waiter)
-	patience, reason := current.patience(forecast, predicted)
+// waitForEngine waits in the queue for an engine with capacity, or refuses the call.
+func (inflight *inflightCall) waitForEngine(ctx context.Context) error {
+	waiter := backend.Waiter{Service: inflight.serviceName, Priority: inflight.priority(), SoftDeadline: inflight.softDeadline(), MayAttempt: inflight.mayAttempt}
+	forecast, predicted := inflight.predict(waiter)
+	wait, reason := inflight.maxWait(forecast, predicted)
 	if reason != "" {
-		return current.noRoom(reason, forecast)
+		return inflight.refuseForCapacity(reason, forecast)
 	}
-	current.service.WaitQueue.Wait(ctx, waiter, patience)
-	current.waited = true
-	current.asking.RecordWait()
-	if current.runs == 0 || current.route.Repeatable() {
-		current.tried = current.tried[:0]
+	inflight.service.WaitQueue.Wait(ctx, waiter, wait)
+	inflight.hasWaited = true
+	inflight.refusalState.RecordWait()
+	if inflight.executions == 0 || inflight.route.Repeatable() {
+		inflight.triedEngines = inflight.triedEngines[:0]
 	}
 	return nil
 }
 
-// mayAsk tells whether the call may ask an engine now. It is called while the call waits.
-func (current *course) mayAsk() bool {
-	return current.asking.MayAttempt(&current.service.RetryBudget, time.Now())
+// mayAttempt reports whether the call may attempt to reach an engine now. The queue calls it while
+// the call waits.
+func (inflight *inflightCall) mayAttempt() bool {
+	return inflight.refusalState.MayAttempt(&inflight.service.RetryBudget, time.Now())
 }
 
-// predict tells what the call would find in the queue, false where nothing is known to
-// predict its wait from.
-func (current *course) predict(waiter backend.Waiter) (backend.Forecast, bool) {
+// predict returns the forecast of the call's wait, false if there is no basis for one.
+func (inflight *inflightCall) predict(waiter backend.Waiter) (backend.Forecast, bool) {
 	if !feature.Enabled(feature.LoadBasedCapacity) {
 		return backend.Forecast{}, false
 	}
 	now := time.Now()
-	queue := current.service.WaitQueue
-	forecast, known := current.service.Engines.Predict(waiter, queue.Ahead(waiter, now), queue.CountByPriority(waiter.Service), now)
-	if !current.waited {
-		current.forecast = forecast
+	queue := inflight.service.WaitQueue
+	forecast, known := inflight.service.Engines.Predict(waiter, queue.Ahead(waiter, now), queue.CountByPriority(waiter.Service), now)
+	if !inflight.hasWaited {
+		inflight.initialForecast = forecast
 	}
 	return forecast, known
 }
 
-// patience is how long the call may wait on, or why it may not.
-//
-// It answers the load of more calls than can be served in time: one that waits all its
-// patience for nothing keeps its caller from trying elsewhere, and stands before others.
-func (current *course) patience(forecast backend.Forecast, predicted bool) (time.Duration, CapacityRefusal) {
-	if current.service.Engines.NoneAvailable(current.serviceName, current.zones) {
+// maxWait returns how long the call may still wait, or why it must be refused now. Under overload,
+// refusing early calls that cannot be served in time lets their callers retry elsewhere and keeps
+// them from delaying others.
+func (inflight *inflightCall) maxWait(forecast backend.Forecast, predicted bool) (time.Duration, CapacityRefusal) {
+	if inflight.service.Engines.NoneAvailable(inflight.serviceName, inflight.zones) {
 		return 0, NoEngineAvailable
 	}
-	patience := current.engineWait() - time.Since(current.searching)
-	if patience <= 0 {
+	wait := inflight.maxEngineWait() - time.Since(inflight.searchStarted)
+	if wait <= 0 {
 		return 0, WaitExpired
 	}
-	if current.asking.Exhausted() {
+	if inflight.refusalState.Exhausted() {
 		return 0, TooManyRefusals
 	}
 	if !feature.Enabled(feature.LoadBasedCapacity) {
-		return patience, ""
+		return wait, ""
 	}
-	inTime := time.Until(current.end) - current.service.Engines.TypicalDuration(current.serviceName)
+	slack := time.Until(inflight.deadline) - inflight.service.Engines.TypicalDuration(inflight.serviceName)
 	switch {
-	case inTime <= 0:
+	case slack <= 0:
 		return 0, DeadlineTooClose
-	case predicted && forecast.Exceeds(min(patience, inTime)):
+	case predicted && forecast.Exceeds(min(wait, slack)):
 		return 0, WaitPredictedTooLong
 	}
-	return min(patience, inTime), ""
+	return min(wait, slack), ""
 }
 
-// noRoom refuses the call. It has not run, unless an engine has got it before.
-func (current *course) noRoom(reason CapacityRefusal, forecast backend.Forecast) error {
-	if current.runs > 0 {
-		return current.outcomeUnknown()
+// refuseForCapacity returns the error of a call without an engine. If an engine may have run an
+// earlier attempt, the outcome is unknown instead.
+func (inflight *inflightCall) refuseForCapacity(reason CapacityRefusal, forecast backend.Forecast) error {
+	if inflight.executions > 0 {
+		return inflight.outcomeUnknownError()
 	}
-	current.service.Meter.RefusedForCapacity(current.serviceName, reason)
-	return resultcode.New(resultcode.NoBackEnd, "none of %d engines of %s has room (%s), %d refusals, %d calls ahead, predicted wait %s",
-		current.service.Engines.EligibleCount(current.serviceName), current.serviceName, reason, current.asking.Refusals, forecast.Ahead, forecast.Wait).
-		After(current.comeBack(forecast))
+	inflight.service.Meter.RefusedForCapacity(inflight.serviceName, reason)
+	return resultcode.New(resultcode.NoBackEnd, "none of %d engines of %s has capacity (%s): %d refusals, %d calls ahead, predicted wait %s",
+		inflight.service.Engines.EligibleCount(inflight.serviceName), inflight.serviceName, reason, inflight.refusalState.Refusals, forecast.Ahead, forecast.Wait).
+		After(inflight.capacityRetryAfter(forecast))
 }
 
-// comeBack is when room is predicted, each call refused in its turn.
-func (current *course) comeBack(forecast backend.Forecast) time.Duration {
+// capacityRetryAfter returns the retry delay until capacity is predicted. The scheduler spreads the
+// retries of refused calls.
+func (inflight *inflightCall) capacityRetryAfter(forecast backend.Forecast) time.Duration {
 	if forecast.Wait == 0 {
-		return fullRetry
+		return defaultCapacityRetryAfter
 	}
-	most := max(time.Duration(fullRetryShare*float64(time.Until(current.end))), fullRetry)
-	return current.service.RetryScheduler.RetryAfter(current.serviceName, max(forecast.Wait, fullRetry), forecast.Interval, most, time.Now())
+	maxDelay := max(time.Duration(maxCapacityRetryFraction*float64(time.Until(inflight.deadline))), defaultCapacityRetryAfter)
+	return inflight.service.RetryScheduler.RetryAfter(inflight.serviceName, max(forecast.Wait, defaultCapacityRetryAfter), forecast.Interval, maxDelay, time.Now())
 }
 
-// engineWait is how long the call waits for a free engine in all.
-func (current *course) engineWait() time.Duration {
-	objective := current.route.Objective
+// maxEngineWait returns how long the call may wait for an engine in total.
+func (inflight *inflightCall) maxEngineWait() time.Duration {
+	objective := inflight.route.Objective
 	if objective == 0 {
-		objective = fallbackObjective
+		objective = defaultObjective
 	}
-	wait := time.Duration(refusalShare * float64(objective))
-	if current.goesOn && feature.Enabled(feature.LoadBasedCapacity) {
-		return max(wait, time.Duration(turnWaitShare*float64(current.end.Sub(current.call.Received))))
+	wait := time.Duration(engineWaitFraction * float64(objective))
+	if inflight.continuesProgram && feature.Enabled(feature.LoadBasedCapacity) {
+		return max(wait, time.Duration(continuedTurnWaitFraction*float64(inflight.deadline.Sub(inflight.call.Received))))
 	}
-	if current.call.Program == "" || current.route.Kind == routing.Streaming || !feature.Enabled(feature.LongerToolWait) {
+	if inflight.call.Program == "" || inflight.route.Kind == routing.Streaming || !feature.Enabled(feature.LongerToolWait) {
 		return wait
 	}
-	return max(wait, time.Duration(toolWaitShare*float64(current.end.Sub(current.call.Received))))
+	return max(wait, time.Duration(toolWaitFraction*float64(inflight.deadline.Sub(inflight.call.Received))))
 }
 
-// aim is when the call's program should be over, or the call itself. A call that
-// is about to be given up is as urgent as one whose program is nearly over.
-func (current *course) aim() time.Time {
-	givenUp := current.searching.Add(current.engineWait())
-	if current.call.SoftDeadline.IsZero() || (current.call.SoftDeadline.After(givenUp) && current.call.SoftDeadline.After(time.Now())) {
-		return givenUp
+// softDeadline returns the time by which the queue orders the call: the program's soft deadline, or
+// the end of the call's maximum wait if that is earlier or the program has none. A missed soft
+// deadline is returned unchanged.
+func (inflight *inflightCall) softDeadline() time.Time {
+	waitEnd := inflight.searchStarted.Add(inflight.maxEngineWait())
+	if inflight.call.SoftDeadline.IsZero() || (inflight.call.SoftDeadline.After(waitEnd) && inflight.call.SoftDeadline.After(time.Now())) {
+		return waitEnd
 	}
-	return current.call.SoftDeadline
+	return inflight.call.SoftDeadline
 }
--- a/internal/forward/wait_test.go
+++ b/internal/forward/wait_test.go
@@ -8,44 +8,45 @@
 	. "github.com/onsi/gomega"
 )
 
-// waitingCall is a program's call that looks for an engine since now, with an aim.
-func waitingCall(kind routing.Kind, now time.Time, aim time.Duration) *course {
+// newWaitingCall returns a call whose search for an engine starts now. Without a soft deadline,
+// untilSoftDeadline is 0.
+func newWaitingCall(kind routing.Kind, now time.Time, untilSoftDeadline time.Duration) *inflightCall {
 	call := &Call{Program: "p", Received: now}
-	if aim != 0 {
-		call.SoftDeadline = now.Add(aim)
+	if untilSoftDeadline != 0 {
+		call.SoftDeadline = now.Add(untilSoftDeadline)
 	}
-	return &course{
-		call:      call,
-		route:     &routing.Route{Kind: kind, Objective: 100 * time.Millisecond},
-		end:       now.Add(2 * time.Second),
-		searching: now,
+	return &inflightCall{
+		call:          call,
+		route:         &routing.Route{Kind: kind, Objective: 100 * time.Millisecond},
+		deadline:      now.Add(2 * time.Second),
+		searchStarted: now,
 	}
 }
 
-func TestToolsWaitLongerThanTurns(t *testing.T) {
+func TestToolCallsWaitLongerThanTurns(t *testing.T) {
 	expect := NewWithT(t)
 	now := time.Now()
-	expect.Expect(waitingCall(routing.Unsafe, now, time.Hour).engineWait()).To(Equal(time.Second))
-	expect.Expect(waitingCall(routing.Streaming, now, time.Hour).engineWait()).To(Equal(80 * time.Millisecond))
-	alone := waitingCall(routing.Unsafe, now, 0)
-	alone.call.Program = ""
-	expect.Expect(alone.engineWait()).To(Equal(80 * time.Millisecond))
+	expect.Expect(newWaitingCall(routing.Unsafe, now, time.Hour).maxEngineWait()).To(Equal(time.Second))
+	expect.Expect(newWaitingCall(routing.Streaming, now, time.Hour).maxEngineWait()).To(Equal(80 * time.Millisecond))
+	withoutProgram := newWaitingCall(routing.Unsafe, now, 0)
+	withoutProgram.call.Program = ""
+	expect.Expect(withoutProgram.maxEngineWait()).To(Equal(80 * time.Millisecond))
 }
 
-func TestUrgencyInLine(t *testing.T) {
+func TestSoftDeadlineInWaitQueue(t *testing.T) {
 	expect := NewWithT(t)
 	now := time.Now()
-	givenUp := now.Add(time.Second)
-	expect.Expect(waitingCall(routing.Unsafe, now, 500*time.Millisecond).aim()).To(Equal(now.Add(500*time.Millisecond)), "the program's aim")
-	expect.Expect(waitingCall(routing.Unsafe, now, time.Hour).aim()).To(Equal(givenUp), "the end of its patience")
-	expect.Expect(waitingCall(routing.Unsafe, now, -time.Second).aim()).To(Equal(now.Add(-time.Second)), "late, so that it comes last")
-	expect.Expect(waitingCall(routing.Unsafe, now, 0).aim()).To(Equal(givenUp), "no aim")
+	waitEnd := now.Add(time.Second)
+	expect.Expect(newWaitingCall(routing.Unsafe, now, 500*time.Millisecond).softDeadline()).To(Equal(now.Add(500*time.Millisecond)), "the program's soft deadline")
+	expect.Expect(newWaitingCall(routing.Unsafe, now, time.Hour).softDeadline()).To(Equal(waitEnd), "the end of the maximum wait")
+	expect.Expect(newWaitingCall(routing.Unsafe, now, -time.Second).softDeadline()).To(Equal(now.Add(-time.Second)), "a missed deadline, which the queue orders last")
+	expect.Expect(newWaitingCall(routing.Unsafe, now, 0).softDeadline()).To(Equal(waitEnd), "no soft deadline")
 }
 
-func TestTurnsOfProgramsThatGoOnWaitLonger(t *testing.T) {
+func TestTurnsOfContinuedProgramsWaitLonger(t *testing.T) {
 	expect := NewWithT(t)
-	first := waitingCall(routing.Streaming, time.Now(), time.Hour)
-	expect.Expect(first.engineWait()).To(Equal(80 * time.Millisecond))
-	first.goesOn = true
-	expect.Expect(first.engineWait()).To(Equal(600 * time.Millisecond))
+	turn := newWaitingCall(routing.Streaming, time.Now(), time.Hour)
+	expect.Expect(turn.maxEngineWait()).To(Equal(80 * time.Millisecond))
+	turn.continuesProgram = true
+	expect.Expect(turn.maxEngineWait()).To(Equal(600 * time.Millisecond))
 }
