--- a/internal/certificate/certificate.go
+++ b/internal/certificate/certificate.go
@@ -1,6 +1,6 @@
-// Package certificate keeps a process's TLS certificate and the authority that
-// it trusts. Both are read from files again when they change, without a
-// restart.
+// Package certificate loads a process's TLS certificate and its trusted
+// certificate authorities from PEM files, and reloads them when the files
+// change.
 package certificate
 
 import (
@@ -13,86 +13,88 @@
 	"github.com/magpielug/magpielug/internal/resultcode"
 )
 
-// rereadInterval is how often the files are looked at, at most.
-const rereadInterval = time.Second
+// reloadCheckInterval is the minimum time between two checks of the files.
+const reloadCheckInterval = time.Second
 
-// Files name PEM files.
+// Files holds the paths of PEM files.
 type Files struct {
-	// Certificate and Key are the process's own; both or neither.
+	// Certificate and Key are set together, or both are empty.
 	Certificate string
 	Key         string
-	// Authority holds the certificates that sign those of other processes;
-	// empty takes the system's.
+	// Authority holds the CA certificates that peers are verified against;
+	// empty uses the system's root CAs.
 	Authority string
-	// RequireClient makes a server accept only clients with a certificate of
-	// the authority.
+	// RequireClient makes a server require client certificates signed by
+	// Authority.
 	RequireClient bool
 }
 
-// Source gives out TLS configurations that follow the files. It is safe for
-// concurrent use.
+// Source provides TLS configurations with the current content of the files. It
+// is safe for concurrent use.
 type Source struct {
-	files  Files
-	failed func(error)
+	files   Files
+	onError func(error)
 
-	mutex   sync.Mutex
-	checked time.Time
-	stamps  []fileStamp
-	current material
+	mutex       sync.Mutex
+	lastChecked time.Time
+	fileStates  []fileState
+	current     credentials
 }
 
-// material is what was read last.
-type material struct {
+// credentials is the parsed content of the files.
+type credentials struct {
 	certificate *tls.Certificate
 	authority   *x509.CertPool
 }
 
-// fileStamp tells whether a file has changed.
-type fileStamp struct {
+// fileState is compared to detect a changed file.
+type fileState struct {
 	modified time.Time
 	size     int64
 }
 
-// NewSource reads the files. A file that can't be read is a *resultcode.Error
-// with code InvalidSettings. Later, failed (optional) is told of files that
-// can't be read any more, and what was read before stays in use.
-func NewSource(files Files, failed func(error)) (*Source, error) {
+// NewSource loads the files. It returns a *resultcode.Error with code
+// InvalidSettings for a file that can't be loaded. When a later reload fails,
+// the previous content stays in use and onError, if not nil, is called.
+func NewSource(files Files, onError func(error)) (*Source, error) {
 	if (files.Certificate == "") != (files.Key == "") {
-		return nil, resultcode.New(resultcode.InvalidSettings, "tls.certificate: needs tls.key too, and the other way round")
+		return nil, resultcode.New(resultcode.InvalidSettings, "tls.certificate: tls.certificate and tls.key must be set together")
 	}
 	if files.RequireClient && files.Authority == "" {
-		return nil, resultcode.New(resultcode.InvalidSettings, "tls.authority: needed for tls.require_client")
+		return nil, resultcode.New(resultcode.InvalidSettings, "tls.authority: required by tls.require_client")
 	}
-	source := &Source{files: files, failed: failed}
+	source := &Source{files: files, onError: onError}
 	read, err := files.read()
 	if err != nil {
 		return nil, resultcode.New(resultcode.InvalidSettings, "%v", err)
 	}
 	source.current = read
-	source.stamps = files.stamps()
+	source.fileStates = files.fileStates()
 	return source, nil
 }
 
-// ServerConfig returns the configuration of a server. It needs a certificate.
+// ServerConfig returns a server's configuration, which loads the current files
+// for each handshake. Files.Certificate must be set.
 func (source *Source) ServerConfig() *tls.Config {
 	config := &tls.Config{MinVersion: tls.VersionTLS12}
 	config.GetConfigForClient = func(*tls.ClientHelloInfo) (*tls.Config, error) {
-		return source.serverConfigNow(), nil
+		return source.currentServerConfig(), nil
 	}
-	// Not used, but a server's configuration must name a certificate.
+	// Not called, because GetConfigForClient returns certificates, but a server's
+	// configuration has to provide one.
 	config.GetCertificate = func(*tls.ClientHelloInfo) (*tls.Certificate, error) {
-		return source.material().certificate, nil
+		return source.latest().certificate, nil
 	}
 	return config
 }
 
-func (source *Source) serverConfigNow() *tls.Config {
-	now := source.material()
+func (source *Source) currentServerConfig() *tls.Config {
+	current := source.latest()
 	config := &tls.Config{
 		MinVersion:   tls.VersionTLS12,
 		NextProtos:   []string{"http/1.1"},
-		Certificates: []tls.Certificate{*now.certificate},
-		ClientCAs:    now.authority,
+		Certificates: []tls.Certificate{*current.certificate},
+		ClientCAs:    current.authority,
 	}
 	if source.files.RequireClient {
 		config.ClientAuth = tls.RequireAndVerifyClientCert
@@ -100,66 +102,66 @@
 	return config
 }
 
-// ClientConfig returns the configuration of a client's next connection: it
-// presents the certificate, if any, and trusts the authority alone. Take a new
-// one for each connection, as httpclient does.
+// ClientConfig returns the configuration of one client connection: it presents
+// the certificate, if any, and trusts only the configured authority. Callers
+// get a new one for each connection, so that reloads take effect.
 func (source *Source) ClientConfig() *tls.Config {
-	now := source.material()
-	config := &tls.Config{MinVersion: tls.VersionTLS12, RootCAs: now.authority}
-	if now.certificate != nil {
-		config.Certificates = []tls.Certificate{*now.certificate}
+	current := source.latest()
+	config := &tls.Config{MinVersion: tls.VersionTLS12, RootCAs: current.authority}
+	if current.certificate != nil {
+		config.Certificates = []tls.Certificate{*current.certificate}
 	}
 	return config
 }
 
-// material returns what the files hold, read again if they changed.
-func (source *Source) material() material {
+// latest returns the credentials, reloaded if the files have changed.
+func (source *Source) latest() credentials {
 	source.mutex.Lock()
 	defer source.mutex.Unlock()
 	now := time.Now()
-	if now.Sub(source.checked) < rereadInterval {
+	if now.Sub(source.lastChecked) < reloadCheckInterval {
 		return source.current
 	}
-	source.checked = now
-	stamps := source.files.stamps()
-	if equalStamps(stamps, source.stamps) {
+	source.lastChecked = now
+	stamps := source.files.fileStates()
+	if equalFileStates(stamps, source.fileStates) {
 		return source.current
 	}
 	read, err := source.files.read()
 	if err != nil {
-		// A file may be half written: it is tried again at the next look.
-		source.report(err)
+		// The file may be partially written; the next check retries.
+		source.reportError(err)
 		return source.current
 	}
 	source.current = read
-	source.stamps = stamps
+	source.fileStates = stamps
 	return source.current
 }
 
-func (source *Source) report(err error) {
-	if source.failed != nil {
-		source.failed(err)
+func (source *Source) reportError(err error) {
+	if source.onError != nil {
+		source.onError(err)
 	}
 }
 
-func (files Files) names() []string {
+func (files Files) paths() []string {
 	return []string{files.Certificate, files.Key, files.Authority}
 }
 
-func (files Files) stamps() []fileStamp {
-	var stamps []fileStamp
-	for _, name := range files.names() {
-		stamp := fileStamp{}
+func (files Files) fileStates() []fileState {
+	var stamps []fileState
+	for _, name := range files.paths() {
+		stamp := fileState{}
 		info, err := os.Stat(name)
 		if err == nil {
-			stamp = fileStamp{modified: info.ModTime(), size: info.Size()}
+			stamp = fileState{modified: info.ModTime(), size: info.Size()}
 		}
 		stamps = append(stamps, stamp)
 	}
 	return stamps
 }
 
-func equalStamps(left, right []fileStamp) bool {
+func equalFileStates(left, right []fileState) bool {
 	for index := range left {
 		if left[index].size != right[index].size || !left[index].modified.Equal(right[index].modified) {
 			return false
--- a/internal/certificate/certificate_test.go
+++ b/internal/certificate/certificate_test.go
@@ -22,7 +22,7 @@
 	. "github.com/onsi/gomega"
 )
 
-// authority signs certificates for an address.
+// authority is a CA that issues certificates for address.
 type authority struct {
 	address     net.IP
 	certificate *x509.Certificate
@@ -62,7 +62,7 @@
 	}
 }
 
-// write puts a new certificate, its key and the authority into directory.
+// write stores a new certificate, its key and the CA certificate in directory.
 func (signer *authority) write(directory string) Files {
 	key := newKey()
 	encoded, err := x509.CreateCertificate(rand.Reader, signer.template(), signer.certificate, key.Public(), signer.key)
@@ -91,7 +91,8 @@
 	return source
 }
 
-// serve answers on TLS and returns the server's URL, in http as callers have it.
+// serve starts a TLS server and returns its URL with scheme http, which
+// httpclient expects.
 func serve(source *Source) string {
 	handler := http.HandlerFunc(func(http.ResponseWriter, *http.Request) {})
 	server, err := httpserver.StartTLS("127.0.0.1:0", handler, httpserver.Limits{}, source.ServerConfig())
@@ -99,22 +100,22 @@
 	return "http://" + server.Address()
 }
 
-// get makes one exchange on a connection of its own.
+// get sends one request on a new connection.
 func get(url string, source *Source) (*tls.ConnectionState, error) {
 	client, err := httpclient.New(httpclient.Options{TLS: source.ClientConfig, Timeout: 10 * time.Second})
 	Expect(err).NotTo(HaveOccurred())
 	defer client.CloseIdleConnections()
-	answer, err := client.Get(url)
+	response, err := client.Get(url)
 	if err != nil {
 		return nil, err
 	}
-	defer answer.Body.Close()
-	Expect(answer.StatusCode).To(Equal(http.StatusOK))
-	return answer.TLS, nil
+	defer response.Body.Close()
+	Expect(response.StatusCode).To(Equal(http.StatusOK))
+	return response.TLS, nil
 }
 
 var _ = Describe("Source", func() {
-	It("serves and trusts what the files hold, also after they change", func() {
+	It("reloads the certificate when the files change", func() {
 		directory := GinkgoT().TempDir()
 		signer := newAuthority()
 		source := newSource(signer.write(directory))
@@ -128,34 +129,34 @@
 		}, 20*time.Second, 100*time.Millisecond).Should(BeTrue())
 	})
 
-	It("does not trust another authority's server, or another address", func() {
+	It("rejects a server of another authority or with another address", func() {
 		source := newSource(newAuthority().write(GinkgoT().TempDir()))
-		stranger := newSource(newAuthority().write(GinkgoT().TempDir()))
-		_, err := get(serve(stranger), source)
+		untrusted := newSource(newAuthority().write(GinkgoT().TempDir()))
+		_, err := get(serve(untrusted), source)
 		Expect(err).To(MatchError(ContainSubstring("unknown authority")))
 		signer := newAuthority()
 		signer.address = net.IPv4(127, 0, 0, 2)
-		elsewhere := newSource(signer.write(GinkgoT().TempDir()))
-		_, err = get(serve(elsewhere), elsewhere)
+		otherAddress := newSource(signer.write(GinkgoT().TempDir()))
+		_, err = get(serve(otherAddress), otherAddress)
 		Expect(err).To(MatchError(ContainSubstring("not 127.0.0.1")))
 	})
 
-	It("accepts only clients of the authority where that is asked for", func() {
+	It("requires client certificates of the authority with RequireClient", func() {
 		files := newAuthority().write(GinkgoT().TempDir())
 		files.RequireClient = true
 		source := newSource(files)
 		url := serve(source)
 		_, err := get(url, source)
 		Expect(err).NotTo(HaveOccurred())
-		stranger := newAuthority().write(GinkgoT().TempDir())
-		stranger.Authority = files.Authority
-		_, err = get(url, newSource(stranger))
+		untrusted := newAuthority().write(GinkgoT().TempDir())
+		untrusted.Authority = files.Authority
+		_, err = get(url, newSource(untrusted))
 		Expect(err).To(HaveOccurred())
 		_, err = get(url, newSource(Files{Authority: files.Authority}))
 		Expect(err).To(HaveOccurred())
 	})
 
-	It("keeps what it has while a file is damaged, and says so", func() {
+	It("keeps the previous certificate and reports the error when a reload fails", func() {
 		directory := GinkgoT().TempDir()
 		signer := newAuthority()
 		reports := make(chan error, 100)
@@ -171,7 +172,7 @@
 		Expect(<-reports).To(MatchError(ContainSubstring("tls.certificate")))
 	})
 
-	It("refuses settings that can't work", func() {
+	It("rejects incomplete settings and unreadable files", func() {
 		files := newAuthority().write(GinkgoT().TempDir())
 		for _, broken := range []Files{
 			{Certificate: files.Certificate},
--- a/internal/certificate/read.go
+++ b/internal/certificate/read.go
@@ -7,20 +7,19 @@
 	"os"
 )
 
-// read reads all files anew.
-func (files Files) read() (material, error) {
-	var read material
+func (files Files) read() (credentials, error) {
+	var read credentials
 	if files.Certificate != "" {
 		certificate, err := tls.LoadX509KeyPair(files.Certificate, files.Key)
 		if err != nil {
-			return material{}, fmt.Errorf("tls.certificate: %w", err)
+			return credentials{}, fmt.Errorf("tls.certificate: %w", err)
 		}
 		read.certificate = &certificate
 	}
 	if files.Authority != "" {
 		authority, err := readAuthority(files.Authority)
 		if err != nil {
-			return material{}, fmt.Errorf("tls.authority: %w", err)
+			return credentials{}, fmt.Errorf("tls.authority: %w", err)
 		}
 		read.authority = authority
 	}
@@ -34,7 +33,7 @@
 	}
 	pool := x509.NewCertPool()
 	if !pool.AppendCertsFromPEM(content) {
-		return nil, fmt.Errorf("%s holds no certificate", path)
+		return nil, fmt.Errorf("%s contains no PEM certificate", path)
 	}
 	return pool, nil
 }
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -87,7 +87,7 @@
 		Entry("port out of range", "node.listen", "127.0.0.1:70000", "IP address with a port"),
 		Entry("URL without a scheme", "platform.log", "127.0.0.1:9001", "not a URL"),
 		Entry("bad operator key digest", "operator_key_sha256", "abc", "64 hexadecimal"),
-		Entry("certificate without a key", "tls.certificate", "a.pem", "needs tls.key"),
+		Entry("certificate without a key", "tls.certificate", "a.pem", "tls.certificate and tls.key must be set together"),
 		Entry("missing authority", "tls.authority", "absent.pem", "absent.pem"),
 		Entry("lease too long", "scheduler.lease", "1900ms", "0.9 of scheduler.election_min"),
 		Entry("lease under the heartbeat", "scheduler.lease", "50ms", "above scheduler.heartbeat"),
