--- a/internal/logging/logging.go
+++ b/internal/logging/logging.go
@@ -1,5 +1,4 @@
-// Package logging makes the process's logger: one line of key=value pairs
-// (logfmt) for each event, by zap.
+// Package logging configures zap to write one logfmt line for each event.
 package logging
 
 import (
@@ -14,18 +13,19 @@
 	"go.uber.org/zap/zapcore"
 )
 
-// timeLayout writes UTC times to the millisecond.
+// timeLayout is RFC 3339 in UTC with milliseconds.
 const timeLayout = "2006-01-02T15:04:05.000Z"
 
 const (
-	// sampleTick is the time over which lines of one event are counted; of more
-	// than sampleFirst of them, one in sampleThereafter is written.
+	// Of the lines with the same message and level in one sampleTick, the first
+	// sampleFirst are written, then every sampleThereafter-th.
 	sampleTick       = time.Second
 	sampleFirst      = 300
 	sampleThereafter = 100
 )
 
-// Bounded returns a logger that writes a bounded number of lines a second.
+// Bounded returns a logger that samples repeated messages, which limits the
+// number of lines a second.
 func (logger *Logger) Bounded() *Logger {
 	sampled := logger.WithOptions(zap.WrapCore(func(core zapcore.Core) zapcore.Core {
 		return zapcore.NewSamplerWithOptions(core, sampleTick, sampleFirst, sampleThereafter)
@@ -33,7 +33,7 @@
 	return &Logger{Logger: sampled, Level: logger.Level}
 }
 
-// Logger is the process's logger with its settable level.
+// Logger is a zap logger whose level can be changed at run time.
 type Logger struct {
 	*zap.Logger
 	Level zap.AtomicLevel
@@ -44,7 +44,7 @@
 func New(level string, output io.Writer) (*Logger, error) {
 	parsed, err := zapcore.ParseLevel(level)
 	if err != nil || parsed > zapcore.ErrorLevel {
-		return nil, resultcode.New(resultcode.InvalidSettings, "log.level: %q is none of debug, info, warn, error", level)
+		return nil, resultcode.New(resultcode.InvalidSettings, "log.level: %q is not one of debug, info, warn, error", level)
 	}
 	atomicLevel := zap.NewAtomicLevelAt(parsed)
 	encoder := zaplogfmt.NewEncoder(encoderConfig())
@@ -67,39 +67,39 @@
 	encoder.AppendString(moment.UTC().Format(timeLayout))
 }
 
-// Failure returns the fields that describe err: its result code by number and
-// name, its text on one line, and at level debug the trace that eris took.
-func Failure(logger *zap.Logger, err error) []zap.Field {
+// ErrorFields returns the fields that describe err: the number and name of its
+// result code, its text on one line and, at level debug, its eris stack trace.
+func ErrorFields(logger *zap.Logger, err error) []zap.Field {
 	code := resultcode.CodeOf(err)
 	fields := []zap.Field{
 		zap.Uint32("code", uint32(code)),
 		zap.Stringer("name", code),
-		zap.String("error", oneLine(err.Error())),
+		zap.String("error", singleLine(err.Error())),
 	}
 	if logger.Core().Enabled(zapcore.DebugLevel) {
-		fields = append(fields, zap.String("trace", oneLine(eris.ToString(err, true))))
+		fields = append(fields, zap.String("trace", singleLine(eris.ToString(err, true))))
 	}
 	return fields
 }
 
-// Cause returns the field that tells err's text on one line, without the trace
-// that zap would add.
+// Cause returns err's text on one line as field "error", without the
+// errorVerbose field that zap.Error adds. It skips a nil err.
 func Cause(err error) zap.Field {
 	if err == nil {
 		return zap.Skip()
 	}
-	return zap.String("error", oneLine(err.Error()))
+	return zap.String("error", singleLine(err.Error()))
 }
 
-// oneLine joins the lines of text.
-func oneLine(text string) string {
-	return strings.Join(strings.FieldsFunc(text, isLineEnd), " | ")
+// singleLine replaces line breaks by " | ".
+func singleLine(text string) string {
+	return strings.Join(strings.FieldsFunc(text, isLineBreak), " | ")
 }
 
-func isLineEnd(character rune) bool { return character == '\n' || character == '\r' }
+func isLineBreak(character rune) bool { return character == '\n' || character == '\r' }
 
-// Program names the program that an event is about.
+// Program returns the field with a program's ID.
 func Program(id string) zap.Field { return zap.String("program", id) }
 
-// Request names the request that an event is about.
+// Request returns the field with a request's ID.
 func Request(id string) zap.Field { return zap.String("request", id) }
--- a/internal/logging/logging_test.go
+++ b/internal/logging/logging_test.go
@@ -13,7 +13,7 @@
 )
 
 var _ = Describe("Logger", func() {
-	It("writes one line of pairs an event, whatever the values hold", func() {
+	It("writes one logfmt line for each event and escapes special characters", func() {
 		var output bytes.Buffer
 		logger, err := New("info", &output)
 		Expect(err).NotTo(HaveOccurred())
@@ -24,13 +24,13 @@
 		Expect(line).To(ContainSubstring(`level=info event="call refused" program="p 1" request="r\n=\"2\"" wait=1.5s`))
 	})
 
-	It("names the code and keeps the trace for level debug", func() {
+	It("includes the result code, and the stack trace only at level debug", func() {
 		failure := eris.Wrap(resultcode.New(resultcode.NoLeader, "two\nlines"), "call")
 		for level, traced := range map[string]bool{"info": false, "debug": true} {
 			var output bytes.Buffer
 			logger, err := New(level, &output)
 			Expect(err).NotTo(HaveOccurred())
-			logger.Warn("failed", Failure(logger.Logger, failure)...)
+			logger.Warn("failed", ErrorFields(logger.Logger, failure)...)
 			Expect(output.String()).To(ContainSubstring("code=2006 name=NO_LEADER"))
 			Expect(strings.Count(output.String(), "\n")).To(Equal(1))
 			Expect(strings.Contains(output.String(), "trace=")).To(Equal(traced))
@@ -38,7 +38,7 @@
 		}
 	})
 
-	It("changes level while it runs and refuses an unknown one", func() {
+	It("changes its level at run time and rejects an unknown level", func() {
 		var output bytes.Buffer
 		logger, err := New("error", &output)
 		Expect(err).NotTo(HaveOccurred())
--- a/internal/logging/nonblocking.go
+++ b/internal/logging/nonblocking.go
@@ -5,24 +5,24 @@
 	"sync/atomic"
 )
 
-// queuedLines is how many lines may wait for a reader of the log.
-const queuedLines = 4096
+// queueCapacity is the maximum number of lines waiting to be written.
+const queueCapacity = 4096
 
-// NonBlocking hands lines to a writer on a goroutine of its own and drops them
-// where the writer does not keep up, so that logging never holds up a request.
+// NonBlocking is an io.Writer that queues lines for a background goroutine and
+// drops them when the queue is full, so that logging never blocks a request.
 type NonBlocking struct {
-	lines   chan []byte
+	queue   chan []byte
 	dropped atomic.Int64
-	// closing is closed by Close. The lines' channel never is: goroutines that
-	// outlast the end of their work may still write.
+	// closing is closed by Close. queue is never closed, because goroutines may
+	// still write after Close.
 	closing chan struct{}
 	done    chan struct{}
 }
 
-// NewNonBlocking returns a writer in front of output.
+// NewNonBlocking returns a writer that forwards lines to output.
 func NewNonBlocking(output io.Writer) *NonBlocking {
 	writer := &NonBlocking{
-		lines:   make(chan []byte, queuedLines),
+		queue:   make(chan []byte, queueCapacity),
 		closing: make(chan struct{}),
 		done:    make(chan struct{}),
 	}
@@ -35,9 +35,9 @@
 	var batch []byte
 	for {
 		select {
-		case line := <-writer.lines:
+		case line := <-writer.queue:
 			batch = append(batch[:0], line...)
-			batch = writer.takeWaiting(batch)
+			batch = writer.drainQueue(batch)
 			_, _ = output.Write(batch)
 		case <-writer.closing:
 			writer.flush(output)
@@ -46,10 +46,10 @@
 	}
 }
 
-// flush writes what waits.
+// flush writes all queued lines.
 func (writer *NonBlocking) flush(output io.Writer) {
 	for {
-		batch := writer.takeWaiting(nil)
+		batch := writer.drainQueue(nil)
 		if len(batch) == 0 {
 			return
 		}
@@ -57,15 +57,15 @@
 	}
 }
 
-// batchBytes is how much is written at once, so that lines that wait cost one
-// call of the system.
-const batchBytes = 16 << 10
+// maxBatchBytes is the size from which a batch takes no further line. Batching
+// saves system calls.
+const maxBatchBytes = 16 << 10
 
-// takeWaiting adds what waits already.
-func (writer *NonBlocking) takeWaiting(batch []byte) []byte {
-	for len(batch) < batchBytes {
+// drainQueue appends queued lines to batch, without blocking.
+func (writer *NonBlocking) drainQueue(batch []byte) []byte {
+	for len(batch) < maxBatchBytes {
 		select {
-		case line := <-writer.lines:
+		case line := <-writer.queue:
 			batch = append(batch, line...)
 		default:
 			return batch
@@ -74,22 +74,22 @@
 	return batch
 }
 
-// Write implements io.Writer. It copies the line and never blocks.
+// Write queues a copy of line. It never blocks and never returns an error.
 func (writer *NonBlocking) Write(line []byte) (int, error) {
 	copied := append([]byte(nil), line...)
 	select {
-	case writer.lines <- copied:
+	case writer.queue <- copied:
 	default:
 		writer.dropped.Add(1)
 	}
 	return len(line), nil
 }
 
-// Dropped returns how many lines were dropped so far.
+// Dropped returns the number of dropped lines.
 func (writer *NonBlocking) Dropped() int64 { return writer.dropped.Load() }
 
-// Close writes what waits. What is written afterwards is lost. It must be called
-// once.
+// Close writes the queued lines and stops the goroutine. Lines written
+// afterwards are lost. It must be called only once.
 func (writer *NonBlocking) Close() {
 	close(writer.closing)
 	<-writer.done
--- a/internal/logging/nonblocking_test.go
+++ b/internal/logging/nonblocking_test.go
@@ -8,7 +8,7 @@
 	. "github.com/onsi/gomega"
 )
 
-// blockedWriter takes nothing until it is released.
+// blockedWriter blocks writes until release is closed.
 type blockedWriter struct {
 	release chan struct{}
 	written bytes.Buffer
@@ -20,7 +20,7 @@
 }
 
 var _ = Describe("NonBlocking", func() {
-	It("drops and counts lines rather than wait for a reader", func() {
+	It("drops and counts lines when the output blocks", func() {
 		output := &blockedWriter{release: make(chan struct{})}
 		writer := logging.NewNonBlocking(output)
 		const lines = 10000
@@ -35,7 +35,7 @@
 		Expect(int64(kept) + writer.Dropped()).To(BeEquivalentTo(lines))
 	})
 
-	It("bears lines of goroutines that outlast its end", func() {
+	It("accepts writes after Close", func() {
 		var output bytes.Buffer
 		writer := logging.NewNonBlocking(&output)
 		_, err := writer.Write([]byte("before\n"))
