--- a/internal/resultcode/resultcode.go
+++ b/internal/resultcode/resultcode.go
@@ -1,6 +1,6 @@
-// Package resultcode holds every numbered result that magpielug gives to
-// callers, operators and its own processes. The table in docs/RESULT_CODES.md
-// is checked against this package by a test.
+// Package resultcode defines the numbered result codes that magpielug returns to
+// callers, operators and other magpielug processes. A test checks the table in
+// docs/RESULT_CODES.md against this package.
 package resultcode
 
 import (
@@ -10,10 +10,10 @@
 	"time"
 )
 
-// Code numbers one result. The thousands digit names the family.
+// Code is a result's number. The thousands digit is its category.
 type Code uint32
 
-// Result codes. A number once published never changes its meaning.
+// Result codes. The meaning of a published number never changes.
 const (
 	OK Code = 0
 
@@ -69,8 +69,8 @@
 	UnexpectedEvent Code = 9002
 )
 
-// Entry describes one code: its name, the HTTP status it maps to, whether the
-// same request can help later, and what it means.
+// Entry describes one code. Status is its HTTP status, or 0 if it is not
+// returned over HTTP. Retryable means that the same request may succeed later.
 type Entry struct {
 	Code      Code
 	Name      string
@@ -79,7 +79,7 @@
 	Meaning   string
 }
 
-// Table lists every code in rising order.
+// Table lists every code in ascending order.
 var Table = []Entry{
 	{OK, "OK", http.StatusOK, false, "The request succeeded."},
 	{BadRequest, "BAD_REQUEST", http.StatusBadRequest, false, "The body or a header can't be read; nothing ran."},
@@ -128,7 +128,7 @@
 	{UnexpectedEvent, "UNEXPECTED_EVENT", http.StatusInternalServerError, false, "Between processes: an event arrived in a state that does not take it; nothing changed."},
 }
 
-// Lookup returns the table's entry for code, or Internal's entry.
+// Lookup returns the entry for code, or that of Internal if code is unknown.
 func Lookup(code Code) Entry {
 	for _, entry := range Table {
 		if entry.Code == code {
@@ -141,33 +141,33 @@
 // String returns the code's name.
 func (code Code) String() string { return Lookup(code).Name }
 
-// Error is a result other than OK, with when to come back where a retry can
-// help (zero otherwise).
+// Error is a result other than OK. RetryAfter is the suggested delay before a
+// retry, or zero.
 type Error struct {
 	Code       Code
 	Message    string
 	RetryAfter time.Duration
 }
 
-// New makes an Error with a formatted message.
+// New returns an Error with a formatted message.
 func New(code Code, format string, arguments ...any) *Error {
 	return &Error{Code: code, Message: fmt.Sprintf(format, arguments...)}
 }
 
-// After returns a copy that tells the receiver when to come back.
+// After returns a copy with RetryAfter set to wait.
 func (failure *Error) After(wait time.Duration) *Error {
 	copied := *failure
 	copied.RetryAfter = wait
 	return &copied
 }
 
-// Error returns the number, name and message on one line.
+// Error returns the number, name and message.
 func (failure *Error) Error() string {
 	return fmt.Sprintf("%d %s: %s", failure.Code, failure.Code, failure.Message)
 }
 
-// CodeOf returns the code that err carries, Internal for any other error and
-// OK for nil.
+// CodeOf returns the code of the first *Error in err's chain, Internal if there
+// is none, and OK if err is nil.
 func CodeOf(err error) Code {
 	if err == nil {
 		return OK
--- a/internal/resultcode/resultcode_test.go
+++ b/internal/resultcode/resultcode_test.go
@@ -17,7 +17,8 @@
 	"github.com/rotisserie/eris"
 )
 
-// declaredCodes reads every constant of type resultcode.Code from the source.
+// declaredCodes returns every constant of type resultcode.Code by type-checking
+// the source.
 func declaredCodes() map[string]resultcode.Code {
 	files := token.NewFileSet()
 	source, err := parser.ParseFile(files, "resultcode.go", nil, 0)
@@ -44,7 +45,7 @@
 }
 
 var _ = Describe("Table", func() {
-	It("has one entry for each declared code, in rising order, named alike", func() {
+	It("has one entry with a matching name for each declared code, in ascending order", func() {
 		declared := declaredCodes()
 		Expect(resultcode.Table).To(HaveLen(len(declared)))
 		names := map[resultcode.Code]string{}
@@ -62,7 +63,7 @@
 		}
 	})
 
-	It("stands in docs/RESULT_CODES.md line by line and nothing else does", func() {
+	It("matches docs/RESULT_CODES.md exactly", func() {
 		page, err := os.ReadFile("../../docs/RESULT_CODES.md")
 		Expect(err).NotTo(HaveOccurred())
 		Expect(string(page)).To(ContainSubstring(resultcode.Markdown()))
@@ -71,7 +72,7 @@
 })
 
 var _ = Describe("Error", func() {
-	It("keeps its code when wrapped and its original when copied", func() {
+	It("keeps its code when wrapped, and is not modified by setting a retry delay", func() {
 		refusal := resultcode.New(resultcode.Overloaded, "wait %d s", 3)
 		later := refusal.After(time.Second)
 		Expect(refusal.RetryAfter).To(BeZero())
