--- a/internal/statechart/chart.go
+++ b/internal/statechart/chart.go
@@ -1,10 +1,10 @@
-// Package statechart runs the state charts of charts/*.yaml. A chart file is
-// the only source of an entity's transitions: the loader checks it and compiles
-// it into a table, which Next reads at run time. Every event in every state is
-// a transition, an explicit ignore, or a refusal with a numbered result code.
+// Package statechart implements the state machines defined in charts/*.yaml. A
+// chart file is the single source of an entity's transitions: it is validated
+// and compiled into a table, which Next looks up at run time. Every event in
+// every state is a transition, explicitly ignored, or refused with a result
+// code.
 //
-// Why a table: docs/CHARTS.md gives the benchmark against a state machine
-// library that runs the same files.
+// docs/CHARTS.md has the benchmark of the table against a state machine library.
 package statechart
 
 import (
@@ -16,13 +16,14 @@
 	"github.com/magpielug/magpielug/internal/resultcode"
 )
 
-// Number is the form of a state or an event: its place in the chart file.
+// Number is the type of a state or event: its index in the chart file.
 type Number interface{ ~uint8 }
 
-// maximumNames bounds the states, and the events, that a Number can hold.
-const maximumNames = 256
+// maxNames is the number of states, and of events, that a Number can represent.
+const maxNames = 256
 
-// Refusal tells why an event is not taken. It is shared and never changed.
+// Refusal is the error for an event that is not accepted in a state. Refusals
+// are shared and must not be modified.
 type Refusal struct {
 	Code  resultcode.Code
 	Chart string
@@ -30,35 +31,35 @@
 	Event string
 }
 
-// Error returns the refusal on one line.
+// Error returns the result code, chart, state and event.
 func (refusal *Refusal) Error() string {
-	return fmt.Sprintf("%d %s: %s in state %s does not take event %s",
+	return fmt.Sprintf("%d %s: %s in state %s does not accept event %s",
 		refusal.Code, refusal.Code, refusal.Chart, refusal.State, refusal.Event)
 }
 
-// cell is the answer of one state to one event. A nil refusal with next equal
-// to the state itself and ignored set means that the event changes nothing.
+// cell is the table entry for one event in one state. For an ignored event next
+// is the state itself and ignored is set.
 type cell struct {
 	next    uint8
 	ignored bool
 	refusal *Refusal
 }
 
-// Chart answers every event in every state. It is immutable and safe for
-// concurrent use. S and E are the state and event types of one entity, so that
-// the states of two entities cannot be mixed.
+// Chart is a compiled state machine. It is immutable and safe for concurrent
+// use. S and E are the state and event types of one entity, so that those of
+// different entities can't be confused.
 type Chart[S, E Number] struct {
 	definition *Definition
 	initial    S
 	final      []bool
 	eventCount int
-	// cells holds one row of eventCount cells for each state.
+	// cells has one row of eventCount cells for each state.
 	cells []cell
-	// invalid answers a state or event number that the chart does not have.
-	invalid *Refusal
+	// outOfRange is the refusal for a state or event that the chart does not have.
+	outOfRange *Refusal
 }
 
-// Load reads, checks and compiles the chart file name.yaml.
+// Load reads, validates and compiles the chart file name.yaml.
 func Load[S, E Number](files fs.FS, name string) (*Chart[S, E], error) {
 	content, err := fs.ReadFile(files, name+".yaml")
 	if err != nil {
@@ -69,13 +70,12 @@
 		return nil, eris.Wrapf(err, "chart %s", name)
 	}
 	if definition.Name != name {
-		return nil, eris.Errorf("chart %s: the file names itself %q", name, definition.Name)
+		return nil, eris.Errorf("chart %s: the file declares name %q", name, definition.Name)
 	}
 	return Compile[S, E](definition)
 }
 
-// MustLoad is Load for charts that are embedded in the program: a fault in one
-// is a fault of the build.
+// MustLoad is like Load but panics on an error. It is for embedded charts.
 func MustLoad[S, E Number](files fs.FS, name string) *Chart[S, E] {
 	chart, err := Load[S, E](files, name)
 	if err != nil {
@@ -84,26 +84,26 @@
 	return chart
 }
 
-// Next returns the state that follows state on event. An ignored event returns
-// state itself. A refused one returns state and the refusal.
+// Next returns the state after event. It returns state itself for an ignored
+// event, and state with the refusal for a refused one.
 func (chart *Chart[S, E]) Next(state S, event E) (S, *Refusal) {
-	found := chart.cell(state, event)
+	found := chart.lookup(state, event)
 	if found == nil {
-		return state, chart.invalid
+		return state, chart.outOfRange
 	}
 	return S(found.next), found.refusal
 }
 
-// Ignores reports whether the chart says that event changes nothing in state.
+// Ignores reports whether state ignores event.
 func (chart *Chart[S, E]) Ignores(state S, event E) bool {
-	found := chart.cell(state, event)
+	found := chart.lookup(state, event)
 	return found != nil && found.ignored
 }
 
 // Initial returns the state in which a new entity starts.
 func (chart *Chart[S, E]) Initial() S { return chart.initial }
 
-// Final reports whether state is never left.
+// Final reports whether state is a final state.
 func (chart *Chart[S, E]) Final(state S) bool {
 	return int(state) < len(chart.final) && chart.final[state]
 }
@@ -124,7 +124,7 @@
 	return chart.definition.Events[event].Name
 }
 
-// ParseState returns the state of that name, as read from a snapshot.
+// ParseState returns the state with the given name, and whether there is one.
 func (chart *Chart[S, E]) ParseState(name string) (S, bool) {
 	for number, state := range chart.definition.States {
 		if state.Name == name {
@@ -134,11 +134,10 @@
 	return 0, false
 }
 
-// Definition returns the chart file's content, for documentation. It must not
-// be changed.
+// Definition returns the parsed chart file. It must not be modified.
 func (chart *Chart[S, E]) Definition() *Definition { return chart.definition }
 
-func (chart *Chart[S, E]) cell(state S, event E) *cell {
+func (chart *Chart[S, E]) lookup(state S, event E) *cell {
 	index := int(state)*chart.eventCount + int(event)
 	if int(event) >= chart.eventCount || index >= len(chart.cells) {
 		return nil
--- a/internal/statechart/compile.go
+++ b/internal/statechart/compile.go
@@ -8,18 +8,18 @@
 	"github.com/magpielug/magpielug/internal/resultcode"
 )
 
-// Compile checks a definition and builds its table. It fails on a chart that is
-// not complete, names something unknown, or has a state that cannot be reached
-// or left.
+// Compile validates a definition and builds its table. It returns an error if
+// an event is not handled in some state, a name is unknown, or a state can't be
+// reached or has no path to a final state.
 func Compile[S, E Number](definition *Definition) (*Chart[S, E], error) {
-	names, err := internNames(definition)
+	names, err := indexNames(definition)
 	if err != nil {
 		return nil, eris.Wrapf(err, "chart %s", definition.Name)
 	}
 	chart := &Chart[S, E]{
 		definition: definition,
 		eventCount: len(definition.Events),
-		invalid:    &Refusal{Code: resultcode.Internal, Chart: definition.Name, State: "unknown", Event: "unknown"},
+		outOfRange: &Refusal{Code: resultcode.Internal, Chart: definition.Name, State: "unknown", Event: "unknown"},
 	}
 	initial, known := names.states[definition.Initial]
 	if !known {
@@ -34,73 +34,73 @@
 		chart.cells = append(chart.cells, row...)
 		chart.final = append(chart.final, definition.States[number].Final)
 	}
-	if err := checkPaths(definition); err != nil {
+	if err := validatePaths(definition); err != nil {
 		return nil, eris.Wrapf(err, "chart %s", definition.Name)
 	}
 	return chart, nil
 }
 
-// nameNumbers maps names to numbers.
-type nameNumbers struct {
+// nameIndexes maps the names of states and events to their indexes.
+type nameIndexes struct {
 	states map[string]uint8
 	events map[string]uint8
 }
 
-func internNames(definition *Definition) (*nameNumbers, error) {
-	if len(definition.States) > maximumNames || len(definition.Events) > maximumNames {
-		return nil, eris.Errorf("more than %d states or events", maximumNames)
+func indexNames(definition *Definition) (*nameIndexes, error) {
+	if len(definition.States) > maxNames || len(definition.Events) > maxNames {
+		return nil, eris.Errorf("more than %d states or events", maxNames)
 	}
-	names := &nameNumbers{states: map[string]uint8{}, events: map[string]uint8{}}
+	names := &nameIndexes{states: map[string]uint8{}, events: map[string]uint8{}}
 	for number, state := range definition.States {
-		if err := intern(names.states, state.Name, state.Description, number); err != nil {
+		if err := addName(names.states, state.Name, state.Description, number); err != nil {
 			return nil, eris.Wrap(err, "state")
 		}
 	}
 	for number, event := range definition.Events {
-		if err := intern(names.events, event.Name, event.Description, number); err != nil {
+		if err := addName(names.events, event.Name, event.Description, number); err != nil {
 			return nil, eris.Wrap(err, "event")
 		}
 	}
 	return names, nil
 }
 
-func intern(numbers map[string]uint8, name, description string, number int) error {
+func addName(numbers map[string]uint8, name, description string, number int) error {
 	if !namePattern.MatchString(name) {
-		return eris.Errorf("bad name %q", name)
+		return eris.Errorf("invalid name %q", name)
 	}
 	if description == "" {
 		return eris.Errorf("%s has no description", name)
 	}
-	if _, twice := numbers[name]; twice {
-		return eris.Errorf("%s stands twice", name)
+	if _, duplicate := numbers[name]; duplicate {
+		return eris.Errorf("%s is declared twice", name)
 	}
 	numbers[name] = uint8(number)
 	return nil
 }
 
-// row collects a state's answers and refuses a second answer to one event.
-type row struct {
-	names   *nameNumbers
+// stateRow collects the cells of a state, at most one for each event.
+type stateRow struct {
+	names   *nameIndexes
 	cells   []cell
 	defined []bool
 }
 
-func (row *row) set(event string, answer cell) error {
+func (row *stateRow) set(event string, value cell) error {
 	number, known := row.names.events[event]
 	if !known {
 		return eris.Errorf("unknown event %q", event)
 	}
 	if row.defined[number] {
-		return eris.Errorf("event %s stands twice", event)
+		return eris.Errorf("event %s is handled twice", event)
 	}
 	row.defined[number] = true
-	row.cells[number] = answer
+	row.cells[number] = value
 	return nil
 }
 
-func compileState(definition *Definition, names *nameNumbers, number int) ([]cell, error) {
+func compileState(definition *Definition, names *nameIndexes, number int) ([]cell, error) {
 	state := definition.States[number]
-	row := &row{
+	row := &stateRow{
 		names:   names,
 		cells:   make([]cell, len(definition.Events)),
 		defined: make([]bool, len(definition.Events)),
@@ -124,13 +124,13 @@
 	}
 	for event, defined := range row.defined {
 		if !defined {
-			return nil, eris.Errorf("no answer to event %s", definition.Events[event].Name)
+			return nil, eris.Errorf("event %s is not handled", definition.Events[event].Name)
 		}
 	}
 	return row.cells, nil
 }
 
-func compileRefusals(chart string, state StateDefinition, number uint8, row *row) error {
+func compileRefusals(chart string, state StateDefinition, number uint8, row *stateRow) error {
 	for _, name := range sortedKeys(state.Refuse) {
 		code, known := codeByName(name)
 		if !known {
@@ -146,7 +146,7 @@
 	return nil
 }
 
-// codeByName finds a result code that can stand for a refusal.
+// codeByName returns the result code with the given name, other than OK.
 func codeByName(name string) (resultcode.Code, bool) {
 	for _, entry := range resultcode.Table {
 		if entry.Name == name && entry.Code != resultcode.OK {
--- a/internal/statechart/generate.go
+++ b/internal/statechart/generate.go
@@ -23,7 +23,7 @@
 	page.WriteString("```\n\n| state | meaning | ignored | refused |\n|---|---|---|---|\n")
 	for _, state := range definition.States {
 		fmt.Fprintf(&page, "| %s | %s | %s | %s |\n",
-			state.Name, state.Description, strings.Join(state.Ignore, ", "), refusedText(state))
+			state.Name, state.Description, strings.Join(state.Ignore, ", "), formatRefusals(state))
 	}
 	page.WriteString("\n| event | meaning |\n|---|---|\n")
 	for _, event := range definition.Events {
@@ -32,7 +32,7 @@
 	return page.String()
 }
 
-func refusedText(state StateDefinition) string {
+func formatRefusals(state StateDefinition) string {
 	var parts []string
 	for _, code := range sortedKeys(state.Refuse) {
 		if events := state.Refuse[code]; len(events) > 0 {
@@ -42,8 +42,8 @@
 	return strings.Join(parts, "; ")
 }
 
-// Constants returns the Go source of a chart's state and event types, their
-// constants and the loaded chart, for package charts.
+// Constants returns the Go source file for package charts with a chart's state
+// and event types, their constants and the loaded chart.
 func Constants(definition *Definition) ([]byte, error) {
 	entity := camelCase(definition.Name)
 	var source strings.Builder
@@ -71,7 +71,7 @@
 	fmt.Fprintf(source, "// %s: %s\n%s %s = %d\n", constant, description, constant, kind, number)
 }
 
-// camelCase turns tool_pause into ToolPause.
+// camelCase converts tool_pause to ToolPause.
 func camelCase(name string) string {
 	var result strings.Builder
 	for _, word := range strings.Split(name, "_") {
--- a/internal/statechart/library_test.go
+++ b/internal/statechart/library_test.go
@@ -12,8 +12,8 @@
 	"github.com/magpielug/magpielug/internal/statechart"
 )
 
-// libraryMachine builds the library's state machine from the same chart file,
-// with numbers as states and events and the state held outside.
+// libraryMachine builds a state machine of package stateless from a chart file,
+// with external storage and numbers as states and events.
 func libraryMachine(definition *statechart.Definition, state *int) *stateless.StateMachine {
 	numbers := map[string]int{}
 	for number, declared := range definition.States {
@@ -42,7 +42,7 @@
 }
 
 var _ = Describe("the compiled table", func() {
-	It("agrees with the library's machine on every event in every state", func() {
+	It("matches the state machine of package stateless for every event in every state", func() {
 		definition := charts.Call.Definition()
 		state := 0
 		machine := libraryMachine(definition, &state)
@@ -58,7 +58,7 @@
 	})
 })
 
-// callPath is the usual path of a call.
+// callPath is the event sequence of a successful call.
 var callPath = []charts.CallEvent{
 	charts.CallEventAdmit, charts.CallEventEnqueue, charts.CallEventIntentCommitted,
 	charts.CallEventFirstChunk, charts.CallEventFinish,
@@ -73,7 +73,7 @@
 			step++
 		}
 		if !charts.Call.Final(state) {
-			b.Fatal("the path does not end")
+			b.Fatal("callPath does not end in a final state")
 		}
 	}
 }
--- a/internal/statechart/paths.go
+++ b/internal/statechart/reachability.go
@@ -2,10 +2,10 @@
 
 import "github.com/rotisserie/eris"
 
-// checkPaths checks that every state can be reached from the initial one, that
-// every state that is not final leads to a final one, that a final state has no
-// transition, and that every event causes a transition somewhere.
-func checkPaths(definition *Definition) error {
+// validatePaths checks that every state is reachable from the initial state and
+// has a path to a final state, that final states have no transitions, and that
+// every event causes a transition in some state.
+func validatePaths(definition *Definition) error {
 	forward := map[string][]string{}
 	backward := map[string][]string{}
 	used := map[string]bool{}
@@ -23,14 +23,14 @@
 			used[event] = true
 		}
 	}
-	reached := closure(forward, []string{definition.Initial})
-	ending := closure(backward, finals)
+	reached := reachableFrom(forward, []string{definition.Initial})
+	ending := reachableFrom(backward, finals)
 	for _, state := range definition.States {
 		if !reached[state.Name] {
-			return eris.Errorf("state %s can't be reached", state.Name)
+			return eris.Errorf("state %s is not reachable from the initial state", state.Name)
 		}
 		if !ending[state.Name] {
-			return eris.Errorf("state %s has no way to a final state", state.Name)
+			return eris.Errorf("state %s has no path to a final state", state.Name)
 		}
 	}
 	for _, event := range definition.Events {
@@ -41,8 +41,9 @@
 	return nil
 }
 
-// closure returns the names that edges lead to from start, start included.
-func closure(edges map[string][]string, start []string) map[string]bool {
+// reachableFrom returns the names reachable over edges from start, including
+// start.
+func reachableFrom(edges map[string][]string, start []string) map[string]bool {
 	reached := map[string]bool{}
 	pending := append([]string(nil), start...)
 	for len(pending) > 0 {
