--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -1,4 +1,4 @@
-// Package metrics serves a process's Prometheus metrics and its health.
+// Package metrics serves a process's Prometheus metrics and health checks.
 package metrics
 
 import (
@@ -18,12 +18,12 @@
 	ReadyPath   = "/readyz"
 )
 
-// Readiness tells whether the process takes work: nil, or an error with the
-// result code that says why not.
-type Readiness func() error
+// ReadinessCheck returns nil if the process is ready to serve, or an error whose
+// result code gives the reason.
+type ReadinessCheck func() error
 
-// NewRegistry returns a registry with the Go runtime's and the process's own
-// metrics, and magpielug_build_info for version and role.
+// NewRegistry returns a registry with the Go runtime and process collectors and
+// magpielug_build_info, labelled with version and role.
 func NewRegistry(version, role string) *prometheus.Registry {
 	registry := prometheus.NewRegistry()
 	build := prometheus.NewGaugeVec(prometheus.GaugeOpts{
@@ -39,7 +39,8 @@
 	return registry
 }
 
-// RegisterServer adds gauges of an HTTP server's load.
+// RegisterServer registers gauges of an HTTP server's open connections and
+// requests in flight.
 func RegisterServer(registry prometheus.Registerer, server *httpserver.Server) {
 	registry.MustRegister(
 		prometheus.NewGaugeFunc(prometheus.GaugeOpts{
@@ -53,24 +54,24 @@
 	)
 }
 
-// Mount serves the registry's metrics, liveness (200 as long as the process
-// answers) and readiness (200, or the status of the result code) on mux.
-func Mount(mux *http.ServeMux, registry *prometheus.Registry, ready Readiness) {
+// Mount registers handlers on mux for metrics, liveness (always 200) and
+// readiness (200, or the HTTP status of the error's result code).
+func Mount(mux *http.ServeMux, registry *prometheus.Registry, ready ReadinessCheck) {
 	mux.Handle("GET "+MetricsPath, promhttp.HandlerFor(registry, promhttp.HandlerOpts{Registry: registry}))
-	mux.HandleFunc("GET "+HealthPath, answerOK)
+	mux.HandleFunc("GET "+HealthPath, writeOK)
 	mux.HandleFunc("GET "+ReadyPath, func(writer http.ResponseWriter, request *http.Request) {
 		err := ready()
 		if err != nil {
-			httpserver.WriteError(writer, unready(err))
+			httpserver.WriteError(writer, notReadyError(err))
 			return
 		}
-		answerOK(writer, request)
+		writeOK(writer, request)
 	})
 }
 
-// Exempt tells whether a request is for a path of this package, so that
-// metrics and health are served at overload too.
-func Exempt(request *http.Request) bool {
+// IsMonitoringRequest reports whether a request is for a path served by Mount,
+// so that a server can exempt it from its limits.
+func IsMonitoringRequest(request *http.Request) bool {
 	switch request.URL.Path {
 	case MetricsPath, HealthPath, ReadyPath:
 		return true
@@ -78,16 +79,16 @@
 	return false
 }
 
-// unready keeps err's code; an error without one is answered as Stopping, so
-// that no probe takes the process for ready or broken.
-func unready(err error) error {
+// notReadyError returns err with its result code, or with Stopping if it has
+// none: the response is then 503 rather than 500.
+func notReadyError(err error) error {
 	if resultcode.CodeOf(err) == resultcode.Internal {
 		return resultcode.New(resultcode.Stopping, "not ready: %v", err)
 	}
 	return err
 }
 
-func answerOK(writer http.ResponseWriter, _ *http.Request) {
+func writeOK(writer http.ResponseWriter, _ *http.Request) {
 	writer.Header().Set("Content-Type", "text/plain; charset=utf-8")
 	_, _ = writer.Write([]byte("ok\n"))
 }
--- a/internal/metrics/metrics_test.go
+++ b/internal/metrics/metrics_test.go
@@ -12,22 +12,22 @@
 
 var _ = Describe("Mount", func() {
 	It("serves metrics, health and readiness", func() {
-		var unready error
+		var readinessError error
 		mux := http.NewServeMux()
-		Mount(mux, NewRegistry("v1", "gateway"), func() error { return unready })
+		Mount(mux, NewRegistry("v1", "gateway"), func() error { return readinessError })
 		get := func(path string) *httptest.ResponseRecorder {
 			recorder := httptest.NewRecorder()
 			request := httptest.NewRequest(http.MethodGet, path, nil)
-			Expect(Exempt(request)).To(BeTrue())
+			Expect(IsMonitoringRequest(request)).To(BeTrue())
 			mux.ServeHTTP(recorder, request)
 			return recorder
 		}
 		Expect(get(MetricsPath).Body.String()).To(ContainSubstring(`magpielug_build_info{role="gateway",version="v1"} 1`))
 		Expect(get(ReadyPath).Code).To(Equal(http.StatusOK))
-		unready = resultcode.New(resultcode.ConfigurationStale, "stale")
+		readinessError = resultcode.New(resultcode.ConfigurationStale, "stale")
 		Expect(get(ReadyPath).Code).To(Equal(http.StatusServiceUnavailable))
 		Expect(get(ReadyPath).Body.String()).To(ContainSubstring(`"code":2005`))
-		unready = errors.New("no shard map yet")
+		readinessError = errors.New("no shard map yet")
 		Expect(get(ReadyPath).Body.String()).To(ContainSubstring("no shard map yet"))
 		Expect(get(HealthPath).Code).To(Equal(http.StatusOK))
 	})
--- a/internal/process/process.go
+++ b/internal/process/process.go
@@ -140,7 +140,7 @@
 // exempt tells which requests the bound on calls does not count: metrics, and what
 // processes say among themselves, which must go on at overload.
 func exempt(request *http.Request) bool {
-	return metrics.Exempt(request) ||
+	return metrics.IsMonitoringRequest(request) ||
 		strings.HasPrefix(request.URL.Path, schedulerv1.PeerPathPrefix) ||
 		strings.HasPrefix(request.URL.Path, configurationv1.ExchangePathPrefix)
 }
@@ -153,7 +153,7 @@
 
 // role is what makes a process a gateway or a scheduler.
 type role struct {
-	ready metrics.Readiness
+	ready metrics.ReadinessCheck
 	// listensReady makes the process listen only once it is ready, or after
 	// startBound: a caller that meets a closed port takes another gateway, one that
 	// meets a gateway without a configuration is refused.
@@ -188,7 +188,7 @@
 }
 
 // awaitReady waits until the process is ready, no longer than startBound.
-func awaitReady(ready metrics.Readiness) {
+func awaitReady(ready metrics.ReadinessCheck) {
 	for begun := time.Now(); ready() != nil && time.Since(begun) < startBound; {
 		time.Sleep(startInterval)
 	}
