--- a/internal/settings/bounds.go
+++ b/internal/settings/bounds.go
@@ -8,10 +8,9 @@
 	"github.com/go-playground/validator/v10"
 )
 
-// compare returns how a field's value stands to the bound in its tag: below,
-// at or above it. The tags are part of the program, so a bound that can't be
-// read is a fault of the program and panics.
-func compare(field validator.FieldLevel) int {
+// compareToBound returns -1, 0 or 1 for a field's value below, at or above the
+// bound in its tag. It panics if the bound can't be parsed.
+func compareToBound(field validator.FieldLevel) int {
 	value := field.Field()
 	bound := field.Param()
 	switch value.Type() {
--- a/internal/settings/decode.go
+++ b/internal/settings/decode.go
@@ -11,13 +11,13 @@
 	sizeType     = reflect.TypeFor[Size]()
 )
 
-// unitError says why a value with a unit can't be read.
+// unitError is an invalid duration or size.
 type unitError struct{ reason string }
 
 func (failure *unitError) Error() string { return failure.reason }
 
-// decodeUnit turns the text of durations and sizes into their types. A bare
-// number is refused: its unit would be a guess.
+// decodeUnit is a mapstructure hook that parses durations and sizes. It rejects
+// numbers without a unit.
 func decodeUnit(_ reflect.Type, target reflect.Type, value any) (any, error) {
 	switch target {
 	case durationType:
--- a/internal/settings/defaults.go
+++ b/internal/settings/defaults.go
@@ -2,7 +2,8 @@
 
 import "time"
 
-// Defaults returns the settings used where neither file nor flags name a key.
+// Defaults returns the settings of a gateway or scheduler for the keys that
+// neither the file nor an override sets.
 func Defaults() Settings {
 	return Settings{
 		Platform:      defaultPlatform(),
--- a/internal/settings/load.go
+++ b/internal/settings/load.go
@@ -16,34 +16,34 @@
 
 const keyDelimiter = "."
 
-// Override sets one key from a flag, over the file. Value is written as in the
-// file.
+// Override sets one key from a command-line flag and takes precedence over the
+// file. Value has the syntax of a YAML value.
 type Override struct {
 	Key   string
 	Value string
-	// OnlyIfMissing leaves a key alone that the file or an earlier override
-	// sets.
+	// OnlyIfMissing applies the override only if neither the file nor an earlier
+	// override sets the key.
 	OnlyIfMissing bool
 }
 
-// Load reads the file at path (none where path is empty), puts overrides over
-// it and checks every key. Every error is a *resultcode.Error with code
-// InvalidSettings whose one line names the first wrong key.
+// Load reads the file at path (none if path is empty), applies overrides and
+// validates every key. Errors are a *resultcode.Error with code InvalidSettings
+// and a single-line message that names the first invalid key.
 func Load(path string, overrides []Override) (Settings, error) {
 	var content []byte
 	if path != "" {
 		read, err := os.ReadFile(path)
 		if err != nil {
-			return Settings{}, invalid("settings file: %v", err)
+			return Settings{}, invalidf("settings file: %v", err)
 		}
 		content = read
 	}
 	return Parse(content, overrides)
 }
 
-// Parse is Load with the file's content.
+// Parse is like Load, with the file's content instead of its path.
 func Parse(content []byte, overrides []Override) (Settings, error) {
-	tree, err := readTree(content, "YAML", yaml.Parser(), overrides)
+	tree, err := parseTree(content, "YAML", yaml.Parser(), overrides)
 	if err != nil {
 		return Settings{}, err
 	}
@@ -51,16 +51,16 @@
 	if err != nil {
 		return Settings{}, err
 	}
-	return loaded, check(loaded)
+	return loaded, validate(loaded)
 }
 
-// readTree parses a file's content, whose format has a name and a parser, and puts overrides
-// over it.
-func readTree(content []byte, format string, parser koanf.Parser, overrides []Override) (*koanf.Koanf, error) {
+// parseTree parses a file's content with parser and applies overrides. format is
+// the name of the file format for errors.
+func parseTree(content []byte, format string, parser koanf.Parser, overrides []Override) (*koanf.Koanf, error) {
 	tree := koanf.New(keyDelimiter)
 	err := tree.Load(rawbytes.Provider(content), parser)
 	if err != nil {
-		return nil, invalid("settings file is not %s: %s", format, firstLine(err))
+		return nil, invalidf("settings file is not %s: %s", format, singleLine(err))
 	}
 	return tree, applyOverrides(tree, overrides)
 }
@@ -73,21 +73,21 @@
 		var value any
 		err := yamlv3.Unmarshal([]byte(override.Value), &value)
 		if err != nil {
-			return invalid("%s: %q can't be read: %s", override.Key, override.Value, firstLine(err))
+			return invalidf("%s: %q is not a YAML value: %s", override.Key, override.Value, singleLine(err))
 		}
 		if value == nil {
 			value = override.Value
 		}
 		err = tree.Set(override.Key, value)
 		if err != nil {
-			return invalid("%s: %s", override.Key, firstLine(err))
+			return invalidf("%s: %s", override.Key, singleLine(err))
 		}
 	}
 	return nil
 }
 
-// decode fills the defaults with what tree names. It accepts no unknown key
-// and no value of another type.
+// decode returns defaults overwritten by the keys of tree. It rejects unknown
+// keys and values of the wrong type.
 func decode[Loaded any](tree *koanf.Koanf, defaults Loaded) (Loaded, error) {
 	loaded := defaults
 	var metadata mapstructure.Metadata
@@ -101,32 +101,32 @@
 	})
 	if len(metadata.Unused) > 0 {
 		sort.Strings(metadata.Unused)
-		return defaults, invalid("%s: unknown key", metadata.Unused[0])
+		return defaults, invalidf("%s: unknown key", metadata.Unused[0])
 	}
 	if err != nil {
-		return defaults, decodeFailure(err)
+		return defaults, decodeError(err)
 	}
 	return loaded, nil
 }
 
-// decodeFailure names the key of the first value that can't be read.
-func decodeFailure(err error) error {
+// decodeError returns an error that names the key of the first invalid value.
+func decodeError(err error) error {
 	var unit *unitError
 	var named *mapstructure.DecodeError
 	if !errors.As(err, &named) {
-		return invalid("%s", firstLine(err))
+		return invalidf("%s", singleLine(err))
 	}
 	if errors.As(named, &unit) {
-		return invalid("%s: %s", named.Name(), unit.reason)
+		return invalidf("%s: %s", named.Name(), unit.reason)
 	}
-	return invalid("%s: %s", named.Name(), firstLine(named.Unwrap()))
+	return invalidf("%s: %s", named.Name(), singleLine(named.Unwrap()))
 }
 
-func invalid(format string, arguments ...any) error {
+func invalidf(format string, arguments ...any) error {
 	return resultcode.New(resultcode.InvalidSettings, format, arguments...)
 }
 
-// firstLine returns err's text on one line.
-func firstLine(err error) string {
+// singleLine returns err's text with runs of white space replaced by a space.
+func singleLine(err error) string {
 	return strings.Join(strings.Fields(err.Error()), " ")
 }
--- a/internal/settings/node.go
+++ b/internal/settings/node.go
@@ -9,11 +9,11 @@
 	"github.com/magpielug/magpielug/internal/region"
 )
 
-// RoleNode is the role of a node, whose settings file has a form of its own.
+// RoleNode is the role of a node, whose settings are NodeSettings.
 const RoleNode = "node"
 
-// NodeSettings are all settings of one node. They name the store, and nothing of other nodes:
-// nodes find each other by their records in the store.
+// NodeSettings are all settings of one node. They don't list other nodes: nodes
+// discover each other through the store.
 type NodeSettings struct {
 	Node   NodeIdentity `koanf:"node"`
 	Listen NodeListen   `koanf:"listen"`
@@ -24,7 +24,7 @@
 	Log    Log          `koanf:"log"`
 }
 
-// NodeIdentity is what the node is.
+// NodeIdentity identifies the node and selects how it works.
 type NodeIdentity struct {
 	Name      string `koanf:"name" validate:"required,max=64,name" about:"Name of the node, unique in the system; it stays over restarts."`
 	Zone      string `koanf:"zone" validate:"required,max=64,name" about:"Zone of the machine."`
@@ -33,7 +33,7 @@
 	Disabled  string `koanf:"disabled" validate:"omitempty,max=512" about:"Mechanisms that the node runs without, to rule one out: names of internal/feature with commas."`
 }
 
-// NodeListen are the node's own addresses.
+// NodeListen are the node's listen addresses.
 type NodeListen struct {
 	Callers   string `koanf:"callers" validate:"required,address" about:"Takes callers' requests."`
 	Readiness string `koanf:"readiness" validate:"required,address" about:"Answers /ready with 200 while the node takes callers."`
@@ -41,13 +41,13 @@
 	Metrics   string `koanf:"metrics" validate:"omitempty,address" about:"Serves /metrics, /healthz and /readyz; empty serves none."`
 }
 
-// NodeStore is the only lasting place.
+// NodeStore is the durable store shared by all nodes.
 type NodeStore struct {
 	Address    string `koanf:"address" validate:"required,address" about:"The store."`
 	Partitions int    `koanf:"partitions" validate:"gte=1,lte=4096" about:"Partitions of the store's topics, and as many shards of programs; alike on every node and never changed."`
 }
 
-// NodeLimits bound what the node takes of its machine.
+// NodeLimits bound the node's resource use.
 type NodeLimits struct {
 	Memory       Size          `koanf:"memory" validate:"gte=0B,lte=1024GiB" about:"What the process may hold; the garbage collector works harder from 0.6 of it on. 0B is no bound."`
 	Cores        float64       `koanf:"cores" validate:"gte=0,lte=1024" about:"Processor cores that the process has; stronger nodes own more shards. 0 is not known."`
@@ -55,30 +55,32 @@
 	DrainTimeout time.Duration `koanf:"drain_timeout" validate:"gte=3s,lte=1h" about:"Longest planned stop: what is still under way then is cut. New requests are taken for its first 2.5s."`
 }
 
-// NodeQuota is how strictly tenants' limits are kept.
+// NodeQuota is the tolerance in enforcing tenants' rate limits.
 type NodeQuota struct {
 	Window  time.Duration `koanf:"window" validate:"gte=0s,lte=1h" about:"Span over which a tenant's limit is judged; 0s tolerates nothing above the burst."`
 	Overage float64       `koanf:"overage" validate:"gte=0,lte=1" about:"Share above the limit of a window that is tolerated."`
 	Slack   float64       `koanf:"slack" validate:"gte=0,lte=1000000" about:"Requests beside that, in a window."`
 }
 
-// NodeCold is how strictly nodes keep to what engines bear that have just started.
+// NodeCold is the tolerance in enforcing the rate limit of cold engines, which
+// have recently started.
 type NodeCold struct {
 	Overage float64 `koanf:"overage" validate:"gte=1,lte=10" about:"How many times the requests a second that a cold engine bears are tolerated within one second, over all nodes."`
 	Slack   float64 `koanf:"slack" validate:"gte=0,lte=1000000" about:"Requests beside that."`
 }
 
 const (
-	// defaultNodeConnections leaves as many descriptors for engines and the store at the
-	// usual bound of 8192.
+	// defaultNodeConnections is half of the usual limit of 8192 file descriptors;
+	// the rest is for connections to engines and the store.
 	defaultNodeConnections = 4096
-	// defaultNodePartitions spreads the shards over some nodes of each of a few zones.
-	defaultNodePartitions = 8
-	// defaultDrainTimeout is longer than the 2.5s of taking requests and a usual answer.
+	defaultNodePartitions  = 8
+	// defaultDrainTimeout covers the 2.5 s in which a draining node still accepts
+	// requests, and the time of a typical response.
 	defaultDrainTimeout = 8 * time.Second
 )
 
-// NodeDefaults are the settings of a node whose file names none but the required keys.
+// NodeDefaults returns the settings of a node for the keys that neither the file
+// nor an override sets.
 func NodeDefaults() NodeSettings {
 	return NodeSettings{
 		Node:   NodeIdentity{Placement: "assigned"},
@@ -89,19 +91,19 @@
 	}
 }
 
-// LoadNode reads the TOML file at path, puts overrides over it and checks every key. Its
-// errors are as those of Load.
+// LoadNode reads the TOML file at path, applies overrides and validates every
+// key. It returns the same errors as Load.
 func LoadNode(path string, overrides []Override) (NodeSettings, error) {
 	content, err := os.ReadFile(path)
 	if err != nil {
-		return NodeSettings{}, invalid("settings file: %v", err)
+		return NodeSettings{}, invalidf("settings file: %v", err)
 	}
 	return ParseNode(content, overrides)
 }
 
-// ParseNode is LoadNode with the file's content.
+// ParseNode is like LoadNode, with the file's content instead of its path.
 func ParseNode(content []byte, overrides []Override) (NodeSettings, error) {
-	tree, err := readTree(content, "TOML", toml.Parser(), overrides)
+	tree, err := parseTree(content, "TOML", toml.Parser(), overrides)
 	if err != nil {
 		return NodeSettings{}, err
 	}
@@ -109,31 +111,32 @@
 	if err != nil {
 		return NodeSettings{}, err
 	}
-	err = checkBounds(loaded)
+	err = validateFields(loaded)
 	if err != nil {
 		return NodeSettings{}, err
 	}
-	err = checkRegions(loaded.Node.Regions)
+	err = validateRegions(loaded.Node.Regions)
 	if err != nil {
 		return NodeSettings{}, err
 	}
-	return loaded, checkPeers(loaded.Listen)
+	return loaded, validatePeerAddress(loaded.Listen)
 }
 
-// checkRegions refuses a list that is not one of zones and their regions.
-func checkRegions(list string) error {
+// validateRegions checks the zone=region list.
+func validateRegions(list string) error {
 	_, err := region.Parse(list)
 	if err != nil {
-		return invalid("node.regions: %v", err)
+		return invalidf("node.regions: %v", err)
 	}
 	return nil
 }
 
-// checkPeers refuses an address at which no other node finds this one.
-func checkPeers(listen NodeListen) error {
+// validatePeerAddress rejects an unspecified IP address and port 0, which other
+// nodes can't connect to.
+func validatePeerAddress(listen NodeListen) error {
 	address := netip.MustParseAddrPort(listen.Peers)
 	if address.Addr().IsUnspecified() || address.Port() == 0 {
-		return invalid("listen.peers: %s names no single address and port, by which other nodes find this one", listen.Peers)
+		return invalidf("listen.peers: %s must have a specific IP address and a port other than 0, so that other nodes can connect to it", listen.Peers)
 	}
 	return nil
 }
--- a/internal/settings/node_test.go
+++ b/internal/settings/node_test.go
@@ -29,7 +29,7 @@
 `
 
 var _ = Describe("LoadNode", func() {
-	It("reads a TOML file over the defaults and overrides over the file", func() {
+	It("applies a TOML file over the defaults and overrides over the file", func() {
 		path := filepath.Join(GinkgoT().TempDir(), "node.toml")
 		Expect(os.WriteFile(path, []byte(validNode), 0o600)).To(Succeed())
 		loaded, err := LoadNode(path, []Override{{Key: "node.zone", Value: "zone-2"}, {Key: "limits.drain_timeout", Value: "4s"}})
@@ -43,7 +43,7 @@
 		Expect(loaded).To(Equal(expected))
 	})
 
-	DescribeTable("refuses a wrong key in one line that names it",
+	DescribeTable("rejects an invalid key with a single-line error that names it",
 		func(key, value, message string) {
 			_, err := ParseNode([]byte(validNode), []Override{{Key: key, Value: value}})
 			Expect(resultcode.CodeOf(err)).To(Equal(resultcode.InvalidSettings))
@@ -51,24 +51,24 @@
 			Expect(err.Error()).To(ContainSubstring(message))
 			Expect(err.Error()).NotTo(ContainSubstring("\n"))
 		},
-		Entry("other nodes", "node.seeds", "127.0.0.1:1", "unknown key"),
+		Entry("list of other nodes", "node.seeds", "127.0.0.1:1", "unknown key"),
 		Entry("missing name", "node.name", "''", "missing"),
 		Entry("missing store", "store.address", "''", "missing"),
-		Entry("store by name", "store.address", "store:7600", "IP address with a port"),
+		Entry("store as a host name", "store.address", "store:7600", "IP address with a port"),
 		Entry("no partitions", "store.partitions", "0", "below 1"),
-		Entry("a zone without a region", "node.regions", "a=north,b", "zone=region"),
-		Entry("less than a cold engine bears", "cold.overage", "0.5", "below 1"),
+		Entry("zone without a region", "node.regions", "a=north,b", "zone=region"),
+		Entry("cold overage below 1", "cold.overage", "0.5", "below 1"),
 		Entry("unknown placement", "node.placement", "nearest", "assigned, program"),
-		Entry("peers at no single address", "listen.peers", "0.0.0.0:7702", "other nodes"),
-		Entry("peers at any port", "listen.peers", "127.0.0.1:0", "other nodes"),
+		Entry("peers on an unspecified address", "listen.peers", "0.0.0.0:7702", "other nodes"),
+		Entry("peers on port 0", "listen.peers", "127.0.0.1:0", "other nodes"),
 		Entry("memory without a unit", "limits.memory", "256", "needs a unit"),
 		Entry("negative cores", "limits.cores", "-1", "below 0"),
-		Entry("a stop too short to finish anything", "limits.drain_timeout", "2s", "below 3s"),
-		Entry("overage above the limit itself", "quota.overage", "1.5", "above 1"),
+		Entry("drain timeout too short", "limits.drain_timeout", "2s", "below 3s"),
+		Entry("overage above 1", "quota.overage", "1.5", "above 1"),
 		Entry("unknown level", "log.level", "loud", "debug, info"),
 	)
 
-	It("names a missing file and a file that is no TOML", func() {
+	It("reports a missing file and a file that is not TOML", func() {
 		_, err := LoadNode("absent.toml", nil)
 		Expect(err).To(MatchError(ContainSubstring("absent.toml")))
 		_, err = ParseNode([]byte("node: 1\n"), nil)
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,7 +1,7 @@
-// Package settings reads and checks the settings of a process: a TOML file of a
-// node or a YAML file of a gateway or scheduler, then flags, each key with a unit
-// and bounds. The tables of all keys stand in docs/OPERATIONS.md and are checked
-// against this package by a test.
+// Package settings loads and validates a process's settings: a TOML file for a
+// node, or a YAML file for a gateway or scheduler, overridden by command-line
+// flags. A test checks the tables of all keys in docs/OPERATIONS.md against this
+// package.
 package settings
 
 import (
@@ -16,8 +16,8 @@
 	RoleScheduler = "scheduler"
 )
 
-// Settings are all settings of one process. The tags name the key, its bounds
-// and, for the table in docs, its meaning.
+// Settings are all settings of a gateway or scheduler. The struct tags give each
+// key's name, its validation rules and its description in docs/OPERATIONS.md.
 type Settings struct {
 	Node              Node          `koanf:"node"`
 	Platform          Platform      `koanf:"platform"`
@@ -30,7 +30,7 @@
 	OperatorKeySHA256 string        `koanf:"operator_key_sha256" validate:"omitempty,len=64,hexadecimal" about:"SHA-256 of the operators' key, hex. Without it a gateway refuses every operator call."`
 }
 
-// Node is what the process is and where it runs.
+// Node identifies the process and its addresses.
 type Node struct {
 	ID        string `koanf:"id" validate:"required,max=64,name" about:"Name of the process, unique in the system."`
 	Role      string `koanf:"role" validate:"required,oneof=gateway scheduler" about:"What the process does."`
@@ -41,7 +41,7 @@
 	Source    string `koanf:"source" validate:"omitempty,ip" about:"IP address that connections to others come from; empty leaves it to the system."`
 }
 
-// Platform is where the platform's services are.
+// Platform has the addresses of the platform's services and how to call them.
 type Platform struct {
 	Log             string        `koanf:"log" validate:"required,base_url" about:"Base URL of the append-only log service."`
 	Machines        string        `koanf:"machines" validate:"required,base_url" about:"Base URL of the machine list."`
@@ -55,7 +55,7 @@
 	IdleConnections int           `koanf:"idle_connections" validate:"gte=1,lte=4096" about:"Idle connections kept per address."`
 }
 
-// Limits bound what callers and peers can make the process hold.
+// Limits bound the resources that clients can use, and the graceful shutdown.
 type Limits struct {
 	Connections     int           `koanf:"connections" validate:"gte=1,lte=1000000" about:"Open connections; one more is refused with code 2004."`
 	Calls           int           `koanf:"calls" validate:"gte=1,lte=1000000" about:"Calls under way; one more is refused at once with code 2004."`
@@ -70,7 +70,7 @@
 	ShutdownTimeout time.Duration `koanf:"shutdown_timeout" validate:"gte=1s,lte=1h" about:"Longest planned stop: what is still under way then is cut."`
 }
 
-// Scheduler are the settings of role scheduler.
+// Scheduler are the settings of the scheduler role.
 type Scheduler struct {
 	Shards              uint32        `koanf:"shards" validate:"gte=1,lte=65536" about:"Number of shards; alike in every process and never changed."`
 	Replicas            int           `koanf:"replicas" validate:"gte=1,lte=7" about:"Members of a shard's group; odd numbers make sense."`
@@ -94,7 +94,7 @@
 	DefaultWaitBound    time.Duration `koanf:"default_wait_bound" validate:"gte=10ms,lte=24h" about:"Predicted wait above which a tier that names none is refused."`
 }
 
-// Gateway are the settings of role gateway.
+// Gateway are the settings of the gateway role.
 type Gateway struct {
 	MaxMessages         int           `koanf:"max_messages" validate:"gte=1,lte=1000000" about:"Messages of one call."`
 	MaxOutputTokens     uint32        `koanf:"max_output_tokens" validate:"gte=1,lte=1000000" about:"Most output tokens a call may ask for."`
@@ -110,7 +110,8 @@
 	RetryBurst          float64       `koanf:"retry_burst" validate:"gte=0,lte=100000" about:"Retries allowed in a burst."`
 }
 
-// Configuration is how the process follows the operators' configuration.
+// Configuration controls how the process reads and publishes the operators'
+// configuration.
 type Configuration struct {
 	FreshBound     time.Duration `koanf:"fresh_bound" validate:"gte=100ms,lte=10m" about:"A process that heard neither the log nor a majority of zones for so long refuses new calls with code 2005."`
 	Poll           time.Duration `koanf:"poll" validate:"gte=10ms,lte=60s" about:"How often the configuration stream is read; at most half of configuration.fresh_bound."`
@@ -118,14 +119,14 @@
 	PublishTimeout time.Duration `koanf:"publish_timeout" validate:"gte=100ms,lte=10m" about:"Longest time to settle a publish before it is answered with code 5003."`
 }
 
-// Log is how events are written.
+// Log are the settings of the process's own log.
 type Log struct {
 	Level string `koanf:"level" validate:"oneof=debug info warn error" about:"Least level of events written."`
 }
 
-// TLS names PEM files; they are read again when they change. With a
-// certificate the process serves TLS alone; with an authority it speaks TLS to
-// the system's other processes.
+// TLS has the paths of PEM files, which are reloaded when they change. With
+// Certificate the process serves only TLS; with Authority it uses TLS to connect
+// to other processes.
 type TLS struct {
 	Certificate   string `koanf:"certificate" about:"File with the process's certificate, for its IP address. Empty serves plain HTTP."`
 	Key           string `koanf:"key" about:"File with the certificate's private key."`
@@ -133,7 +134,7 @@
 	RequireClient bool   `koanf:"require_client" about:"Accept only clients with a certificate of tls.authority; for schedulers, which talk to processes alone."`
 }
 
-// Files returns the settings as the certificate package takes them.
+// Files converts the settings for package certificate.
 func (settings TLS) Files() certificate.Files {
 	return certificate.Files{
 		Certificate:   settings.Certificate,
@@ -143,7 +144,7 @@
 	}
 }
 
-// AdvertisedAddress is the address that other processes use.
+// AdvertisedAddress returns the address that other processes connect to.
 func (node Node) AdvertisedAddress() string {
 	if node.Advertise != "" {
 		return node.Advertise
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -28,7 +28,7 @@
 `
 
 var _ = Describe("Load", func() {
-	It("reads a file over the defaults and flags over the file", func() {
+	It("applies the file over the defaults and overrides over the file", func() {
 		path := filepath.Join(GinkgoT().TempDir(), "settings.yaml")
 		Expect(os.WriteFile(path, []byte(valid), 0o600)).To(Succeed())
 		loaded, err := Load(path, []Override{
@@ -54,7 +54,7 @@
 		Expect(loaded.Log.Level).To(Equal("debug"))
 	})
 
-	DescribeTable("refuses a wrong key in one line that names it",
+	DescribeTable("rejects an invalid key with a single-line error that names it",
 		func(key, value, message string) {
 			_, err := Parse([]byte(valid), []Override{{Key: key, Value: value}})
 			Expect(resultcode.CodeOf(err)).To(Equal(resultcode.InvalidSettings))
@@ -66,9 +66,9 @@
 		Entry("unknown section", "schedulers", "1", "unknown key"),
 		Entry("wrong case", "Log", "{level: info}", "unknown key"),
 		Entry("duration without a unit", "scheduler.heartbeat", "250", "needs a unit"),
-		Entry("duration with a size's unit", "scheduler.heartbeat", "4KiB", "not a duration"),
+		Entry("duration with a size unit", "scheduler.heartbeat", "4KiB", "not a duration"),
 		Entry("size without a unit", "limits.body", "4096", "needs a unit"),
-		Entry("size with a duration's unit", "limits.body", "4s", "needs a unit"),
+		Entry("size with a duration unit", "limits.body", "4s", "needs a unit"),
 		Entry("size over 64 bits", "limits.body", "99999999999GiB", "not a size"),
 		Entry("negative size", "limits.body", "-1KiB", "not a size"),
 		Entry("size out of bounds", "limits.body", "2GiB", "above 1GiB"),
@@ -80,28 +80,28 @@
 		Entry("list for a section", "node", "[1]", "map"),
 		Entry("text for true or false", "configuration.serve_stale", "maybe", "bool"),
 		Entry("missing", "node.id", "''", "missing"),
-		Entry("bad name", "node.id", "a/b", "characters"),
+		Entry("invalid name", "node.id", "a/b", "characters"),
 		Entry("unknown role", "node.role", "engine", "gateway, scheduler"),
 		Entry("host name as address", "node.listen", "localhost:80", "IP address with a port"),
 		Entry("address without a port", "node.listen", "127.0.0.1", "IP address with a port"),
 		Entry("port out of range", "node.listen", "127.0.0.1:70000", "IP address with a port"),
 		Entry("URL without a scheme", "platform.log", "127.0.0.1:9001", "not a URL"),
-		Entry("bad operator key digest", "operator_key_sha256", "abc", "64 hexadecimal"),
+		Entry("invalid operator key digest", "operator_key_sha256", "abc", "64 hexadecimal"),
 		Entry("certificate without a key", "tls.certificate", "a.pem", "tls.certificate and tls.key must be set together"),
 		Entry("missing authority", "tls.authority", "absent.pem", "absent.pem"),
 		Entry("lease too long", "scheduler.lease", "1900ms", "0.9 of scheduler.election_min"),
-		Entry("lease under the heartbeat", "scheduler.lease", "50ms", "above scheduler.heartbeat"),
-		Entry("election bounds crossed", "scheduler.election_max", "1s", "above scheduler.election_min"),
-		Entry("grace over the whole stop", "limits.drain_grace", "1m", "below limits.shutdown_timeout"),
+		Entry("lease below the heartbeat", "scheduler.lease", "50ms", "above scheduler.heartbeat"),
+		Entry("election_max below election_min", "scheduler.election_max", "1s", "above scheduler.election_min"),
+		Entry("drain grace above the shutdown timeout", "limits.drain_grace", "1m", "below limits.shutdown_timeout"),
 		Entry("poll too slow", "configuration.poll", "4s", "half of configuration.fresh_bound"),
 	)
 
-	It("asks for an address others can reach", func() {
+	It("requires node.advertise if node.listen is unspecified", func() {
 		_, err := Parse([]byte(valid), []Override{{Key: "node.listen", Value: "0.0.0.0:7100"}})
-		Expect(err).To(MatchError(ContainSubstring("node.advertise: needed")))
+		Expect(err).To(MatchError(ContainSubstring("node.advertise: required")))
 	})
 
-	It("names a missing file and a file that is no YAML", func() {
+	It("reports a missing file and a file that is not YAML", func() {
 		_, err := Load("absent.yaml", nil)
 		Expect(err).To(MatchError(ContainSubstring("absent.yaml")))
 		_, err = Parse([]byte("node: [\n"), nil)
@@ -109,7 +109,7 @@
 		Expect(err.Error()).NotTo(ContainSubstring("\n"))
 	})
 
-	It("has defaults within their own bounds", func() {
+	It("accepts the defaults", func() {
 		_, err := Parse([]byte(valid), nil)
 		Expect(err).NotTo(HaveOccurred())
 	})
@@ -124,7 +124,7 @@
 		}
 		Expect(strings.Count(string(page), "\n| `")).To(BeNumerically(">=", len(Table())+len(NodeTable())))
 	},
-		Entry("of gateways and schedulers", Table()),
-		Entry("of nodes", NodeTable()),
+		Entry("gateways and schedulers", Table()),
+		Entry("nodes", NodeTable()),
 	)
 })
--- a/internal/settings/table.go
+++ b/internal/settings/table.go
@@ -6,7 +6,7 @@
 	"strings"
 )
 
-// Row describes one settings key for people.
+// Row describes one settings key in the reference documentation.
 type Row struct {
 	Key     string
 	Default string
@@ -14,10 +14,10 @@
 	About   string
 }
 
-// Table lists every key of a gateway and a scheduler in the order of the settings' fields.
+// Table lists every key of Settings, in the order of its fields.
 func Table() []Row { return appendRows(nil, "", reflect.ValueOf(Defaults())) }
 
-// NodeTable lists every key of a node.
+// NodeTable lists every key of NodeSettings, in the order of its fields.
 func NodeTable() []Row { return appendRows(nil, "", reflect.ValueOf(NodeDefaults())) }
 
 func appendRows(rows []Row, prefix string, value reflect.Value) []Row {
@@ -30,15 +30,15 @@
 		}
 		rows = append(rows, Row{
 			Key:     key,
-			Default: defaultText(value.Field(index)),
-			Bounds:  boundsText(field),
+			Default: formatDefault(value.Field(index)),
+			Bounds:  formatBounds(field),
 			About:   field.Tag.Get("about"),
 		})
 	}
 	return rows
 }
 
-func defaultText(value reflect.Value) string {
+func formatDefault(value reflect.Value) string {
 	text := fmt.Sprint(value.Interface())
 	if text == "" {
 		return "none"
@@ -46,8 +46,8 @@
 	return text
 }
 
-// boundsText writes a field's validation rules for people.
-func boundsText(field reflect.StructField) string {
+// formatBounds describes a field's validation rules.
+func formatBounds(field reflect.StructField) string {
 	if field.Type.Kind() == reflect.Bool {
 		return "true, false"
 	}
@@ -85,7 +85,7 @@
 	return strings.Join(parts, "; ")
 }
 
-// Markdown returns a table as docs/OPERATIONS.md holds it.
+// Markdown returns rows as a Markdown table, as in docs/OPERATIONS.md.
 func Markdown(rows []Row) string {
 	var text strings.Builder
 	text.WriteString("| key | default | unit and bounds | meaning |\n|---|---|---|---|\n")
--- a/internal/settings/units.go
+++ b/internal/settings/units.go
@@ -7,8 +7,8 @@
 	"strings"
 )
 
-// Size is a number of bytes, written with a unit: "512B", "64KiB", "8MiB" or
-// "1GiB".
+// Size is a number of bytes. In settings it has a unit: "512B", "64KiB", "8MiB"
+// or "1GiB".
 type Size int64
 
 // Units of Size.
@@ -19,7 +19,7 @@
 	GiB       = 1024 * MiB
 )
 
-// sizeUnits are the units by suffix, the longer suffix first.
+// sizeUnits has the longer suffixes first, since "KiB" also ends in "B".
 var sizeUnits = []struct {
 	suffix string
 	unit   Size
@@ -30,7 +30,7 @@
 	{"B", Byte},
 }
 
-// ParseSize reads a size with its unit.
+// ParseSize parses a non-negative integer followed by a unit.
 func ParseSize(text string) (Size, error) {
 	for _, known := range sizeUnits {
 		digits, found := strings.CutSuffix(text, known.suffix)
@@ -46,7 +46,7 @@
 	return 0, fmt.Errorf("%q needs a unit: B, KiB, MiB or GiB", text)
 }
 
-// String writes the size with the largest unit that divides it.
+// String returns the size in the largest unit that divides it.
 func (size Size) String() string {
 	switch {
 	case size == 0:
