--- a/internal/command/command_test.go
+++ b/internal/command/command_test.go
@@ -15,7 +15,7 @@
 	. "github.com/onsi/gomega"
 )
 
-// result is what one command line gave.
+// result is the exit code and output of a command line.
 type result struct {
 	code           int
 	output, errors string
@@ -30,7 +30,7 @@
 
 func run(arguments ...string) result { return runWith(Runners{}, arguments...) }
 
-// expectOneLine checks that a failed command says why in a single line.
+// expectOneLine checks the exit code and the single-line error of a failed command.
 func expectOneLine(got result, code int, text string) {
 	GinkgoHelper()
 	Expect(got.code).To(Equal(code), got.errors)
@@ -45,7 +45,7 @@
 )
 
 var _ = Describe("Run", func() {
-	It("shows complete help for each command", func() {
+	It("shows help for each command", func() {
 		for _, command := range []string{"", "gateway", "scheduler", "node", "check-settings", "load", "operator", "operator publish", "operator explain"} {
 			got := run(append(strings.Fields(command), "--help")...)
 			Expect(got.code).To(Equal(ExitOK))
@@ -56,13 +56,13 @@
 		Expect(run("--version").output).To(Equal("magpielug v1\n"))
 	})
 
-	It("refuses wrong command lines with exit code 2", func() {
+	It("rejects invalid command lines with exit code 2", func() {
 		for _, line := range []string{"", "fly", "operator", "operator explain p", "gateway --colour", "operator programs --limit many"} {
 			Expect(run(strings.Fields(line)...).code).To(Equal(ExitUsage), line)
 		}
 	})
 
-	It("hands checked settings to the process, flags over the file", func() {
+	It("passes validated settings to the process, with flags over the file", func() {
 		var given settings.Settings
 		runners := Runners{Scheduler: func(_ context.Context, version string, loaded settings.Settings) error {
 			Expect(version).To(Equal("v1"))
@@ -78,7 +78,7 @@
 		Expect(given.Log.Level).To(Equal("debug"))
 	})
 
-	It("hands a node the settings of its file, and nothing without one", func() {
+	It("runs a node with the settings of its file, or as PlatformNode without a file", func() {
 		var given []settings.NodeSettings
 		platform := 0
 		runners := Runners{
@@ -95,14 +95,14 @@
 		Expect(given[0].Node.Name).To(Equal("node-7"))
 		Expect(runWith(runners, "node").code).To(Equal(ExitOK))
 		Expect(platform).To(Equal(1))
-		expectOneLine(runWith(runners, "node", "--set", "node.name=node-7"), ExitUsage, "needs --settings")
+		expectOneLine(runWith(runners, "node", "--set", "node.name=node-7"), ExitUsage, "requires --settings")
 		expectOneLine(runWith(runners, "node", "--settings", nodeExample, "--set", "node.seeds=a"), ExitUsage, "node.seeds: unknown key")
 		expectOneLine(run("check-settings", "--role", "node", "--settings", "absent.toml"), ExitUsage, "absent.toml")
-		expectOneLine(run("check-settings", "--role", "node", "--settings", nodeExample, "--zone", "z"), ExitUsage, "no short form")
+		expectOneLine(run("check-settings", "--role", "node", "--settings", nodeExample, "--zone", "z"), ExitUsage, "only --set KEY=VALUE")
 		Expect(given).To(HaveLen(1))
 	})
 
-	It("turns a process's failure into one line and an exit code", func() {
+	It("reports a process's failure by a single line and an exit code", func() {
 		for failure, code := range map[error]int{
 			resultcode.New(resultcode.AddressInUse, "127.0.0.1:1 is taken"): ExitUsage,
 			errors.New("fault"): ExitRefused,
@@ -112,7 +112,7 @@
 		}
 	})
 
-	It("names a wrong key in one line", func() {
+	It("reports an invalid key on a single line", func() {
 		expectOneLine(run("gateway", "--settings", example), ExitUsage, `node.role: is "scheduler"`)
 		expectOneLine(run("scheduler", "--settings", "absent.yaml"), ExitUsage, "absent.yaml")
 		expectOneLine(run("scheduler", "--settings", example, "--set", "limits.body=5"), ExitUsage, "limits.body: 5 needs a unit")
@@ -127,7 +127,7 @@
 })
 
 var _ = Describe("examples", func() {
-	It("have sound settings and configurations", func() {
+	It("have valid settings and configurations", func() {
 		got := run("check-settings", "--role", "node", "--settings", nodeExample)
 		Expect(got.code).To(Equal(ExitOK), got.errors)
 		Expect(got.output).To(ContainSubstring("node node-1 in zone zone-1"))
@@ -143,7 +143,7 @@
 		}
 	})
 
-	It("name the keys that their comments give", func() {
+	It("use the keys given in their comments", func() {
 		content, err := readConfiguration("../../examples/namibia/configuration.yaml")
 		Expect(err).NotTo(HaveOccurred())
 		_, found := configuration.NewSnapshot(1, content).TierByKey("kiosk-key")
@@ -154,7 +154,7 @@
 		Expect(found).To(BeTrue())
 	})
 
-	It("are refused with an unknown field", func() {
+	It("are rejected with an unknown field", func() {
 		path := filepath.Join(GinkgoT().TempDir(), "configuration.yaml")
 		Expect(os.WriteFile(path, []byte("tiers: [{nmae: kiosk}]"), 0o600)).To(Succeed())
 		_, err := readConfiguration(path)
--- a/internal/command/configuration_file.go
+++ b/internal/command/configuration_file.go
@@ -10,8 +10,8 @@
 	"google.golang.org/protobuf/encoding/protojson"
 )
 
-// readConfiguration reads a configuration in YAML, or JSON, which is YAML too.
-// Unknown fields are refused.
+// readConfiguration reads a YAML or JSON file (JSON is a subset of YAML). Unknown
+// fields are an error.
 func readConfiguration(path string) (*operatorv1.Configuration, error) {
 	content, err := os.ReadFile(path)
 	if err != nil {
--- a/internal/command/load.go
+++ b/internal/command/load.go
@@ -19,29 +19,29 @@
 	"github.com/magpielug/magpielug/internal/resultcode"
 )
 
-// mostStatusBytes bounds an answer that is read. 600 engines and 50 tenants come to
-// 73 KB.
-const mostStatusBytes = 8 << 20
+// maxStatusBytes bounds the response that is read. With 600 engines and 50
+// tenants it is 73 KB.
+const maxStatusBytes = 8 << 20
 
-// notKnown stands in a table for a figure that the node does not know, or that there is none of.
-const notKnown = "-"
+// unknownValue is the table cell for a value that is unknown or does not exist.
+const unknownValue = "-"
 
-// LoadCommand shows the load as one node knows it.
+// LoadCommand shows the load status of one node.
 type LoadCommand struct {
-	Address string        `arg:"--address,required" placeholder:"IP:PORT" help:"metrics address of a node; owners of shards tell most, see OWNED"`
-	Service string        `arg:"--service" placeholder:"NAME" help:"only what concerns one service"`
+	Address string        `arg:"--address,required" placeholder:"IP:PORT" help:"metrics address of a node; nodes that own shards report the most, see OWNED"`
+	Service string        `arg:"--service" placeholder:"NAME" help:"show only this service"`
 	Output  string        `arg:"--output" default:"table" placeholder:"FORMAT" help:"table or json"`
-	Timeout time.Duration `arg:"--timeout" default:"15s" help:"longest wait for the node's answer"`
+	Timeout time.Duration `arg:"--timeout" default:"15s" help:"maximum wait for the node's response"`
 }
 
 func (command *LoadCommand) run(ctx context.Context, streams Streams) int {
-	err := command.check()
+	err := command.validate()
 	if err != nil {
-		return report(streams, err)
+		return reportError(streams, err)
 	}
-	status, content, err := command.ask(ctx)
+	status, content, err := command.fetch(ctx)
 	if err != nil {
-		return command.fail(streams, err)
+		return command.reportFailure(streams, err)
 	}
 	if command.Output == outputJSON {
 		_, err = streams.Output.Write(content)
@@ -49,72 +49,74 @@
 		err = writeLoad(streams.Output, status)
 	}
 	if err != nil {
-		return report(streams, err)
+		return reportError(streams, err)
 	}
 	return ExitOK
 }
 
-// check looks over the flags.
-func (command *LoadCommand) check() error {
+// validate checks the flags.
+func (command *LoadCommand) validate() error {
 	if command.Output != outputTable && command.Output != outputJSON {
-		return resultcode.New(resultcode.InvalidSettings, "--output: %q is none of table, json", command.Output)
+		return resultcode.New(resultcode.InvalidSettings, "--output: %q is not one of table, json", command.Output)
 	}
 	_, err := netip.ParseAddrPort(command.Address)
 	if err != nil {
 		return resultcode.New(resultcode.InvalidSettings, "--address: %q is not IP:PORT", command.Address)
 	}
 	if command.Timeout <= 0 {
-		return resultcode.New(resultcode.InvalidSettings, "--timeout: %v is not above 0", command.Timeout)
+		return resultcode.New(resultcode.InvalidSettings, "--timeout: %v must be above 0", command.Timeout)
 	}
 	return nil
 }
 
-// unreached is an exchange that brought no answer.
-type unreached struct{ cause error }
+// unreachableError is a request to a node that failed without a response.
+type unreachableError struct{ cause error }
 
-func (failure *unreached) Error() string { return "no node answered: " + oneLine(failure.cause) }
+func (failure *unreachableError) Error() string {
+	return "no response from the node: " + oneLine(failure.cause)
+}
 
-// fail writes what went wrong and returns the exit code it stands for.
-func (command *LoadCommand) fail(streams Streams, err error) int {
-	code := report(streams, err)
-	var silent *unreached
-	if errors.As(err, &silent) {
+// reportFailure writes err and returns its exit code.
+func (command *LoadCommand) reportFailure(streams Streams, err error) int {
+	code := reportError(streams, err)
+	var unreachable *unreachableError
+	if errors.As(err, &unreachable) {
 		return ExitUnavailable
 	}
 	return code
 }
 
-// ask returns the node's answer, also as it was sent.
-func (command *LoadCommand) ask(ctx context.Context) (load.Status, []byte, error) {
+// fetch returns the node's status, decoded and as the JSON received.
+func (command *LoadCommand) fetch(ctx context.Context) (load.Status, []byte, error) {
 	client, err := httpclient.New(httpclient.Options{Timeout: command.Timeout})
 	if err != nil {
 		return load.Status{}, nil, err
 	}
-	request, err := http.NewRequestWithContext(ctx, http.MethodGet, command.target(), nil)
+	request, err := http.NewRequestWithContext(ctx, http.MethodGet, command.statusURL(), nil)
 	if err != nil {
 		return load.Status{}, nil, err
 	}
 	response, err := client.Do(request)
 	if err != nil {
-		return load.Status{}, nil, &unreached{cause: err}
+		return load.Status{}, nil, &unreachableError{cause: err}
 	}
 	defer func() { _ = response.Body.Close() }()
-	content, err := io.ReadAll(io.LimitReader(response.Body, mostStatusBytes))
+	content, err := io.ReadAll(io.LimitReader(response.Body, maxStatusBytes))
 	if err != nil {
-		return load.Status{}, nil, &unreached{cause: err}
+		return load.Status{}, nil, &unreachableError{cause: err}
 	}
 	if response.StatusCode != http.StatusOK {
-		return load.Status{}, nil, command.refusal(response.StatusCode, content)
+		return load.Status{}, nil, command.responseError(response.StatusCode, content)
 	}
 	var status load.Status
 	err = json.Unmarshal(content, &status)
 	if err != nil || status.Node == "" {
-		return load.Status{}, nil, command.notANode(response.StatusCode)
+		return load.Status{}, nil, command.notNodeError(response.StatusCode)
 	}
 	return status, content, nil
 }
 
-func (command *LoadCommand) target() string {
+func (command *LoadCommand) statusURL() string {
 	target := url.URL{Scheme: "http", Host: command.Address, Path: load.StatusPath}
 	if command.Service != "" {
 		target.RawQuery = url.Values{load.StatusService: {command.Service}}.Encode()
@@ -122,21 +124,21 @@
 	return target.String()
 }
 
-// refusal is what an answer that is no success says.
-func (command *LoadCommand) refusal(httpStatus int, content []byte) error {
+// responseError returns the error in the body of a response other than 200.
+func (command *LoadCommand) responseError(httpStatus int, content []byte) error {
 	var body httpserver.ErrorBody
 	err := json.Unmarshal(content, &body)
 	if err != nil || body.Error.Code == resultcode.OK {
-		return command.notANode(httpStatus)
+		return command.notNodeError(httpStatus)
 	}
 	return resultcode.New(body.Error.Code, "%s", body.Error.Message)
 }
 
-func (command *LoadCommand) notANode(httpStatus int) error {
-	return resultcode.New(resultcode.InvalidSettings, "--address: %s serves no load (HTTP %d); it has to be a node's metrics address", command.Address, httpStatus)
+func (command *LoadCommand) notNodeError(httpStatus int) error {
+	return resultcode.New(resultcode.InvalidSettings, "--address: %s does not serve load status (HTTP %d); use a node's metrics address", command.Address, httpStatus)
 }
 
-// writeLoad writes a status for people, a table for each of its parts.
+// writeLoad writes a status as tables.
 func writeLoad(output io.Writer, status load.Status) error {
 	tables := []table{
 		nodeTable(status),
@@ -159,20 +161,20 @@
 }
 
 func nodeTable(status load.Status) table {
-	age := notKnown
+	age := unknownValue
 	if status.View.AgeMillis != nil {
 		age = (time.Duration(*status.View.AgeMillis) * time.Millisecond).String()
 	}
 	return newTable("NODE", "ZONE", "OWNED", "VIEW", "AGE", "NODES", "GATHERED", "CUT OFF", "ZONES OUT OF REACH").add(status.Node, status.Zone,
-		share(status.OwnedShare), word(status.View.Known, "known", "unknown"), age, status.View.Nodes, status.View.ReportingNodes,
-		word(status.ZoneIsolated, "yes", "no"), list(status.UnreachableZones))
+		formatFraction(status.OwnedShare), chooseText(status.View.Known, "known", "unknown"), age, status.View.Nodes, status.View.ReportingNodes,
+		chooseText(status.ZoneIsolated, "yes", "no"), formatList(status.UnreachableZones))
 }
 
 func servicesTable(services []load.ServiceStatus) table {
 	rows := newTable("SERVICE", "ENGINES", "PASSED OVER", "SLOTS", "SOUND", "RUNNING", "WAITING (RANK:CALLS)", "HERE", "TOOL CALLS")
 	for _, service := range services {
-		rows = rows.add(service.Service, service.Engines, service.AvoidedEngines, service.Slots, service.HealthySlots, count(service.Running),
-			ranks(service.Waiting), ranks(service.WaitingLocally), count(service.ToolCalls))
+		rows = rows.add(service.Service, service.Engines, service.AvoidedEngines, service.Slots, service.HealthySlots, formatOptionalCount(service.Running),
+			formatPriorityCalls(service.Waiting), formatPriorityCalls(service.WaitingLocally), formatOptionalCount(service.ToolCalls))
 	}
 	return rows
 }
@@ -180,7 +182,7 @@
 func admissionTable(resources []load.AdmissionStatus) table {
 	rows := newTable("ADMISSION", "RESOURCE", "DEMAND", "LIMIT", "CAPACITY")
 	for _, resource := range resources {
-		rows = rows.add(resource.Service, resource.Resource, figure(resource.Demand), figure(resource.Limit), figure(resource.Capacity))
+		rows = rows.add(resource.Service, resource.Resource, formatDecimal(resource.Demand), formatDecimal(resource.Limit), formatDecimal(resource.Capacity))
 	}
 	return rows
 }
@@ -189,71 +191,71 @@
 	rows := newTable("ROUTE", "SERVICE", "RANK", "PROGRAMS", "TURNS", "BEGUN/S", "REFUSED/S", "LATE/S")
 	for _, route := range status.Routes {
 		rows = rows.add(route.Route, route.Service, route.Priority, route.Programs, route.Turns,
-			figure(route.StartedPerSecond), figure(route.RefusedPerSecond), figure(route.LatePerSecond))
+			formatDecimal(route.StartedPerSecond), formatDecimal(route.RefusedPerSecond), formatDecimal(route.LatePerSecond))
 	}
-	return rows.addOthers(status.OtherRoutes)
+	return rows.addOmitted(status.OtherRoutes)
 }
 
 func tenantsTable(status load.Status) table {
 	rows := newTable("TENANT", "RANK", "PROGRAMS", "FAIR")
 	for _, tenant := range status.Tenants {
-		fair := notKnown
+		fair := unknownValue
 		if tenant.FairShare != nil {
-			fair = figure(*tenant.FairShare)
+			fair = formatDecimal(*tenant.FairShare)
 		}
 		rows = rows.add(tenant.Tenant, tenant.Priority, tenant.Programs, fair)
 	}
-	return rows.addOthers(status.OtherTenants)
+	return rows.addOmitted(status.OtherTenants)
 }
 
-// addOthers tells how many are left out.
-func (rows table) addOthers(others int) table {
-	if others == 0 {
+// addOmitted adds a row with the number of omitted entries, if there are any.
+func (rows table) addOmitted(omitted int) table {
+	if omitted == 0 {
 		return rows
 	}
-	return rows.add(fmt.Sprintf("(%d more)", others))
+	return rows.add(fmt.Sprintf("(%d more)", omitted))
 }
 
 func enginesTable(engines []load.EngineStatus) table {
 	rows := newTable("ENGINE", "SERVICE", "ZONE", "REACHED", "SLOTS", "RUNNING", "HERE", "PASSED OVER")
 	for _, engine := range engines {
-		rows = rows.add(engine.Engine, engine.Service, engine.Zone, word(engine.ZoneReachable, "yes", "no"), engine.Slots, count(engine.Running),
-			engine.RunningLocally, list(engine.AvoidReasons))
+		rows = rows.add(engine.Engine, engine.Service, engine.Zone, chooseText(engine.ZoneReachable, "yes", "no"), engine.Slots, formatOptionalCount(engine.Running),
+			engine.RunningLocally, formatList(engine.AvoidReasons))
 	}
 	return rows
 }
 
-func word(condition bool, yes, no string) string {
+func chooseText(condition bool, yes, no string) string {
 	if condition {
 		return yes
 	}
 	return no
 }
 
-func count(value *int) string {
+func formatOptionalCount(value *int) string {
 	if value == nil {
-		return notKnown
+		return unknownValue
 	}
 	return strconv.Itoa(*value)
 }
 
-// figure writes a number with one digit after the point.
-func figure(value float64) string { return strconv.FormatFloat(value, 'f', 1, 64) }
+// formatDecimal formats a number with one decimal place.
+func formatDecimal(value float64) string { return strconv.FormatFloat(value, 'f', 1, 64) }
 
-// share writes a part of 1.
-func share(value float64) string { return strconv.FormatFloat(value, 'f', 3, 64) }
+// formatFraction formats a fraction of 1 with three decimal places.
+func formatFraction(value float64) string { return strconv.FormatFloat(value, 'f', 3, 64) }
 
-func list(names []string) string {
+func formatList(names []string) string {
 	if len(names) == 0 {
-		return notKnown
+		return unknownValue
 	}
 	return strings.Join(names, ",")
 }
 
-func ranks(counts []load.PriorityCalls) string {
+func formatPriorityCalls(counts []load.PriorityCalls) string {
 	shown := make([]string, 0, len(counts))
 	for _, each := range counts {
 		shown = append(shown, fmt.Sprintf("%d:%d", each.Priority, each.Calls))
 	}
-	return list(shown)
+	return formatList(shown)
 }
--- a/internal/command/load_test.go
+++ b/internal/command/load_test.go
@@ -29,13 +29,13 @@
 		UnreachableZones: []string{"b"},
 	}
 
-	// serve answers with a result, and returns the address.
-	serve := func(answer http.HandlerFunc) string {
-		server := httptest.NewServer(answer)
+	// serve starts a server and returns its address.
+	serve := func(handler http.HandlerFunc) string {
+		server := httptest.NewServer(handler)
 		DeferCleanup(server.Close)
 		return server.Listener.Addr().String()
 	}
-	answerStatus := func(writer http.ResponseWriter, request *http.Request) {
+	serveStatus := func(writer http.ResponseWriter, request *http.Request) {
 		if request.URL.Path != load.StatusPath {
 			writer.WriteHeader(http.StatusNotFound)
 			return
@@ -48,7 +48,7 @@
 	}
 
 	It("prints tables", func() {
-		got := run("load", "--address", serve(answerStatus))
+		got := run("load", "--address", serve(serveStatus))
 		Expect(got.code).To(Equal(ExitOK), got.errors)
 		Expect(got.output).To(MatchRegexp(`node-1 +a +0\.250 +known +230ms +3 +2 +no +b`))
 		Expect(got.output).To(MatchRegexp(`models +2 +0 +12 +12 +9 +0:3,2:48 +- +-`))
@@ -59,43 +59,43 @@
 		Expect(got.output).To(MatchRegexp(`e0 +models +b +no +6 +- +1 +zone,full`))
 	})
 
-	It("prints the node's own JSON", func() {
-		got := run("load", "--address", serve(answerStatus), "--output", "json")
+	It("prints the node's JSON", func() {
+		got := run("load", "--address", serve(serveStatus), "--output", "json")
 		Expect(got.code).To(Equal(ExitOK), got.errors)
 		var printed load.Status
 		Expect(json.Unmarshal([]byte(got.output), &printed)).To(Succeed())
 		Expect(printed).To(Equal(status))
 	})
 
-	DescribeTable("names a wrong flag in one numbered line", func(text string, flags ...string) {
+	DescribeTable("rejects an invalid flag with a single-line error", func(text string, flags ...string) {
 		expectOneLine(run(append([]string{"load"}, flags...)...), ExitUsage, text)
 	},
-		Entry("no address", `6001 INVALID_SETTINGS: --address: "localhost" is not IP:PORT`, "--address", "localhost"),
-		Entry("a name", `6001 INVALID_SETTINGS: --address: "node-1:9000" is not IP:PORT`, "--address", "node-1:9000"),
-		Entry("a port too high", `6001 INVALID_SETTINGS: --address`, "--address", "127.0.0.1:70000"),
-		Entry("another format", `6001 INVALID_SETTINGS: --output: "xml" is none of table, json`, "--address", "127.0.0.1:1", "--output", "xml"),
-		Entry("no time", `6001 INVALID_SETTINGS: --timeout`, "--address", "127.0.0.1:1", "--timeout", "0s"),
+		Entry("address without a port", `6001 INVALID_SETTINGS: --address: "localhost" is not IP:PORT`, "--address", "localhost"),
+		Entry("host name", `6001 INVALID_SETTINGS: --address: "node-1:9000" is not IP:PORT`, "--address", "node-1:9000"),
+		Entry("port out of range", `6001 INVALID_SETTINGS: --address`, "--address", "127.0.0.1:70000"),
+		Entry("unknown output format", `6001 INVALID_SETTINGS: --output: "xml" is not one of table, json`, "--address", "127.0.0.1:1", "--output", "xml"),
+		Entry("zero timeout", `6001 INVALID_SETTINGS: --timeout`, "--address", "127.0.0.1:1", "--timeout", "0s"),
 	)
 
-	It("needs an address", func() {
+	It("requires --address", func() {
 		Expect(run("load").code).To(Equal(ExitUsage))
 	})
 
-	It("names a service that is not known as the node does", func() {
-		expectOneLine(run("load", "--address", serve(answerStatus), "--service", "nowhere"), ExitRefused, `1005 UNKNOWN_TARGET: no engine of a service "nowhere" is known`)
+	It("prints the node's error for an unknown service", func() {
+		expectOneLine(run("load", "--address", serve(serveStatus), "--service", "nowhere"), ExitRefused, `1005 UNKNOWN_TARGET: no engine of a service "nowhere" is known`)
 	})
 
-	It("says that an address is not a node's metrics address", func() {
+	It("reports an address that is not a node's metrics address", func() {
 		other := serve(func(writer http.ResponseWriter, _ *http.Request) { writer.WriteHeader(http.StatusNotFound) })
-		expectOneLine(run("load", "--address", other), ExitUsage, "6001 INVALID_SETTINGS: --address: "+other+" serves no load (HTTP 404)")
-		hollow := serve(func(writer http.ResponseWriter, _ *http.Request) { _, _ = writer.Write([]byte("{}")) })
-		expectOneLine(run("load", "--address", hollow), ExitUsage, "serves no load (HTTP 200)")
+		expectOneLine(run("load", "--address", other), ExitUsage, "6001 INVALID_SETTINGS: --address: "+other+" does not serve load status (HTTP 404)")
+		empty := serve(func(writer http.ResponseWriter, _ *http.Request) { _, _ = writer.Write([]byte("{}")) })
+		expectOneLine(run("load", "--address", empty), ExitUsage, "does not serve load status (HTTP 200)")
 	})
 
-	It("tells a node that is not reached by its exit code", func() {
+	It("exits with ExitUnavailable if the node can't be reached", func() {
 		server := httptest.NewServer(http.NotFoundHandler())
 		address := server.Listener.Addr().String()
 		server.Close()
-		expectOneLine(run("load", "--address", address), ExitUnavailable, "no node answered")
+		expectOneLine(run("load", "--address", address), ExitUnavailable, "no response from the node")
 	})
 })
--- a/internal/command/operator.go
+++ b/internal/command/operator.go
@@ -19,41 +19,41 @@
 )
 
 const (
-	keyVariable   = "MAGPIELUG_OPERATOR_KEY"
-	authorization = "Authorization"
-	bearerPrefix  = "Bearer "
-	defaultScheme = "http://"
-	outputTable   = "table"
-	outputJSON    = "json"
+	keyEnvironmentVariable = "MAGPIELUG_OPERATOR_KEY"
+	authorizationHeader    = "Authorization"
+	bearerPrefix           = "Bearer "
+	defaultScheme          = "http://"
+	outputTable            = "table"
+	outputJSON             = "json"
 )
 
-// OperatorCommand speaks the operators' schema to a gateway.
+// OperatorCommand calls the operator API of a gateway.
 type OperatorCommand struct {
-	Address   []string      `arg:"--address,separate,env:MAGPIELUG_ADDRESS" placeholder:"IP:PORT" help:"gateway to ask; further ones are asked in turn when one does not answer"`
-	KeyFile   string        `arg:"--key-file,env:MAGPIELUG_OPERATOR_KEY_FILE" placeholder:"FILE" help:"file with the operators' key; without it the key is taken from MAGPIELUG_OPERATOR_KEY"`
-	Authority string        `arg:"--authority-file,env:MAGPIELUG_AUTHORITY_FILE" placeholder:"FILE" help:"PEM file with the authority of the gateways' certificates; with it TLS is used"`
+	Address   []string      `arg:"--address,separate,env:MAGPIELUG_ADDRESS" placeholder:"IP:PORT" help:"gateway address; if repeated, the next one is tried when one does not respond"`
+	KeyFile   string        `arg:"--key-file,env:MAGPIELUG_OPERATOR_KEY_FILE" placeholder:"FILE" help:"file with the operators' key; default: the value of MAGPIELUG_OPERATOR_KEY"`
+	Authority string        `arg:"--authority-file,env:MAGPIELUG_AUTHORITY_FILE" placeholder:"FILE" help:"PEM file with the CA of the gateways' certificates; enables TLS"`
 	Output    string        `arg:"--output" default:"table" placeholder:"FORMAT" help:"table or json"`
-	Timeout   time.Duration `arg:"--timeout" default:"15s" help:"longest wait for one gateway's answer"`
+	Timeout   time.Duration `arg:"--timeout" default:"15s" help:"maximum wait for a gateway's response"`
 
 	Publish     *PublishCommand     `arg:"subcommand:publish" help:"publish a whole configuration"`
 	Get         *GetCommand         `arg:"subcommand:get" help:"show the configuration in force on the gateway"`
 	Nodes       *NodesCommand       `arg:"subcommand:nodes" help:"list all processes with their configuration version"`
-	Drain       *DrainCommand       `arg:"subcommand:drain" help:"give a back end no new work"`
+	Drain       *DrainCommand       `arg:"subcommand:drain" help:"stop sending new work to a back end"`
 	Programs    *ProgramsCommand    `arg:"subcommand:programs" help:"list programs"`
 	StopProgram *StopProgramCommand `arg:"subcommand:stop-program" help:"stop a program and release its cache"`
-	Explain     *ExplainCommand     `arg:"subcommand:explain" help:"show the last decisions taken for a call"`
+	Explain     *ExplainCommand     `arg:"subcommand:explain" help:"show the last scheduling decisions for a call"`
 }
 
-// usageError is a wrong flag or input file of an operator's command.
+// usageError is an invalid flag or input file of an operator sub-command.
 type usageError struct{ reason string }
 
 func (failure *usageError) Error() string { return failure.reason }
 
 // action is one operator sub-command.
 type action interface {
-	// call makes the request and returns the reply.
+	// call sends the request and returns the reply.
 	call(ctx context.Context, client operatorv1.Operator) (proto.Message, error)
-	// table writes the reply for people.
+	// table formats the reply as a table.
 	table(reply proto.Message) table
 }
 
@@ -77,25 +77,25 @@
 
 func (command *OperatorCommand) run(ctx context.Context, streams Streams) int {
 	chosen := command.action()
-	reply, err := command.ask(ctx, chosen)
+	reply, err := command.send(ctx, chosen)
 	if err != nil {
-		return command.fail(streams, err)
+		return command.reportFailure(streams, err)
 	}
 	err = command.print(streams, chosen, reply)
 	if err != nil {
-		return command.fail(streams, err)
+		return command.reportFailure(streams, err)
 	}
 	return ExitOK
 }
 
-// ask calls the gateways in turn until one answers. Every request of the
-// schema may be repeated: a change carries its change id.
-func (command *OperatorCommand) ask(ctx context.Context, chosen action) (proto.Message, error) {
-	key, err := command.check()
+// send calls the gateways in turn until one responds. Requests can be repeated
+// safely, as changes are idempotent by their change ID.
+func (command *OperatorCommand) send(ctx context.Context, chosen action) (proto.Message, error) {
+	key, err := command.validate()
 	if err != nil {
 		return nil, err
 	}
-	ctx, err = withKey(ctx, key)
+	ctx, err = withAuthorization(ctx, key)
 	if err != nil {
 		return nil, err
 	}
@@ -107,7 +107,7 @@
 	for _, address := range command.Address {
 		client := operatorv1.NewOperatorProtobufClient(baseURL(address), httpClient)
 		reply, callErr := chosen.call(ctx, client)
-		if callErr == nil || answered(callErr) {
+		if callErr == nil || isFinal(callErr) {
 			return reply, callErr
 		}
 		failures = append(failures, fmt.Errorf("%s: %w", address, callErr))
@@ -127,8 +127,8 @@
 	return httpclient.New(options)
 }
 
-// answered tells whether err is an answer that another gateway would give too.
-func answered(err error) bool {
+// isFinal reports whether trying another gateway would give the same error.
+func isFinal(err error) bool {
 	var usage *usageError
 	if errors.As(err, &usage) {
 		return true
@@ -137,15 +137,15 @@
 	return failure != nil && !isUnavailable(failure.Code)
 }
 
-// check looks over the flags and returns the operators' key.
-func (command *OperatorCommand) check() (string, error) {
+// validate checks the flags and returns the operators' key.
+func (command *OperatorCommand) validate() (string, error) {
 	if command.Output != outputTable && command.Output != outputJSON {
-		return "", &usageError{fmt.Sprintf("--output: %q is none of table, json", command.Output)}
+		return "", &usageError{fmt.Sprintf("--output: %q is not one of table, json", command.Output)}
 	}
 	if len(command.Address) == 0 {
 		return "", &usageError{"--address: missing"}
 	}
-	key := os.Getenv(keyVariable)
+	key := os.Getenv(keyEnvironmentVariable)
 	if command.KeyFile != "" {
 		content, err := os.ReadFile(command.KeyFile)
 		if err != nil {
@@ -155,14 +155,14 @@
 	}
 	key = strings.TrimSpace(key)
 	if key == "" {
-		return "", &usageError{"the operators' key is missing: use --key-file or " + keyVariable}
+		return "", &usageError{"the operators' key is missing: use --key-file or " + keyEnvironmentVariable}
 	}
 	return key, nil
 }
 
-func withKey(ctx context.Context, key string) (context.Context, error) {
+func withAuthorization(ctx context.Context, key string) (context.Context, error) {
 	header := http.Header{}
-	header.Set(authorization, bearerPrefix+key)
+	header.Set(authorizationHeader, bearerPrefix+key)
 	return twirp.WithHTTPRequestHeaders(ctx, header)
 }
 
@@ -173,8 +173,8 @@
 	return defaultScheme + address
 }
 
-// fail writes what went wrong and returns the exit code it stands for.
-func (command *OperatorCommand) fail(streams Streams, err error) int {
+// reportFailure writes err and returns its exit code.
+func (command *OperatorCommand) reportFailure(streams Streams, err error) int {
 	var usage *usageError
 	if errors.As(err, &usage) {
 		fmt.Fprintf(streams.Errors, "%s: %v\n", programName, err)
@@ -185,15 +185,15 @@
 		fmt.Fprintf(streams.Errors, "%s: no gateway answered: %s\n", programName, oneLine(err))
 		return ExitUnavailable
 	}
-	command.printFailure(streams, failure)
+	command.printError(streams, failure)
 	if isUnavailable(failure.Code) {
 		return ExitUnavailable
 	}
 	return ExitRefused
 }
 
-// isUnavailable tells whether a code says that the same request can succeed
-// later or at another gateway.
+// isUnavailable reports whether the same request may succeed later or on another
+// gateway.
 func isUnavailable(code resultcode.Code) bool {
 	switch resultcode.Lookup(code).Status {
 	case http.StatusServiceUnavailable, http.StatusBadGateway, http.StatusGatewayTimeout:
--- a/internal/command/operator_actions.go
+++ b/internal/command/operator_actions.go
@@ -9,14 +9,14 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// changeIDBytes is the length of a generated change id.
+// changeIDBytes is the length of a generated change ID before hex encoding.
 const changeIDBytes = 16
 
 // PublishCommand publishes a configuration file.
 type PublishCommand struct {
-	File        string  `arg:"positional,required" placeholder:"FILE" help:"configuration in YAML or JSON, in the shape of magpielug.operator.v1.Configuration"`
-	BaseVersion *uint64 `arg:"--base-version" placeholder:"N" help:"version that the change was made on; without it the version in force"`
-	ChangeID    string  `arg:"--change-id" placeholder:"ID" help:"name of the change; the same id again gets the same answer. Without it a random one"`
+	File        string  `arg:"positional,required" placeholder:"FILE" help:"configuration in YAML or JSON, in the format of magpielug.operator.v1.Configuration"`
+	BaseVersion *uint64 `arg:"--base-version" placeholder:"N" help:"version that the change is based on; default: the version in force"`
+	ChangeID    string  `arg:"--change-id" placeholder:"ID" help:"ID of the change; a repeated ID returns the first result; default: random"`
 }
 
 func (command *PublishCommand) call(ctx context.Context, client operatorv1.Operator) (proto.Message, error) {
@@ -46,9 +46,9 @@
 	return newTable("VERSION", "CHANGE").add(accepted.GetVersion(), command.ChangeID)
 }
 
-// GetCommand shows the configuration.
+// GetCommand shows the configuration in force.
 type GetCommand struct {
-	Content bool `arg:"--content" help:"with --output json, print the configuration alone, as publish takes it"`
+	Content bool `arg:"--content" help:"with --output json, print only the configuration, in the format of publish"`
 }
 
 func (command *GetCommand) call(ctx context.Context, client operatorv1.Operator) (proto.Message, error) {
@@ -60,8 +60,8 @@
 }
 
 func (command *GetCommand) table(reply proto.Message) table {
-	configuration, whole := reply.(*operatorv1.Configuration)
-	if !whole {
+	configuration, contentOnly := reply.(*operatorv1.Configuration)
+	if !contentOnly {
 		received := reply.(*operatorv1.GetConfigurationReply)
 		return configurationTable(received.GetConfiguration()).add("version", received.GetVersion(), "")
 	}
@@ -84,10 +84,10 @@
 	return rows
 }
 
-// DrainCommand takes a back end out of work.
+// DrainCommand drains a back end, which then gets no new calls.
 type DrainCommand struct {
-	BackEnd  string `arg:"positional,required" placeholder:"BACK-END" help:"id of the engine or tool machine"`
-	ChangeID string `arg:"--change-id" placeholder:"ID" help:"name of the change; without it a random one"`
+	BackEnd  string `arg:"positional,required" placeholder:"BACK-END" help:"ID of the engine or tool machine"`
+	ChangeID string `arg:"--change-id" placeholder:"ID" help:"ID of the change; default: random"`
 }
 
 func (command *DrainCommand) call(ctx context.Context, client operatorv1.Operator) (proto.Message, error) {
@@ -104,8 +104,8 @@
 
 // ProgramsCommand lists programs.
 type ProgramsCommand struct {
-	Tenant string `arg:"--tenant" placeholder:"NAME" help:"only this tenant's"`
-	Limit  uint32 `arg:"--limit" default:"100" placeholder:"N" help:"most programs shown, up to 1000"`
+	Tenant string `arg:"--tenant" placeholder:"NAME" help:"show only this tenant's programs"`
+	Limit  uint32 `arg:"--limit" default:"100" placeholder:"N" help:"maximum number of programs, up to 1000"`
 }
 
 func (command *ProgramsCommand) call(ctx context.Context, client operatorv1.Operator) (proto.Message, error) {
@@ -123,8 +123,8 @@
 
 // StopProgramCommand stops a program.
 type StopProgramCommand struct {
-	Program string `arg:"positional,required" placeholder:"PROGRAM" help:"id of the program"`
-	Reason  string `arg:"--reason" placeholder:"TEXT" help:"kept with the program"`
+	Program string `arg:"positional,required" placeholder:"PROGRAM" help:"program ID"`
+	Reason  string `arg:"--reason" placeholder:"TEXT" help:"reason, stored with the program"`
 }
 
 func (command *StopProgramCommand) call(ctx context.Context, client operatorv1.Operator) (proto.Message, error) {
@@ -135,10 +135,10 @@
 	return newTable("STOPPED").add(command.Program)
 }
 
-// ExplainCommand shows decisions.
+// ExplainCommand shows the last scheduling decisions for a call.
 type ExplainCommand struct {
-	Program string `arg:"positional,required" placeholder:"PROGRAM" help:"id of the program"`
-	Request string `arg:"positional,required" placeholder:"REQUEST" help:"id of the call's request"`
+	Program string `arg:"positional,required" placeholder:"PROGRAM" help:"program ID"`
+	Request string `arg:"positional,required" placeholder:"REQUEST" help:"request ID of the call"`
 }
 
 func (command *ExplainCommand) call(ctx context.Context, client operatorv1.Operator) (proto.Message, error) {
@@ -154,7 +154,6 @@
 	return rows.add("", "", "state", explained.GetCallState())
 }
 
-// newChangeID returns a random change id.
 func newChangeID() string {
 	identifier := make([]byte, changeIDBytes)
 	// crypto/rand.Read never fails.
--- a/internal/command/operator_test.go
+++ b/internal/command/operator_test.go
@@ -20,7 +20,8 @@
 	. "github.com/onsi/gomega"
 )
 
-// gateway keeps a configuration in memory and answers the rest with failure.
+// gateway is a fake gateway with an in-memory configuration. Its other methods
+// return failure.
 type gateway struct {
 	version   uint64
 	current   *operatorv1.Configuration
@@ -69,7 +70,7 @@
 	})
 }
 
-// serve starts a gateway and returns the flags that reach it.
+// serve starts a server and returns the flags that connect to it.
 func (gateway *gateway) serve() []string {
 	server := httptest.NewServer(gateway.handler())
 	DeferCleanup(server.Close)
@@ -94,7 +95,7 @@
 		flags = served.serve()
 	})
 
-	It("publishes on the version in force, reads back, and tells the loser", func() {
+	It("publishes on the version in force, reads back, and reports a version conflict", func() {
 		got := ask("publish", exampleConfiguration, "--change-id", "first")
 		Expect(got.code).To(Equal(ExitOK), got.errors)
 		Expect(got.output).To(Equal("VERSION  CHANGE\n1        first\n"))
@@ -107,7 +108,7 @@
 		Expect(shown).NotTo(ContainSubstring("key_sha256"))
 	})
 
-	It("prints a configuration that publish takes", func() {
+	It("prints a configuration that publish accepts", func() {
 		Expect(ask("publish", exampleConfiguration).code).To(Equal(ExitOK))
 		path := filepath.Join(GinkgoT().TempDir(), "read.json")
 		Expect(os.WriteFile(path, []byte(ask("--output", "json", "get", "--content").output), 0o600)).To(Succeed())
@@ -133,7 +134,7 @@
 		}
 	})
 
-	It("tells refusal, no answer and wrong use apart", func() {
+	It("has different exit codes for refusal, unavailability and invalid usage", func() {
 		served.failure = resultcode.New(resultcode.UnknownProgram, "no such program")
 		expectOneLine(ask("stop-program", "p9"), ExitRefused, "1004 UNKNOWN_PROGRAM")
 		got := ask("--output", "json", "stop-program", "p9")
@@ -149,7 +150,7 @@
 		expectOneLine(run("operator", "--key-file", keyFile("k"), "nodes"), ExitUsage, "--address: missing")
 	})
 
-	It("speaks TLS to gateways of the authority alone", func() {
+	It("connects over TLS only to gateways of the authority", func() {
 		server := httptest.NewTLSServer(served.handler())
 		DeferCleanup(server.Close)
 		path := filepath.Join(GinkgoT().TempDir(), "authority.pem")
@@ -161,7 +162,7 @@
 		expectOneLine(run(append(secured, "--authority-file", "absent.pem")...), ExitUsage, "--authority-file")
 	})
 
-	It("refuses a wrong key and asks the next gateway when one is away", func() {
+	It("reports a wrong key, and tries the next gateway if one is unreachable", func() {
 		expectOneLine(run("operator", "--address", flags[2], "--key-file", keyFile("guess"), "nodes"), ExitRefused, "1003 BAD_KEY")
 		got := run(append([]string{"operator", "--address", "127.0.0.1:1"}, append(flags[1:], "nodes")...)...)
 		Expect(got.code).To(Equal(ExitOK), got.errors)
--- a/internal/command/output.go
+++ b/internal/command/output.go
@@ -17,10 +17,10 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// columnGap is the number of spaces between columns.
-const columnGap = 2
+// columnPadding is the number of spaces between columns.
+const columnPadding = 2
 
-// table is a reply in rows of columns.
+// table is tabular output.
 type table struct {
 	header []string
 	rows   [][]string
@@ -38,22 +38,22 @@
 	return rows
 }
 
-// configurationTable has a row for each part of a configuration.
+// configurationTable returns a table with a row for each part of a configuration.
 func configurationTable(configuration *operatorv1.Configuration) table {
 	rows := newTable("PART", "NAME", "DETAIL")
 	for _, service := range configuration.GetServices() {
-		rows = rows.add("service", service.GetName(), detail(service))
+		rows = rows.add("service", service.GetName(), formatFields(service))
 	}
 	for _, tier := range configuration.GetTiers() {
 		shown := proto.CloneOf(tier)
 		shown.Name, shown.Tenant, shown.KeySha256 = "", "", ""
-		rows = rows.add("tier", tier.GetTenant()+"/"+tier.GetName(), detail(shown))
+		rows = rows.add("tier", tier.GetTenant()+"/"+tier.GetName(), formatFields(shown))
 	}
 	for _, kind := range configuration.GetProgramKinds() {
-		rows = rows.add("program kind", kind.GetName(), detail(kind))
+		rows = rows.add("program kind", kind.GetName(), formatFields(kind))
 	}
 	if configuration.GetScheduling() != nil {
-		rows = rows.add("scheduling", "", detail(configuration.GetScheduling()))
+		rows = rows.add("scheduling", "", formatFields(configuration.GetScheduling()))
 	}
 	for _, backEnd := range configuration.GetDrainedBackEnds() {
 		rows = rows.add("drained", backEnd, "")
@@ -61,8 +61,9 @@
 	return rows
 }
 
-// detail writes a message's fields on one line.
-func detail(message proto.Message) string {
+// formatFields formats the fields other than name on one line, as field=JSON
+// without quotes.
+func formatFields(message proto.Message) string {
 	content, err := protojson.MarshalOptions{UseProtoNames: true}.Marshal(message)
 	if err != nil {
 		return err.Error()
@@ -80,7 +81,7 @@
 	return strings.Join(parts, " ")
 }
 
-// print writes a reply as a table or as JSON.
+// print writes a reply in the format of --output.
 func (command *OperatorCommand) print(streams Streams, chosen action, reply proto.Message) error {
 	if command.Output == outputJSON {
 		return printJSON(streams, reply)
@@ -88,9 +89,9 @@
 	return chosen.table(reply).write(streams.Output)
 }
 
-// write writes the table in columns.
+// write writes the table with aligned columns.
 func (rows table) write(output io.Writer) error {
-	writer := tabwriter.NewWriter(output, 0, 0, columnGap, ' ', 0)
+	writer := tabwriter.NewWriter(output, 0, 0, columnPadding, ' ', 0)
 	fmt.Fprintln(writer, strings.Join(rows.header, "\t"))
 	for _, row := range rows.rows {
 		fmt.Fprintln(writer, strings.Join(row, "\t"))
@@ -98,8 +99,8 @@
 	return writer.Flush()
 }
 
-// printJSON writes a reply with all its fields. protojson varies its spaces on
-// purpose, so they are set anew.
+// printJSON writes a reply with all its fields. It indents with encoding/json,
+// because protojson randomizes white space.
 func printJSON(streams Streams, reply proto.Message) error {
 	options := protojson.MarshalOptions{UseProtoNames: true, EmitUnpopulated: true}
 	content, err := options.Marshal(reply)
@@ -115,8 +116,8 @@
 	return err
 }
 
-// printFailure writes a refusal as one line, as JSON where asked for.
-func (command *OperatorCommand) printFailure(streams Streams, failure *resultcode.Error) {
+// printError writes an error on one line, as JSON with --output json.
+func (command *OperatorCommand) printError(streams Streams, failure *resultcode.Error) {
 	if command.Output == outputJSON {
 		content, err := json.Marshal(httpserver.ErrorBody{Error: httpserver.NewErrorDetail(failure)})
 		if err == nil {
--- a/internal/command/process.go
+++ b/internal/command/process.go
@@ -9,7 +9,7 @@
 	"github.com/magpielug/magpielug/internal/settings"
 )
 
-// SettingsFlags are the flags that name a settings file and override its keys.
+// SettingsFlags are the flags that select a settings file and override its keys.
 type SettingsFlags struct {
 	Settings    string   `arg:"--settings,env:MAGPIELUG_SETTINGS" placeholder:"FILE" help:"YAML file; its keys are listed by check-settings --keys"`
 	Set         []string `arg:"--set,separate" placeholder:"KEY=VALUE" help:"override any key; may be repeated"`
@@ -25,14 +25,14 @@
 	LogLevel    *string  `arg:"--log-level" placeholder:"LEVEL" help:"override log.level: debug, info, warn or error"`
 }
 
-// overrides turns the flags into settings overrides. The short forms come last
-// and win over --set.
+// overrides converts the flags to settings overrides. Dedicated flags come last,
+// so they take precedence over --set.
 func (flags *SettingsFlags) overrides() ([]settings.Override, error) {
 	overrides, err := parseOverrides(flags.Set)
 	if err != nil {
 		return nil, err
 	}
-	shortForms := []struct {
+	dedicatedFlags := []struct {
 		key   string
 		value *string
 	}{
@@ -47,15 +47,15 @@
 		{"platform.weights", flags.WeightStore},
 		{"log.level", flags.LogLevel},
 	}
-	for _, form := range shortForms {
-		if form.value != nil {
-			overrides = append(overrides, settings.Override{Key: form.key, Value: quote(*form.value)})
+	for _, flag := range dedicatedFlags {
+		if flag.value != nil {
+			overrides = append(overrides, settings.Override{Key: flag.key, Value: quoteYAML(*flag.value)})
 		}
 	}
 	return overrides, nil
 }
 
-// parseOverrides reads the values of --set.
+// parseOverrides parses the values of --set.
 func parseOverrides(pairs []string) ([]settings.Override, error) {
 	var overrides []settings.Override
 	for _, pair := range pairs {
@@ -68,12 +68,14 @@
 	return overrides, nil
 }
 
-// quote writes text as a YAML string, so that an id such as 7 stays text.
-func quote(text string) string {
+// quoteYAML quotes text as a YAML string, so that an ID such as 7 is not parsed
+// as a number.
+func quoteYAML(text string) string {
 	return "'" + strings.ReplaceAll(text, "'", "''") + "'"
 }
 
-// load reads and checks the settings for role; an empty role takes the file's.
+// load loads and validates the settings for role, or for the role in the file if
+// role is empty.
 func (flags *SettingsFlags) load(role string) (settings.Settings, error) {
 	overrides, err := flags.overrides()
 	if err != nil {
@@ -88,7 +90,7 @@
 	}
 	if role != "" && loaded.Node.Role != role {
 		return settings.Settings{}, resultcode.New(resultcode.InvalidSettings,
-			"node.role: is %q, but the command is %q", loaded.Node.Role, role)
+			"node.role: is %q, but the command requires %q", loaded.Node.Role, role)
 	}
 	return loaded, nil
 }
@@ -101,20 +103,20 @@
 func (command *ProcessCommand) run(ctx context.Context, streams Streams, role, version string, runner Runner) int {
 	loaded, err := command.load(role)
 	if err != nil {
-		return report(streams, err)
+		return reportError(streams, err)
 	}
 	err = runner(ctx, version, loaded)
 	if err != nil {
-		return report(streams, err)
+		return reportError(streams, err)
 	}
 	return ExitOK
 }
 
-// CheckSettingsCommand checks settings without starting a process.
+// CheckSettingsCommand validates settings without starting a process.
 type CheckSettingsCommand struct {
 	SettingsFlags
-	Role string `arg:"--role" placeholder:"ROLE" help:"node for a node's TOML file; gateway or scheduler where a YAML file names none"`
-	Keys bool   `arg:"--keys" help:"print the table of all keys and stop; those of a node with --role node"`
+	Role string `arg:"--role" placeholder:"ROLE" help:"node for a node's TOML file; gateway or scheduler if the YAML file has no node.role"`
+	Keys bool   `arg:"--keys" help:"print the table of all keys and exit; with --role node, those of a node"`
 }
 
 func (command *CheckSettingsCommand) run(streams Streams) int {
@@ -127,9 +129,9 @@
 	}
 	loaded, err := command.load(command.Role)
 	if err != nil {
-		return report(streams, err)
+		return reportError(streams, err)
 	}
-	fmt.Fprintf(streams.Output, "settings are sound: %s %s in zone %s, listening on %s\n",
+	fmt.Fprintf(streams.Output, "settings are valid: %s %s in zone %s, listening on %s\n",
 		loaded.Node.Role, loaded.Node.ID, loaded.Node.Zone, loaded.Node.Listen)
 	return ExitOK
 }
@@ -141,26 +143,27 @@
 	}
 	loaded, err := command.loadNode()
 	if err != nil {
-		return report(streams, err)
+		return reportError(streams, err)
 	}
-	fmt.Fprintf(streams.Output, "settings are sound: node %s in zone %s, callers at %s, store at %s\n",
+	fmt.Fprintf(streams.Output, "settings are valid: node %s in zone %s, callers at %s, store at %s\n",
 		loaded.Node.Name, loaded.Node.Zone, loaded.Listen.Callers, loaded.Store.Address)
 	return ExitOK
 }
 
-// loadNode refuses the short forms, which name keys of gateways and schedulers.
+// loadNode rejects the dedicated flags, whose keys exist only for gateways and
+// schedulers.
 func (command *CheckSettingsCommand) loadNode() (settings.NodeSettings, error) {
 	overrides, err := command.overrides()
 	if err != nil {
 		return settings.NodeSettings{}, err
 	}
 	if len(overrides) > len(command.Set) {
-		return settings.NodeSettings{}, resultcode.New(resultcode.InvalidSettings, "--role node: takes --set KEY=VALUE and no short form of a key")
+		return settings.NodeSettings{}, resultcode.New(resultcode.InvalidSettings, "--role node: only --set KEY=VALUE overrides keys of a node")
 	}
 	return loadNode(command.Settings, command.Set)
 }
 
-// loadNode reads and checks a node's settings file with the overrides of --set.
+// loadNode loads and validates a node's settings file with the overrides of --set.
 func loadNode(path string, set []string) (settings.NodeSettings, error) {
 	overrides, err := parseOverrides(set)
 	if err != nil {
@@ -169,17 +172,17 @@
 	return settings.LoadNode(path, overrides)
 }
 
-// NodeCommand runs a node, from a settings file of the product's own or, without one, with
-// what the platform hands over.
+// NodeCommand runs a node with a settings file or, without one, with the settings
+// that the platform provides.
 type NodeCommand struct {
-	Settings string   `arg:"--settings" placeholder:"FILE" help:"TOML file; its keys are listed by check-settings --role node --keys. Without it the platform names a file"`
+	Settings string   `arg:"--settings" placeholder:"FILE" help:"TOML file; its keys are listed by check-settings --role node --keys. Default: the settings that the platform provides"`
 	Set      []string `arg:"--set,separate" placeholder:"KEY=VALUE" help:"override any key of --settings; may be repeated"`
 }
 
 func (command *NodeCommand) run(ctx context.Context, streams Streams, version string, runners Runners) int {
 	err := command.start(ctx, version, runners)
 	if err != nil {
-		return report(streams, err)
+		return reportError(streams, err)
 	}
 	return ExitOK
 }
@@ -193,7 +196,7 @@
 		return runners.Node(ctx, version, loaded)
 	}
 	if len(command.Set) > 0 {
-		return resultcode.New(resultcode.InvalidSettings, "--set: needs --settings")
+		return resultcode.New(resultcode.InvalidSettings, "--set: requires --settings")
 	}
 	return runners.PlatformNode(ctx, version)
 }
--- a/internal/command/root.go
+++ b/internal/command/root.go
@@ -1,4 +1,4 @@
-// Package command is the command line of magpielug: its sub-commands, flags,
+// Package command implements magpielug's command line: sub-commands, flags,
 // output and exit codes.
 package command
 
@@ -16,62 +16,62 @@
 
 // Exit codes.
 const (
-	// ExitOK says that the command did what it was asked.
+	// ExitOK means success.
 	ExitOK = 0
-	// ExitRefused says that the system refused, or that a process failed.
+	// ExitRefused means that the system refused a request or a process failed.
 	ExitRefused = 1
-	// ExitUsage says that flags, settings or an input file are wrong.
+	// ExitUsage means invalid flags, settings or input files.
 	ExitUsage = 2
-	// ExitUnavailable says that no gateway answered or the outcome is not
-	// known; the same command may be tried again.
+	// ExitUnavailable means that no gateway or node responded, or that the outcome
+	// is unknown; the command may be retried.
 	ExitUnavailable = 3
 )
 
 const programName = "magpielug"
 
-// Runner runs a process until it is told to stop.
+// Runner runs a process until ctx is cancelled or a signal stops it.
 type Runner func(ctx context.Context, version string, loaded settings.Settings) error
 
-// Runners are the processes that the command line starts.
+// Runners are the functions that run each kind of process.
 type Runners struct {
 	Gateway   Runner
 	Scheduler Runner
-	// Node runs a node with a settings file of the product's own.
+	// Node runs a node with the settings of a file.
 	Node func(ctx context.Context, version string, loaded settings.NodeSettings) error
-	// PlatformNode runs a node with the settings that the platform hands over.
+	// PlatformNode runs a node with the settings that the platform provides.
 	PlatformNode func(ctx context.Context, version string) error
 }
 
-// Streams are where a command reads and writes.
+// Streams are a command's standard streams.
 type Streams struct {
 	Input  io.Reader
 	Output io.Writer
 	Errors io.Writer
 }
 
-// Root holds the whole command line.
+// Root is the top-level command.
 type Root struct {
-	Gateway       *ProcessCommand       `arg:"subcommand:gateway" help:"run a gateway: takes callers' and operators' requests"`
-	Scheduler     *ProcessCommand       `arg:"subcommand:scheduler" help:"run a scheduler: hosts shards and decides order, place and time"`
-	Node          *NodeCommand          `arg:"subcommand:node" help:"run a node: takes callers' requests, owns shards of programs, sends to engines"`
-	Operator      *OperatorCommand      `arg:"subcommand:operator" help:"configure and watch the system through a gateway"`
-	Load          *LoadCommand          `arg:"subcommand:load" help:"show the load as a node knows it: engines, waiting, admission, tenants"`
-	CheckSettings *CheckSettingsCommand `arg:"subcommand:check-settings" help:"check a settings file without starting anything"`
+	Gateway       *ProcessCommand       `arg:"subcommand:gateway" help:"run a gateway: serves callers' and operators' requests"`
+	Scheduler     *ProcessCommand       `arg:"subcommand:scheduler" help:"run a scheduler: hosts shards and decides the order, placement and time of calls"`
+	Node          *NodeCommand          `arg:"subcommand:node" help:"run a node: serves callers' requests, owns shards of programs and sends calls to engines"`
+	Operator      *OperatorCommand      `arg:"subcommand:operator" help:"configure and inspect the system through a gateway"`
+	Load          *LoadCommand          `arg:"subcommand:load" help:"show a node's load status: engines, queues, admission, tenants"`
+	CheckSettings *CheckSettingsCommand `arg:"subcommand:check-settings" help:"validate a settings file without starting a process"`
 
 	version string
 }
 
-// Description is shown at the top of --help.
+// Description returns the text at the top of --help.
 func (*Root) Description() string {
 	return "magpielug schedules the calls of agent programs onto model engines and tool services."
 }
 
-// Epilogue is shown at the end of --help.
+// Epilogue returns the text at the end of --help.
 func (*Root) Epilogue() string {
-	return "Exit codes: 0 done, 1 refused or failed, 2 wrong flags, settings or input, 3 not reached or outcome unknown."
+	return "Exit codes: 0 success, 1 refused or failed, 2 invalid flags, settings or input, 3 unreachable or outcome unknown."
 }
 
-// Version is shown by --version.
+// Version returns the output of --version.
 func (root *Root) Version() string { return programName + " " + root.version }
 
 // Main runs the command line of the process and returns its exit code.
@@ -97,7 +97,7 @@
 		fmt.Fprintln(streams.Output, root.Version())
 		return ExitOK
 	case err != nil:
-		return usageFailure(parser, streams, err)
+		return reportUsageError(parser, streams, err)
 	}
 	return root.dispatch(ctx, parser, streams, runners)
 }
@@ -117,17 +117,17 @@
 	case root.Operator != nil && parser.Subcommand() != root.Operator:
 		return root.Operator.run(ctx, streams)
 	}
-	return usageFailure(parser, streams, errors.New("a command is missing"))
+	return reportUsageError(parser, streams, errors.New("no command given"))
 }
 
-func usageFailure(parser *arg.Parser, streams Streams, err error) int {
+func reportUsageError(parser *arg.Parser, streams Streams, err error) int {
 	_ = parser.WriteUsageForSubcommand(streams.Errors, parser.SubcommandNames()...)
 	fmt.Fprintf(streams.Errors, "%s: %v\n", programName, err)
 	return ExitUsage
 }
 
-// report writes err as one line and returns the exit code it stands for.
-func report(streams Streams, err error) int {
+// reportError writes err and returns its exit code.
+func reportError(streams Streams, err error) int {
 	fmt.Fprintf(streams.Errors, "%s: %v\n", programName, err)
 	switch resultcode.CodeOf(err) {
 	case resultcode.InvalidSettings, resultcode.AddressInUse:
