--- a/internal/process/certificates.go
+++ b/internal/process/certificates.go
@@ -11,18 +11,19 @@
 	"github.com/magpielug/magpielug/internal/settings"
 )
 
-// certificates is the process's TLS material; without any it speaks plain HTTP.
+// certificates provides TLS configurations. The process uses plain HTTP as a
+// server without a certificate and as a client without an authority.
 type certificates struct {
-	source *certificate.Source
-	serves bool
-	trusts bool
+	source        *certificate.Source
+	servesTLS     bool
+	verifiesPeers bool
 }
 
-// newCertificates reads the files that the settings name.
+// newCertificates loads the files given in the settings.
 func newCertificates(files settings.TLS, logger *zap.Logger) (certificates, error) {
 	named := files.Files()
-	made := certificates{serves: named.Certificate != "", trusts: named.Authority != ""}
-	if !made.serves && !made.trusts {
+	made := certificates{servesTLS: named.Certificate != "", verifiesPeers: named.Authority != ""}
+	if !made.servesTLS && !made.verifiesPeers {
 		return made, nil
 	}
 	source, err := certificate.NewSource(named, func(err error) {
@@ -32,18 +33,18 @@
 	return made, err
 }
 
-// client returns what connections to other processes are made under, nil for
-// plain ones.
-func (secure certificates) client() func() *tls.Config {
-	if !secure.trusts {
+// clientConfig returns the function that provides the TLS configuration of
+// connections to other processes, or nil for plain HTTP.
+func (secure certificates) clientConfig() func() *tls.Config {
+	if !secure.verifiesPeers {
 		return nil
 	}
 	return secure.source.ClientConfig
 }
 
-// serve starts the process's HTTP server.
-func (secure certificates) serve(address string, handler http.Handler, limits httpserver.Limits) (*httpserver.Server, error) {
-	if !secure.serves {
+// startServer starts an HTTPS server, or an HTTP server without a certificate.
+func (secure certificates) startServer(address string, handler http.Handler, limits httpserver.Limits) (*httpserver.Server, error) {
+	if !secure.servesTLS {
 		return httpserver.Start(address, handler, limits)
 	}
 	return httpserver.StartTLS(address, handler, limits, secure.source.ServerConfig())
--- a/internal/process/cluster.go
+++ b/internal/process/cluster.go
@@ -16,32 +16,33 @@
 )
 
 const (
-	// nodeTimeout bounds the wait for one process's answer.
-	nodeTimeout = time.Second
-	// maximumAsked bounds the processes asked at the same time.
-	maximumAsked     = 32
-	stateUnreachable = "unreachable"
+	// requestTimeout bounds the requests to one process.
+	requestTimeout = time.Second
+	// maxConcurrentRequests bounds the processes that are queried in parallel.
+	maxConcurrentRequests = 32
+	stateUnreachable      = "unreachable"
 )
 
-// operatorCluster reaches the other processes for an operator's questions.
+// operatorCluster serves operator requests by querying the other processes.
 type operatorCluster struct {
 	machines *machineCache
 	client   *http.Client
-	callers  *gateway.Gateway
+	gateway  *gateway.Gateway
 }
 
-// Nodes asks every gateway and scheduler of the machine list.
+// Nodes queries every gateway and scheduler in the machine list.
 func (cluster *operatorCluster) Nodes(ctx context.Context) ([]*operatorv1.Node, error) {
-	machines := cluster.own()
+	machines := cluster.processes()
 	nodes := make([]*operatorv1.Node, len(machines))
-	cluster.each(machines, func(index int, machine outside.Machine) {
-		nodes[index] = cluster.node(ctx, machine)
+	cluster.forEach(machines, func(index int, machine outside.Machine) {
+		nodes[index] = cluster.describeNode(ctx, machine)
 	})
 	return nodes, nil
 }
 
-// own lists magpielug's own machines.
-func (cluster *operatorCluster) own(roles ...outside.MachineRole) []outside.Machine {
+// processes returns the machines with the given roles; by default all gateways
+// and schedulers.
+func (cluster *operatorCluster) processes(roles ...outside.MachineRole) []outside.Machine {
 	if len(roles) == 0 {
 		roles = []outside.MachineRole{outside.RoleGateway, outside.RoleScheduler}
 	}
@@ -56,23 +57,24 @@
 	return machines
 }
 
-// each asks all machines, a bounded number at a time.
-func (cluster *operatorCluster) each(machines []outside.Machine, ask func(int, outside.Machine)) {
+// forEach calls query for all machines, up to maxConcurrentRequests in parallel,
+// and waits for all calls.
+func (cluster *operatorCluster) forEach(machines []outside.Machine, query func(int, outside.Machine)) {
 	var group sync.WaitGroup
-	slots := make(chan struct{}, maximumAsked)
+	slots := make(chan struct{}, maxConcurrentRequests)
 	for index, machine := range machines {
 		group.Add(1)
 		slots <- struct{}{}
 		go func() {
 			defer group.Done()
-			ask(index, machine)
+			query(index, machine)
 			<-slots
 		}()
 	}
 	group.Wait()
 }
 
-func (cluster *operatorCluster) node(ctx context.Context, machine outside.Machine) *operatorv1.Node {
+func (cluster *operatorCluster) describeNode(ctx context.Context, machine outside.Machine) *operatorv1.Node {
 	node := &operatorv1.Node{
 		Id:      machine.ID,
 		Role:    string(machine.Role),
@@ -80,10 +82,10 @@
 		Address: machine.Address,
 		State:   string(machine.State),
 	}
-	bounded, cancel := context.WithTimeout(ctx, nodeTimeout)
+	bounded, cancel := context.WithTimeout(ctx, requestTimeout)
 	defer cancel()
 	exchange := configurationv1.NewExchangeProtobufClient("http://"+machine.Address, cluster.client)
-	// An asker that has read everything gets no round.
+	// With the highest offset the reply has no round.
 	reply, err := exchange.Compare(bounded, &configurationv1.CompareRequest{NextOffset: math.MaxUint64})
 	if err != nil {
 		node.State = stateUnreachable
@@ -93,25 +95,25 @@
 	if machine.Role != outside.RoleScheduler {
 		return node
 	}
-	status, err := cluster.programs(machine).Status(bounded, &schedulerv1.StatusRequest{})
+	status, err := cluster.programsClient(machine).Status(bounded, &schedulerv1.StatusRequest{})
 	if err == nil {
 		node.ShardsLed = uint32(len(status.ShardsLed))
 	}
 	return node
 }
 
-func (cluster *operatorCluster) programs(machine outside.Machine) schedulerv1.Programs {
+func (cluster *operatorCluster) programsClient(machine outside.Machine) schedulerv1.Programs {
 	return schedulerv1.NewProgramsProtobufClient("http://"+machine.Address, cluster.client)
 }
 
-// Programs asks every scheduler for the programs that it leads.
+// Programs queries every scheduler for the programs in the shards that it leads.
 func (cluster *operatorCluster) Programs(ctx context.Context, tenant string, limit uint32) ([]*operatorv1.Program, error) {
-	machines := cluster.own(outside.RoleScheduler)
+	machines := cluster.processes(outside.RoleScheduler)
 	replies := make([]*schedulerv1.ListProgramsReply, len(machines))
-	cluster.each(machines, func(index int, machine outside.Machine) {
-		bounded, cancel := context.WithTimeout(ctx, nodeTimeout)
+	cluster.forEach(machines, func(index int, machine outside.Machine) {
+		bounded, cancel := context.WithTimeout(ctx, requestTimeout)
 		defer cancel()
-		reply, err := cluster.programs(machine).ListPrograms(bounded, &schedulerv1.ListProgramsRequest{Tenant: tenant, Limit: limit})
+		reply, err := cluster.programsClient(machine).ListPrograms(bounded, &schedulerv1.ListProgramsRequest{Tenant: tenant, Limit: limit})
 		if err == nil {
 			replies[index] = reply
 		}
@@ -141,19 +143,19 @@
 	}
 }
 
-// StopProgram stops a program of any tenant.
+// StopProgram stops a program, regardless of its tenant.
 func (cluster *operatorCluster) StopProgram(ctx context.Context, program, reason string) error {
-	return cluster.callers.StopProgram(ctx, program, reason)
+	return cluster.gateway.StopProgram(ctx, program, reason)
 }
 
-// ExplainCall returns the last decisions that were taken for one call.
+// ExplainCall returns the last scheduling decisions for a call.
 func (cluster *operatorCluster) ExplainCall(ctx context.Context, program, requestID string) (*operatorv1.ExplainCallReply, error) {
-	found, err := cluster.callers.ExplainCall(ctx, program, requestID)
+	found, err := cluster.gateway.ExplainCall(ctx, program, requestID)
 	if err != nil {
 		return nil, err
 	}
 	if found == nil {
-		return nil, resultcode.New(resultcode.UnknownRequest, "no call %s", requestID)
+		return nil, resultcode.New(resultcode.UnknownRequest, "no call with request id %s", requestID)
 	}
 	explained := &operatorv1.ExplainCallReply{CallState: found.CallState}
 	for _, decision := range found.Decisions {
--- a/internal/process/exchange.go
+++ b/internal/process/exchange.go
@@ -13,41 +13,41 @@
 
 const (
 	// exchangeInterval is how often a process compares configuration versions
-	// with one process of each other zone while it has reason to.
+	// while the log is silent or the configuration has recently changed.
 	exchangeInterval = time.Second
-	// exchangeQuietInterval is how often it does so while the log answers and the
-	// configuration has not changed of late.
-	exchangeQuietInterval = 10 * time.Second
-	// exchangeLogSilence is after how long without the log there is a reason. It
-	// is above the poll's default and leaves time to hear the zones before
-	// the default of configuration.fresh_bound.
-	exchangeLogSilence = 2500 * time.Millisecond
+	// exchangeIdleInterval is how often it does so otherwise. It is also how long
+	// after a change the configuration counts as recently changed.
+	exchangeIdleInterval = 10 * time.Second
+	// exchangeLogTimeout is the time without a response after which the log counts
+	// as silent. It is above the default of configuration.poll, and leaves time to
+	// query the zones before the default of configuration.fresh_bound.
+	exchangeLogTimeout = 2500 * time.Millisecond
 	exchangeTimeout    = time.Second
 )
 
-// configurationExchange compares this process's configuration with those of
-// processes in the other zones: so a process that starts while the log is away
-// gets the newest round, and each knows whether a majority of zones agrees.
-// With Z zones it costs a process Z-1 small requests each ten seconds, however
-// many processes there are, and each second while the log is silent or for a
-// while after a change. Who is asked by a process with a newer version reads the
-// log at once, so that a change spreads faster than by polls.
+// configurationExchange compares the configuration version with a random process
+// of each other zone. A process that starts while the log is unavailable thereby
+// gets the latest round, and each process knows whether a majority of zones has
+// its version. A process that is queried by one with a newer version reads the
+// log at once, so changes spread faster than by polling. The cost for a process
+// is one request for each other zone and interval, independent of the number of
+// processes.
 type configurationExchange struct {
 	reader   *configuration.Reader
 	machines *machineCache
 	client   *http.Client
 	self     string
 	zone     string
-	// compared, changed and version belong to run: when zones were last asked,
-	// when the version last changed, and to what.
-	compared time.Time
-	changed  time.Time
-	version  uint64
+	// The following fields are used only by the goroutine of run.
+	lastCompared time.Time
+	lastChanged  time.Time
+	lastVersion  uint64
 }
 
 var _ configurationv1.Exchange = (*configurationExchange)(nil)
 
-// Compare answers another process.
+// Compare handles a request from another process. The reply has a round only if
+// this process's is newer than the caller's.
 func (exchange *configurationExchange) Compare(_ context.Context, request *configurationv1.CompareRequest) (*configurationv1.CompareReply, error) {
 	exchange.reader.PeerAhead(request.Version)
 	round := exchange.reader.Round()
@@ -62,13 +62,13 @@
 	return reply, nil
 }
 
-// run compares at intervals until the context ends.
+// run compares versions at intervals until ctx is cancelled.
 func (exchange *configurationExchange) run(ctx context.Context) {
 	ticker := time.NewTicker(exchangeInterval)
 	defer ticker.Stop()
 	for {
 		if exchange.due(time.Now()) {
-			exchange.compareWithZones(ctx)
+			exchange.compareWithPeers(ctx)
 		}
 		select {
 		case <-ctx.Done():
@@ -78,34 +78,34 @@
 	}
 }
 
-// due tells whether to compare now, and notes that it is done.
+// due reports whether to compare now, and if so sets lastCompared.
 func (exchange *configurationExchange) due(now time.Time) bool {
-	if version := exchange.reader.Version(); version != exchange.version {
-		exchange.version = version
-		exchange.changed = now
+	if version := exchange.reader.Version(); version != exchange.lastVersion {
+		exchange.lastVersion = version
+		exchange.lastChanged = now
 	}
-	settled := now.Sub(exchange.changed) >= exchangeQuietInterval
-	logHeard := now.Sub(exchange.reader.LogHeard()) < exchangeLogSilence
-	if settled && logHeard && now.Sub(exchange.compared) < exchangeQuietInterval {
+	unchanged := now.Sub(exchange.lastChanged) >= exchangeIdleInterval
+	logAvailable := now.Sub(exchange.reader.LogHeard()) < exchangeLogTimeout
+	if unchanged && logAvailable && now.Sub(exchange.lastCompared) < exchangeIdleInterval {
 		return false
 	}
-	exchange.compared = now
+	exchange.lastCompared = now
 	return true
 }
 
-func (exchange *configurationExchange) compareWithZones(ctx context.Context) {
+func (exchange *configurationExchange) compareWithPeers(ctx context.Context) {
 	exchange.reader.SetZones(exchange.machines.zones())
-	for _, machine := range exchange.onePerZone() {
+	for _, machine := range exchange.pickPeers() {
 		go exchange.compare(ctx, machine)
 	}
 }
 
-// onePerZone picks a random process of each other zone.
-func (exchange *configurationExchange) onePerZone() []outside.Machine {
+// pickPeers returns a random process of each other zone.
+func (exchange *configurationExchange) pickPeers() []outside.Machine {
 	byZone := make(map[string][]outside.Machine)
 	for _, machine := range exchange.machines.machines() {
-		own := machine.Role == outside.RoleGateway || machine.Role == outside.RoleScheduler
-		if own && machine.Zone != exchange.zone && machine.ID != exchange.self {
+		isProcess := machine.Role == outside.RoleGateway || machine.Role == outside.RoleScheduler
+		if isProcess && machine.Zone != exchange.zone && machine.ID != exchange.self {
 			byZone[machine.Zone] = append(byZone[machine.Zone], machine)
 		}
 	}
--- a/internal/process/exchange_test.go
+++ b/internal/process/exchange_test.go
@@ -13,7 +13,7 @@
 	"github.com/magpielug/magpielug/internal/outside"
 )
 
-// emptyLog is a log without records that counts its reads.
+// emptyLog is a log without records that counts reads.
 type emptyLog struct{ reads atomic.Int64 }
 
 func (log *emptyLog) Append(context.Context, string, []byte) (uint64, error) {
@@ -25,7 +25,7 @@
 	return nil, nil
 }
 
-var _ = Describe("The exchange of configuration versions", func() {
+var _ = Describe("configurationExchange", func() {
 	var (
 		log      *emptyLog
 		exchange *configurationExchange
@@ -39,22 +39,22 @@
 		exchange = &configurationExchange{reader: reader}
 	})
 
-	It("is each second while the log is silent, and rare while it answers", func() {
-		begun := time.Now()
-		Expect(exchange.due(begun)).To(BeTrue())
-		Expect(exchange.due(begun.Add(exchangeInterval))).To(BeTrue())
+	It("compares every second while the log is silent, and less often while it responds", func() {
+		start := time.Now()
+		Expect(exchange.due(start)).To(BeTrue())
+		Expect(exchange.due(start.Add(exchangeInterval))).To(BeTrue())
 		ctx, cancel := context.WithCancel(context.Background())
 		DeferCleanup(cancel)
 		go exchange.reader.Run(ctx)
 		Eventually(exchange.reader.LogHeard, time.Minute).ShouldNot(BeZero())
 		heard := exchange.reader.LogHeard()
-		exchange.compared = heard
-		Expect(exchange.due(heard.Add(exchangeLogSilence - 1))).To(BeFalse())
-		Expect(exchange.due(heard.Add(exchangeLogSilence))).To(BeTrue())
-		Expect(exchange.due(heard.Add(exchangeLogSilence + exchangeInterval))).To(BeTrue())
+		exchange.lastCompared = heard
+		Expect(exchange.due(heard.Add(exchangeLogTimeout - 1))).To(BeFalse())
+		Expect(exchange.due(heard.Add(exchangeLogTimeout))).To(BeTrue())
+		Expect(exchange.due(heard.Add(exchangeLogTimeout + exchangeInterval))).To(BeTrue())
 	})
 
-	It("has a process that is behind read the log at once", func() {
+	It("reads the log at once when queried by a process with a newer version", func() {
 		ctx, cancel := context.WithCancel(context.Background())
 		DeferCleanup(cancel)
 		go exchange.reader.Run(ctx)
--- a/internal/process/gateway.go
+++ b/internal/process/gateway.go
@@ -12,108 +12,109 @@
 	"github.com/magpielug/magpielug/internal/settings"
 )
 
-// RunGateway runs a gateway process until it is told to stop.
+// RunGateway runs a gateway process until ctx is cancelled or the process
+// receives SIGTERM or SIGINT.
 func RunGateway(ctx context.Context, version string, loaded settings.Settings) error {
 	shared, err := newProcess(version, loaded, func(*configuration.Snapshot) {})
 	if err != nil {
 		return err
 	}
-	router := gateway.NewShardRouter(shared.machines, &memberPlacement{shards: loaded.Scheduler.Shards}, shared.logger.Logger)
-	callers := gateway.New(gatewayConfig(loaded), gateway.Dependencies{
-		Configuration: func() gateway.Configuration { return gatewayView(shared) },
+	router := gateway.NewShardRouter(shared.machines, &shardPlacement{shards: loaded.Scheduler.Shards}, shared.logger.Logger)
+	callerGateway := gateway.New(gatewayConfig(loaded), gateway.Dependencies{
+		Configuration: func() gateway.Configuration { return currentGatewayConfiguration(shared) },
 		Router:        router,
 		Client:        shared.client,
 		Logger:        shared.logger.Logger,
 		Metrics:       shared.registry,
 	})
-	shared.mux.Handle("/", callers.Handler())
+	shared.mux.Handle("/", callerGateway.Handler())
 	shared.mux.Handle(operator.PathPrefix, operator.NewHandler(operator.Dependencies{
 		Publisher: configuration.NewPublisher(shared.log, shared.reader,
 			loaded.Configuration.PublishTimeout, loaded.Platform.AppendTimeout),
 		Reader:    shared.reader,
-		Cluster:   &operatorCluster{machines: shared.machines, client: shared.client, callers: callers},
+		Cluster:   &operatorCluster{machines: shared.machines, client: shared.client, gateway: callerGateway},
 		KeySHA256: loaded.OperatorKeySHA256,
 		Logger:    shared.logger.Logger,
 	}))
 	serve := func(ctx context.Context) {
-		shared.machines.awaitFirst(ctx)
-		router.Run(ctx, listLocalInterval)
+		shared.machines.waitForList(ctx)
+		router.Run(ctx, cachePollInterval)
 	}
 	return shared.run(ctx, role{
-		ready:        gatewayReadiness(shared),
-		listensReady: true,
-		serve:        serve,
-		stop:         func(context.Context) {},
+		ready:           gatewayReadiness(shared),
+		listenWhenReady: true,
+		serve:           serve,
+		stop:            func(context.Context) {},
 	})
 }
 
 func gatewayReadiness(shared *process) func() error {
 	return func() error {
-		if gatewayView(shared) == nil {
+		if currentGatewayConfiguration(shared) == nil {
 			return resultcode.New(resultcode.ConfigurationStale, "no current configuration")
 		}
-		if !shared.machines.lists(outside.RoleScheduler) {
-			return resultcode.New(resultcode.NoLeader, "the machine list names no scheduler")
+		if !shared.machines.hasRole(outside.RoleScheduler) {
+			return resultcode.New(resultcode.NoLeader, "the machine list has no scheduler")
 		}
 		return nil
 	}
 }
 
 func gatewayConfig(loaded settings.Settings) gateway.Config {
-	bounds := loaded.Gateway
+	section := loaded.Gateway
 	config := gateway.DefaultConfig()
 	config.MaxBodyBytes = int64(loaded.Limits.Body)
-	config.MaxMessages = bounds.MaxMessages
-	config.MaxOutputTokens = bounds.MaxOutputTokens
-	config.DefaultOutputTokens = bounds.DefaultOutputTokens
-	config.MaxHistoryLimit = bounds.MaxHistoryLimit
-	config.MaxWait = bounds.MaxWait
-	config.RouteBound = bounds.RouteBound
-	config.ReattachBound = bounds.ReattachBound
-	config.FirstEventBound = bounds.FirstEventBound
-	config.IdleBound = bounds.IdleBound
-	config.UnaryBound = bounds.UnaryBound
-	config.RetryRatio = bounds.RetryRatio
-	config.RetryBurst = bounds.RetryBurst
+	config.MaxMessages = section.MaxMessages
+	config.MaxOutputTokens = section.MaxOutputTokens
+	config.DefaultOutputTokens = section.DefaultOutputTokens
+	config.MaxHistoryLimit = section.MaxHistoryLimit
+	config.MaxWait = section.MaxWait
+	config.RouteBound = section.RouteBound
+	config.ReattachBound = section.ReattachBound
+	config.FirstEventBound = section.FirstEventBound
+	config.IdleBound = section.IdleBound
+	config.UnaryBound = section.UnaryBound
+	config.RetryRatio = section.RetryRatio
+	config.RetryBurst = section.RetryBurst
 	config.RetryAfter = loaded.Limits.RetryAfter
 	return config
 }
 
-// gatewayView is the configuration in force for callers, nil while none is
-// known to be current.
-func gatewayView(shared *process) gateway.Configuration {
+// currentGatewayConfiguration returns the gateway's view of the configuration,
+// or nil if there is none that may be used.
+func currentGatewayConfiguration(shared *process) gateway.Configuration {
 	current := shared.reader.Current()
 	if current == nil || !shared.fresh() {
 		return nil
 	}
-	return callerConfiguration{snapshot: current}
+	return gatewayConfiguration{snapshot: current}
 }
 
-// callerConfiguration shows a gateway its part of the configuration.
-type callerConfiguration struct{ snapshot *configuration.Snapshot }
+// gatewayConfiguration is the gateway's view of a configuration snapshot.
+type gatewayConfiguration struct{ snapshot *configuration.Snapshot }
 
-// TierByKey finds the tier of a caller's key.
-func (view callerConfiguration) TierByKey(key string) (gateway.Tier, bool) {
+// TierByKey returns the tier of a caller's key.
+func (view gatewayConfiguration) TierByKey(key string) (gateway.Tier, bool) {
 	tier, found := view.snapshot.TierByKey(key)
 	return gateway.Tier{Name: tier.GetName(), Tenant: tier.GetTenant()}, found
 }
 
-// ServiceByName finds a model or tool service.
-func (view callerConfiguration) ServiceByName(name string) (gateway.Service, bool) {
+// ServiceByName returns a model or tool service.
+func (view gatewayConfiguration) ServiceByName(name string) (gateway.Service, bool) {
 	service, found := view.snapshot.Service(name)
-	return callerService(service), found
+	return gatewayService(service), found
 }
 
-// Services lists all services in the operators' order.
-func (view callerConfiguration) Services() []gateway.Service {
+// Services lists all services in the order of the configuration.
+func (view gatewayConfiguration) Services() []gateway.Service {
 	var services []gateway.Service
 	for _, service := range view.snapshot.Configuration().GetServices() {
-		services = append(services, callerService(service))
+		services = append(services, gatewayService(service))
 	}
 	return services
 }
 
-func callerService(service *operatorv1.Service) gateway.Service {
+func gatewayService(service *operatorv1.Service) gateway.Service {
 	kind := gateway.ServiceModel
 	if service.GetKind() == operatorv1.ServiceKind_SERVICE_KIND_TOOL {
 		kind = gateway.ServiceTool
--- a/internal/process/machines.go
+++ b/internal/process/machines.go
@@ -13,96 +13,95 @@
 	"github.com/magpielug/magpielug/internal/outside"
 )
 
-// machineCache reads the platform's machine list for the whole process. While
-// the list does not answer, the last one read stays in force.
+// machineCache polls the platform's machine list for the whole process. While
+// polls fail, the latest list stays in use.
 type machineCache struct {
 	source   outside.Machines
 	interval time.Duration
 	timeout  time.Duration
 	logger   *zap.Logger
-	last     atomic.Pointer[machineList]
-	// checkedAt is when the newest reading that has ended, with or without an answer, was
-	// begun, by the monotonic clock.
-	checkedAt time.Time
-	reading   sync.Mutex
+	latest   atomic.Pointer[machineList]
+	// lastAttempt is the start, by the monotonic clock, of the most recently
+	// started read that has ended, with or without an error.
+	lastAttempt time.Time
+	mutex       sync.Mutex
 }
 
-// machineList is one reading of the list.
+// machineList is the result of one read.
 type machineList struct {
-	machines []outside.Machine
-	askedAt  time.Time
+	machines    []outside.Machine
+	requestedAt time.Time
 }
 
 func newMachineCache(source outside.Machines, interval, timeout time.Duration, logger *zap.Logger) *machineCache {
 	cache := &machineCache{source: source, interval: interval, timeout: timeout, logger: logger}
-	cache.last.Store(&machineList{})
+	cache.latest.Store(&machineList{})
 	return cache
 }
 
-// List returns the last list read. Where that is older than it can be while the
-// process runs, the process has been frozen, and the list is read first: what
-// left meanwhile must get no new work.
+// List returns the latest list. If polling is overdue, the process has been
+// frozen, and List reads the list first: machines that left during the freeze
+// must not get new work.
 func (cache *machineCache) List(ctx context.Context) ([]outside.Machine, error) {
 	machines, _ := cache.Newest(ctx)
 	return machines, nil
 }
 
-// Newest is List, with when the list was asked for.
+// Newest is like List, and also returns when the list was requested.
 func (cache *machineCache) Newest(ctx context.Context) ([]outside.Machine, time.Time) {
-	if cache.outdated() {
+	if cache.stale() {
 		cache.refresh(ctx)
 	}
-	newest := cache.last.Load()
-	return newest.machines, newest.askedAt
+	newest := cache.latest.Load()
+	return newest.machines, newest.requestedAt
 }
 
-// outdated tells whether the list should have been read since it last was.
-func (cache *machineCache) outdated() bool {
-	cache.reading.Lock()
-	defer cache.reading.Unlock()
-	return !cache.checkedAt.IsZero() && time.Since(cache.checkedAt) > cache.interval+frozenSlack
+// stale reports whether polling is overdue.
+func (cache *machineCache) stale() bool {
+	cache.mutex.Lock()
+	defer cache.mutex.Unlock()
+	return !cache.lastAttempt.IsZero() && time.Since(cache.lastAttempt) > cache.interval+freezeTolerance
 }
 
-// lists tells whether the list names a machine of the role.
-func (cache *machineCache) lists(role outside.MachineRole) bool {
+// hasRole reports whether the list has a machine of the role.
+func (cache *machineCache) hasRole(role outside.MachineRole) bool {
 	return slices.ContainsFunc(cache.machines(), func(machine outside.Machine) bool {
 		return machine.Role == role
 	})
 }
 
-// awaitFirst waits until the list has been read once.
-func (cache *machineCache) awaitFirst(ctx context.Context) {
+// waitForList waits until the list is not empty or ctx is cancelled.
+func (cache *machineCache) waitForList(ctx context.Context) {
 	for len(cache.machines()) == 0 && ctx.Err() == nil {
-		time.Sleep(startInterval)
+		time.Sleep(readyPollInterval)
 	}
 }
 
-// machines returns the last list read.
-func (cache *machineCache) machines() []outside.Machine { return cache.last.Load().machines }
+// machines returns the latest list without checking its age.
+func (cache *machineCache) machines() []outside.Machine { return cache.latest.Load().machines }
 
 const (
-	// listLocalInterval is how often a part of the process looks at the cache.
-	// It costs no exchange.
-	listLocalInterval = 500 * time.Millisecond
-	// frozenSlack is how much later than its interval a reading may be before the
-	// process is taken to have been frozen.
-	frozenSlack = 250 * time.Millisecond
-	// listSoonInterval is the wait after a failed read, and after a change, since
-	// changes come in groups: machines that start, a zone that is lost.
-	listSoonInterval = 500 * time.Millisecond
-	// listJitter is the part of the wait by which a read may come earlier, so that
-	// processes that started together don't ask together for ever.
-	listJitter = 0.2
+	// cachePollInterval is how often the components of the process poll the cache.
+	cachePollInterval = 500 * time.Millisecond
+	// freezeTolerance is how much a read may be overdue before the process counts
+	// as having been frozen.
+	freezeTolerance = 250 * time.Millisecond
+	// listRetryInterval is the wait after a failed read and after a change. Changes
+	// come in groups, as when a zone is lost.
+	listRetryInterval = 500 * time.Millisecond
+	// listJitterFraction is the fraction of the wait by which a read may be early,
+	// so that processes started at the same time don't poll in lockstep.
+	listJitterFraction = 0.2
 )
 
-// run reads the list at jittered intervals until the context ends.
+// run reads the list at jittered intervals until ctx is cancelled.
 func (cache *machineCache) run(ctx context.Context) {
 	for {
 		wait := cache.interval
 		if cache.refresh(ctx) {
-			wait = min(wait, listSoonInterval)
+			wait = min(wait, listRetryInterval)
 		}
-		wait -= time.Duration(rand.Float64() * listJitter * float64(wait))
+		wait -= time.Duration(rand.Float64() * listJitterFraction * float64(wait))
 		select {
 		case <-ctx.Done():
 			return
@@ -111,13 +110,14 @@
 	}
 }
 
-// refresh reads the list once and tells whether it should be read again soon.
+// refresh reads the list and reports whether to read it again soon, after an
+// error or a change.
 func (cache *machineCache) refresh(ctx context.Context) bool {
 	bounded, cancel := context.WithTimeout(ctx, cache.timeout)
 	defer cancel()
-	askedAt := time.Now()
+	requestedAt := time.Now()
 	machines, err := cache.source.List(bounded)
-	cache.noteChecked(askedAt)
+	cache.recordAttempt(requestedAt)
 	if err != nil {
 		if ctx.Err() == nil {
 			cache.logger.Warn("machine_list_unreadable", zap.String("error", err.Error()))
@@ -125,35 +125,35 @@
 		return true
 	}
 	changed := !slices.Equal(machines, cache.machines())
-	cache.take(&machineList{machines: machines, askedAt: askedAt})
+	cache.storeIfNewer(&machineList{machines: machines, requestedAt: requestedAt})
 	return changed
 }
 
-// noteChecked notes a reading that has ended. One under way says nothing yet: what was read
-// before it may be from before a freeze.
-func (cache *machineCache) noteChecked(askedAt time.Time) {
-	cache.reading.Lock()
-	defer cache.reading.Unlock()
-	if askedAt.After(cache.checkedAt) {
-		cache.checkedAt = askedAt
+// recordAttempt records a read that has ended. A read in progress doesn't count,
+// because the cached list may be from before a freeze.
+func (cache *machineCache) recordAttempt(requestedAt time.Time) {
+	cache.mutex.Lock()
+	defer cache.mutex.Unlock()
+	if requestedAt.After(cache.lastAttempt) {
+		cache.lastAttempt = requestedAt
 	}
 }
 
-// take keeps a list, unless a later reading was through first.
-func (cache *machineCache) take(list *machineList) {
-	cache.reading.Lock()
-	defer cache.reading.Unlock()
-	if list.askedAt.After(cache.last.Load().askedAt) {
-		cache.last.Store(list)
+// storeIfNewer stores list unless one that was requested later is stored already.
+func (cache *machineCache) storeIfNewer(list *machineList) {
+	cache.mutex.Lock()
+	defer cache.mutex.Unlock()
+	if list.requestedAt.After(cache.latest.Load().requestedAt) {
+		cache.latest.Store(list)
 	}
 }
 
-// zones names the zones of magpielug's own machines.
+// zones returns the zones with a gateway or scheduler.
 func (cache *machineCache) zones() []string {
 	var zones []string
 	for _, machine := range cache.machines() {
-		own := machine.Role == outside.RoleGateway || machine.Role == outside.RoleScheduler
-		if own && !slices.Contains(zones, machine.Zone) {
+		isProcess := machine.Role == outside.RoleGateway || machine.Role == outside.RoleScheduler
+		if isProcess && !slices.Contains(zones, machine.Zone) {
 			zones = append(zones, machine.Zone)
 		}
 	}
--- a/internal/process/placement.go
+++ b/internal/process/placement.go
@@ -8,24 +8,24 @@
 	"github.com/magpielug/magpielug/internal/outside"
 )
 
-// memberPlacement tells a gateway where shards should be, by the same rule as
-// the schedulers use.
-type memberPlacement struct {
+// shardPlacement computes for a gateway which schedulers host a shard, by the
+// same rule as the schedulers.
+type shardPlacement struct {
 	shards uint32
 
 	mutex     sync.Mutex
 	processes []membership.Process
-	chosen    *membership.Placement
+	computed  *membership.Placement
 }
 
-// ShardOf returns the shard of a program and its sub-agents.
-func (placement *memberPlacement) ShardOf(program string) uint32 {
+// ShardOf returns the shard of a program, which is also that of its sub-agents.
+func (placement *shardPlacement) ShardOf(program string) uint32 {
 	return membership.ShardOf(program, placement.shards)
 }
 
-// Order returns the addresses of the shard's home first, then those of the
-// others: any scheduler may know the leader.
-func (placement *memberPlacement) Order(shard uint32, schedulers []outside.Machine) []string {
+// Order returns the addresses of all schedulers, those in the shard's replica
+// group first. The others follow because any scheduler may know the leader.
+func (placement *shardPlacement) Order(shard uint32, schedulers []outside.Machine) []string {
 	addresses := make(map[string]string, len(schedulers))
 	var processes []membership.Process
 	for _, machine := range schedulers {
@@ -36,17 +36,17 @@
 	}
 	placement.mutex.Lock()
 	defer placement.mutex.Unlock()
-	if !slices.Equal(processes, placement.processes) || placement.chosen == nil {
+	if !slices.Equal(processes, placement.processes) || placement.computed == nil {
 		placement.processes = processes
-		placement.chosen = membership.NewPlacement(membership.CopysetCount(len(processes)), processes, nil)
+		placement.computed = membership.NewPlacement(membership.CopysetCount(len(processes)), processes, nil)
 	}
 	var order []string
-	for _, process := range placement.chosen.GroupOf(shard) {
+	for _, process := range placement.computed.GroupOf(shard) {
 		order = append(order, addresses[process.ID])
 		delete(addresses, process.ID)
 	}
 	for _, machine := range schedulers {
-		if address, left := addresses[machine.ID]; left {
+		if address, remaining := addresses[machine.ID]; remaining {
 			order = append(order, address)
 		}
 	}
--- a/internal/process/process.go
+++ b/internal/process/process.go
@@ -1,5 +1,5 @@
-// Package process wires the parts of a gateway or scheduler process together
-// and runs it: settings in, HTTP out, until it is told to stop.
+// Package process assembles a gateway or scheduler process from its settings and
+// runs it until it is stopped.
 package process
 
 import (
@@ -28,23 +28,23 @@
 	"github.com/magpielug/magpielug/internal/settings"
 )
 
-// process is what both roles share.
+// process holds the components that both roles share.
 type process struct {
-	settings settings.Settings
-	logger   *logging.Logger
-	registry *prometheus.Registry
-	mux      *http.ServeMux
-	client   *http.Client
-	adapters *httpadapter.Client
-	log      outside.Log
-	machines *machineCache
-	reader   *configuration.Reader
-	exchange *configurationExchange
-	secure   certificates
-	server   *httpserver.Server
+	settings     settings.Settings
+	logger       *logging.Logger
+	registry     *prometheus.Registry
+	mux          *http.ServeMux
+	client       *http.Client
+	adapters     *httpadapter.Client
+	log          outside.Log
+	machines     *machineCache
+	reader       *configuration.Reader
+	exchange     *configurationExchange
+	certificates certificates
+	server       *httpserver.Server
 }
 
-// newProcess makes the shared parts; changed is told of each new
+// newProcess creates the shared components. changed is called with each new
 // configuration.
 func newProcess(version string, loaded settings.Settings, changed func(*configuration.Snapshot)) (*process, error) {
 	logger, err := logging.New(loaded.Log.Level, os.Stderr)
@@ -62,7 +62,7 @@
 	client, err := httpclient.New(httpclient.Options{
 		SourceAddress:  loaded.Node.Source,
 		IdlePerAddress: loaded.Platform.IdleConnections,
-		TLS:            secure.client(),
+		TLS:            secure.clientConfig(),
 	})
 	if err != nil {
 		return nil, err
@@ -77,23 +77,24 @@
 		return nil, err
 	}
 	made := &process{
-		settings: loaded,
-		logger:   logger,
-		registry: metrics.NewRegistry(version, loaded.Node.Role),
-		mux:      http.NewServeMux(),
-		client:   client,
-		adapters: adapters,
-		secure:   secure,
-		log:      httpadapter.NewLog(adapters, hostOf(loaded.Platform.Log)),
-		machines: newMachineCache(httpadapter.NewMachines(adapters, hostOf(loaded.Platform.Machines)),
+		settings:     loaded,
+		logger:       logger,
+		registry:     metrics.NewRegistry(version, loaded.Node.Role),
+		mux:          http.NewServeMux(),
+		client:       client,
+		adapters:     adapters,
+		certificates: secure,
+		log:          httpadapter.NewLog(adapters, urlHost(loaded.Platform.Log)),
+		machines: newMachineCache(httpadapter.NewMachines(adapters, urlHost(loaded.Platform.Machines)),
 			loaded.Platform.MachinesPoll, loaded.Platform.ReadTimeout, logger.Logger),
 	}
-	made.follow(changed)
+	made.initConfiguration(changed)
 	return made, nil
 }
 
-// follow sets up the reader of the operators' configuration.
-func (process *process) follow(changed func(*configuration.Snapshot)) {
+// initConfiguration creates the reader and the exchange of the operators'
+// configuration.
+func (process *process) initConfiguration(changed func(*configuration.Snapshot)) {
 	process.reader = configuration.NewReader(configuration.ReaderOptions{
 		Log:         process.log,
 		Zone:        process.settings.Node.Zone,
@@ -114,56 +115,56 @@
 	process.mux.Handle(server.PathPrefix(), server)
 }
 
-// fresh tells whether the configuration known here may be acted on.
+// fresh reports whether the configuration is current, or may be used when stale.
 func (process *process) fresh() bool {
 	return process.settings.Configuration.ServeStale || process.reader.Fresh()
 }
 
-// limits are the bounds of the process's HTTP server.
+// limits returns the limits of the process's HTTP server.
 func (process *process) limits() httpserver.Limits {
-	bounds := process.settings.Limits
+	section := process.settings.Limits
 	return httpserver.Limits{
-		MaxConnections:   bounds.Connections,
-		MaxInFlight:      bounds.Calls,
-		MaxBodyBytes:     int(bounds.Body),
-		MaxHeaderBytes:   int(bounds.Header),
-		WriteBufferBytes: int(bounds.WriteBuffer),
-		IdleTimeout:      bounds.IdleTimeout,
-		RequestTimeout:   bounds.RequestTimeout,
-		WriteTimeout:     bounds.WriteTimeout,
-		RetryAfter:       bounds.RetryAfter,
-		DrainGrace:       bounds.DrainGrace,
-		Exempt:           exempt,
+		MaxConnections:   section.Connections,
+		MaxInFlight:      section.Calls,
+		MaxBodyBytes:     int(section.Body),
+		MaxHeaderBytes:   int(section.Header),
+		WriteBufferBytes: int(section.WriteBuffer),
+		IdleTimeout:      section.IdleTimeout,
+		RequestTimeout:   section.RequestTimeout,
+		WriteTimeout:     section.WriteTimeout,
+		RetryAfter:       section.RetryAfter,
+		DrainGrace:       section.DrainGrace,
+		Exempt:           exemptFromLimits,
 	}
 }
 
-// exempt tells which requests the bound on calls does not count: metrics, and what
-// processes say among themselves, which must go on at overload.
-func exempt(request *http.Request) bool {
+// exemptFromLimits reports whether the limit on calls does not apply to a
+// request: monitoring and requests between processes must work under overload.
+func exemptFromLimits(request *http.Request) bool {
 	return metrics.IsMonitoringRequest(request) ||
 		strings.HasPrefix(request.URL.Path, schedulerv1.PeerPathPrefix) ||
 		strings.HasPrefix(request.URL.Path, configurationv1.ExchangePathPrefix)
 }
 
 const (
-	// startBound is how long a gateway waits to be ready before it listens.
-	startBound    = 3 * time.Second
-	startInterval = 10 * time.Millisecond
+	// readyTimeout bounds the wait of a gateway to be ready before it listens.
+	readyTimeout      = 3 * time.Second
+	readyPollInterval = 10 * time.Millisecond
 )
 
-// role is what makes a process a gateway or a scheduler.
+// role holds the role-specific hooks of a process.
 type role struct {
 	ready metrics.ReadinessCheck
-	// listensReady makes the process listen only once it is ready, or after
-	// startBound: a caller that meets a closed port takes another gateway, one that
-	// meets a gateway without a configuration is refused.
-	listensReady bool
-	serve        func(context.Context)
-	stop         func(context.Context)
+	// listenWhenReady delays listening until the process is ready, or at most by
+	// readyTimeout. Clients retry a closed port on another gateway, but a gateway
+	// without a configuration refuses their calls.
+	listenWhenReady bool
+	serve           func(context.Context)
+	stop            func(context.Context)
 }
 
-// run serves until ctx ends or the system asks for a stop; then requests under way
-// are finished, and run returns.
+// run serves until ctx is cancelled or the process receives SIGTERM or SIGINT,
+// then shuts down gracefully.
 func (process *process) run(ctx context.Context, role role) error {
 	metrics.Mount(process.mux, process.registry, role.ready)
 	running, cancel := context.WithCancel(context.WithoutCancel(ctx))
@@ -172,10 +173,10 @@
 	go process.reader.Run(running)
 	go process.exchange.run(running)
 	go role.serve(running)
-	if role.listensReady {
-		awaitReady(role.ready)
+	if role.listenWhenReady {
+		waitUntilReady(role.ready)
 	}
-	server, err := process.secure.serve(process.settings.Node.Listen, process.mux, process.limits())
+	server, err := process.certificates.startServer(process.settings.Node.Listen, process.mux, process.limits())
 	if err != nil {
 		return err
 	}
@@ -183,18 +184,18 @@
 	metrics.RegisterServer(process.registry, server)
 	process.logger.Info("started", zap.String("role", process.settings.Node.Role),
 		zap.String("zone", process.settings.Node.Zone), zap.String("listen", server.Address()))
-	awaitStop(ctx)
-	return process.shutDown(role.stop)
+	waitForStop(ctx)
+	return process.shutdown(role.stop)
 }
 
-// awaitReady waits until the process is ready, no longer than startBound.
-func awaitReady(ready metrics.ReadinessCheck) {
-	for begun := time.Now(); ready() != nil && time.Since(begun) < startBound; {
-		time.Sleep(startInterval)
+// waitUntilReady waits until the process is ready, at most readyTimeout.
+func waitUntilReady(ready metrics.ReadinessCheck) {
+	for start := time.Now(); ready() != nil && time.Since(start) < readyTimeout; {
+		time.Sleep(readyPollInterval)
 	}
 }
 
-func awaitStop(ctx context.Context) {
+func waitForStop(ctx context.Context) {
 	signals := make(chan os.Signal, 1)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT)
 	defer signal.Stop(signals)
@@ -204,19 +205,19 @@
 	}
 }
 
-func (process *process) shutDown(stop func(context.Context)) error {
+func (process *process) shutdown(stop func(context.Context)) error {
 	process.logger.Info("stopping")
 	bounded, cancel := context.WithTimeout(context.Background(), process.settings.Limits.ShutdownTimeout)
 	defer cancel()
 	stop(bounded)
-	begun := time.Now()
+	start := time.Now()
 	err := process.server.Shutdown(bounded)
-	process.logger.Info("stopped", zap.Duration("drained_in", time.Since(begun)))
+	process.logger.Info("stopped", zap.Duration("drained_in", time.Since(start)))
 	return eris.Wrap(err, "shut down")
 }
 
-// hostOf takes the address out of a base URL, which the settings have checked.
-func hostOf(baseURL string) string {
+// urlHost returns the host and port of a base URL, which has been validated.
+func urlHost(baseURL string) string {
 	parsed, err := url.Parse(baseURL)
 	if err != nil {
 		return baseURL
--- a/internal/process/scheduler.go
+++ b/internal/process/scheduler.go
@@ -12,9 +12,10 @@
 	"github.com/magpielug/magpielug/internal/settings"
 )
 
-const freshnessInterval = 100 * time.Millisecond
+const freshnessPollInterval = 100 * time.Millisecond
 
-// RunScheduler runs a scheduler process until it is told to stop.
+// RunScheduler runs a scheduler process until ctx is cancelled or the process
+// receives SIGTERM or SIGINT.
 func RunScheduler(ctx context.Context, version string, loaded settings.Settings) error {
 	var running *scheduler.Scheduler
 	shared, err := newProcess(version, loaded, func(snapshot *configuration.Snapshot) {
@@ -31,7 +32,7 @@
 		Client:       shared.client,
 		Logger:       shared.logger.Logger,
 		PollInterval: loaded.Platform.EngineReports,
-		ListInterval: listLocalInterval,
+		ListInterval: cachePollInterval,
 	})
 	if err != nil {
 		return err
@@ -54,14 +55,15 @@
 	}
 }
 
-// watchFreshness tells the control loop whenever the freshness changes.
+// watchFreshness notifies the scheduler when the configuration becomes fresh or
+// stale.
 func watchFreshness(ctx context.Context, shared *process, running *scheduler.Scheduler) {
-	ticker := time.NewTicker(freshnessInterval)
+	ticker := time.NewTicker(freshnessPollInterval)
 	defer ticker.Stop()
-	told := false
+	lastFresh := false
 	for {
-		if fresh := shared.fresh(); fresh != told {
-			told = fresh
+		if fresh := shared.fresh(); fresh != lastFresh {
+			lastFresh = fresh
 			running.SetFresh(ctx, fresh)
 		}
 		select {
@@ -73,33 +75,33 @@
 }
 
 func schedulerConfig(loaded settings.Settings) scheduler.Config {
-	bounds := loaded.Scheduler
-	agreement := replication.DefaultConfig()
-	agreement.HeartbeatInterval = bounds.Heartbeat
-	agreement.LeaseDuration = bounds.Lease
-	agreement.ElectionTimeoutMin = bounds.ElectionMin
-	agreement.ElectionTimeoutMax = bounds.ElectionMax
-	agreement.GroupSize = bounds.Replicas
-	agreement.MaxBacklogBytes = int(bounds.ArchiveBacklog)
-	agreement.KeepEntries = bounds.KeepEntries
+	section := loaded.Scheduler
+	replicationConfig := replication.DefaultConfig()
+	replicationConfig.HeartbeatInterval = section.Heartbeat
+	replicationConfig.LeaseDuration = section.Lease
+	replicationConfig.ElectionTimeoutMin = section.ElectionMin
+	replicationConfig.ElectionTimeoutMax = section.ElectionMax
+	replicationConfig.GroupSize = section.Replicas
+	replicationConfig.MaxBacklogBytes = int(section.ArchiveBacklog)
+	replicationConfig.KeepEntries = section.KeepEntries
 	return scheduler.Config{
 		Process:             loaded.Node.ID,
 		Region:              loaded.Node.Region,
 		Zone:                loaded.Node.Zone,
-		Shards:              bounds.Shards,
-		Replicas:            bounds.Replicas,
-		Replication:         agreement,
-		BacklogBytes:        int(bounds.ArchiveBacklogTotal),
-		SnapshotBytes:       int(bounds.SnapshotBytes),
-		SnapshotEntries:     bounds.SnapshotEntries,
-		ArchiveIntents:      bounds.ArchiveIntents,
-		OfferRetry:          bounds.OfferRetry,
-		HeldInterval:        bounds.HeldInterval,
-		LiveInterval:        bounds.LiveInterval,
-		FoundingWait:        bounds.FoundingWait,
-		EndedMemory:         bounds.EndedMemory,
-		MaximumAttempts:     bounds.MaximumAttempts,
-		DefaultCallDeadline: bounds.DefaultCallDeadline,
-		DefaultWaitBound:    bounds.DefaultWaitBound,
+		Shards:              section.Shards,
+		Replicas:            section.Replicas,
+		Replication:         replicationConfig,
+		BacklogBytes:        int(section.ArchiveBacklogTotal),
+		SnapshotBytes:       int(section.SnapshotBytes),
+		SnapshotEntries:     section.SnapshotEntries,
+		ArchiveIntents:      section.ArchiveIntents,
+		OfferRetry:          section.OfferRetry,
+		HeldInterval:        section.HeldInterval,
+		LiveInterval:        section.LiveInterval,
+		FoundingWait:        section.FoundingWait,
+		EndedMemory:         section.EndedMemory,
+		MaximumAttempts:     section.MaximumAttempts,
+		DefaultCallDeadline: section.DefaultCallDeadline,
+		DefaultWaitBound:    section.DefaultWaitBound,
 	}
 }
