--- a/cmd/magpielug/main.go
+++ b/cmd/magpielug/main.go
@@ -1,4 +1,4 @@
-// Command magpielug runs a node, and the gateway and scheduler processes with the
+// Command magpielug runs a node, gateway or scheduler process, and provides the
 // operators' command line.
 package main
 
@@ -10,7 +10,7 @@
 	"github.com/magpielug/magpielug/platform"
 )
 
-// version is set when a release is linked.
+// version is set at link time in release builds.
 var version = "development"
 
 func main() {
--- a/cmd/rehearsal/main.go
+++ b/cmd/rehearsal/main.go
@@ -1,5 +1,5 @@
-// Command rehearsal holds the stand-ins of the platform, the load and the
-// experiments. It is the test side of magpielug: it alone starts processes.
+// Command rehearsal is the test tool of magpielug: it runs stand-ins for the
+// platform, load, fault scenarios and experiments.
 package main
 
 import (
@@ -19,17 +19,16 @@
 	exitUsage  = 2
 )
 
-// arguments are the sub-commands.
 type arguments struct {
-	Run        *command.Run             `arg:"subcommand:run" help:"start everything, run a mixed set of programs, print the figures"`
-	Fault      *command.Fault           `arg:"subcommand:fault" help:"run scenarios of faults and judge them"`
-	Losses     *command.Losses          `arg:"subcommand:losses" help:"tell from the log lines of a run which programs were lost, when and why"`
-	Up         *command.Up              `arg:"subcommand:up" help:"start everything and keep it serving"`
-	Soak       *command.Soak            `arg:"subcommand:soak" help:"throw random faults at nodes run as processes, and judge what callers and engines saw"`
-	Experiment *command.Experiment      `arg:"subcommand:experiment" help:"compare policies over the engine model"`
-	Speed      *command.Speed           `arg:"subcommand:speed" help:"measure what gateway and scheduler add to a call"`
-	Cost       *command.Cost            `arg:"subcommand:cost" help:"measure what schedulers and gateways use, idle and loaded"`
-	Store      *command.Store           `arg:"subcommand:store" help:"run a stand-in of the nodes' store, with a configuration"`
+	Run        *command.Run             `arg:"subcommand:run" help:"start the system, run a mixed workload and print the results"`
+	Fault      *command.Fault           `arg:"subcommand:fault" help:"run fault scenarios and check the results"`
+	Losses     *command.Losses          `arg:"subcommand:losses" help:"report from a run's logs which programs were lost, when and why"`
+	Up         *command.Up              `arg:"subcommand:up" help:"start the system and keep it running"`
+	Soak       *command.Soak            `arg:"subcommand:soak" help:"inject random faults into node processes and check what callers and engines observed"`
+	Experiment *command.Experiment      `arg:"subcommand:experiment" help:"compare policies on the engine model"`
+	Speed      *command.Speed           `arg:"subcommand:speed" help:"measure the overhead that gateway and scheduler add to a call"`
+	Cost       *command.Cost            `arg:"subcommand:cost" help:"measure the resource use of schedulers and gateways, idle and under load"`
+	Store      *command.Store           `arg:"subcommand:store" help:"run a stand-in store for nodes, with a configuration"`
 	Engine     *command.Engine          `arg:"subcommand:engine" help:"run a stand-in model engine for nodes"`
 	Tool       *command.Tool            `arg:"subcommand:tool" help:"run a stand-in tool service for nodes"`
 	Log        *command.StandInLog      `arg:"subcommand:log" help:"run a stand-in log service for schedulers"`
@@ -39,7 +38,7 @@
 	PoolTool   *command.PoolTool        `arg:"subcommand:pool-tool" help:"run a stand-in tool service for schedulers"`
 }
 
-// Description heads the help text.
+// Description returns the text at the top of --help.
 func (arguments) Description() string {
 	return "rehearsal: magpielug's stand-ins, load and experiments"
 }
