--- a/internal/durable/durable.go
+++ b/internal/durable/durable.go
@@ -1,6 +1,6 @@
-// Package durable is the interface of the log store that keeps what must
-// outlast every process: partitions of records that only grow, writers fenced
-// by an epoch, and keyed topics of which the newest record of each key stays.
+// Package durable defines the interface of the replicated log store: append-only
+// partitions, writers fenced by an epoch, and keyed topics, of which the latest
+// record of each key is retained.
 package durable
 
 import (
@@ -10,119 +10,118 @@
 	"time"
 )
 
-// Partition names one log: a topic and a number within it.
+// Partition identifies one log by a topic and a number within it.
 type Partition struct {
 	Topic  string
 	Number int
 }
 
-// String names the partition in logs.
+// String returns the partition as topic/number.
 func (partition Partition) String() string {
 	return fmt.Sprintf("%s/%d", partition.Topic, partition.Number)
 }
 
-// Fence names a writer of a partition. The store refuses a lower epoch than it
-// has seen, and within an epoch takes sequence numbers in order; an append that
-// is repeated with its number gets its first answer.
+// Fence identifies a writer of a partition. The store rejects epochs lower than
+// the highest it has seen, and requires consecutive sequence numbers within an
+// epoch. An append repeated with the same number returns its first result.
 type Fence struct {
 	Producer string
 	Epoch    int64
 	Sequence int64
 }
 
-// Condition is what an append depends on; the zero value is no condition.
+// Condition is the precondition of an append; the zero value is unconditional.
 type Condition struct {
-	// ExpectedEnd, where set, is the end that the partition must have.
+	// ExpectedEnd, if set, is the end offset that the partition must have.
 	ExpectedEnd *int64
-	// Fence, where set, is the writer's.
+	// Fence, if set, identifies the writer.
 	Fence *Fence
 }
 
-// AppendResult is where an append's records stand.
+// AppendResult is the position of appended records.
 type AppendResult struct {
-	// Offset is the first record's; End is the partition's after the append.
+	// Offset is that of the first record; End is the partition's end afterwards.
 	Offset int64
 	End    int64
 }
 
-// Batch is what a read returned.
+// Batch is the result of a read.
 type Batch struct {
-	// Offset is the first record's.
+	// Offset is that of the first record in Records.
 	Offset  int64
 	Records [][]byte
-	// FirstOffset is the oldest offset kept, End the partition's end.
+	// FirstOffset is the oldest retained offset, EndOffset the partition's end.
 	FirstOffset int64
 	EndOffset   int64
 }
 
-// KeyedRecord is the newest record of a key. An empty value says that the key
-// was dropped.
+// KeyedRecord is the latest record of a key. An empty value is a tombstone.
 type KeyedRecord struct {
 	Key    string
 	Value  []byte
 	Offset int64
 }
 
-// Snapshot holds the newest records of a keyed topic up to End. Later pages are
-// read later, so a record may be newer than End.
+// Snapshot holds the latest record of each key of a keyed topic up to End. Its
+// pages are read one after another, so some records may be newer than End.
 type Snapshot struct {
 	Records []KeyedRecord
 	End     int64
 }
 
-// Log is the store. Every method may be called from any goroutine. Errors are
-// the ones of this package, or ErrUnknown's kind where the outcome is not known.
+// Log is the client interface of the store. It is safe for concurrent use.
+// Errors are those of this package; any other error of Append leaves its outcome
+// unknown.
 type Log interface {
 	// Append adds all records or none. An empty list with a fence only sets
 	// the epoch.
 	Append(ctx context.Context, partition Partition, records [][]byte, condition Condition) (AppendResult, error)
-	// Read returns records from an offset on, and waits up to wait for one.
+	// Read returns the records from an offset on. If there are none, it waits
+	// for one for at most wait.
 	Read(ctx context.Context, partition Partition, from int64, wait time.Duration) (Batch, error)
-	// Latest returns the newest record of each key of a keyed topic.
+	// Latest returns the latest record of each key of a keyed topic.
 	Latest(ctx context.Context, topic string) (Snapshot, error)
 }
 
-// Errors of a Log. An error that is none of them leaves the outcome of an
-// append unknown.
+// Errors of a Log. Each of them guarantees that the append was not applied.
 var (
-	// ErrFenced says that a higher epoch has been seen; nothing was done.
+	// ErrFenced means that the store has seen a higher epoch.
 	ErrFenced = errors.New("fenced by a higher epoch")
-	// ErrOutOfSequence says that the sequence number does not follow; nothing was done.
-	ErrOutOfSequence = errors.New("sequence number does not follow")
-	// ErrConflict says that the partition does not end at Condition.At; nothing
-	// was done.
-	ErrConflict = errors.New("the partition ends elsewhere")
-	// ErrUnavailable says that the store refused for now; nothing was done.
-	ErrUnavailable = errors.New("the store refuses for now")
+	// ErrOutOfSequence means that the sequence number is not the next one.
+	ErrOutOfSequence = errors.New("sequence number out of order")
+	// ErrConflict means that the partition does not end at Condition.ExpectedEnd.
+	ErrConflict = errors.New("partition end differs from the expected offset")
+	// ErrUnavailable means that the store temporarily rejects the call.
+	ErrUnavailable = errors.New("log store temporarily unavailable")
 )
 
-// TrimmedError says that a read began before the oldest record kept.
+// TrimmedError means that a read began before the oldest retained record.
 type TrimmedError struct{ First int64 }
 
 // Error implements error.
 func (trimmed *TrimmedError) Error() string {
-	return fmt.Sprintf("records before offset %d are gone", trimmed.First)
+	return fmt.Sprintf("records before offset %d have been trimmed", trimmed.First)
 }
 
-// NotApplied tells whether err promises that an append was not done and will
-// not be.
+// NotApplied reports whether err guarantees that an append was not applied and
+// will not be.
 func NotApplied(err error) bool {
 	return errors.Is(err, ErrFenced) || errors.Is(err, ErrOutOfSequence) ||
 		errors.Is(err, ErrConflict) || errors.Is(err, ErrUnavailable)
 }
 
-// LogResponded tells whether err, or nil, is the answer of a log that works: it did what it
-// was asked, or refused that for good reason.
+// LogResponded reports whether err, which may be nil, is the response of a
+// working store: the call succeeded or its precondition failed.
 func LogResponded(err error) bool {
 	var trimmed *TrimmedError
 	return err == nil || errors.As(err, &trimmed) || (NotApplied(err) && !errors.Is(err, ErrUnavailable))
 }
 
-// maxKeyLength is the longest key of a keyed record, bytes.
+// maxKeyLength is the maximum length of a keyed record's key in bytes.
 const maxKeyLength = 255
 
-// EncodeKeyed returns a keyed topic's record: the key's length in one byte, the
-// key, the value.
+// EncodeKeyed returns the record of a keyed topic: the key's length in one byte,
+// the key, the value. Longer keys are truncated to 255 bytes.
 func EncodeKeyed(key string, value []byte) []byte {
 	if len(key) > maxKeyLength {
 		key = key[:maxKeyLength]
@@ -133,9 +132,9 @@
 	return append(record, value...)
 }
 
-// DecodeKeyed takes a keyed topic's record apart. It returns false for bytes
-// that are none.
-func DecodeKeyed(record []byte) (key string, value []byte, sound bool) {
+// DecodeKeyed splits a keyed topic's record into key and value. It returns false
+// for a malformed record.
+func DecodeKeyed(record []byte) (key string, value []byte, valid bool) {
 	if len(record) == 0 || len(record) < 1+int(record[0]) {
 		return "", nil, false
 	}
--- a/internal/durable/hedge.go
+++ b/internal/durable/hedge.go
@@ -9,78 +9,77 @@
 )
 
 const (
-	// hedgeFactor times the usual time of an append is how long one may take
-	// before it is sent again on another connection.
-	hedgeFactor = 4
-	hedgeLeast  = 60 * time.Millisecond
-	hedgeMost   = 600 * time.Millisecond
-	// hedgesInFlight bounds the sendings of one append.
-	hedgesInFlight = 4
-	// paceWeight is the weight of the newest append in the usual time.
-	paceWeight = 0.2
+	// hedgeDelayFactor is the hedge delay as a multiple of the average latency.
+	hedgeDelayFactor = 4
+	minHedgeDelay    = 60 * time.Millisecond
+	maxHedgeDelay    = 600 * time.Millisecond
+	// maxAppendAttempts bounds the attempts of one append.
+	maxAppendAttempts = 4
+	// latencyWeight is the weight of the newest sample in the moving average.
+	latencyWeight = 0.2
 )
 
-// AppendLatency is the usual time of an append, learned from those that were answered.
-// It is safe for concurrent use; the zero value is ready.
+// AppendLatency is an exponential moving average of the latency of successful
+// appends. It is safe for concurrent use; the zero value is ready to use.
 type AppendLatency struct {
-	mutex sync.Mutex
-	usual time.Duration
+	mutex   sync.Mutex
+	average time.Duration
 }
 
-// Observe takes one append's time in.
-func (pace *AppendLatency) Observe(took time.Duration) {
-	pace.mutex.Lock()
-	defer pace.mutex.Unlock()
-	if pace.usual == 0 {
-		pace.usual = took
+// Observe adds the latency of one append.
+func (latency *AppendLatency) Observe(took time.Duration) {
+	latency.mutex.Lock()
+	defer latency.mutex.Unlock()
+	if latency.average == 0 {
+		latency.average = took
 		return
 	}
-	pace.usual += time.Duration(paceWeight * float64(took-pace.usual))
+	latency.average += time.Duration(latencyWeight * float64(took-latency.average))
 }
 
-// HedgeDelay is how long an append may take before it is worth another sending.
-func (pace *AppendLatency) HedgeDelay() time.Duration {
-	pace.mutex.Lock()
-	defer pace.mutex.Unlock()
-	return min(max(hedgeFactor*pace.usual, hedgeLeast), hedgeMost)
+// HedgeDelay returns how long to wait for an append before sending another attempt.
+func (latency *AppendLatency) HedgeDelay() time.Duration {
+	latency.mutex.Lock()
+	defer latency.mutex.Unlock()
+	return min(max(hedgeDelayFactor*latency.average, minHedgeDelay), maxHedgeDelay)
 }
 
-// IdempotentAppend is an append that may be sent more than once: its fence's number
-// makes the store do it once, or its records are facts.
+// IdempotentAppend is an append that may be sent more than once: the store
+// deduplicates it by its fence's sequence number, or duplicates are harmless.
 type IdempotentAppend func(ctx context.Context) error
 
-// Hedge sends an append, and sends it again where an answer takes unusually
-// long: a store that has lost an answer says nothing more on that connection.
-// The first sending with a known outcome decides. It gives up when ctx ends or
-// no sending is left, with the last error.
-func Hedge(ctx context.Context, pace *AppendLatency, send IdempotentAppend) error {
+// Hedge sends an append, and sends further attempts while none is answered: a
+// response lost by the store never arrives on the first connection. The first
+// attempt with a known outcome decides. Hedge returns the last error once all
+// attempts sent have failed, or ctx's error when it ends.
+func Hedge(ctx context.Context, latency *AppendLatency, send IdempotentAppend) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	results := make(chan error, hedgesInFlight)
+	results := make(chan error, maxAppendAttempts)
 	launch := func() {
-		began := time.Now()
+		start := time.Now()
 		err := send(ctx)
 		if err == nil {
-			pace.Observe(time.Since(began))
+			latency.Observe(time.Since(start))
 		}
 		results <- err
 	}
 	go launch()
-	sent, failed := 1, 0
-	timer := time.NewTimer(pace.HedgeDelay())
+	sent, completed := 1, 0
+	timer := time.NewTimer(latency.HedgeDelay())
 	defer timer.Stop()
 	for {
 		select {
 		case err := <-results:
-			failed++
-			if err == nil || NotApplied(err) || failed == sent {
+			completed++
+			if err == nil || NotApplied(err) || completed == sent {
 				return err
 			}
 		case <-timer.C:
-			if sent < hedgesInFlight && feature.Enabled(feature.HedgedAppends) {
+			if sent < maxAppendAttempts && feature.Enabled(feature.HedgedAppends) {
 				sent++
 				go launch()
-				timer.Reset(pace.HedgeDelay())
+				timer.Reset(latency.HedgeDelay())
 			}
 		case <-ctx.Done():
 			return ctx.Err()
--- a/internal/durable/memory.go
+++ b/internal/durable/memory.go
@@ -6,32 +6,31 @@
 	"time"
 )
 
-// keptAnswers is how many of a writer's last appends may be repeated.
-const keptAnswers = 5
+// keptResults is the number of a writer's latest appends that are deduplicated.
+const keptResults = 5
 
-// Memory is a Log in the process's memory, for tests and for deployments
-// without a store.
+// Memory is an in-process Log for tests and for deployments without a store.
 type Memory struct {
 	mutex      sync.Mutex
 	partitions map[Partition]*memoryPartition
-	// Intercept, where set, is asked before every call and may fail it.
+	// Intercept, if set, is called before every call; its error fails the call.
 	Intercept func(operation string, partition Partition) error
 }
 
 type memoryPartition struct {
-	first   int64
-	records [][]byte
-	// newest holds the newest record of each key; trimming leaves it.
-	newest  map[string]KeyedRecord
+	firstOffset int64
+	records     [][]byte
+	// latest holds the latest record of each key, also of trimmed records.
+	latest  map[string]KeyedRecord
 	writers map[string]*memoryWriter
 	changed chan struct{}
 }
 
 type memoryWriter struct {
-	epoch   int64
-	started bool
-	last    int64
-	answers map[int64]AppendResult
+	epoch        int64
+	hasAppended  bool
+	lastSequence int64
+	results      map[int64]AppendResult
 }
 
 // NewMemory returns an empty log.
@@ -43,7 +42,7 @@
 	found := log.partitions[name]
 	if found == nil {
 		found = &memoryPartition{
-			newest:  map[string]KeyedRecord{},
+			latest:  map[string]KeyedRecord{},
 			writers: map[string]*memoryWriter{},
 			changed: make(chan struct{}),
 		}
@@ -52,7 +51,7 @@
 	return found
 }
 
-func (log *Memory) intercepted(operation string, partition Partition) error {
+func (log *Memory) runIntercept(operation string, partition Partition) error {
 	if log.Intercept == nil {
 		return nil
 	}
@@ -61,37 +60,38 @@
 
 // Append implements Log.
 func (log *Memory) Append(_ context.Context, name Partition, records [][]byte, condition Condition) (AppendResult, error) {
-	if err := log.intercepted("append", name); err != nil {
+	if err := log.runIntercept("append", name); err != nil {
 		return AppendResult{}, err
 	}
 	log.mutex.Lock()
 	defer log.mutex.Unlock()
 	partition := log.partition(name)
 	if condition.Fence != nil {
-		answer, err := partition.admit(condition.Fence)
-		if err != nil || answer != nil {
-			return orZero(answer), err
+		previous, err := partition.checkFence(condition.Fence)
+		if err != nil || previous != nil {
+			return valueOrZero(previous), err
 		}
 	}
 	if condition.ExpectedEnd != nil && *condition.ExpectedEnd != partition.end() {
 		return AppendResult{End: partition.end()}, ErrConflict
 	}
-	appended := partition.append(records)
+	result := partition.append(records)
 	if condition.Fence != nil {
-		partition.note(condition.Fence, appended, len(records) > 0)
+		partition.recordAppend(condition.Fence, result, len(records) > 0)
 	}
-	return appended, nil
+	return result, nil
 }
 
-func orZero(answer *AppendResult) AppendResult {
-	if answer == nil {
+func valueOrZero(result *AppendResult) AppendResult {
+	if result == nil {
 		return AppendResult{}
 	}
-	return *answer
+	return *result
 }
 
-// admit checks a fence. It returns the first answer of a repeated append.
-func (partition *memoryPartition) admit(fence *Fence) (*AppendResult, error) {
+// checkFence validates a fence. It returns the first result of a repeated append,
+// nil for a new one.
+func (partition *memoryPartition) checkFence(fence *Fence) (*AppendResult, error) {
 	writer := partition.writers[fence.Producer]
 	if writer == nil || fence.Epoch > writer.epoch {
 		return nil, nil
@@ -99,40 +99,43 @@
 	if fence.Epoch < writer.epoch {
 		return nil, ErrFenced
 	}
-	if answer, repeated := writer.answers[fence.Sequence]; repeated {
-		return &answer, nil
+	if result, repeated := writer.results[fence.Sequence]; repeated {
+		return &result, nil
 	}
-	if writer.started && fence.Sequence != writer.last+1 {
+	if writer.hasAppended && fence.Sequence != writer.lastSequence+1 {
 		return nil, ErrOutOfSequence
 	}
 	return nil, nil
 }
 
-// note remembers a writer's append for its repetition.
-func (partition *memoryPartition) note(fence *Fence, appended AppendResult, numbered bool) {
+// recordAppend stores the result of a writer's append for deduplication. numbered
+// is false for an append that only sets the epoch.
+func (partition *memoryPartition) recordAppend(fence *Fence, result AppendResult, numbered bool) {
 	writer := partition.writers[fence.Producer]
 	if writer == nil || fence.Epoch > writer.epoch {
-		writer = &memoryWriter{epoch: fence.Epoch, answers: map[int64]AppendResult{}}
+		writer = &memoryWriter{epoch: fence.Epoch, results: map[int64]AppendResult{}}
 		partition.writers[fence.Producer] = writer
 	}
 	if !numbered {
 		return
 	}
-	writer.started = true
-	writer.last = fence.Sequence
-	writer.answers[fence.Sequence] = appended
-	delete(writer.answers, fence.Sequence-keptAnswers)
+	writer.hasAppended = true
+	writer.lastSequence = fence.Sequence
+	writer.results[fence.Sequence] = result
+	delete(writer.results, fence.Sequence-keptResults)
 }
 
-func (partition *memoryPartition) end() int64 { return partition.first + int64(len(partition.records)) }
+func (partition *memoryPartition) end() int64 {
+	return partition.firstOffset + int64(len(partition.records))
+}
 
 func (partition *memoryPartition) append(records [][]byte) AppendResult {
 	offset := partition.end()
 	for _, record := range records {
 		copied := append([]byte(nil), record...)
-		key, value, sound := DecodeKeyed(copied)
-		if sound {
-			partition.newest[key] = KeyedRecord{Key: key, Value: value, Offset: partition.end()}
+		key, value, valid := DecodeKeyed(copied)
+		if valid {
+			partition.latest[key] = KeyedRecord{Key: key, Value: value, Offset: partition.end()}
 		}
 		partition.records = append(partition.records, copied)
 	}
@@ -145,7 +148,7 @@
 
 // Read implements Log.
 func (log *Memory) Read(ctx context.Context, name Partition, from int64, wait time.Duration) (Batch, error) {
-	if err := log.intercepted("read", name); err != nil {
+	if err := log.runIntercept("read", name); err != nil {
 		return Batch{}, err
 	}
 	timer := time.NewTimer(wait)
@@ -169,12 +172,12 @@
 	log.mutex.Lock()
 	defer log.mutex.Unlock()
 	partition := log.partition(name)
-	if from < partition.first {
-		return Batch{}, nil, &TrimmedError{First: partition.first}
+	if from < partition.firstOffset {
+		return Batch{}, nil, &TrimmedError{First: partition.firstOffset}
 	}
-	batch := Batch{Offset: from, FirstOffset: partition.first, EndOffset: partition.end()}
+	batch := Batch{Offset: from, FirstOffset: partition.firstOffset, EndOffset: partition.end()}
 	if from < partition.end() {
-		batch.Records = append(batch.Records, partition.records[from-partition.first:]...)
+		batch.Records = append(batch.Records, partition.records[from-partition.firstOffset:]...)
 	}
 	return batch, partition.changed, nil
 }
@@ -182,14 +185,14 @@
 // Latest implements Log.
 func (log *Memory) Latest(_ context.Context, topic string) (Snapshot, error) {
 	name := Partition{Topic: topic}
-	if err := log.intercepted("newest", name); err != nil {
+	if err := log.runIntercept("newest", name); err != nil {
 		return Snapshot{}, err
 	}
 	log.mutex.Lock()
 	defer log.mutex.Unlock()
 	partition := log.partition(name)
 	snapshot := Snapshot{End: partition.end()}
-	for _, record := range partition.newest {
+	for _, record := range partition.latest {
 		if len(record.Value) > 0 {
 			snapshot.Records = append(snapshot.Records, record)
 		}
@@ -197,12 +200,12 @@
 	return snapshot, nil
 }
 
-// Trim drops the records before an offset.
+// Trim deletes the records before an offset.
 func (log *Memory) Trim(name Partition, before int64) {
 	log.mutex.Lock()
 	defer log.mutex.Unlock()
 	partition := log.partition(name)
-	dropped := min(max(before-partition.first, 0), int64(len(partition.records)))
+	dropped := min(max(before-partition.firstOffset, 0), int64(len(partition.records)))
 	partition.records = partition.records[dropped:]
-	partition.first += dropped
+	partition.firstOffset += dropped
 }
--- a/internal/durable/read.go
+++ b/internal/durable/read.go
@@ -7,9 +7,9 @@
 	"github.com/rotisserie/eris"
 )
 
-// ReadToEnd hands every record of a partition from an offset on to apply, up to
-// its end, and returns the offset to go on from. Records that are gone are
-// passed over. On an error the offset returned is how far apply has come.
+// ReadToEnd calls apply with each record of a partition from an offset to its end
+// and returns the next offset to read. Trimmed records are skipped. On an error
+// the returned offset follows the last record applied.
 func ReadToEnd(ctx context.Context, log Log, partition Partition, from int64, apply func(record []byte)) (int64, error) {
 	for {
 		batch, err := log.Read(ctx, partition, from, 0)
@@ -22,7 +22,7 @@
 			return from, eris.Wrap(err, "read "+partition.String())
 		}
 		if batch.EndOffset < from {
-			return from, eris.Errorf("%s ends at %d, before %d", partition, batch.EndOffset, from)
+			return from, eris.Errorf("partition %s ends at offset %d, before the read offset %d", partition, batch.EndOffset, from)
 		}
 		for _, record := range batch.Records {
 			apply(record)
--- a/internal/durable/read_test.go
+++ b/internal/durable/read_test.go
@@ -11,29 +11,29 @@
 var _ = Describe("ReadToEnd", func() {
 	ctx := context.Background()
 
-	It("goes on from the oldest record kept, and then only with what is new", func() {
+	It("starts at the oldest retained record, then reads only new records", func() {
 		log := durable.NewMemory()
-		add := func(text string) {
+		appendRecord := func(text string) {
 			_, err := log.Append(ctx, partition, [][]byte{[]byte(text)}, durable.Condition{})
 			Expect(err).NotTo(HaveOccurred())
 		}
 		for _, text := range []string{"a", "b", "c"} {
-			add(text)
+			appendRecord(text)
 		}
 		log.Trim(partition, 1)
 		var read []string
-		take := func(record []byte) { read = append(read, string(record)) }
-		next, err := durable.ReadToEnd(ctx, log, partition, 0, take)
+		apply := func(record []byte) { read = append(read, string(record)) }
+		next, err := durable.ReadToEnd(ctx, log, partition, 0, apply)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(read).To(Equal([]string{"b", "c"}))
-		add("d")
-		next, err = durable.ReadToEnd(ctx, log, partition, next, take)
+		appendRecord("d")
+		next, err = durable.ReadToEnd(ctx, log, partition, next, apply)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(next).To(BeEquivalentTo(4))
 		Expect(read).To(Equal([]string{"b", "c", "d"}))
 	})
 
-	It("fails where the partition ends before what was read", func() {
+	It("fails if the partition ends before the read offset", func() {
 		_, err := durable.ReadToEnd(ctx, durable.NewMemory(), partition, 5, func([]byte) {})
 		Expect(err).To(HaveOccurred())
 	})
