--- a/internal/ownership/shard.go
+++ b/internal/ownership/shard.go
@@ -291,7 +291,7 @@
 func (manager *Manager) expireAccounts(now time.Time) {
 	for _, shard := range manager.shards {
 		if shard.ledger != nil {
-			shard.ledger.Expire(now.Add(-accountRetention))
+			shard.ledger.ExpireAccounts(now.Add(-accountRetention))
 		}
 		for request, at := range shard.ended {
 			if now.Sub(at) > endedRetention {
--- a/internal/spending/allowance.go
+++ b/internal/spending/allowance.go
@@ -2,54 +2,56 @@
 
 import "github.com/magpielug/magpielug/internal/tenant"
 
-// Allowance is what an owner may grant of every program's budget beyond the
-// ceiling that the log has acknowledged. It stands in the owner's claim, so that a
-// successor counts it for each program whether the log names the program or not.
-// The zero value allows nothing.
+// Allowance is the amount that an owner may grant from every program's budget beyond
+// the ceiling acknowledged by the log. It is part of the owner's claim, so that a
+// successor charges it to each program, including programs that the log does not
+// contain. The zero value allows nothing.
 type Allowance struct {
-	// Epoch is the claim's.
+	// Epoch is that of the claim.
 	Epoch int64
-	// Permille is the part of a budget, thousandths.
+	// Permille is the allowed share of a budget in thousandths.
 	Permille int64
-	// MinBudget bounds the programs that it holds for: smaller budgets leave a
-	// successor no room for a whole turn beside it.
+	// MinBudget is the smallest budget to which the allowance applies. A smaller
+	// budget would not leave a successor enough for a whole turn.
 	MinBudget int64
-	// Second is true for one beside another that is outstanding. It holds only for programs
-	// that the log names under its epoch or a later one: to all others it has granted nothing.
+	// Second is true for an allowance granted while another is outstanding. It applies
+	// only to programs with a ceiling in the log under its epoch or a later one.
 	Second bool
 }
 
-// wholeBudget is a budget in the unit of Permille.
-const wholeBudget = 1000
+// permilleBase is a whole budget in the unit of Permille.
+const permilleBase = 1000
 
-// allowedPermille is what a claim allows. More lets more programs finish while
-// the log is away; less leaves more to programs after the loss of all nodes.
-const allowedPermille = 333
+// claimPermille is the allowance of a claim. A higher value lets more programs finish
+// while the log is unavailable; a lower one leaves more of each budget after the loss
+// of all nodes.
+const claimPermille = 333
 
-// NewAllowance returns what a claim allows where turns spend at most largest
-// tokens: a turn of that size fits beside it.
+// NewAllowance returns the allowance of a claim. Its MinBudget leaves room for one
+// turn of largest tokens beside the allowance.
 func NewAllowance(epoch, largest int64) Allowance {
 	return Allowance{
 		Epoch:     epoch,
-		Permille:  allowedPermille,
-		MinBudget: largest*wholeBudget/(wholeBudget-allowedPermille) + 1,
+		Permille:  claimPermille,
+		MinBudget: largest*permilleBase/(permilleBase-claimPermille) + 1,
 	}
 }
 
-// largestFitsTimes is how many largest turns a budget holds for which a claim has a second
-// allowance: one turn within it, and one in the third that both leave to successors.
-const largestFitsTimes = 3
+// minTurnsForSecondAllowance is how many turns of the largest size a budget must exceed
+// for a second allowance: one turn within it, and one in the third of the budget that
+// both allowances leave to successors.
+const minTurnsForSecondAllowance = 3
 
-// ClaimAllowance returns what a claim allows beside the allowances of former owners that may
-// have been used. Beside one it allows as much again, where second says that all nodes know
-// how to count it: an owner that came after the loss of all nodes could else grant nothing
-// while the log is away. Beside two it allows nothing.
+// ClaimAllowance returns the allowance of a new claim, given the outstanding allowances
+// of former owners. With one outstanding, it returns a second allowance if second
+// reports that all nodes account for those; with two, none. Without a second allowance,
+// the owner that follows the loss of all nodes could grant nothing while the log is
+// unavailable.
 //
-// A second allowance is for programs that its owner has named in the log. To count it for
-// those that begin under the next owner too would leave them a third of their budgets: a
-// quarter of all programs then failed after further losses. What turns use of it ends below
-// it (see covered): the turn that may go beyond an allowance is the one largest turn by which
-// a budget may be passed, and the owner before may have granted it.
+// A second allowance applies only to programs that its owner has named in the log.
+// Charging it to programs that begin under the next owner would leave them a third of
+// their budgets. Turns granted under it must end within it (see withinCeiling): only
+// one turn may overrun a budget, and the former owner may have granted that turn.
 func ClaimAllowance(epoch, largest int64, outstanding []Allowance, second bool) Allowance {
 	switch {
 	case largest <= 0:
@@ -57,116 +59,115 @@
 	case len(outstanding) == 0:
 		return NewAllowance(epoch, largest)
 	case len(outstanding) == 1 && second:
-		return Allowance{Epoch: epoch, Permille: allowedPermille, MinBudget: max(largestFitsTimes*largest+1, outstanding[0].MinBudget), Second: true}
+		return Allowance{Epoch: epoch, Permille: claimPermille, MinBudget: max(minTurnsForSecondAllowance*largest+1, outstanding[0].MinBudget), Second: true}
 	}
 	return Allowance{}
 }
 
-// of returns what is allowed of a budget.
-func (allowance Allowance) of(budget int64) int64 {
+// tokensOf returns the tokens allowed for a budget.
+func (allowance Allowance) tokensOf(budget int64) int64 {
 	if allowance.Permille == 0 || budget < allowance.MinBudget {
 		return 0
 	}
-	// In two parts: a budget without a bound is too large to multiply.
-	return budget/wholeBudget*allowance.Permille + budget%wholeBudget*allowance.Permille/wholeBudget
+	// Computed in two parts so that an unlimited budget does not overflow.
+	return budget/permilleBase*allowance.Permille + budget%permilleBase*allowance.Permille/permilleBase
 }
 
-// SetAllowances tells a ledger that has granted nothing yet what its owner's claim
-// allows, and which allowances of former owners are not known to be unused. The
-// first must be what ClaimAllowance returned for the second.
+// SetAllowances sets the allowance of the owner's claim and the allowances of former
+// owners that may have been used. It must be called before the first Reserve; own must
+// be the result of ClaimAllowance for outstanding.
 func (ledger *Ledger) SetAllowances(own Allowance, outstanding []Allowance) {
-	ledger.own = own
-	ledger.outstanding = outstanding
+	ledger.ownAllowance = own
+	ledger.outstandingAllowances = outstanding
 }
 
-// countOutstanding adds to an account what former owners may have granted beyond
-// the ceiling that the log names. A budget that turns out larger adds the rest.
-func (ledger *Ledger) countOutstanding(account *account, budget int64) (added int64) {
-	if account.exact {
+// chargeOutstanding charges an account with the tokens that former owners may have
+// granted beyond the logged ceiling, and returns the tokens added. If the budget grows,
+// it charges the difference.
+func (ledger *Ledger) chargeOutstanding(account *account, budget int64) (added int64) {
+	if account.imported {
 		return 0
 	}
 	allowed := int64(0)
-	for _, allowance := range ledger.outstanding {
-		if allowance.Epoch >= account.ceilingEpoch && allowance.heldFor(account) {
-			allowed += allowance.of(budget)
+	for _, allowance := range ledger.outstandingAllowances {
+		if allowance.Epoch >= account.ceilingEpoch && allowance.appliesTo(account) {
+			allowed += allowance.tokensOf(budget)
 		}
 	}
-	added = max(allowed-account.outstanding, 0)
-	account.outstanding += added
+	added = max(allowed-account.chargedAllowances, 0)
+	account.chargedAllowances += added
 	account.base += added
-	account.doubt += added
+	account.uncertain += added
 	return added
 }
 
-// firstBeyond tells whether a turn that may go beyond the budget would be the first
-// such turn of the program, over all owners. A turn beyond the budget is granted
-// only once the log names it, and what it names is then over the budget. A former
-// owner whose allowance is outstanding may therefore have granted the whole budget
-// and no more; this ledger may add one turn to that, and nothing to it if it has
-// granted any other.
-func (ledger *Ledger) firstBeyond(account *account) bool {
-	newest, held := ledger.newestOutstanding(account)
+// allowsOverrun reports whether a turn that may exceed the budget would be the
+// program's first such turn under any owner. Such a turn is granted only after a
+// ceiling above the budget has been logged for it. Without one, a former owner with an
+// outstanding allowance has granted at most the budget. This ledger may then add one
+// turn, provided that it has granted none before.
+func (ledger *Ledger) allowsOverrun(account *account) bool {
+	newestEpoch, count := ledger.newestOutstanding(account)
 	switch {
-	case held == 0:
+	case count == 0:
 		return account.total() <= account.budget
-	case held > 1:
-		// The owner of the first may have granted a turn beyond its allowance, which the
-		// owner of the second did not know of.
+	case count > 1:
+		// The owner with the first allowance may have granted a turn beyond it, unknown
+		// to the owner with the second.
 		return false
 	}
-	granted := account.settled + account.openTotal + account.overdue
-	named := account.base - account.outstanding
-	return granted == 0 && named <= account.budget && !account.exact && account.ceilingEpoch <= newest
+	granted := account.settled + account.reserved + account.expired
+	logged := account.base - account.chargedAllowances
+	return granted == 0 && logged <= account.budget && !account.imported && account.ceilingEpoch <= newestEpoch
 }
 
-// heldFor tells whether an owner with the allowance may have granted anything under it to a
-// program, by what the log names.
-func (allowance Allowance) heldFor(account *account) bool {
+// appliesTo reports whether an owner with the allowance may have used it for an account.
+func (allowance Allowance) appliesTo(account *account) bool {
 	return !allowance.Second || account.ceilingEpoch >= allowance.Epoch
 }
 
-// newestOutstanding is the epoch of the newest outstanding allowance that holds for an
-// account, and how many do.
-func (ledger *Ledger) newestOutstanding(account *account) (newest int64, held int) {
-	for _, allowance := range ledger.outstanding {
-		if allowance.of(account.budget) > 0 && allowance.heldFor(account) {
-			newest = max(newest, allowance.Epoch)
-			held++
+// newestOutstanding returns the number of outstanding allowances that apply to an
+// account, and the highest epoch among them.
+func (ledger *Ledger) newestOutstanding(account *account) (epoch int64, count int) {
+	for _, allowance := range ledger.outstandingAllowances {
+		if allowance.tokensOf(account.budget) > 0 && allowance.appliesTo(account) {
+			epoch = max(epoch, allowance.Epoch)
+			count++
 		}
 	}
-	return newest, held
+	return epoch, count
 }
 
-// covered tells whether a turn may be granted under what the log has
-// acknowledged. An allowance covers the turns that begin below it, a second one those that
-// end below it.
-func (ledger *Ledger) covered(account *account, most int64) bool {
-	allowed := ledger.ownFor(account)
-	if allowed > 0 && !ledger.own.Second {
+// withinCeiling reports whether a turn may be granted under the acknowledged ceiling and
+// the owner's allowance. A first allowance covers turns that begin within it, a second
+// one those that end within it.
+func (ledger *Ledger) withinCeiling(account *account, maxTokens int64) bool {
+	allowed := ledger.ownAllowanceFor(account)
+	if allowed > 0 && !ledger.ownAllowance.Second {
 		return account.total() <= account.ceiling+allowed
 	}
-	return account.total()+most <= account.ceiling+allowed
+	return account.total()+maxTokens <= account.ceiling+allowed
 }
 
-// ownFor is what this owner's allowance is for an account.
-func (ledger *Ledger) ownFor(account *account) int64 {
-	if ledger.own.Second && !account.written {
+// ownAllowanceFor returns the tokens that the owner's allowance gives an account.
+func (ledger *Ledger) ownAllowanceFor(account *account) int64 {
+	if ledger.ownAllowance.Second && !account.ceilingAcknowledged {
 		return 0
 	}
-	return ledger.own.of(account.budget)
+	return ledger.ownAllowance.tokensOf(account.budget)
 }
 
-// renewShare of an allowance is what may be used before a higher ceiling is
-// written behind the grants.
-const renewShare = 0.5
+// renewalThreshold is the share of an allowance that may be used before a higher ceiling
+// is requested.
+const renewalThreshold = 0.5
 
-// renew wants the ceiling written that gives an allowance back, once enough of it
-// is used. total is what was counted before the turn that is being granted.
-func (ledger *Ledger) renew(program tenant.Program, account *account, total int64) {
-	allowed := ledger.ownFor(account)
-	if total <= account.ceiling+int64(renewShare*float64(allowed)) || total <= account.wanted {
+// renewAllowance requests a ceiling that makes the whole allowance available again, once
+// renewalThreshold of it is used. total excludes the turn being granted.
+func (ledger *Ledger) renewAllowance(program tenant.Program, account *account, total int64) {
+	allowed := ledger.ownAllowanceFor(account)
+	if total <= account.ceiling+int64(renewalThreshold*float64(allowed)) || total <= account.requestedCeiling {
 		return
 	}
-	account.wanted = total
-	ledger.changed[program] = true
+	account.requestedCeiling = total
+	ledger.pendingCeilings[program] = true
 }
--- a/internal/spending/allowance_test.go
+++ b/internal/spending/allowance_test.go
@@ -14,8 +14,7 @@
 	"pgregory.net/rapid"
 )
 
-// firstOwner returns the ledger of a shard's first owner, whose claim carries an
-// allowance.
+// firstOwner returns the ledger of a shard's first owner and its allowance.
 func firstOwner(largest int64) (*spending.Ledger, spending.Allowance) {
 	own := spending.NewAllowance(1, largest)
 	ledger := spending.NewLedger(nil, start)
@@ -23,7 +22,8 @@
 	return ledger, own
 }
 
-// successor returns the ledger of an owner that knows of an allowance only.
+// successor returns the ledger of an owner for which the log holds an outstanding
+// allowance and no ceilings.
 func successor(outstanding spending.Allowance) *spending.Ledger {
 	ledger := spending.NewLedger(nil, start)
 	ledger.SetAllowances(spending.Allowance{}, []spending.Allowance{outstanding})
@@ -31,7 +31,7 @@
 }
 
 var _ = Describe("Allowance", func() {
-	It("lets turns begin without a write until it is used", func() {
+	It("lets turns begin without a logged ceiling until it is used up", func() {
 		ledger, _ := firstOwner(576)
 		for _, request := range []string{"a", "b", "c"} {
 			Expect(reserve(ledger, request, 1800, 576)).To(Equal(spending.Granted))
@@ -42,7 +42,7 @@
 		Expect(reserve(ledger, "d", 1800, 576)).To(Equal(spending.Granted))
 	})
 
-	It("wants no write for a program that uses little", func() {
+	It("requests no ceiling for a program that uses little of it", func() {
 		ledger, _ := firstOwner(576)
 		Expect(reserve(ledger, "a", 1800, 576)).To(Equal(spending.Granted))
 		ledger.Settle(program, "a", 100, start)
@@ -50,12 +50,12 @@
 		Expect(ledger.DrainPendingCeilings()).To(BeEmpty())
 	})
 
-	It("is not given where no whole turn would fit beside it", func() {
+	It("does not apply to a budget without room for a whole turn beside it", func() {
 		ledger, _ := firstOwner(576)
 		Expect(reserve(ledger, "a", 800, 576)).To(Equal(spending.AwaitCeiling))
 	})
 
-	It("leaves a successor a whole turn of every program that it holds for", func() {
+	It("leaves a successor a whole turn of every program that it applies to", func() {
 		_, own := firstOwner(576)
 		next := successor(own)
 		Expect(reserve(next, "a", 900, 576)).To(Equal(spending.AwaitCeiling))
@@ -63,7 +63,7 @@
 		Expect(reserve(next, "a", 900, 576)).To(Equal(spending.Granted))
 	})
 
-	It("is counted by a successor for programs that the log does not name", func() {
+	It("is charged by a successor to programs without a logged ceiling", func() {
 		_, own := firstOwner(100)
 		next := successor(own)
 		granted := int64(0)
@@ -78,7 +78,7 @@
 	})
 
 	It("leaves a successor one turn of any size, and no second one", func() {
-		// The claim was made when only small turns had been asked for.
+		// At the time of the claim only small turns had been requested.
 		_, own := firstOwner(20)
 		logged := map[tenant.Program]spending.Ceiling{}
 		next := successor(own)
@@ -98,7 +98,7 @@
 		Expect(reserve(third, "b", 1000, 100)).To(Equal(spending.Undetermined))
 	})
 
-	It("leaves a successor a turn also of a program that used most of its budget", func() {
+	It("leaves a successor a turn of a program that has used most of its budget", func() {
 		_, own := firstOwner(20)
 		next := spending.NewLedger(map[tenant.Program]spending.Ceiling{program: {Program: program, Tokens: 900, Settled: 600, Epoch: own.Epoch}}, start)
 		next.SetAllowances(spending.Allowance{}, []spending.Allowance{own})
@@ -108,7 +108,7 @@
 		Expect(reserve(next, "b", 1000, 100)).To(Equal(spending.Undetermined))
 	})
 
-	It("leaves no turn beyond the budget to a successor that has granted another", func() {
+	It("grants no turn beyond the budget if the successor has granted another turn", func() {
 		_, own := firstOwner(20)
 		next := successor(own)
 		Expect(reserve(next, "a", 1000, 300)).To(Equal(spending.AwaitCeiling))
@@ -117,7 +117,7 @@
 		Expect(reserve(next, "b", 1000, 600)).To(Equal(spending.Undetermined))
 	})
 
-	It("lets the log name a turn beyond the budget first, also where there is an allowance", func() {
+	It("requires a logged ceiling for a turn beyond the budget despite an allowance", func() {
 		ledger := spending.NewLedger(map[tenant.Program]spending.Ceiling{program: {Program: program, Tokens: 700, Settled: 100}}, start)
 		ledger.SetAllowances(spending.NewAllowance(1, 100), nil)
 		Expect(reserve(ledger, "a", 1000, 400)).To(Equal(spending.AwaitCeiling))
@@ -127,22 +127,22 @@
 		Expect(reserve(ledger, "a", 1000, 400)).To(Equal(spending.Granted))
 	})
 
-	It("has a second one after the loss of its owner, for programs that it has named, which turns end below", func() {
+	It("allows a second one after the loss of the owner, for logged programs and turns that end within it", func() {
 		_, lost := firstOwner(100)
 		second := spending.ClaimAllowance(2, 100, []spending.Allowance{lost}, true)
 		ledger := spending.NewLedger(nil, start)
 		ledger.SetAllowances(second, []spending.Allowance{lost})
 		logged := map[tenant.Program]spending.Ceiling{}
-		Expect(reserve(ledger, "a", 900, 100)).To(Equal(spending.AwaitCeiling), "the program is named first")
+		Expect(reserve(ledger, "a", 900, 100)).To(Equal(spending.AwaitCeiling), "the program is logged first")
 		write(ledger, logged)
-		// From now on the log is away. A third of 900 may have been used by the lost owner,
-		// a third is this one's.
+		// No ceilings are acknowledged from here on. The lost owner may have used a third of
+		// 900; another third is this owner's.
 		for _, request := range []string{"a", "b", "c"} {
 			Expect(reserve(ledger, request, 900, 100)).To(Equal(spending.Granted))
 			ledger.Settle(program, request, 90, start)
 		}
 		Expect(reserve(ledger, "d", 900, 100)).To(Equal(spending.Granted))
-		Expect(reserve(ledger, "e", 900, 200)).To(Equal(spending.AwaitCeiling), "would end beyond it")
+		Expect(reserve(ledger, "e", 900, 200)).To(Equal(spending.AwaitCeiling), "the turn could exceed the allowance")
 
 		for _, ceiling := range logged {
 			ceiling.Epoch = 2
@@ -151,13 +151,13 @@
 		third := spending.NewLedger(logged, start)
 		third.SetAllowances(spending.Allowance{}, []spending.Allowance{lost, second})
 		reserve(third, "f", 900, 10)
-		Expect(third.Balance(program).Spent).To(BeNumerically(">=", 600), "a successor counts both for a program that is named")
+		Expect(third.Balance(program).Spent).To(BeNumerically(">=", 600), "a successor charges both to a logged program")
 		fresh := tenant.Program{ID: "begins under the third owner"}
 		third.Reserve(spending.ReserveRequest{Program: fresh, RequestID: "g", Budget: 900, MaxTokens: 10, ExpiresAt: start}, start)
-		Expect(third.Balance(fresh).Spent).To(BeNumerically("<=", 300), "and the first one for any other")
+		Expect(third.Balance(fresh).Spent).To(BeNumerically("<=", 300), "and only the first to any other program")
 	})
 
-	It("has no third one, and no second one while nodes don't count it, or for small budgets", func() {
+	It("allows no third one, and no second one for small budgets or while some nodes don't support it", func() {
 		_, lost := firstOwner(100)
 		second := spending.ClaimAllowance(2, 100, []spending.Allowance{lost}, true)
 		Expect(second.Permille).To(BeNumerically(">", 0))
@@ -168,22 +168,22 @@
 		Expect(reserve(ledger, "a", 300, 100)).To(Equal(spending.AwaitCeiling))
 	})
 
-	It("holds for a budget without a bound", func() {
+	It("applies to an unlimited budget", func() {
 		ledger, _ := firstOwner(576)
 		Expect(reserve(ledger, "a", 1<<61, 576)).To(Equal(spending.Granted))
 	})
 })
 
-// shardModel is a shard's partition of the log and all owners that it ever had.
+// shardModel is a shard's partition of the log with all its owners so far.
 type shardModel struct {
 	ceilings    map[tenant.Program]spending.Ceiling
 	outstanding []spending.Allowance
 	owners      []*modelOwner
-	// second is true where all nodes count a second allowance.
+	// second is true if all nodes support a second allowance.
 	second bool
 }
 
-// modelOwner is an owner; stopped ones grant nothing any more.
+// modelOwner is an owner; a stopped one grants nothing.
 type modelOwner struct {
 	ledger  *spending.Ledger
 	own     spending.Allowance
@@ -194,7 +194,7 @@
 
 func (model *shardModel) epoch() int64 { return int64(len(model.owners)) }
 
-// write acknowledges the newest owner's ceilings.
+// write logs ceilings under the newest owner's epoch.
 func (model *shardModel) write(ceilings []spending.Ceiling) {
 	for _, ceiling := range ceilings {
 		ceiling.Epoch = model.epoch()
@@ -202,19 +202,19 @@
 	}
 }
 
-// close takes the newest owner's allowance out of those that may be used.
+// close removes the newest owner's allowance from the outstanding ones.
 func (model *shardModel) close() {
 	closed := model.newest().own
-	var left []spending.Allowance
+	var remaining []spending.Allowance
 	for _, allowance := range model.outstanding {
 		if allowance != closed {
-			left = append(left, allowance)
+			remaining = append(remaining, allowance)
 		}
 	}
-	model.outstanding = left
+	model.outstanding = remaining
 }
 
-// claim adds an owner that starts from the log.
+// claim adds an owner that starts from the log and the accounts handed over, if any.
 func (model *shardModel) claim(largest int64, accounts []spending.Account) {
 	ledger := spending.NewLedger(maps.Clone(model.ceilings), start)
 	ledger.ImportAccounts(accounts, start)
@@ -230,68 +230,69 @@
 	}
 }
 
-// TestAllowancesHold lets owners with allowances come and go. Some are lost or
-// cut off and go on granting, some hand over through the log, some directly; all
-// may be asked at any time, and the log may be away for any number of steps.
+// TestAllowancesHold checks that random sequences of owners with allowances never exceed
+// the budget by more than one turn. Owners are lost, partitioned and still granting, or
+// hand over through the log or directly, while the log is unavailable for any number of
+// steps.
 func TestAllowancesHold(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		const most = 100
-		// Few sizes, so that bounds are met exactly and by different ways.
-		sizes := rapid.SampledFrom([]int64{20, 60, most})
+		const maxTokens = 100
+		// Few sizes, so that the limits are often reached exactly.
+		sizes := rapid.SampledFrom([]int64{20, 60, maxTokens})
 		budget := rapid.SampledFrom([]int64{100, 150, 200, 300, 400}).Draw(t, "budget")
 		largestKnown := sizes.Draw(t, "largest known")
 		model := &shardModel{ceilings: map[tenant.Program]spending.Ceiling{}, second: rapid.Bool().Draw(t, "second")}
 		model.claim(largestKnown, nil)
 		type turn struct {
-			owner *modelOwner
-			key   string
-			spent int64
+			owner     *modelOwner
+			requestID string
+			spent     int64
 		}
-		var open []turn
-		given, largest := int64(0), int64(0)
+		var openTurns []turn
+		totalSpent, largest := int64(0), int64(0)
 		for step := range rapid.IntRange(1, 150).Draw(t, "steps") {
 			newest := model.newest()
 			switch rapid.IntRange(0, 9).Draw(t, "action") {
-			case 0, 1, 2, 3: // Any owner, also one that was cut off, is asked.
+			case 0, 1, 2, 3: // A request to any owner, including a partitioned one.
 				owner := rapid.SampledFrom(model.owners).Draw(t, "owner")
-				size := sizes.Draw(t, "most")
+				size := sizes.Draw(t, "max tokens")
 				if owner.stopped || reserve(owner.ledger, fmt.Sprint(step), budget, size) != spending.Granted {
 					continue
 				}
 				spent := rapid.SampledFrom([]int64{0, size / 2, size, size}).Draw(t, "spent")
-				given += spent
+				totalSpent += spent
 				largest = max(largest, spent)
-				open = append(open, turn{owner, fmt.Sprint(step), spent})
-			case 4: // Only the newest owner's appends are taken.
-				wanted := newest.ledger.DrainPendingCeilings()
-				model.write(wanted)
-				newest.ledger.AcknowledgeCeilings(wanted)
-			case 5: // A turn ends, or its end never comes to its owner.
-				if len(open) == 0 {
+				openTurns = append(openTurns, turn{owner, fmt.Sprint(step), spent})
+			case 4: // The log accepts only the newest owner's appends.
+				ceilings := newest.ledger.DrainPendingCeilings()
+				model.write(ceilings)
+				newest.ledger.AcknowledgeCeilings(ceilings)
+			case 5: // A turn ends, and its settlement may be lost.
+				if len(openTurns) == 0 {
 					continue
 				}
-				ended := open[0]
-				open = open[1:]
+				ended := openTurns[0]
+				openTurns = openTurns[1:]
 				if !ended.owner.stopped && rapid.Bool().Draw(t, "settles") {
-					ended.owner.ledger.Settle(program, ended.key, ended.spent, start)
+					ended.owner.ledger.Settle(program, ended.requestID, ended.spent, start)
 				}
-			case 6: // The owner is lost, or cut off and goes on.
+			case 6: // The owner is lost, or is partitioned and continues.
 				model.claim(largestKnown, nil)
 			case 7: // A planned stop.
 				newest.stopped = true
 				model.write(newest.ledger.Checkpoint())
 				model.close()
 				model.claim(largestKnown, nil)
-			case 8: // It yields; its accounts are written with the claim.
+			case 8: // A handover; the accounts are written with the claim.
 				newest.stopped = true
 				accounts := newest.ledger.ExportAccounts()
 				model.close()
 				model.claim(largestKnown, append([]spending.Account{}, accounts...))
-			case 9: // An owner hears of no end until the turns' time is over.
-				rapid.SampledFrom(model.owners).Draw(t, "owner").ledger.ExpireTurns(start.Add(turnTime + time.Second))
+			case 9: // An owner's open turns expire without settlement.
+				rapid.SampledFrom(model.owners).Draw(t, "owner").ledger.ExpireTurns(start.Add(turnTimeout + time.Second))
 			}
-			if given > budget+largest {
-				t.Fatalf("%d tokens given, budget %d and one turn of %d", given, budget, largest)
+			if totalSpent > budget+largest {
+				t.Fatalf("%d tokens spent, want at most the budget of %d and one turn of %d", totalSpent, budget, largest)
 			}
 		}
 	})
--- a/internal/spending/handover.go
+++ b/internal/spending/handover.go
@@ -13,75 +13,75 @@
 	ExpiresAt time.Time
 }
 
-// Account is a program's state, as one owner hands it to the next.
+// Account is the state of a program that an owner hands over to its successor.
 type Account struct {
 	Program tenant.Program
-	// Spent is what is counted beside the open turns; Doubt the part of it of
-	// which it is not known whether it was used.
+	// Spent excludes open turns; Uncertain is the part of it that may not have been
+	// used.
 	Spent     int64
 	Uncertain int64
 	OpenTurns []OpenTurn
 	Ceiling   int64
 }
 
-// ExportAccounts returns the whole state, for a successor. The ledger must grant
+// ExportAccounts returns the ledger's state for a successor. The ledger must grant
 // nothing afterwards.
 func (ledger *Ledger) ExportAccounts() []Account {
 	accounts := make([]Account, 0, len(ledger.accounts))
-	for program, held := range ledger.accounts {
-		if held.budget == 0 && !held.exact {
-			continue // Never asked for here: the log's ceiling says what is known.
+	for program, source := range ledger.accounts {
+		if source.budget == 0 && !source.imported {
+			continue // Not used under this owner: the logged ceiling is the whole state.
 		}
-		handed := Account{
+		exported := Account{
 			Program:   program,
-			Spent:     held.base + held.settled,
-			Uncertain: held.doubt,
-			Ceiling:   held.ceiling,
+			Spent:     source.base + source.settled,
+			Uncertain: source.uncertain,
+			Ceiling:   source.ceiling,
 		}
-		for request, turn := range held.open {
-			handed.OpenTurns = append(handed.OpenTurns, OpenTurn{RequestID: request, MaxTokens: turn.most, ExpiresAt: turn.until})
+		for requestID, turn := range source.openTurns {
+			exported.OpenTurns = append(exported.OpenTurns, OpenTurn{RequestID: requestID, MaxTokens: turn.maxTokens, ExpiresAt: turn.expiresAt})
 		}
-		accounts = append(accounts, handed)
+		accounts = append(accounts, exported)
 	}
 	return accounts
 }
 
-// ImportAccounts replaces what the log says by a predecessor's own accounts. The
-// predecessor's ceilings stay in force; those of the log may be higher where it
-// did not hear of its last append.
+// ImportAccounts replaces the state derived from the log by accounts that the former
+// owner has exported. The higher of the two ceilings applies: the former owner may not
+// have received the acknowledgment of its last append.
 func (ledger *Ledger) ImportAccounts(accounts []Account, now time.Time) {
-	for _, handed := range accounts {
-		held := ledger.account(handed.Program)
-		held.base = handed.Spent
-		held.doubt = handed.Uncertain
-		held.doubtSince = now
-		held.settled = 0
-		held.open = make(map[string]reservation, len(handed.OpenTurns))
-		held.openTotal = 0
-		for _, turn := range handed.OpenTurns {
-			held.open[turn.RequestID] = reservation{most: turn.MaxTokens, until: turn.ExpiresAt}
-			held.openTotal += turn.MaxTokens
+	for _, exported := range accounts {
+		target := ledger.account(exported.Program)
+		target.base = exported.Spent
+		target.uncertain = exported.Uncertain
+		target.uncertainSince = now
+		target.settled = 0
+		target.openTurns = make(map[string]reservation, len(exported.OpenTurns))
+		target.reserved = 0
+		for _, turn := range exported.OpenTurns {
+			target.openTurns[turn.RequestID] = reservation{maxTokens: turn.MaxTokens, expiresAt: turn.ExpiresAt}
+			target.reserved += turn.MaxTokens
 		}
-		held.exact = true
-		held.ceiling = max(held.ceiling, handed.Ceiling)
-		held.wanted = max(held.wanted, held.ceiling)
-		held.used = now
+		target.imported = true
+		target.ceiling = max(target.ceiling, exported.Ceiling)
+		target.requestedCeiling = max(target.requestedCeiling, target.ceiling)
+		target.lastUsed = now
 	}
 }
 
-// Checkpoint returns ceilings at exactly what is used, and goes on from them: once
-// they are written, no allowance used so far is outstanding. The ledger must grant
-// nothing until then.
+// Checkpoint sets each ceiling to the tokens spent and reserved, and returns the
+// ceilings that changed. Once they are logged, no use of an allowance is outstanding.
+// The ledger must grant nothing until then.
 func (ledger *Ledger) Checkpoint() []Ceiling {
-	var exact []Ceiling
+	var ceilings []Ceiling
 	for program, account := range ledger.accounts {
-		if account.ceiling == account.total() && account.wanted == account.total() {
+		if account.ceiling == account.total() && account.requestedCeiling == account.total() {
 			continue
 		}
 		account.ceiling = account.total()
-		account.wanted = account.total()
-		exact = append(exact, Ceiling{Program: program, Tokens: account.total(), Settled: account.known()})
+		account.requestedCeiling = account.total()
+		ceilings = append(ceilings, Ceiling{Program: program, Tokens: account.total(), Settled: account.knownSpent()})
 	}
-	clear(ledger.changed)
-	return exact
+	clear(ledger.pendingCeilings)
+	return ceilings
 }
--- a/internal/spending/spending.go
+++ b/internal/spending/spending.go
@@ -1,11 +1,11 @@
-// Package spending decides what agent programs may still spend, in tokens.
+// Package spending enforces the token budgets of agent programs.
 //
-// A Ledger is the account book of one shard, kept by the shard's owner alone.
-// It is a pure state machine without clock, lock or input and output. What it
-// grants stays under ceilings that the log has acknowledged, and beyond them
-// within the Allowance of the owner's claim. A new owner starts each program from
-// its ceiling and the allowances that former owners may have used, so that one of
-// them that was cut off and goes on can only use what has been counted already.
+// A Ledger holds the accounts of one shard and is used by the shard's owner alone. It is
+// a state machine without a clock, locks or I/O. It grants tokens up to ceilings that
+// the log has acknowledged, and beyond them within the Allowance of the owner's claim. A
+// new owner starts each program from its logged ceiling plus the outstanding allowances
+// of former owners, so that a partitioned former owner that continues to grant uses only
+// tokens that are already charged.
 package spending
 
 import (
@@ -14,108 +14,111 @@
 	"github.com/magpielug/magpielug/internal/tenant"
 )
 
-// Verdict is the answer to a request for tokens.
+// Verdict is the result of a reservation.
 type Verdict int
 
 // Verdicts.
 const (
-	// Granted: the tokens are reserved.
+	// Granted means that the tokens are reserved.
 	Granted Verdict = iota
-	// BudgetExhausted: the budget leaves no room for the turn at its most.
+	// BudgetExhausted means that the budget does not cover the turn's maximum.
 	BudgetExhausted
-	// Undetermined: the budget may leave room, but a former owner may have used it.
+	// Undetermined means that the budget may cover the turn, unless a former owner has
+	// used the tokens.
 	Undetermined
-	// AwaitCeiling: granted as soon as a higher ceiling is acknowledged.
+	// AwaitCeiling means that the turn can be granted once a higher ceiling is
+	// acknowledged.
 	AwaitCeiling
 )
 
-// aheadShare of the budget is what a new ceiling allows beyond the turn that
-// needs it and one more of its size. More means fewer appends; less means that
-// less is counted as spent when the owner is lost.
-const aheadShare = 1.0 / 16
+// ceilingHeadroom is the share of the budget that a new ceiling adds beyond the turn that
+// needs it and another of the same size. A higher value needs fewer appends; a lower one
+// charges less when the owner is lost.
+const ceilingHeadroom = 1.0 / 16
 
-// doubtPatience is how long an account says that it is unsure, from the first time that it does.
-const doubtPatience = 3 * time.Second
+// uncertaintyTimeout is how long an account returns Undetermined after the first time.
+const uncertaintyTimeout = 3 * time.Second
 
-// Ceiling bounds what a program may have been granted.
+// Ceiling is the upper bound on the tokens granted to a program.
 type Ceiling struct {
 	Program tenant.Program
 	Tokens  int64
-	// Settled is the part that is known to be spent. Open turns are no part of
-	// it: their ends may never come to a successor.
+	// Settled is the part known to be spent. It excludes open turns, as a successor may
+	// never receive their settlement.
 	Settled int64
-	// Epoch is that of the claim under which it was written.
+	// Epoch is that of the claim under which the ceiling was logged.
 	Epoch int64
 }
 
-// account is one program's.
+// account is the state of one program.
 type account struct {
-	// base is what was counted when this owner took over; doubt is the part of
-	// it of which it is not known whether it was used.
-	base  int64
-	doubt int64
-	// doubtSince is when the newest part of the doubt began, doubtTold when its program was
-	// first told of it since.
-	doubtSince time.Time
-	doubtTold  time.Time
-	// settled is what turns that ended under this owner have spent.
+	// base is the amount charged at the takeover plus that of turns expired since.
+	// uncertain is the part of it that may not have been used.
+	base      int64
+	uncertain int64
+	// uncertainSince is when uncertain last grew; uncertainReportedAt is when Undetermined
+	// was first returned after that.
+	uncertainSince      time.Time
+	uncertainReportedAt time.Time
+	// settled is the spending of turns settled under this owner.
 	settled int64
-	// open holds each turn that has not ended, by request.
-	open      map[string]reservation
-	openTotal int64
-	// overdue is what turns may have spent whose end was never heard of. It is part
-	// of base.
-	overdue int64
-	// ceiling is acknowledged, wanted the highest asked for.
-	ceiling int64
-	wanted  int64
-	budget  int64
-	used    time.Time
-	// ceilingEpoch is that of the ceiling which the ledger started from, written is true once
-	// the log has acknowledged one of this owner.
-	ceilingEpoch int64
-	written      bool
-	// outstanding is the part of base that former owners' allowances account for;
-	// exact accounts came from the former owner itself and have none.
-	outstanding int64
-	exact       bool
+	// openTurns holds the turns that have not ended, by request id.
+	openTurns map[string]reservation
+	reserved  int64
+	// expired is the maximum of turns that expired without a settlement. It is included
+	// in base.
+	expired int64
+	// ceiling is the acknowledged one, requestedCeiling the highest one requested.
+	ceiling          int64
+	requestedCeiling int64
+	budget           int64
+	lastUsed         time.Time
+	// ceilingEpoch is that of the ceiling at the takeover. ceilingAcknowledged is true once
+	// the log has acknowledged a ceiling of this owner.
+	ceilingEpoch        int64
+	ceilingAcknowledged bool
+	// chargedAllowances is the part of base charged for former owners' allowances. It is
+	// not charged to accounts imported from the former owner.
+	chargedAllowances int64
+	imported          bool
 }
 
-// reservation is a turn that has not ended: the most that it may spend, and when
-// its time is over even where its end is never heard of.
+// reservation is an open turn. It expires at expiresAt if it is not settled.
 type reservation struct {
-	most  int64
-	until time.Time
+	maxTokens int64
+	expiresAt time.Time
 }
 
-func (account *account) total() int64 { return account.base + account.settled + account.openTotal }
+func (account *account) total() int64 { return account.base + account.settled + account.reserved }
 
-// known is what is spent for certain.
-func (account *account) known() int64 { return account.base - account.doubt + account.settled }
+// knownSpent returns the tokens known to be spent.
+func (account *account) knownSpent() int64 {
+	return account.base - account.uncertain + account.settled
+}
 
-// Ledger holds the accounts of a shard.
+// Ledger holds the accounts of a shard. It is not safe for concurrent use.
 type Ledger struct {
 	accounts map[tenant.Program]*account
-	// changed holds the programs of which a ceiling is wanted.
-	changed map[tenant.Program]bool
-	// own and outstanding are allowances: this owner's, and those of former owners
-	// that may have been used.
-	own         Allowance
-	outstanding []Allowance
+	// pendingCeilings holds the programs whose requested ceiling is to be written.
+	pendingCeilings map[tenant.Program]bool
+	// ownAllowance is this owner's. outstandingAllowances are those of former owners that
+	// may have been used.
+	ownAllowance          Allowance
+	outstandingAllowances []Allowance
 }
 
-// NewLedger returns a ledger that starts from the newest ceilings of the log.
+// NewLedger returns a ledger that starts from the latest logged ceilings.
 func NewLedger(ceilings map[tenant.Program]Ceiling, now time.Time) *Ledger {
-	ledger := &Ledger{accounts: make(map[tenant.Program]*account, len(ceilings)), changed: map[tenant.Program]bool{}}
+	ledger := &Ledger{accounts: make(map[tenant.Program]*account, len(ceilings)), pendingCeilings: map[tenant.Program]bool{}}
 	for program, ceiling := range ceilings {
 		ledger.accounts[program] = &account{
-			base:       ceiling.Tokens,
-			doubt:      ceiling.Tokens - ceiling.Settled,
-			doubtSince: now,
-			open:       map[string]reservation{},
-			ceiling:    ceiling.Tokens,
-			wanted:     ceiling.Tokens,
-			used:       now,
+			base:             ceiling.Tokens,
+			uncertain:        ceiling.Tokens - ceiling.Settled,
+			uncertainSince:   now,
+			openTurns:        map[string]reservation{},
+			ceiling:          ceiling.Tokens,
+			requestedCeiling: ceiling.Tokens,
+			lastUsed:         now,
 
 			ceilingEpoch: ceiling.Epoch,
 		}
@@ -126,221 +129,220 @@
 func (ledger *Ledger) account(program tenant.Program) *account {
 	found := ledger.accounts[program]
 	if found == nil {
-		found = ledger.accounts[program.WithoutTenant()].continued()
+		found = ledger.accounts[program.WithoutTenant()].newTenantAccount()
 		ledger.accounts[program] = found
 	}
 	return found
 }
 
-// continued returns the account of a program that went on under a name without its
-// tenant, at a node that knew no tenants: what may be spent there counts for each tenant
-// with a program of that id.
-func (unowned *account) continued() *account {
-	fresh := &account{open: map[string]reservation{}}
-	if unowned == nil {
-		return fresh
+// newTenantAccount returns a new account for a tenant's program. The spending recorded by
+// nodes without tenant support, under the program id alone, is charged to every tenant
+// with a program of that id. The receiver is nil if there is none.
+func (untenanted *account) newTenantAccount() *account {
+	created := &account{openTurns: map[string]reservation{}}
+	if untenanted == nil {
+		return created
 	}
-	fresh.base = unowned.total()
-	fresh.doubt = unowned.doubt + unowned.openTotal
-	fresh.doubtSince = unowned.doubtSince
-	fresh.ceiling = unowned.ceiling
-	fresh.wanted = unowned.wanted
-	fresh.ceilingEpoch = unowned.ceilingEpoch
-	fresh.outstanding = unowned.outstanding
-	fresh.exact = unowned.exact
-	return fresh
+	created.base = untenanted.total()
+	created.uncertain = untenanted.uncertain + untenanted.reserved
+	created.uncertainSince = untenanted.uncertainSince
+	created.ceiling = untenanted.ceiling
+	created.requestedCeiling = untenanted.requestedCeiling
+	created.ceilingEpoch = untenanted.ceilingEpoch
+	created.chargedAllowances = untenanted.chargedAllowances
+	created.imported = untenanted.imported
+	return created
 }
 
 // ReserveRequest is a request for a turn's tokens.
 type ReserveRequest struct {
 	Program   tenant.Program
 	RequestID string
-	// Budget is the program's, Most what the turn may spend, tokens.
+	// Budget is that of the program, MaxTokens the maximum of the turn, both in tokens.
 	Budget    int64
 	MaxTokens int64
-	// ExpiresAt is when the turn's time is over.
+	// ExpiresAt is when the reservation expires if it is not settled.
 	ExpiresAt time.Time
 }
 
-// Reserve asks for a turn's most tokens under the program's budget. The same
-// request may ask again; it reserves once.
-func (ledger *Ledger) Reserve(order ReserveRequest, now time.Time) Verdict {
-	program, budget, most := order.Program, order.Budget, order.MaxTokens
+// Reserve reserves a turn's maximum under the program's budget. It is idempotent for
+// requests with the same id.
+func (ledger *Ledger) Reserve(request ReserveRequest, now time.Time) Verdict {
+	program, budget, maxTokens := request.Program, request.Budget, request.MaxTokens
 	account := ledger.account(program)
-	account.used = now
+	account.lastUsed = now
 	account.budget = budget
-	if ledger.countOutstanding(account, budget) > 0 {
-		account.doubtSince = now
+	if ledger.chargeOutstanding(account, budget) > 0 {
+		account.uncertainSince = now
 	}
-	if _, open := account.open[order.RequestID]; open {
+	if _, open := account.openTurns[request.RequestID]; open {
 		return Granted
 	}
-	needed := account.total() + most
+	needed := account.total() + maxTokens
 	if needed > budget {
-		verdict := ledger.overBudget(account, needed, now)
+		verdict := ledger.decideOverBudget(account, needed, now)
 		if verdict != Granted {
 			return verdict
 		}
 		if needed > account.ceiling {
-			// A turn beyond the budget is granted once, over all owners: the log has
-			// to name it first.
-			ledger.want(program, account, needed)
+			// Only one turn may exceed the budget under all owners, so its ceiling must be
+			// logged before it is granted.
+			ledger.requestCeiling(program, account, needed)
 			return AwaitCeiling
 		}
 	}
-	if !ledger.covered(account, most) {
-		ledger.raise(program, account, needed, most)
+	if !ledger.withinCeiling(account, maxTokens) {
+		ledger.raiseCeiling(program, account, needed, maxTokens)
 		return AwaitCeiling
 	}
-	account.open[order.RequestID] = reservation{most: most, until: order.ExpiresAt}
-	account.openTotal += most
-	if account.ceiling < needed+most {
-		ledger.raise(program, account, needed, most)
+	account.openTurns[request.RequestID] = reservation{maxTokens: maxTokens, expiresAt: request.ExpiresAt}
+	account.reserved += maxTokens
+	if account.ceiling < needed+maxTokens {
+		ledger.raiseCeiling(program, account, needed, maxTokens)
 	}
 	return Granted
 }
 
-// overBudget decides where the turn at its most does not fit. The bound that
-// holds is the budget and one largest turn. One turn that begins below the budget
-// may go beyond it, and only for what is in doubt. A doubt that nothing has settled
-// for doubtPatience never will be: it counts as spent from then on, so that a
-// program that loops without end is stopped, and not told to come back for ever.
-func (ledger *Ledger) overBudget(account *account, needed int64, now time.Time) Verdict {
+// decideOverBudget decides about a turn whose maximum exceeds the remaining budget. Total
+// spending is bounded by the budget plus one turn. One turn that begins within the budget
+// may exceed it, and only by uncertain spending. Spending that is still uncertain after
+// uncertaintyTimeout counts as used, so that a program that retries forever is stopped.
+func (ledger *Ledger) decideOverBudget(account *account, needed int64, now time.Time) Verdict {
 	switch {
-	case needed-account.doubt > account.budget:
+	case needed-account.uncertain > account.budget:
 		return BudgetExhausted
-	case ledger.firstBeyond(account):
+	case ledger.allowsOverrun(account):
 		return Granted
-	case now.Sub(account.toldSince(now)) > doubtPatience:
+	case now.Sub(account.firstReportedUncertain(now)) > uncertaintyTimeout:
 		return BudgetExhausted
 	}
 	return Undetermined
 }
 
-// toldSince is when the program was first told of its newest doubt, now where it was not. The
-// patience with a doubt begins with that, and not with the doubt itself: a program that its
-// limit or a slow tool held back would be refused without ever having been told to come back.
-func (account *account) toldSince(now time.Time) time.Time {
-	if account.doubtTold.Before(account.doubtSince) || account.doubtTold.IsZero() {
-		account.doubtTold = now
+// firstReportedUncertain returns when the program was first told of its current uncertain
+// spending, now if it has not been. uncertaintyTimeout runs from this time and not from
+// uncertainSince: a program that was delayed would otherwise be refused without having
+// been told to retry.
+func (account *account) firstReportedUncertain(now time.Time) time.Time {
+	if account.uncertainReportedAt.Before(account.uncertainSince) || account.uncertainReportedAt.IsZero() {
+		account.uncertainReportedAt = now
 	}
-	return account.doubtTold
+	return account.uncertainReportedAt
 }
 
-// raise wants a ceiling for what is needed and some turns ahead. Where the owner
-// has an allowance it wants one behind the grants instead.
-func (ledger *Ledger) raise(program tenant.Program, account *account, needed, most int64) {
-	if ledger.ownFor(account) > 0 {
-		ledger.renew(program, account, needed-most)
+// raiseCeiling requests a ceiling that covers needed tokens and some turns beyond it. For
+// an account with an allowance it renews the allowance instead.
+func (ledger *Ledger) raiseCeiling(program tenant.Program, account *account, needed, maxTokens int64) {
+	if ledger.ownAllowanceFor(account) > 0 {
+		ledger.renewAllowance(program, account, needed-maxTokens)
 		return
 	}
-	ahead := most + int64(aheadShare*float64(account.budget))
-	// The room of a last turn stays out of it, so that a successor can grant one.
-	next := max(min(needed+ahead, account.budget-most), needed)
-	ledger.want(program, account, next)
+	headroom := maxTokens + int64(ceilingHeadroom*float64(account.budget))
+	// Leaves room for one last turn, so that a successor can grant it.
+	ceiling := max(min(needed+headroom, account.budget-maxTokens), needed)
+	ledger.requestCeiling(program, account, ceiling)
 }
 
-// want asks for a ceiling to be written, unless one as high was asked for already.
-func (ledger *Ledger) want(program tenant.Program, account *account, ceiling int64) {
-	if ceiling > account.wanted {
-		account.wanted = ceiling
-		ledger.changed[program] = true
+// requestCeiling requests that a ceiling be written, unless one as high has been requested.
+func (ledger *Ledger) requestCeiling(program tenant.Program, account *account, ceiling int64) {
+	if ceiling > account.requestedCeiling {
+		account.requestedCeiling = ceiling
+		ledger.pendingCeilings[program] = true
 	}
 }
 
-// RequeueCeiling has a program's ceiling written once more, as it is.
+// RequeueCeiling requests that a program's ceiling be written again unchanged.
 func (ledger *Ledger) RequeueCeiling(program tenant.Program) {
 	if ledger.accounts[program] != nil {
-		ledger.changed[program] = true
+		ledger.pendingCeilings[program] = true
 	}
 }
 
-// Settle ends a turn that spent tokens. It returns false for an unknown request,
-// which changes nothing: it was reserved with a former owner and is counted in
-// the ceiling, or its reservation has not come yet.
-func (ledger *Ledger) Settle(program tenant.Program, request string, tokens int64, now time.Time) bool {
+// Settle ends a turn that spent tokens. It returns false and changes nothing if the
+// request is unknown: either a former owner reserved it and its tokens are part of the
+// ceiling, or its reservation has not arrived yet.
+func (ledger *Ledger) Settle(program tenant.Program, requestID string, tokens int64, now time.Time) bool {
 	account := ledger.accounts[program]
 	if account == nil {
 		return false
 	}
-	turn, open := account.open[request]
+	turn, open := account.openTurns[requestID]
 	if !open {
 		return false
 	}
-	delete(account.open, request)
-	account.openTotal -= turn.most
+	delete(account.openTurns, requestID)
+	account.reserved -= turn.maxTokens
 	account.settled += tokens
-	account.used = now
+	account.lastUsed = now
 	return true
 }
 
-// ExpireTurns ends the turns whose time is over and of which no end was heard, at
-// their most. What they have spent is in doubt from then on: their node may be
-// gone, or may have been answered nothing.
+// ExpireTurns ends the turns that have expired and charges their maximum as uncertain
+// spending: the node that ran a turn may have been lost or may not have received the grant.
 func (ledger *Ledger) ExpireTurns(now time.Time) {
 	for _, account := range ledger.accounts {
-		for request, turn := range account.open {
-			if now.After(turn.until) {
-				delete(account.open, request)
-				account.openTotal -= turn.most
-				account.base += turn.most
-				account.overdue += turn.most
-				account.doubt += turn.most
-				account.doubtSince = now
+		for requestID, turn := range account.openTurns {
+			if now.After(turn.expiresAt) {
+				delete(account.openTurns, requestID)
+				account.reserved -= turn.maxTokens
+				account.base += turn.maxTokens
+				account.expired += turn.maxTokens
+				account.uncertain += turn.maxTokens
+				account.uncertainSince = now
 			}
 		}
 	}
 }
 
-// DrainPendingCeilings returns the ceilings to write and forgets that they are wanted.
+// DrainPendingCeilings returns the ceilings to write and clears the list of them.
 func (ledger *Ledger) DrainPendingCeilings() []Ceiling {
-	if len(ledger.changed) == 0 {
+	if len(ledger.pendingCeilings) == 0 {
 		return nil
 	}
-	wanted := make([]Ceiling, 0, len(ledger.changed))
-	for program := range ledger.changed {
+	ceilings := make([]Ceiling, 0, len(ledger.pendingCeilings))
+	for program := range ledger.pendingCeilings {
 		account := ledger.accounts[program]
-		wanted = append(wanted, Ceiling{Program: program, Tokens: account.wanted, Settled: account.known()})
+		ceilings = append(ceilings, Ceiling{Program: program, Tokens: account.requestedCeiling, Settled: account.knownSpent()})
 	}
-	clear(ledger.changed)
-	return wanted
+	clear(ledger.pendingCeilings)
+	return ceilings
 }
 
-// AcknowledgeCeilings notes that the log has acknowledged ceilings.
+// AcknowledgeCeilings applies ceilings that the log has acknowledged.
 func (ledger *Ledger) AcknowledgeCeilings(ceilings []Ceiling) {
-	for _, written := range ceilings {
-		account := ledger.accounts[written.Program]
+	for _, acknowledged := range ceilings {
+		account := ledger.accounts[acknowledged.Program]
 		if account != nil {
-			account.ceiling = max(account.ceiling, written.Tokens)
-			account.written = true
+			account.ceiling = max(account.ceiling, acknowledged.Tokens)
+			account.ceilingAcknowledged = true
 		}
 	}
 }
 
-// Expire drops accounts without an open turn that were not used since before.
-func (ledger *Ledger) Expire(before time.Time) {
+// ExpireAccounts removes the accounts without open turns that were last used before a time.
+func (ledger *Ledger) ExpireAccounts(before time.Time) {
 	for program, account := range ledger.accounts {
-		if len(account.open) == 0 && account.used.Before(before) && !ledger.changed[program] {
+		if len(account.openTurns) == 0 && account.lastUsed.Before(before) && !ledger.pendingCeilings[program] {
 			delete(ledger.accounts, program)
 		}
 	}
 }
 
-// Balance is what decided about a program.
+// Balance is a summary of an account.
 type Balance struct {
-	// Spent is counted beside the open turns, Doubt the part of it that may not
-	// have been used, Open what open turns may use.
+	// Spent excludes open turns, Uncertain is the part of it that may not have been used,
+	// Reserved is the maximum of the open turns.
 	Spent     int64
 	Uncertain int64
 	Reserved  int64
 	Ceiling   int64
 }
 
-// Balance returns a program's, zero for one without an account.
+// Balance returns a program's balance, zero if it has no account.
 func (ledger *Ledger) Balance(program tenant.Program) Balance {
 	account := ledger.accounts[program]
 	if account == nil {
 		return Balance{}
 	}
-	return Balance{Spent: account.base + account.settled, Uncertain: account.doubt, Reserved: account.openTotal, Ceiling: account.ceiling}
+	return Balance{Spent: account.base + account.settled, Uncertain: account.uncertain, Reserved: account.reserved, Ceiling: account.ceiling}
 }
--- a/internal/spending/tenant_test.go
+++ b/internal/spending/tenant_test.go
@@ -8,34 +8,34 @@
 )
 
 var _ = Describe("Programs of tenants", func() {
-	order := func(holder, request string) spending.ReserveRequest {
-		return spending.ReserveRequest{Program: tenant.Program{Tenant: holder, ID: "p"}, RequestID: request, Budget: 500, MaxTokens: 288, ExpiresAt: start.Add(turnTime)}
+	request := func(tenantName, id string) spending.ReserveRequest {
+		return spending.ReserveRequest{Program: tenant.Program{Tenant: tenantName, ID: "p"}, RequestID: id, Budget: 500, MaxTokens: 288, ExpiresAt: start.Add(turnTimeout)}
 	}
 
-	granted := func(ledger *spending.Ledger, logged map[tenant.Program]spending.Ceiling, holder, request string) spending.Verdict {
-		verdict := ledger.Reserve(order(holder, request), start)
+	reserveLogged := func(ledger *spending.Ledger, logged map[tenant.Program]spending.Ceiling, tenantName, id string) spending.Verdict {
+		verdict := ledger.Reserve(request(tenantName, id), start)
 		if verdict == spending.AwaitCeiling {
 			write(ledger, logged)
-			verdict = ledger.Reserve(order(holder, request), start)
+			verdict = ledger.Reserve(request(tenantName, id), start)
 		}
 		return verdict
 	}
 
-	It("share no budget where two tenants use one id", func() {
+	It("share no budget if two tenants use the same id", func() {
 		logged := map[tenant.Program]spending.Ceiling{}
 		ledger := spending.NewLedger(logged, start)
-		Expect(granted(ledger, logged, "a", "1")).To(Equal(spending.Granted))
-		Expect(granted(ledger, logged, "a", "2")).To(Equal(spending.BudgetExhausted))
-		Expect(granted(ledger, logged, "b", "3")).To(Equal(spending.Granted))
+		Expect(reserveLogged(ledger, logged, "a", "1")).To(Equal(spending.Granted))
+		Expect(reserveLogged(ledger, logged, "a", "2")).To(Equal(spending.BudgetExhausted))
+		Expect(reserveLogged(ledger, logged, "b", "3")).To(Equal(spending.Granted))
 		ledger.Settle(tenant.Program{Tenant: "b", ID: "p"}, "1", 0, start)
-		Expect(granted(ledger, logged, "a", "4")).To(Equal(spending.BudgetExhausted), "another tenant can't end a turn")
+		Expect(reserveLogged(ledger, logged, "a", "4")).To(Equal(spending.BudgetExhausted), "another tenant can't end a turn")
 	})
 
-	It("count what was spent at a node that knew no tenants", func() {
-		// Its record names the program alone.
+	It("are charged for spending recorded by a node without tenant support", func() {
+		// Its records contain no tenant.
 		logged := map[tenant.Program]spending.Ceiling{{ID: "p"}: {Program: tenant.Program{ID: "p"}, Tokens: 400, Settled: 400}}
 		ledger := spending.NewLedger(logged, start)
-		Expect(granted(ledger, logged, "a", "1")).To(Equal(spending.BudgetExhausted))
+		Expect(reserveLogged(ledger, logged, "a", "1")).To(Equal(spending.BudgetExhausted))
 		Expect(ledger.Balance(tenant.Program{Tenant: "a", ID: "p"}).Spent).To(Equal(int64(400)))
 	})
 })
