--- a/internal/ownership/claim.go
+++ b/internal/ownership/claim.go
@@ -16,53 +16,53 @@
 	"go.uber.org/zap"
 )
 
-// firstSequences is the number of sequence numbers that a claim may begin at.
-const firstSequences = 1 << 40
+// initialSequenceRange is the size of the range from which a claim draws its first
+// sequence number.
+const initialSequenceRange = 1 << 40
 
-// yieldTimeout is how long the owner that the log names may take to answer.
-const yieldTimeout = 150 * time.Millisecond
+// handoverTimeout bounds a handover request to the current owner.
+const handoverTimeout = 150 * time.Millisecond
 
-// claimed is what a won claim brings.
-type claimed struct {
+// claimResult is the state that a successful claim starts from.
+type claimResult struct {
 	epoch int64
-	// sequence is the claim's number; appends go on from there.
+	// sequence is that of the claim; later appends continue from it.
 	sequence int64
 	ledger   *spending.Ledger
-	// records and handedOver are what the ledger was made from: records of the
-	// log, and accounts of a former owner that has yielded.
-	records    int
-	handedOver int
-	allowance  spending.Allowance
+	// replayedRecords and importedAccounts count the log records and the accounts from
+	// the former owner that the ledger was built from.
+	replayedRecords  int
+	importedAccounts int
+	allowance        spending.Allowance
 }
 
-// ownedElsewhere says that the log names an owner that is left in place.
-type ownedElsewhere struct{ owner Owner }
+// ownedElsewhereError means that the owner named by the log keeps the shard.
+type ownedElsewhereError struct{ owner Owner }
 
 // Error implements error.
-func (elsewhere *ownedElsewhere) Error() string {
-	return "owned by " + elsewhere.owner.Node
+func (elsewhere *ownedElsewhereError) Error() string {
+	return "shard is owned by node " + elsewhere.owner.Node
 }
 
-// claim takes a shard over in a goroutine of its own, unless the log names an
-// owner that keeps the shard.
+// claim starts a takeover of a shard on its own goroutine. finishClaim receives the result.
 func (manager *Manager) claim(shard *shard) {
 	manager.fire(shard, charts.OwnershipEventClaimWanted)
-	began := time.Now()
-	shard.claimBegan = began
-	largest := manager.largestTurn
+	start := time.Now()
+	shard.claimStartedAt = start
+	largest := manager.largestTurnTokens
 	go func() {
 		ctx, cancel := context.WithTimeout(manager.context, claimTimeout)
 		defer cancel()
-		won, err := manager.takeOver(ctx, shard.number, largest)
-		manager.post(func() { manager.finishClaim(shard, won, err, time.Since(began)) })
+		result, err := manager.takeOver(ctx, shard.number, largest)
+		manager.post(func() { manager.finishClaim(shard, result, err, time.Since(start)) })
 	}()
 }
 
-func (manager *Manager) finishClaim(shard *shard, won claimed, err error, took time.Duration) {
+func (manager *Manager) finishClaim(shard *shard, result claimResult, err error, took time.Duration) {
 	if shard.phase != charts.OwnershipStateClaiming {
 		return
 	}
-	var elsewhere *ownedElsewhere
+	var elsewhere *ownedElsewhereError
 	if errors.As(err, &elsewhere) {
 		manager.logger.Info("shard owned elsewhere", zap.Int("shard", shard.number),
 			zap.String("owner", elsewhere.owner.Node), zap.Int64("epoch", elsewhere.owner.Epoch))
@@ -74,119 +74,118 @@
 	if err != nil {
 		manager.logger.Warn("claim failed", zap.Int("shard", shard.number), zap.Duration("took", took), logging.Cause(err))
 		manager.fire(shard, charts.OwnershipEventClaimFailed)
-		manager.claimFailed = time.Now()
+		manager.lastClaimFailure = time.Now()
 		manager.refuseWaiters(shard, ReserveResult{Verdict: nodev1.Verdict_VERDICT_UNABLE, Reason: "the log fails this node's claim"})
 		return
 	}
-	manager.logger.Info("shard claimed", zap.Int("shard", shard.number), zap.Int64("epoch", won.epoch),
-		zap.Int("records", won.records), zap.Int("handed_over", won.handedOver),
-		zap.Int64("allowance_permille", won.allowance.Permille), zap.Int64("least_budget", won.allowance.MinBudget), zap.Duration("took", took))
+	manager.logger.Info("shard claimed", zap.Int("shard", shard.number), zap.Int64("epoch", result.epoch),
+		zap.Int("records", result.replayedRecords), zap.Int("handed_over", result.importedAccounts),
+		zap.Int64("allowance_permille", result.allowance.Permille), zap.Int64("least_budget", result.allowance.MinBudget), zap.Duration("took", took))
 	manager.fire(shard, charts.OwnershipEventClaimWon)
-	shard.epoch = won.epoch
-	shard.sequence = won.sequence
-	shard.writing = false
-	shard.confirmedAt = shard.claimBegan
-	shard.owner = Owner{Node: manager.self.Node, Epoch: won.epoch, Address: manager.self.Address}
-	shard.ledger = won.ledger
+	shard.epoch = result.epoch
+	shard.sequence = result.sequence
+	shard.appendInFlight = false
+	shard.ownedAsOf = shard.claimStartedAt
+	shard.owner = Owner{Node: manager.self.Node, Epoch: result.epoch, Address: manager.self.Address}
+	shard.ledger = result.ledger
 	manager.decideWaiters(shard)
 }
 
-// takeOver reads the shard's partition to its end and claims it there. A round
-// fails where another node appended in between; then it reads on.
-func (manager *Manager) takeOver(ctx context.Context, number int, largest int64) (claimed, error) {
+// takeOver reads the shard's partition to its end and appends a claim. If another node
+// appends in between, it reads on and retries.
+func (manager *Manager) takeOver(ctx context.Context, number int, largest int64) (claimResult, error) {
 	partition := durable.Partition{Topic: Topic, Number: number}
-	reading := newReplay(manager.log, partition)
-	var failure error
-	for range claimTries {
-		won, err := manager.claimOnce(ctx, reading, largest)
-		var elsewhere *ownedElsewhere
+	replay := newReplay(manager.log, partition)
+	var lastErr error
+	for range maxClaimAttempts {
+		result, err := manager.tryClaim(ctx, replay, largest)
+		var elsewhere *ownedElsewhereError
 		if err == nil || errors.As(err, &elsewhere) {
-			return won, err
+			return result, err
 		}
-		failure = err
+		lastErr = err
 		if ctx.Err() != nil {
 			break
 		}
 		if !errors.Is(err, durable.ErrConflict) {
-			wait.Sleep(ctx, claimPause)
+			wait.Sleep(ctx, claimRetryDelay)
 		}
 	}
-	return claimed{}, failure
+	return claimResult{}, lastErr
 }
 
-func (manager *Manager) claimOnce(ctx context.Context, reading *replay, largest int64) (claimed, error) {
-	err := reading.toEnd(ctx)
+func (manager *Manager) tryClaim(ctx context.Context, replay *replay, largest int64) (claimResult, error) {
+	err := replay.readToEnd(ctx)
 	if err != nil {
-		return claimed{}, err
+		return claimResult{}, err
 	}
-	if reading.owner.GetIncarnation() == manager.self.Incarnation && reading.claimedHere {
-		// An append of an earlier round was done though its answer was lost. The
-		// records hold all that it said.
-		return reading.won(reading.owner), nil
+	if replay.owner.GetIncarnation() == manager.self.Incarnation && replay.claimSent {
+		// An earlier attempt was appended although its response was lost.
+		return replay.claimResult(replay.owner), nil
 	}
-	if manager.keeps(ctx, reading) {
-		return claimed{}, &ownedElsewhere{owner: Owner{Node: reading.owner.Node, Epoch: reading.owner.Epoch, Address: reading.owner.Address}}
+	if manager.ownerKeeps(ctx, replay) {
+		return claimResult{}, &ownedElsewhereError{owner: Owner{Node: replay.owner.Node, Epoch: replay.owner.Epoch, Address: replay.owner.Address}}
 	}
-	epoch := max(reading.highest, reading.refused) + 1
-	// The store answers an append that repeats another's epoch and number as if
-	// it were the same one. Two claimants of one epoch must therefore not begin
-	// at the same number.
-	sequence := rand.Int64N(firstSequences)
-	won, records := manager.draft(reading, epoch, sequence, largest)
-	at := reading.next
+	epoch := max(replay.highestEpoch, replay.refusedEpoch) + 1
+	// The store treats an append with a known epoch and sequence number as a duplicate,
+	// even from another node. Random first numbers keep two claimants of the same epoch
+	// from colliding.
+	sequence := rand.Int64N(initialSequenceRange)
+	result, records := manager.buildClaim(replay, epoch, sequence, largest)
+	expectedEnd := replay.nextOffset
 	fence := durable.Fence{Producer: producer, Epoch: epoch, Sequence: sequence}
-	reading.claimedHere = true
-	err = durable.Hedge(ctx, &manager.pace, func(ctx context.Context) error {
-		_, err := manager.log.Append(ctx, reading.partition, records, durable.Condition{ExpectedEnd: &at, Fence: &fence})
+	replay.claimSent = true
+	err = durable.Hedge(ctx, &manager.appendLatency, func(ctx context.Context) error {
+		_, err := manager.log.Append(ctx, replay.partition, records, durable.Condition{ExpectedEnd: &expectedEnd, Fence: &fence})
 		return err
 	})
 	if errors.Is(err, durable.ErrFenced) || errors.Is(err, durable.ErrOutOfSequence) {
-		// A claim that is not in the records yet; go beyond it.
-		reading.refused = epoch
+		// The store has seen a claim that is not in the records read; use a higher epoch.
+		replay.refusedEpoch = epoch
 	}
-	return won, err
+	return result, err
 }
 
-// draft returns a claim's records, and what it brings once the log has taken
-// them. The accounts of an owner that has yielded are written with the claim, so
-// that they are not lost with the claimant.
-func (manager *Manager) draft(reading *replay, epoch, sequence, largest int64) (claimed, [][]byte) {
-	outstanding := reading.allowances
-	closes := int64(0)
-	ledger := spending.NewLedger(reading.ceilings, time.Now())
-	var handed []spending.Ceiling
-	if reading.yieldedEpoch != 0 && reading.yieldedEpoch == reading.owner.GetEpoch() {
-		closes = reading.yieldedEpoch
-		outstanding = without(outstanding, closes)
-		ledger.ImportAccounts(reading.accounts, time.Now())
-		handed = ledger.Checkpoint()
+// buildClaim returns the records of a claim and the state to use once they are appended.
+// The accounts handed over by the former owner are appended with the claim, so that they
+// survive the loss of this node.
+func (manager *Manager) buildClaim(replay *replay, epoch, sequence, largest int64) (claimResult, [][]byte) {
+	outstanding := replay.allowances
+	closedEpoch := int64(0)
+	ledger := spending.NewLedger(replay.ceilings, time.Now())
+	var checkpoint []spending.Ceiling
+	if replay.yieldedEpoch != 0 && replay.yieldedEpoch == replay.owner.GetEpoch() {
+		closedEpoch = replay.yieldedEpoch
+		outstanding = withoutEpoch(outstanding, closedEpoch)
+		ledger.ImportAccounts(replay.yieldedAccounts, time.Now())
+		checkpoint = ledger.Checkpoint()
 	}
 	allowance := spending.Allowance{}
 	if feature.Enabled(feature.Allowances) {
-		allowance = spending.ClaimAllowance(epoch, largest, outstanding, manager.around.CountsSecondAllowance())
+		allowance = spending.ClaimAllowance(epoch, largest, outstanding, manager.dependencies.CountsSecondAllowance())
 	}
 	ledger.SetAllowances(allowance, outstanding)
-	records := append([]*nodev1.SpendingRecord{encodeClaim(manager.self, epoch, sequence, allowance, closes)}, encodeCeilings(handed)...)
-	won := claimed{epoch: epoch, sequence: sequence, ledger: ledger, records: reading.records, handedOver: len(handed), allowance: allowance}
-	return won, marshal(records...)
+	records := append([]*nodev1.SpendingRecord{encodeClaim(manager.self, epoch, sequence, allowance, closedEpoch)}, encodeCeilings(checkpoint)...)
+	result := claimResult{epoch: epoch, sequence: sequence, ledger: ledger, replayedRecords: replay.recordCount, importedAccounts: len(checkpoint), allowance: allowance}
+	return result, marshal(records...)
 }
 
-// keeps asks the owner that the log names whether it keeps the shard. An owner
-// that can't write hands its accounts over instead.
-func (manager *Manager) keeps(ctx context.Context, reading *replay) bool {
-	owner := reading.owner
-	if owner == nil || owner.Incarnation == manager.self.Incarnation || reading.yieldedEpoch == owner.Epoch {
+// ownerKeeps asks the owner named by the log whether it keeps the shard. An owner that
+// can't write hands its accounts over instead, which are stored in replay.
+func (manager *Manager) ownerKeeps(ctx context.Context, replay *replay) bool {
+	owner := replay.owner
+	if owner == nil || owner.Incarnation == manager.self.Incarnation || replay.yieldedEpoch == owner.Epoch {
 		return false
 	}
-	bounded, cancel := context.WithTimeout(ctx, yieldTimeout)
+	bounded, cancel := context.WithTimeout(ctx, handoverTimeout)
 	defer cancel()
-	reply, err := manager.around.RequestHandover(bounded, owner, reading.partition.Number)
+	reply, err := manager.dependencies.RequestHandover(bounded, owner, replay.partition.Number)
 	if err != nil || reply.Incarnation != owner.Incarnation {
 		return false
 	}
 	if reply.Yielded {
-		reading.yieldedEpoch = owner.Epoch
-		reading.accounts = decodeAccounts(reply.Accounts)
+		replay.yieldedEpoch = owner.Epoch
+		replay.yieldedAccounts = decodeAccounts(reply.Accounts)
 	}
 	return reply.Keeps
 }
--- a/internal/ownership/handover.go
+++ b/internal/ownership/handover.go
@@ -11,52 +11,52 @@
 	"go.uber.org/zap"
 )
 
-// HandleHandover answers another node that wants to claim a shard of which this one
-// made the newest claim. It keeps a shard while it can write to the log;
-// otherwise it hands its accounts over.
+// HandleHandover handles a handover request from another node for a shard of which this
+// node made the latest claim. The node keeps the shard while it can write to the log;
+// otherwise it hands over its accounts.
 func (manager *Manager) HandleHandover(ctx context.Context, number int, epoch int64) *nodev1.YieldReply {
-	reply := make(chan *nodev1.YieldReply, 1)
-	manager.post(func() { reply <- manager.yielded(manager.shards[number], epoch) })
+	replies := make(chan *nodev1.YieldReply, 1)
+	manager.post(func() { replies <- manager.handOver(manager.shards[number], epoch) })
 	select {
-	case answer := <-reply:
-		return answer
+	case reply := <-replies:
+		return reply
 	case <-ctx.Done():
 		return &nodev1.YieldReply{Incarnation: manager.self.Incarnation, Keeps: true}
 	}
 }
 
-func (manager *Manager) yielded(shard *shard, epoch int64) *nodev1.YieldReply {
-	answer := &nodev1.YieldReply{Incarnation: manager.self.Incarnation}
+func (manager *Manager) handOver(shard *shard, epoch int64) *nodev1.YieldReply {
+	reply := &nodev1.YieldReply{Incarnation: manager.self.Incarnation}
 	if shard.phase == charts.OwnershipStateClaiming {
-		answer.Keeps = true
-		return answer
+		reply.Keeps = true
+		return reply
 	}
 	if shard.phase != charts.OwnershipStateOwned || shard.epoch != epoch {
-		return answer
+		return reply
 	}
-	if !shard.unable(time.Now()) || !feature.Enabled(feature.OwnershipHandover) {
-		answer.Keeps = true
-		return answer
+	if !shard.logUnresponsive(time.Now()) || !feature.Enabled(feature.OwnershipHandover) {
+		reply.Keeps = true
+		return reply
 	}
-	answer.Yielded = true
+	reply.Yielded = true
 	for _, account := range shard.ledger.ExportAccounts() {
-		answer.Accounts = append(answer.Accounts, encodeAccount(account))
+		reply.Accounts = append(reply.Accounts, encodeAccount(account))
 	}
-	manager.logger.Info("shard yielded", zap.Int("shard", shard.number), zap.Int64("epoch", epoch), zap.Int("programs", len(answer.Accounts)))
+	manager.logger.Info("shard yielded", zap.Int("shard", shard.number), zap.Int64("epoch", epoch), zap.Int("programs", len(reply.Accounts)))
 	manager.fire(shard, charts.OwnershipEventYielded)
 	shard.ledger = nil
 	shard.owner = Owner{}
 	manager.refuseWaiters(shard, ReserveResult{Verdict: nodev1.Verdict_VERDICT_NOT_OWNER, Reason: "the shard was yielded"})
-	return answer
+	return reply
 }
 
-// Release hands all shards back: the ledgers' exact state is written, and
-// nothing more is granted. It returns when that is done or ctx ends.
+// Release gives up all shards: it stops granting and writes a final checkpoint of each
+// ledger. It returns when the checkpoints are written or ctx ends.
 func (manager *Manager) Release(ctx context.Context) {
 	done := make(chan struct{}, len(manager.shards))
 	manager.post(func() {
 		for _, shard := range manager.shards {
-			manager.release(shard, done)
+			manager.releaseShard(shard, done)
 		}
 	})
 	for range manager.shards {
@@ -68,7 +68,7 @@
 	}
 }
 
-func (manager *Manager) release(shard *shard, done chan<- struct{}) {
+func (manager *Manager) releaseShard(shard *shard, done chan<- struct{}) {
 	if shard.phase != charts.OwnershipStateOwned {
 		manager.fire(shard, charts.OwnershipEventStopping)
 		done <- struct{}{}
@@ -77,17 +77,17 @@
 	manager.fire(shard, charts.OwnershipEventStopping)
 	manager.refuseWaiters(shard, ReserveResult{Verdict: nodev1.Verdict_VERDICT_NOT_OWNER, Reason: "the node is leaving"})
 	shard.owner = Owner{}
-	shard.closed = done
-	if !shard.writing {
-		manager.closeAccounts(shard)
+	shard.releaseDone = done
+	if !shard.appendInFlight {
+		manager.writeFinalCheckpoint(shard)
 	}
 }
 
-// closeAccounts writes what is used of each program as a shard's last record under
-// this owner, so that a successor need not count the owner's allowance.
-func (manager *Manager) closeAccounts(shard *shard) {
-	done := shard.closed
-	shard.closed = nil
+// writeFinalCheckpoint writes the exact spending of each program as the owner's last
+// append. A successor then does not charge the owner's allowance.
+func (manager *Manager) writeFinalCheckpoint(shard *shard) {
+	done := shard.releaseDone
+	shard.releaseDone = nil
 	shard.sequence++
 	fence := durable.Fence{Producer: producer, Epoch: shard.epoch, Sequence: shard.sequence}
 	partition := durable.Partition{Topic: Topic, Number: shard.number}
--- a/internal/ownership/manager.go
+++ b/internal/ownership/manager.go
@@ -10,61 +10,60 @@
 	"go.uber.org/zap"
 )
 
-// Manager runs the shards of a node on one control goroutine. Its methods may
-// be called from any goroutine.
+// Manager runs the shards of a node on one control goroutine. It is safe for
+// concurrent use.
 type Manager struct {
-	log    durable.Log
-	logger *zap.Logger
-	self   Identity
-	around Dependencies
-	events chan func()
-	shards []*shard
-	// pace is that of the store's appends.
-	pace durable.AppendLatency
-	// largestTurn is the most that a turn was asked for, tokens. Only the control
-	// goroutine touches it.
-	largestTurn int64
-	// claimFailed is when the log last failed a claim of this node.
-	claimFailed time.Time
-	// held tells other goroutines which shards are owned or being claimed.
-	held []atomic.Bool
-	// ownedSince is when this node came to own a shard, nil where it does not. It keeps the
-	// monotonic clock's reading, so that a step of the machine's clock makes no owner older.
+	log           durable.Log
+	logger        *zap.Logger
+	self          Identity
+	dependencies  Dependencies
+	events        chan func()
+	shards        []*shard
+	appendLatency durable.AppendLatency
+	// largestTurnTokens is the highest maximum requested for a turn. Only the control
+	// goroutine accesses it.
+	largestTurnTokens int64
+	// lastClaimFailure is when the store last failed a claim.
+	lastClaimFailure time.Time
+	// ownedOrClaiming holds which shards are owned or being claimed, for other goroutines.
+	ownedOrClaiming []atomic.Bool
+	// ownedSince is when this node became a shard's owner, nil if it is not. It keeps the
+	// monotonic clock reading, so that wall clock adjustments do not affect it.
 	ownedSince []atomic.Pointer[time.Time]
 	context    context.Context
 }
 
-// eventQueue is how many events may wait for the control goroutine.
-const eventQueue = 4096
+// eventQueueSize is the capacity of the control goroutine's event queue.
+const eventQueueSize = 4096
 
-// NewManager returns a manager for a number of shards that works until ctx
-// ends. Run must be called.
-func NewManager(ctx context.Context, log durable.Log, logger *zap.Logger, self Identity, shards int, around Dependencies) *Manager {
+// NewManager returns a manager of a number of shards. It works until ctx ends. The
+// caller must call Run.
+func NewManager(ctx context.Context, log durable.Log, logger *zap.Logger, self Identity, shards int, dependencies Dependencies) *Manager {
 	manager := &Manager{
-		context: ctx,
-		log:     log,
-		logger:  logger,
-		self:    self,
-		around:  around,
-		events:  make(chan func(), eventQueue),
+		context:      ctx,
+		log:          log,
+		logger:       logger,
+		self:         self,
+		dependencies: dependencies,
+		events:       make(chan func(), eventQueueSize),
 	}
-	if around.CountsSecondAllowance == nil {
-		manager.around.CountsSecondAllowance = func() bool { return false }
+	if dependencies.CountsSecondAllowance == nil {
+		manager.dependencies.CountsSecondAllowance = func() bool { return false }
 	}
-	manager.held = make([]atomic.Bool, shards)
+	manager.ownedOrClaiming = make([]atomic.Bool, shards)
 	manager.ownedSince = make([]atomic.Pointer[time.Time], shards)
 	for number := range shards {
-		manager.shards = append(manager.shards, &shard{number: number, ended: map[string]time.Time{}})
+		manager.shards = append(manager.shards, &shard{number: number, settledEarly: map[string]time.Time{}})
 	}
 	return manager
 }
 
-// Run is the control goroutine; it returns when the manager's context ends.
+// Run runs the control loop until the manager's context ends.
 func (manager *Manager) Run() {
-	const tick = 50 * time.Millisecond
-	const overdueTicks = 10
-	const expiryTicks = 200
-	ticker := time.NewTicker(tick)
+	const tickInterval = 50 * time.Millisecond
+	const turnExpiryTicks = 10
+	const accountExpiryTicks = 200
+	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
 	ticks := 0
 	for {
@@ -76,17 +75,17 @@
 		case now := <-ticker.C:
 			ticks++
 			manager.expireWaiters(now)
-			if ticks%overdueTicks == 0 {
+			if ticks%turnExpiryTicks == 0 {
 				manager.expireTurns(now)
 			}
-			if ticks%expiryTicks == 0 {
+			if ticks%accountExpiryTicks == 0 {
 				manager.expireAccounts(now)
 			}
 		}
 	}
 }
 
-// post hands an event to the control goroutine.
+// post queues an event for the control goroutine.
 func (manager *Manager) post(event func()) {
 	select {
 	case manager.events <- event:
@@ -94,30 +93,30 @@
 	}
 }
 
-// Reserve asks for tokens of a program in a shard. It waits for the log where
-// that is needed, and until ctx ends.
-func (manager *Manager) Reserve(ctx context.Context, number int, ask ReserveRequest) ReserveResult {
+// Reserve reserves tokens of a program in a shard. If this requires a log append or a
+// claim, it waits for that, at most until ctx ends.
+func (manager *Manager) Reserve(ctx context.Context, number int, request ReserveRequest) ReserveResult {
 	reply := make(chan ReserveResult, 1)
 	manager.post(func() {
-		manager.reserve(manager.shards[number], waiter{ask: ask, since: time.Now(), reply: reply})
+		manager.reserve(manager.shards[number], waiter{request: request, queuedAt: time.Now(), reply: reply})
 	})
 	select {
-	case answer := <-reply:
-		return answer
+	case result := <-reply:
+		return result
 	case <-ctx.Done():
-		return unsure("the request's time is over")
+		return undetermined("the request's time is over")
 	}
 }
 
-// Settle ends a turn in a shard.
-func (manager *Manager) Settle(number int, program tenant.Program, request string, tokens int64) {
-	manager.post(func() { manager.shards[number].settle(program, request, tokens, time.Now()) })
+// Settle ends a turn that spent tokens in a shard.
+func (manager *Manager) Settle(number int, program tenant.Program, requestID string, tokens int64) {
+	manager.post(func() { manager.shards[number].settle(program, requestID, tokens, time.Now()) })
 }
 
-// Owns tells whether this node owns a shard or is claiming it.
-func (manager *Manager) Owns(number int) bool { return manager.held[number].Load() }
+// Owns reports whether this node owns a shard or is claiming it.
+func (manager *Manager) Owns(number int) bool { return manager.ownedOrClaiming[number].Load() }
 
-// OwnedSince returns when this node came to own a shard, false where it does not.
+// OwnedSince returns when this node became a shard's owner, false if it is not.
 func (manager *Manager) OwnedSince(number int) (time.Time, bool) {
 	since := manager.ownedSince[number].Load()
 	if since == nil {
@@ -126,8 +125,8 @@
 	return *since, true
 }
 
-// noteOwned notes whether this node owns a shard, from now on.
-func (manager *Manager) noteOwned(number int, owned bool) {
+// setOwned updates ownedSince.
+func (manager *Manager) setOwned(number int, owned bool) {
 	if !owned {
 		manager.ownedSince[number].Store(nil)
 		return
--- a/internal/ownership/record.go
+++ b/internal/ownership/record.go
@@ -10,16 +10,16 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// ceilingsPerRecord keeps a record below what the store takes.
-const ceilingsPerRecord = 1000
+// maxCeilingsPerRecord keeps a record below the store's size limit.
+const maxCeilingsPerRecord = 1000
 
-// encodeCeilings returns records of ceilings, none for none.
+// encodeCeilings returns the records of ceilings, none if there are no ceilings.
 func encodeCeilings(ceilings []spending.Ceiling) []*nodev1.SpendingRecord {
 	var records []*nodev1.SpendingRecord
 	now := time.Now().UnixMilli()
-	for part := range slices.Chunk(ceilings, ceilingsPerRecord) {
+	for chunk := range slices.Chunk(ceilings, maxCeilingsPerRecord) {
 		record := &nodev1.SpendingRecord{}
-		for _, ceiling := range part {
+		for _, ceiling := range chunk {
 			record.Ceilings = append(record.Ceilings, &nodev1.Ceiling{
 				Program:       ceiling.Program.ID,
 				Tenant:        ceiling.Program.Tenant,
@@ -33,7 +33,7 @@
 	return records
 }
 
-func encodeClaim(self Identity, epoch, sequence int64, allowance spending.Allowance, closes int64) *nodev1.SpendingRecord {
+func encodeClaim(self Identity, epoch, sequence int64, allowance spending.Allowance, closedEpoch int64) *nodev1.SpendingRecord {
 	return &nodev1.SpendingRecord{Claim: &nodev1.Claim{
 		Node:              self.Node,
 		Incarnation:       self.Incarnation,
@@ -43,11 +43,11 @@
 		AllowancePermille: allowance.Permille,
 		LeastBudget:       allowance.MinBudget,
 		SecondAllowance:   allowance.Second,
-		ClosesEpoch:       closes,
+		ClosesEpoch:       closedEpoch,
 	}}
 }
 
-// allowanceOf returns what a claim allows its owner.
+// allowanceOf returns the allowance of a claim.
 func allowanceOf(claim *nodev1.Claim) spending.Allowance {
 	return spending.Allowance{
 		Epoch:     claim.Epoch,
@@ -102,7 +102,7 @@
 	for _, record := range records {
 		content, err := proto.Marshal(record)
 		if err != nil {
-			panic(err) // Only invalid text fails to marshal, and ids are checked before.
+			panic(err) // Only invalid UTF-8 fails to marshal, and ids are validated on input.
 		}
 		encoded = append(encoded, content)
 	}
--- a/internal/ownership/record_test.go
+++ b/internal/ownership/record_test.go
@@ -9,28 +9,28 @@
 	. "github.com/onsi/gomega"
 )
 
-var _ = Describe("Records of spending", func() {
-	owned := tenant.Program{Tenant: "a", ID: "p"}
+var _ = Describe("Spending records", func() {
+	program := tenant.Program{Tenant: "a", ID: "p"}
 
-	It("name a program with its tenant, and are read in the form without one too", func() {
-		reading := newReplay(durable.NewMemory(), durable.Partition{})
-		for _, record := range marshal(encodeCeilings([]spending.Ceiling{{Program: owned, Tokens: 7}})...) {
-			reading.apply(record)
+	It("contain the tenant of a program, and are also read without one", func() {
+		replay := newReplay(durable.NewMemory(), durable.Partition{})
+		for _, record := range marshal(encodeCeilings([]spending.Ceiling{{Program: program, Tokens: 7}})...) {
+			replay.apply(record)
 		}
 		for _, record := range marshal(&nodev1.SpendingRecord{Ceilings: []*nodev1.Ceiling{{Program: "p", Tokens: 9}}}) {
-			reading.apply(record)
+			replay.apply(record)
 		}
-		Expect(reading.ceilings[owned].Tokens).To(Equal(int64(7)))
-		Expect(reading.ceilings[owned.WithoutTenant()].Tokens).To(Equal(int64(9)))
+		Expect(replay.ceilings[program].Tokens).To(Equal(int64(7)))
+		Expect(replay.ceilings[program.WithoutTenant()].Tokens).To(Equal(int64(9)))
 	})
 
-	It("keep the program's name apart, as nodes read it that know no tenants", func() {
-		Expect(encodeCeilings([]spending.Ceiling{{Program: owned}})[0].Ceilings[0].Program).To(Equal("p"))
-		Expect(encodeAccount(spending.Account{Program: owned}).Program).To(Equal("p"))
+	It("keep the program id separate from the tenant, for nodes without tenant support", func() {
+		Expect(encodeCeilings([]spending.Ceiling{{Program: program}})[0].Ceilings[0].Program).To(Equal("p"))
+		Expect(encodeAccount(spending.Account{Program: program}).Program).To(Equal("p"))
 	})
 
-	It("hand accounts over with their tenants", func() {
-		Expect(decodeAccounts([]*nodev1.Account{encodeAccount(spending.Account{Program: owned, Spent: 3})})).
-			To(ConsistOf(spending.Account{Program: owned, Spent: 3}))
+	It("hand over accounts with their tenants", func() {
+		Expect(decodeAccounts([]*nodev1.Account{encodeAccount(spending.Account{Program: program, Spent: 3})})).
+			To(ConsistOf(spending.Account{Program: program, Spent: 3}))
 	})
 })
--- a/internal/ownership/replay.go
+++ b/internal/ownership/replay.go
@@ -12,79 +12,81 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// replay reads a shard's partition from its first record on.
+// replay reads a shard's partition from its first record and holds the resulting state
+// and the progress of one takeover.
 type replay struct {
-	log       durable.Log
-	partition durable.Partition
-	next      int64
-	// highest is the newest claim's epoch, refused one that the store refused.
-	highest  int64
-	refused  int64
-	records  int
-	ceilings map[tenant.Program]spending.Ceiling
-	// allowances are those of owners that have not closed their accounts.
+	log        durable.Log
+	partition  durable.Partition
+	nextOffset int64
+	// highestEpoch is that of the latest claim read, refusedEpoch the last one rejected by
+	// the store.
+	highestEpoch int64
+	refusedEpoch int64
+	recordCount  int
+	ceilings     map[tenant.Program]spending.Ceiling
+	// allowances are those of owners that have not written a final checkpoint.
 	allowances []spending.Allowance
-	// owner is the newest claim, nil where there is none.
+	// owner is the latest claim, nil if there is none.
 	owner *nodev1.Claim
-	// accounts are those of the owner that has yielded in yieldedEpoch.
-	accounts     []spending.Account
-	yieldedEpoch int64
-	// claimedHere is true once this takeover has sent a claim.
-	claimedHere bool
+	// yieldedAccounts were handed over by the owner of yieldedEpoch.
+	yieldedAccounts []spending.Account
+	yieldedEpoch    int64
+	// claimSent is true once this takeover has sent a claim.
+	claimSent bool
 }
 
 func newReplay(log durable.Log, partition durable.Partition) *replay {
 	return &replay{log: log, partition: partition, ceilings: map[tenant.Program]spending.Ceiling{}}
 }
 
-// won returns what a claim brings that stands in the records.
-func (reading *replay) won(claim *nodev1.Claim) claimed {
+// claimResult returns the result of a claim that is already part of the records read.
+func (replay *replay) claimResult(claim *nodev1.Claim) claimResult {
 	allowance := allowanceOf(claim)
-	ledger := spending.NewLedger(reading.ceilings, time.Now())
-	ledger.SetAllowances(allowance, without(reading.allowances, claim.Epoch))
-	return claimed{epoch: claim.Epoch, sequence: claim.Sequence, ledger: ledger, records: reading.records, allowance: allowance}
+	ledger := spending.NewLedger(replay.ceilings, time.Now())
+	ledger.SetAllowances(allowance, withoutEpoch(replay.allowances, claim.Epoch))
+	return claimResult{epoch: claim.Epoch, sequence: claim.Sequence, ledger: ledger, replayedRecords: replay.recordCount, allowance: allowance}
 }
 
-// without returns allowances but for that of an epoch.
-func without(allowances []spending.Allowance, epoch int64) []spending.Allowance {
+// withoutEpoch returns the allowances except that of an epoch.
+func withoutEpoch(allowances []spending.Allowance, epoch int64) []spending.Allowance {
 	return slices.DeleteFunc(slices.Clone(allowances), func(allowance spending.Allowance) bool { return allowance.Epoch == epoch })
 }
 
-// toEnd reads up to the partition's end.
-func (reading *replay) toEnd(ctx context.Context) error {
-	next, err := durable.ReadToEnd(ctx, reading.log, reading.partition, reading.next, reading.apply)
-	reading.next = next
+// readToEnd applies the records up to the partition's end.
+func (replay *replay) readToEnd(ctx context.Context) error {
+	next, err := durable.ReadToEnd(ctx, replay.log, replay.partition, replay.nextOffset, replay.apply)
+	replay.nextOffset = next
 	return err
 }
 
-func (reading *replay) apply(content []byte) {
-	reading.records++
+func (replay *replay) apply(content []byte) {
+	replay.recordCount++
 	var record nodev1.SpendingRecord
 	if proto.Unmarshal(content, &record) != nil {
 		return
 	}
-	if record.Claim != nil && record.Claim.Epoch > reading.highest {
-		reading.applyClaim(record.Claim)
+	if record.Claim != nil && record.Claim.Epoch > replay.highestEpoch {
+		replay.applyClaim(record.Claim)
 	}
 	for _, ceiling := range record.Ceilings {
 		program := tenant.Program{Tenant: ceiling.Tenant, ID: ceiling.Program}
-		reading.ceilings[program] = spending.Ceiling{
+		replay.ceilings[program] = spending.Ceiling{
 			Program: program,
 			Tokens:  ceiling.Tokens,
 			Settled: ceiling.Settled,
-			Epoch:   reading.highest,
+			Epoch:   replay.highestEpoch,
 		}
 	}
 	if record.Closed {
-		reading.allowances = without(reading.allowances, reading.highest)
+		replay.allowances = withoutEpoch(replay.allowances, replay.highestEpoch)
 	}
 }
 
-func (reading *replay) applyClaim(claim *nodev1.Claim) {
-	reading.highest = claim.Epoch
-	reading.owner = claim
-	reading.allowances = without(reading.allowances, claim.ClosesEpoch)
+func (replay *replay) applyClaim(claim *nodev1.Claim) {
+	replay.highestEpoch = claim.Epoch
+	replay.owner = claim
+	replay.allowances = withoutEpoch(replay.allowances, claim.ClosesEpoch)
 	if claim.AllowancePermille > 0 {
-		reading.allowances = append(reading.allowances, allowanceOf(claim))
+		replay.allowances = append(replay.allowances, allowanceOf(claim))
 	}
 }
--- a/internal/ownership/shard.go
+++ b/internal/ownership/shard.go
@@ -1,9 +1,9 @@
-// Package ownership decides which node owns a shard of programs, through claims
-// in the log, and keeps the shard's ledger while this node owns it.
+// Package ownership decides through claims in the log which node owns a shard of
+// programs, and maintains the shard's ledger while this node owns it.
 //
-// A claim is one append under the condition that the partition ends where the
-// claimant has read to, with a higher epoch than any before it. From it on the
-// store refuses the former owner's appends.
+// A claim is an append with a higher epoch than all before it, on condition that the
+// partition still ends where the claimant has read to. It fences the former owner: the
+// store then rejects that node's appends.
 package ownership
 
 import (
@@ -22,78 +22,75 @@
 const (
 	// Topic is the topic of claims and ceilings.
 	Topic = "spending"
-	// producer names every owner to the store; the epoch tells them apart.
+	// producer is the producer name of all owners; their epochs differ.
 	producer = "owner"
 	// claimTimeout bounds a takeover.
 	claimTimeout = 2500 * time.Millisecond
-	// claimTries bounds the rounds of reading and appending in a takeover.
-	claimTries = 8
-	// claimPause separates two such rounds after a failure.
-	claimPause = 40 * time.Millisecond
-	// appendTimeout is how long an append of ceilings may take before it is
-	// sent again with its number.
+	// maxClaimAttempts bounds the read and append attempts of a takeover.
+	maxClaimAttempts = 8
+	// claimRetryDelay follows a failed attempt, except one that lost to another append.
+	claimRetryDelay = 40 * time.Millisecond
+	// appendTimeout bounds one attempt to append ceilings.
 	appendTimeout = 1200 * time.Millisecond
-	// firstAppendPause follows an append that the store refused; it doubles up
-	// to longestAppendPause.
-	firstAppendPause   = 30 * time.Millisecond
-	longestAppendPause = 200 * time.Millisecond
-	// unableAfter is how long the log may be silent before an owner says that
-	// it can't write.
-	unableAfter = 600 * time.Millisecond
-	// waitLimit is how long a request for tokens waits for the log before its
-	// asker is told that it has to; the asker asks again.
-	waitLimit = 180 * time.Millisecond
-	// claimRest is how long a node claims nothing after the log has failed a claim.
-	claimRest = 500 * time.Millisecond
-	// overdueMargin is how long after a turn's time its end may still come in.
-	overdueMargin = time.Second
-	// endedRetention is how long a request's end is remembered that came before
-	// the request.
-	endedRetention = 10 * time.Second
-	// accountRetention is how long an account outlasts its program's last turn.
+	// initialAppendBackoff is the delay after a failed append; it doubles up to
+	// maxAppendBackoff.
+	initialAppendBackoff = 30 * time.Millisecond
+	maxAppendBackoff     = 200 * time.Millisecond
+	// unresponsiveAfter is how long an append may be in flight before the owner reports
+	// that it can't write.
+	unresponsiveAfter = 600 * time.Millisecond
+	// maxLogWait is how long a reservation waits for the log before its caller is told to
+	// retry.
+	maxLogWait = 180 * time.Millisecond
+	// claimCooldown is how long a node makes no claims after the store has failed one.
+	claimCooldown = 500 * time.Millisecond
+	// turnExpiryMargin is how long after a turn's deadline its settlement is still accepted.
+	turnExpiryMargin = time.Second
+	// earlySettleRetention is how long a settlement that precedes its reservation is kept.
+	earlySettleRetention = 10 * time.Second
+	// accountRetention is how long an account is kept after its last use.
 	accountRetention = 5 * time.Minute
 )
 
-// Owner names a shard's owner and its claim.
+// Owner identifies a shard's owner by its claim.
 type Owner struct {
 	Node  string
 	Epoch int64
-	// Address is where the owner serves the other nodes.
+	// Address is the owner's address for other nodes.
 	Address string
 }
 
-// ReserveRequest is a request for tokens.
+// ReserveRequest is a request for a turn's tokens.
 type ReserveRequest struct {
 	Program   tenant.Program
 	RequestID string
 	Budget    int64
 	MaxTokens int64
-	// ExpiresAt is when the turn's time is over.
+	// ExpiresAt is the turn's deadline.
 	ExpiresAt time.Time
-	// Claim tells the node to take the shard over where the log names no owner
-	// that may be left in place.
+	// Claim allows this node to take the shard over unless its owner keeps it.
 	Claim bool
 }
 
-func (ask ReserveRequest) order() spending.ReserveRequest {
-	return spending.ReserveRequest{Program: ask.Program, RequestID: ask.RequestID, Budget: ask.Budget, MaxTokens: ask.MaxTokens, ExpiresAt: ask.ExpiresAt.Add(overdueMargin)}
+func (request ReserveRequest) ledgerRequest() spending.ReserveRequest {
+	return spending.ReserveRequest{Program: request.Program, RequestID: request.RequestID, Budget: request.Budget, MaxTokens: request.MaxTokens, ExpiresAt: request.ExpiresAt.Add(turnExpiryMargin)}
 }
 
-// ReserveResult is the outcome of an Ask.
+// ReserveResult is the result of a ReserveRequest.
 type ReserveResult struct {
 	Verdict nodev1.Verdict
 	Owner   Owner
 	Reason  string
 }
 
-// waiter is an Ask that waits for the log or for a claim.
+// waiter is a reservation that waits for a log append or a claim.
 type waiter struct {
-	ask   ReserveRequest
-	since time.Time
-	reply chan<- ReserveResult
+	request  ReserveRequest
+	queuedAt time.Time
+	reply    chan<- ReserveResult
 }
 
-// shard is one shard's state. Only the control goroutine touches it.
+// shard is the state of one shard. Only the control goroutine accesses it.
 type shard struct {
 	number int
 	phase  charts.OwnershipState
@@ -102,184 +99,182 @@
 	// epoch and sequence are this node's fence while it owns the shard.
 	epoch    int64
 	sequence int64
-	// writing is true while an append of ceilings is under way.
-	writing bool
-	// silentSince is when the append under way began.
-	silentSince time.Time
-	// confirmedAt is when the newest append or claim was begun that the log has taken: up to
-	// then this node owned the shard for certain.
-	confirmedAt time.Time
-	waiters     []waiter
-	// claimBegan is when the claim under way began.
-	claimBegan time.Time
-	// ended holds requests whose end came before they were granted, with the time
-	// of that: their askers have given up, and nothing may stay reserved for them.
-	ended map[string]time.Time
-	// closed is told once the accounts of a shard that is being released are
-	// written; it is set while an append before that is under way.
-	closed chan<- struct{}
+	// appendInFlight is true while ceilings are being appended.
+	appendInFlight  bool
+	appendStartedAt time.Time
+	// ownedAsOf is the start time of the latest successful append or claim. This node is
+	// known to have owned the shard until then.
+	ownedAsOf      time.Time
+	waiters        []waiter
+	claimStartedAt time.Time
+	// settledEarly holds the ids of requests settled before they were reserved, with the
+	// time of settlement. Their callers have given up, so nothing may be reserved for them.
+	settledEarly map[string]time.Time
+	// releaseDone is signaled once the final checkpoint is written. It is set while the
+	// release waits for an append in flight.
+	releaseDone chan<- struct{}
 }
 
-// Dependencies is what a manager asks of its node.
+// Dependencies holds the functions and services of the node that a Manager uses.
 type Dependencies struct {
-	// RequestHandover asks the owner that a claim names whether it keeps a shard; see the
-	// call of that name. An error says that it does not answer.
+	// RequestHandover asks the owner named by a claim whether it keeps a shard. An error
+	// means that the owner did not answer.
 	RequestHandover func(ctx context.Context, claim *nodev1.Claim, shard int) (*nodev1.YieldReply, error)
-	// FreezeDetector tells when the process was frozen.
+	// FreezeDetector detects that the process was suspended.
 	FreezeDetector *freeze.Detector
-	// LogUnavailable tells whether the log has not answered this node for a while. It
-	// claims nothing then: another node may reach the log.
+	// LogUnavailable reports whether the store has not answered this node for some time.
+	// The node then leaves claims to other nodes, which may reach the store.
 	LogUnavailable func() bool
-	// CountsSecondAllowance tells whether all nodes that may own shards count a second
-	// allowance beside an outstanding one; nodes of a version before don't. Nil for no.
+	// CountsSecondAllowance reports whether all nodes that may own shards support a second
+	// allowance beside an outstanding one. Nil means false.
 	CountsSecondAllowance func() bool
 }
 
-// Identity is how a node appears in its claims.
+// Identity identifies a node in its claims.
 type Identity struct {
 	Node        string
 	Incarnation string
 	Address     string
 }
 
-func unsure(reason string) ReserveResult {
+func undetermined(reason string) ReserveResult {
 	return ReserveResult{Verdict: nodev1.Verdict_VERDICT_UNSURE, Reason: reason}
 }
 
-func (manager *Manager) reserve(shard *shard, asked waiter) {
-	manager.largestTurn = max(manager.largestTurn, asked.ask.MaxTokens)
+func (manager *Manager) reserve(shard *shard, waiting waiter) {
+	manager.largestTurnTokens = max(manager.largestTurnTokens, waiting.request.MaxTokens)
 	switch {
 	case shard.phase == charts.OwnershipStateOwned:
-		manager.decide(shard, asked)
+		manager.decide(shard, waiting)
 	case shard.phase == charts.OwnershipStateClaiming:
-		shard.waiters = append(shard.waiters, asked)
-	case shard.phase == charts.OwnershipStateElsewhere && asked.ask.Claim && manager.logAway(time.Now()):
-		asked.reply <- ReserveResult{Verdict: nodev1.Verdict_VERDICT_UNABLE, Reason: "the log does not answer this node"}
-	case shard.phase == charts.OwnershipStateElsewhere && asked.ask.Claim:
-		shard.waiters = append(shard.waiters, asked)
+		shard.waiters = append(shard.waiters, waiting)
+	case shard.phase == charts.OwnershipStateElsewhere && waiting.request.Claim && manager.logUnavailable(time.Now()):
+		waiting.reply <- ReserveResult{Verdict: nodev1.Verdict_VERDICT_UNABLE, Reason: "the log does not answer this node"}
+	case shard.phase == charts.OwnershipStateElsewhere && waiting.request.Claim:
+		shard.waiters = append(shard.waiters, waiting)
 		manager.claim(shard)
 	default:
-		asked.reply <- ReserveResult{Verdict: nodev1.Verdict_VERDICT_NOT_OWNER, Owner: shard.owner, Reason: "another node owns the shard"}
+		waiting.reply <- ReserveResult{Verdict: nodev1.Verdict_VERDICT_NOT_OWNER, Owner: shard.owner, Reason: "another node owns the shard"}
 	}
 }
 
-// logAway tells whether this node had better leave claims to others: the log has
-// not answered it for a while, or has just failed a claim.
-func (manager *Manager) logAway(now time.Time) bool {
+// logUnavailable reports whether this node leaves claims to others, as the store has not
+// answered it for some time or has just failed a claim.
+func (manager *Manager) logUnavailable(now time.Time) bool {
 	if !feature.Enabled(feature.ClaimRefusal) {
 		return false
 	}
-	return now.Sub(manager.claimFailed) < claimRest || manager.around.LogUnavailable()
+	return now.Sub(manager.lastClaimFailure) < claimCooldown || manager.dependencies.LogUnavailable()
 }
 
-// decide answers a request for tokens, or lets it wait for a ceiling.
-func (manager *Manager) decide(shard *shard, asked waiter) {
-	if _, ended := shard.ended[asked.ask.RequestID]; ended {
-		asked.reply <- ReserveResult{Verdict: nodev1.Verdict_VERDICT_UNSURE, Owner: shard.owner, Reason: "the asker has given up"}
+// decide answers a reservation or queues it until a ceiling is acknowledged.
+func (manager *Manager) decide(shard *shard, waiting waiter) {
+	if _, settled := shard.settledEarly[waiting.request.RequestID]; settled {
+		waiting.reply <- ReserveResult{Verdict: nodev1.Verdict_VERDICT_UNSURE, Owner: shard.owner, Reason: "the asker has given up"}
 		return
 	}
-	verdict := shard.ledger.Reserve(asked.ask.order(), time.Now())
+	verdict := shard.ledger.Reserve(waiting.request.ledgerRequest(), time.Now())
 	switch verdict {
 	case spending.Granted:
-		asked.reply <- ReserveResult{Verdict: nodev1.Verdict_VERDICT_GRANTED, Owner: shard.owner}
+		waiting.reply <- ReserveResult{Verdict: nodev1.Verdict_VERDICT_GRANTED, Owner: shard.owner}
 	case spending.BudgetExhausted:
-		if manager.around.FreezeDetector.FrozenSince(shard.confirmedAt) {
-			// Another node may own the shard by now and know how turns have ended since.
-			shard.ledger.RequeueCeiling(asked.ask.Program)
-			shard.waiters = append(shard.waiters, asked)
+		if manager.dependencies.FreezeDetector.FrozenSince(shard.ownedAsOf) {
+			// Another node may have taken over during the freeze and settled turns since.
+			// Wait for an append to confirm the ownership.
+			shard.ledger.RequeueCeiling(waiting.request.Program)
+			shard.waiters = append(shard.waiters, waiting)
 			break
 		}
-		manager.logRefusal(shard, asked.ask, "spent")
-		asked.reply <- ReserveResult{Verdict: nodev1.Verdict_VERDICT_SPENT, Owner: shard.owner, Reason: "the budget leaves no room"}
+		manager.logRefusal(shard, waiting.request, "spent")
+		waiting.reply <- ReserveResult{Verdict: nodev1.Verdict_VERDICT_SPENT, Owner: shard.owner, Reason: "the budget leaves no room"}
 	case spending.Undetermined:
-		manager.logRefusal(shard, asked.ask, "unsure")
-		asked.reply <- ReserveResult{Verdict: nodev1.Verdict_VERDICT_UNSURE, Owner: shard.owner, Reason: "a former owner may have used the room left"}
+		manager.logRefusal(shard, waiting.request, "unsure")
+		waiting.reply <- ReserveResult{Verdict: nodev1.Verdict_VERDICT_UNSURE, Owner: shard.owner, Reason: "a former owner may have used the room left"}
 	case spending.AwaitCeiling:
-		if shard.unable(time.Now()) {
-			asked.reply <- ReserveResult{Verdict: nodev1.Verdict_VERDICT_UNABLE, Owner: shard.owner, Reason: "the log does not answer the owner"}
+		if shard.logUnresponsive(time.Now()) {
+			waiting.reply <- ReserveResult{Verdict: nodev1.Verdict_VERDICT_UNABLE, Owner: shard.owner, Reason: "the log does not answer the owner"}
 			return
 		}
-		shard.waiters = append(shard.waiters, asked)
+		shard.waiters = append(shard.waiters, waiting)
 	}
-	manager.write(shard)
+	manager.writeCeilings(shard)
 }
 
-// logRefusal writes on what a program was refused.
-func (manager *Manager) logRefusal(shard *shard, ask ReserveRequest, verdict string) {
-	balance := shard.ledger.Balance(ask.Program)
-	manager.logger.Info("turn refused", zap.String("key", ask.RequestID), zap.String("program", ask.Program.ID), zap.String("tenant", ask.Program.Tenant),
+// logRefusal logs a refused reservation with the balance that it was refused for.
+func (manager *Manager) logRefusal(shard *shard, request ReserveRequest, verdict string) {
+	balance := shard.ledger.Balance(request.Program)
+	manager.logger.Info("turn refused", zap.String("key", request.RequestID), zap.String("program", request.Program.ID), zap.String("tenant", request.Program.Tenant),
 		zap.String("verdict", verdict), zap.Int("shard", shard.number), zap.Int64("epoch", shard.epoch),
-		zap.Int64("budget", ask.Budget), zap.Int64("most", ask.MaxTokens), zap.Int64("spent", balance.Spent),
+		zap.Int64("budget", request.Budget), zap.Int64("most", request.MaxTokens), zap.Int64("spent", balance.Spent),
 		zap.Int64("doubt", balance.Uncertain), zap.Int64("open", balance.Reserved), zap.Int64("ceiling", balance.Ceiling))
 }
 
-// unable tells whether the log has been silent too long.
-func (shard *shard) unable(now time.Time) bool {
-	return shard.writing && now.Sub(shard.silentSince) > unableAfter
+// logUnresponsive reports whether the append in flight exceeds unresponsiveAfter.
+func (shard *shard) logUnresponsive(now time.Time) bool {
+	return shard.appendInFlight && now.Sub(shard.appendStartedAt) > unresponsiveAfter
 }
 
-// fire takes a shard through the chart of charts/ownership.yaml, and tells
-// whether its phase changed.
+// fire applies an event of charts/ownership.yaml to a shard and reports whether its
+// phase changed.
 func (manager *Manager) fire(shard *shard, event charts.OwnershipEvent) bool {
 	next, refusal := charts.Ownership.Next(shard.phase, event)
 	if refusal != nil || next == shard.phase {
 		return false
 	}
 	shard.phase = next
-	manager.held[shard.number].Store(next == charts.OwnershipStateOwned || next == charts.OwnershipStateClaiming)
-	manager.noteOwned(shard.number, next == charts.OwnershipStateOwned)
+	manager.ownedOrClaiming[shard.number].Store(next == charts.OwnershipStateOwned || next == charts.OwnershipStateClaiming)
+	manager.setOwned(shard.number, next == charts.OwnershipStateOwned)
 	return true
 }
 
 func (manager *Manager) decideWaiters(shard *shard) {
-	waiting := shard.waiters
+	waiters := shard.waiters
 	shard.waiters = nil
-	for _, asked := range waiting {
-		manager.decide(shard, asked)
+	for _, waiting := range waiters {
+		manager.decide(shard, waiting)
 	}
 }
 
-func (manager *Manager) refuseWaiters(shard *shard, answer ReserveResult) {
-	for _, asked := range shard.waiters {
-		asked.reply <- answer
+func (manager *Manager) refuseWaiters(shard *shard, result ReserveResult) {
+	for _, waiting := range shard.waiters {
+		waiting.reply <- result
 	}
 	shard.waiters = nil
 }
 
-// expireWaiters answers those that have waited for the log too long.
+// expireWaiters answers the reservations that have waited for more than maxLogWait.
 func (manager *Manager) expireWaiters(now time.Time) {
 	for _, shard := range manager.shards {
 		kept := shard.waiters[:0]
-		for _, asked := range shard.waiters {
-			if now.Sub(asked.since) > waitLimit {
-				asked.reply <- shard.stillWaiting(now)
+		for _, waiting := range shard.waiters {
+			if now.Sub(waiting.queuedAt) > maxLogWait {
+				waiting.reply <- shard.waitTimeoutResult(now)
 				continue
 			}
-			kept = append(kept, asked)
+			kept = append(kept, waiting)
 		}
 		shard.waiters = kept
 	}
 }
 
-// stillWaiting is the answer to one that has waited for the log too long. Where a
-// claim has waited for longer than an owner may, another node may try.
-func (shard *shard) stillWaiting(now time.Time) ReserveResult {
-	if shard.phase == charts.OwnershipStateClaiming && feature.Enabled(feature.ClaimRefusal) && now.Sub(shard.claimBegan) > unableAfter {
+// waitTimeoutResult returns the result of a reservation that has waited for too long. If
+// a claim exceeds unresponsiveAfter, the caller may try another node.
+func (shard *shard) waitTimeoutResult(now time.Time) ReserveResult {
+	if shard.phase == charts.OwnershipStateClaiming && feature.Enabled(feature.ClaimRefusal) && now.Sub(shard.claimStartedAt) > unresponsiveAfter {
 		return ReserveResult{Verdict: nodev1.Verdict_VERDICT_UNABLE, Reason: "the log does not answer this node's claim"}
 	}
 	return ReserveResult{Verdict: nodev1.Verdict_VERDICT_WAITING, Owner: shard.owner, Reason: "the log does not answer"}
 }
 
-// settle ends a turn, or remembers its end where its request has not come yet:
-// the asker may have given up while the shard was being claimed.
-func (shard *shard) settle(program tenant.Program, request string, tokens int64, now time.Time) {
-	if shard.ledger != nil && shard.ledger.Settle(program, request, tokens, now) {
+// settle ends a turn. If its reservation is unknown, it records the settlement: the
+// caller may have given up while the shard was being claimed.
+func (shard *shard) settle(program tenant.Program, requestID string, tokens int64, now time.Time) {
+	if shard.ledger != nil && shard.ledger.Settle(program, requestID, tokens, now) {
 		return
 	}
-	shard.ended[request] = now
+	shard.settledEarly[requestID] = now
 }
 
-// expireTurns ends the turns whose time is over.
 func (manager *Manager) expireTurns(now time.Time) {
 	for _, shard := range manager.shards {
 		if shard.ledger != nil {
@@ -293,9 +288,9 @@
 		if shard.ledger != nil {
 			shard.ledger.ExpireAccounts(now.Add(-accountRetention))
 		}
-		for request, at := range shard.ended {
-			if now.Sub(at) > endedRetention {
-				delete(shard.ended, request)
+		for requestID, settledAt := range shard.settledEarly {
+			if now.Sub(settledAt) > earlySettleRetention {
+				delete(shard.settledEarly, requestID)
 			}
 		}
 	}
--- a/internal/ownership/write.go
+++ b/internal/ownership/write.go
@@ -13,32 +13,32 @@
 	"go.uber.org/zap"
 )
 
-// write starts an append of the ceilings wanted, one at a time.
-func (manager *Manager) write(shard *shard) {
-	if shard.writing || shard.phase != charts.OwnershipStateOwned {
+// writeCeilings starts an append of the pending ceilings unless one is in flight.
+func (manager *Manager) writeCeilings(shard *shard) {
+	if shard.appendInFlight || shard.phase != charts.OwnershipStateOwned {
 		return
 	}
 	ceilings := shard.ledger.DrainPendingCeilings()
 	if len(ceilings) == 0 {
 		return
 	}
-	shard.writing = true
-	shard.silentSince = time.Now()
+	shard.appendInFlight = true
+	shard.appendStartedAt = time.Now()
 	shard.sequence++
 	fence := durable.Fence{Producer: producer, Epoch: shard.epoch, Sequence: shard.sequence}
 	partition := durable.Partition{Topic: Topic, Number: shard.number}
 	go func() {
 		err := manager.append(partition, fence, marshal(encodeCeilings(ceilings)...))
-		manager.post(func() { manager.written(shard, fence.Epoch, ceilings, err) })
+		manager.post(func() { manager.finishWrite(shard, fence.Epoch, ceilings, err) })
 	}()
 }
 
-// append sends records until its outcome is known: a repetition with the same
-// number gets the first one's answer.
+// append repeats an append until its outcome is known. The store deduplicates the
+// repetitions by their sequence number.
 func (manager *Manager) append(partition durable.Partition, fence durable.Fence, records [][]byte) error {
-	for delay := firstAppendPause; ; delay = min(2*delay, longestAppendPause) {
+	for backoff := initialAppendBackoff; ; backoff = min(2*backoff, maxAppendBackoff) {
 		ctx, cancel := context.WithTimeout(manager.context, appendTimeout)
-		err := durable.Hedge(ctx, &manager.pace, func(ctx context.Context) error {
+		err := durable.Hedge(ctx, &manager.appendLatency, func(ctx context.Context) error {
 			_, err := manager.log.Append(ctx, partition, records, durable.Condition{Fence: &fence})
 			return err
 		})
@@ -49,41 +49,41 @@
 		if manager.context.Err() != nil {
 			return err
 		}
-		wait.Sleep(manager.context, delay)
+		wait.Sleep(manager.context, backoff)
 	}
 }
 
-func (manager *Manager) written(shard *shard, epoch int64, ceilings []spending.Ceiling, err error) {
-	if shard.closed != nil && shard.epoch == epoch {
-		manager.closeAccounts(shard)
+func (manager *Manager) finishWrite(shard *shard, epoch int64, ceilings []spending.Ceiling, err error) {
+	if shard.releaseDone != nil && shard.epoch == epoch {
+		manager.writeFinalCheckpoint(shard)
 		return
 	}
 	if shard.phase != charts.OwnershipStateOwned || shard.epoch != epoch {
 		return
 	}
-	shard.writing = false
+	shard.appendInFlight = false
 	if err != nil {
-		manager.lose(shard, err)
+		manager.loseShard(shard, err)
 		return
 	}
-	shard.confirmedAt = shard.silentSince
+	shard.ownedAsOf = shard.appendStartedAt
 	shard.ledger.AcknowledgeCeilings(ceilings)
 	manager.decideWaiters(shard)
-	manager.write(shard)
+	manager.writeCeilings(shard)
 }
 
-// lose lets go of a shard that another node has claimed.
-func (manager *Manager) lose(shard *shard, err error) {
+// loseShard gives up a shard after the store has rejected an append.
+func (manager *Manager) loseShard(shard *shard, err error) {
 	manager.logger.Info("shard lost", zap.Int("shard", shard.number), zap.Int64("epoch", shard.epoch), logging.Cause(err))
 	manager.fire(shard, charts.OwnershipEventFenced)
 	shard.ledger = nil
 	shard.owner = Owner{}
-	shard.writing = false
-	waiting := shard.waiters
+	shard.appendInFlight = false
+	waiters := shard.waiters
 	shard.waiters = nil
-	// Those that wait learn from the log who the owner is.
-	for _, asked := range waiting {
-		asked.ask.Claim = true
-		manager.reserve(shard, asked)
+	// A claim attempt reads the new owner from the log, if there is one.
+	for _, waiting := range waiters {
+		waiting.request.Claim = true
+		manager.reserve(shard, waiting)
 	}
 }
