--- a/internal/history/history.go
+++ b/internal/history/history.go
@@ -1,5 +1,5 @@
-// Package history keeps turns of agent programs: facts that never change, each
-// named by its request's id, chained by their predecessors.
+// Package history stores finished turns of agent programs. A turn is immutable,
+// identified by its request's id, and linked to its predecessor, forming a chain.
 package history
 
 import (
@@ -14,95 +14,95 @@
 // Turn is one finished turn.
 type Turn struct {
 	ID string
-	// Tenant is whose turn it is, empty where no tenants were configured.
+	// Tenant is the owner of the turn, empty if no tenants were configured.
 	Tenant  string
 	Program string
-	// PreviousID is the id of the turn that this one goes on from, empty at the
-	// start of a line.
+	// PreviousID is the id of the turn that this one continues, empty at the start of
+	// a chain.
 	PreviousID string
-	// Input is what the caller sent, Output what it was given, as the next
-	// prompt repeats them.
+	// Input is the caller's input and Output the model's, as they appear in the next
+	// prompt.
 	Input  []byte
 	Output []byte
-	// Ended is the end of the answer.
+	// Ended is when the response was complete.
 	Ended time.Time
-	// Retention is how long the turn, with its chain, must be kept from then on.
+	// Retention is how long after Ended the turn and its chain must be kept.
 	Retention time.Duration
-	// Zones are those in which nodes may get the turn from the one that served it; it is
-	// not recorded.
+	// Zones are those whose nodes may fetch the turn from the node that served it. It is
+	// not recorded in the log.
 	Zones region.ZoneSet
 }
 
-// Key names a turn: another tenant's turn is none, also under the same id.
+// Key identifies a turn. Tenants may use the same id for different turns.
 type Key struct {
 	// Tenant is empty for a call without a tenant.
 	Tenant string
 	ID     string
 }
 
-// Key returns the turn's name.
+// Key returns the turn's key.
 func (turn *Turn) Key() Key { return Key{Tenant: turn.Tenant, ID: turn.ID} }
 
-// before names the turn that this one goes on from, for a line that a tenant asks for.
-func (turn *Turn) before(asker string) Key { return Key{Tenant: asker, ID: turn.PreviousID} }
+// previousKey returns the key of the turn that this one continues, in a chain requested
+// by a tenant.
+func (turn *Turn) previousKey(tenant string) Key { return Key{Tenant: tenant, ID: turn.PreviousID} }
 
-// size is what the turn holds in memory, bytes.
+// size returns the turn's memory use in bytes.
 func (turn *Turn) size() int {
 	return len(turn.ID) + len(turn.Tenant) + len(turn.Program) + len(turn.PreviousID) + len(turn.Input) + len(turn.Output) + turnOverhead
 }
 
 const (
-	// turnOverhead is a turn's share of the indexes, bytes.
+	// turnOverhead is the memory that the indexes need for a turn, in bytes.
 	turnOverhead = 256
-	// maxChain bounds the length of a chain, so that a damaged record can't
-	// make a loop.
+	// maxChain bounds the length of a chain, so that a corrupt record can't cause an
+	// endless loop.
 	maxChain = 4096
-	// retentionMargin is added to a turn's retention for clocks that differ.
+	// retentionMargin is added to a turn's retention to allow for clock skew.
 	retentionMargin = 10 * time.Second
 )
 
-// Store holds turns in memory within a bound; the least recently used go first.
-// It is safe for concurrent use.
+// Store is a size-bounded in-memory LRU cache of turns. It is safe for concurrent use.
 type Store struct {
 	mutex    sync.Mutex
 	turns    map[Key]*list.Element
-	recent   *list.List // of *entry, most recently used first
+	lru      *list.List // of *entry, most recently used first
 	bytes    int
 	maxBytes int
 	evicted  bool
 }
 
-// entry is a turn with the time until which it must be kept.
+// entry is a turn with the end of its retention.
 type entry struct {
-	turn *Turn
-	keep time.Time
+	turn      *Turn
+	keepUntil time.Time
 }
 
-// NewStore returns an empty store that holds about maxBytes.
+// NewStore returns an empty store of about maxBytes.
 func NewStore(maxBytes int) *Store {
-	return &Store{turns: map[Key]*list.Element{}, recent: list.New(), maxBytes: maxBytes}
+	return &Store{turns: map[Key]*list.Element{}, lru: list.New(), maxBytes: maxBytes}
 }
 
-// Add keeps a turn and, as long as it, the chain before it. A turn that is
-// known already is left as it is.
+// Add adds a turn and extends the retention of the chain before it. It does not replace
+// a turn that is already stored.
 func (store *Store) Add(turn *Turn) {
 	store.mutex.Lock()
 	defer store.mutex.Unlock()
-	if known := store.turns[turn.Key()]; known != nil {
+	if existing := store.turns[turn.Key()]; existing != nil {
 		return
 	}
-	keep := turn.Ended.Add(turn.Retention + retentionMargin)
-	store.turns[turn.Key()] = store.recent.PushFront(&entry{turn: turn, keep: keep})
+	keepUntil := turn.Ended.Add(turn.Retention + retentionMargin)
+	store.turns[turn.Key()] = store.lru.PushFront(&entry{turn: turn, keepUntil: keepUntil})
 	store.bytes += turn.size()
-	store.extend(turn.before(turn.Tenant), keep)
-	for store.bytes > store.maxBytes && store.recent.Len() > 1 {
+	store.extendRetention(turn.previousKey(turn.Tenant), keepUntil)
+	for store.bytes > store.maxBytes && store.lru.Len() > 1 {
 		store.evicted = true
-		store.drop(store.recent.Back())
+		store.remove(store.lru.Back())
 	}
 }
 
-// find returns what the store holds of a tenant's turn, nil for nothing. A turn that
-// was recorded before there were tenants belongs to whoever names it.
+// find returns the element of a tenant's turn, nil if it is not stored. A turn that was
+// recorded without a tenant is visible to every tenant.
 func (store *Store) find(key Key) *list.Element {
 	if element := store.turns[key]; element != nil {
 		return element
@@ -110,94 +110,93 @@
 	return store.turns[Key{ID: key.ID}]
 }
 
-// extend keeps the chain that ends with a turn at least until keep.
-func (store *Store) extend(key Key, keep time.Time) {
+// extendRetention extends the retention of the chain that ends with a turn.
+func (store *Store) extendRetention(key Key, keepUntil time.Time) {
 	for length := 0; length < maxChain; length++ {
 		element := store.find(key)
 		if element == nil {
 			return
 		}
-		held := element.Value.(*entry)
-		if !held.keep.Before(keep) {
+		stored := element.Value.(*entry)
+		if !stored.keepUntil.Before(keepUntil) {
 			return
 		}
-		held.keep = keep
-		key = held.turn.before(key.Tenant)
+		stored.keepUntil = keepUntil
+		key = stored.turn.previousKey(key.Tenant)
 	}
 }
 
-func (store *Store) drop(element *list.Element) {
-	held := store.recent.Remove(element).(*entry)
-	delete(store.turns, held.turn.Key())
-	store.bytes -= held.turn.size()
+func (store *Store) remove(element *list.Element) {
+	removed := store.lru.Remove(element).(*entry)
+	delete(store.turns, removed.turn.Key())
+	store.bytes -= removed.turn.size()
 }
 
-// Chain returns the turns of the line that ends with a turn, the oldest first. It
-// returns false, with the first turn that is missing, where one is not held.
+// Chain returns the chain that ends with a turn, oldest first. If the chain is not
+// complete, it returns false and the newest turn that is missing.
 func (store *Store) Chain(key Key) (chain []*Turn, missing Key, complete bool) {
-	line, missing := store.walk(key)
+	found, missing := store.walk(key)
 	if missing.ID != "" {
 		return nil, missing, false
 	}
-	return line, Key{}, true
+	return found, Key{}, true
 }
 
-// PartialChain returns the turns of the line that ends with a turn as far back as they are
-// held, the oldest first.
+// PartialChain returns the stored part of the chain that ends with a turn, back to the
+// newest turn that is missing, oldest first.
 func (store *Store) PartialChain(key Key) []*Turn {
-	line, _ := store.walk(key)
-	return line
+	chain, _ := store.walk(key)
+	return chain
 }
 
-// walk goes back from a turn to the start of its line, or to the first turn that is
-// missing.
-func (store *Store) walk(key Key) (line []*Turn, missing Key) {
+// walk follows a chain backwards to its start or to a turn that is missing.
+func (store *Store) walk(key Key) (chain []*Turn, missing Key) {
 	store.mutex.Lock()
 	defer store.mutex.Unlock()
-	for key.ID != "" && len(line) < maxChain {
+	for key.ID != "" && len(chain) < maxChain {
 		element := store.find(key)
 		if element == nil {
 			missing = key
 			break
 		}
-		store.recent.MoveToFront(element)
+		store.lru.MoveToFront(element)
 		turn := element.Value.(*entry).turn
-		line = append(line, turn)
-		key = turn.before(key.Tenant)
+		chain = append(chain, turn)
+		key = turn.previousKey(key.Tenant)
 	}
-	slices.Reverse(line)
-	return line, missing
+	slices.Reverse(chain)
+	return chain, missing
 }
 
-// Expire drops turns whose retention is over at now.
+// Expire removes the turns whose retention has ended.
 func (store *Store) Expire(now time.Time) {
 	store.mutex.Lock()
 	defer store.mutex.Unlock()
-	for element := store.recent.Back(); element != nil; {
+	for element := store.lru.Back(); element != nil; {
 		before := element.Prev()
-		if now.After(element.Value.(*entry).keep) {
-			store.drop(element)
+		if now.After(element.Value.(*entry).keepUntil) {
+			store.remove(element)
 		}
 		element = before
 	}
 }
 
-// Evicted tells whether a turn ever went for want of room, so that a turn that
-// is not held may have existed.
+// Evicted reports whether a turn has ever been evicted for lack of space. If so, a turn
+// that is not stored may still exist.
 func (store *Store) Evicted() bool {
 	store.mutex.Lock()
 	defer store.mutex.Unlock()
 	return store.evicted
 }
 
-// Size returns the number of turns held and their bytes.
+// Size returns the number of turns stored and their size in bytes.
 func (store *Store) Size() (turns, bytes int) {
 	store.mutex.Lock()
 	defer store.mutex.Unlock()
-	return store.recent.Len(), store.bytes
+	return store.lru.Len(), store.bytes
 }
 
-// BuildPrompt returns the chain's inputs and outputs in order, then the new input.
+// BuildPrompt concatenates the chain's inputs and outputs in order and the new input.
 func BuildPrompt(chain []*Turn, input []byte) []byte {
 	length := len(input)
 	for _, turn := range chain {
--- a/internal/history/reader.go
+++ b/internal/history/reader.go
@@ -10,91 +10,91 @@
 	"github.com/rotisserie/eris"
 )
 
-// RemoteLookup asks whichever node reads a shard's partition for the line of turns
-// that ends with a turn, as Reader.Line returns it.
+// RemoteLookup queries the node that reads a shard's partition. Its result is that of
+// Reader.PartialChain.
 type RemoteLookup func(ctx context.Context, shard int, key Key) ([]*Turn, error)
 
-// Reader finds turns that this node does not hold in the log. It reads a
-// partition once, from the oldest record kept, and later only what is new. The
-// partitions of other shards are read by other nodes where Delegate names a way
-// to ask them: after the loss of all nodes each partition is then read about
-// once, and not by each node. It is safe for concurrent use.
+// Reader finds turns in the log that are not in this node's store. It reads each
+// partition once from its oldest retained record, then only new records. With
+// SetRemoteLookup, other nodes are queried for the partitions of other shards, so that
+// not every node reads every partition after the loss of all nodes. It is safe for
+// concurrent use.
 type Reader struct {
-	log       durable.Log
-	store     *Store
-	shards    int
-	elsewhere RemoteLookup
-	mutex     sync.Mutex
-	tails     map[int]*tail
+	log          durable.Log
+	store        *Store
+	shards       int
+	remoteLookup RemoteLookup
+	mutex        sync.Mutex
+	cursors      map[int]*cursor
 }
 
-// tail is how far a shard's partition has been read.
-type tail struct {
-	mutex sync.Mutex
-	next  int64
-	// readSince is when the newest whole reading began.
-	readSince time.Time
+// cursor is the read position in a shard's partition.
+type cursor struct {
+	mutex      sync.Mutex
+	nextOffset int64
+	// lastReadStarted is when the latest successful read to the end began.
+	lastReadStarted time.Time
 }
 
-// maxSearches bounds the lookups of one chain: each goes from one program to the
-// one that it goes on from, or to a turn that was recorded in another partition.
-const maxSearches = 64
+// maxLookups bounds the lookups for one chain. Each follows the chain to another program
+// or to another partition.
+const maxLookups = 64
 
-// NewReader returns a reader that puts what it finds into store, and reads all
+// NewReader returns a reader that adds the turns it finds to store and reads all
 // partitions itself.
 func NewReader(log durable.Log, store *Store, shards int) *Reader {
-	reader := &Reader{log: log, store: store, shards: shards, tails: map[int]*tail{}}
-	reader.elsewhere = reader.PartialChain
+	reader := &Reader{log: log, store: store, shards: shards, cursors: map[int]*cursor{}}
+	reader.remoteLookup = reader.PartialChain
 	return reader
 }
 
-// SetRemoteLookup makes the reader ask others for the turns of other shards. It must be
-// called before the first search.
-func (reader *Reader) SetRemoteLookup(elsewhere RemoteLookup) { reader.elsewhere = elsewhere }
+// SetRemoteLookup sets the function that looks up turns of other shards. It must be
+// called before the first Find.
+func (reader *Reader) SetRemoteLookup(lookup RemoteLookup) { reader.remoteLookup = lookup }
 
-// Lookup is the outcome of a search.
+// Lookup is the result of Find.
 type Lookup struct {
 	Chain []*Turn
-	// Found is false where the log has no such turn; then it never had one
-	// whose retention is not over.
+	// Found is false if the log has no such turn: it never existed or its retention has
+	// ended.
 	Found bool
 }
 
-// Find returns the chain that ends with a turn. It looks in the shard's partition
-// first, then in all others: a program may go on from another program's turn. An
-// error says that it can't be told now whether the turn exists.
+// Find returns the chain that ends with a turn. It searches the shard's partition first,
+// then all others, as a program may continue another program's turn. An error means that
+// the turn may or may not exist.
 func (reader *Reader) Find(ctx context.Context, shard int, key Key) (Lookup, error) {
-	for range maxSearches {
+	for range maxLookups {
 		chain, missing, complete := reader.store.Chain(key)
 		if complete {
 			return Lookup{Chain: chain, Found: true}, nil
 		}
-		line, err := reader.search(ctx, shard, missing)
+		found, err := reader.search(ctx, shard, missing)
 		if err != nil {
 			return Lookup{}, err
 		}
-		if len(line) == 0 && missing == key {
+		if len(found) == 0 && missing == key {
 			return Lookup{}, nil
 		}
-		if len(line) == 0 {
+		if len(found) == 0 {
 			return Lookup{}, eris.Errorf("turn %s of the chain is missing", missing.ID)
 		}
-		for _, turn := range line {
+		for _, turn := range found {
 			reader.store.Add(turn)
 		}
 	}
-	return Lookup{}, eris.Errorf("the chain of turn %s is spread too far", key.ID)
+	return Lookup{}, eris.Errorf("chain of turn %s exceeds the lookup limit", key.ID)
 }
 
-// search looks for a turn in the shard's partition, then in all others.
+// search looks up a turn in the shard's partition, then in all others concurrently.
 func (reader *Reader) search(ctx context.Context, shard int, key Key) ([]*Turn, error) {
-	line, failure := reader.PartialChain(ctx, shard, key)
-	if len(line) > 0 {
-		return line, nil
+	chain, failures := reader.PartialChain(ctx, shard, key)
+	if len(chain) > 0 {
+		return chain, nil
 	}
 	type outcome struct {
-		line []*Turn
-		err  error
+		chain []*Turn
+		err   error
 	}
 	outcomes := make(chan outcome, reader.shards)
 	for other := range reader.shards {
@@ -102,75 +102,74 @@
 			continue
 		}
 		go func() {
-			found, err := reader.elsewhere(ctx, other, key)
-			outcomes <- outcome{line: found, err: err}
+			found, err := reader.remoteLookup(ctx, other, key)
+			outcomes <- outcome{chain: found, err: err}
 		}()
 	}
 	for range reader.shards - 1 {
-		ended := <-outcomes
-		if len(ended.line) > 0 {
-			return ended.line, nil
+		completed := <-outcomes
+		if len(completed.chain) > 0 {
+			return completed.chain, nil
 		}
-		failure = errors.Join(failure, ended.err)
+		failures = errors.Join(failures, completed.err)
 	}
-	return nil, failure
+	return nil, failures
 }
 
-// PartialChain returns the turns of the line that ends with a turn, the oldest first, as far
-// back as this node holds them once it has read the shard's partition to its
-// end; none where the partition has no such turn. An error says that it can't be
-// told now.
+// PartialChain returns the chain that ends with a turn, oldest first, as far back as this
+// node stores it after reading the shard's partition. It is empty if the partition does
+// not contain the turn. An error means that the partition may contain it.
 func (reader *Reader) PartialChain(ctx context.Context, shard int, key Key) ([]*Turn, error) {
-	line := reader.store.PartialChain(key)
-	if len(line) > 0 {
-		return line, nil
+	chain := reader.store.PartialChain(key)
+	if len(chain) > 0 {
+		return chain, nil
 	}
-	err := reader.readOn(ctx, shard)
-	line = reader.store.PartialChain(key)
+	err := reader.catchUp(ctx, shard)
+	chain = reader.store.PartialChain(key)
 	switch {
-	case len(line) > 0:
-		return line, nil
+	case len(chain) > 0:
+		return chain, nil
 	case err != nil:
 		return nil, err
 	case reader.store.Evicted():
-		return nil, eris.New("turns were dropped for want of memory")
+		return nil, eris.New("turn not found: turns have been evicted for lack of memory")
 	}
 	return nil, nil
 }
 
-// readOn reads a partition from where it was read to, up to its end. A reading
-// that began after the call serves the call too.
-func (reader *Reader) readOn(ctx context.Context, shard int) error {
+// catchUp reads the new records of a partition. A read that another goroutine began after
+// the call satisfies it too.
+func (reader *Reader) catchUp(ctx context.Context, shard int) error {
 	called := time.Now()
-	tail := reader.tail(shard)
-	tail.mutex.Lock()
-	defer tail.mutex.Unlock()
-	if tail.readSince.After(called) {
+	position := reader.cursor(shard)
+	position.mutex.Lock()
+	defer position.mutex.Unlock()
+	if position.lastReadStarted.After(called) {
 		return nil
 	}
-	began := time.Now()
-	next, err := durable.ReadToEnd(ctx, reader.log, durable.Partition{Topic: Topic, Number: shard}, tail.next, reader.take)
-	tail.next = next
+	start := time.Now()
+	next, err := durable.ReadToEnd(ctx, reader.log, durable.Partition{Topic: Topic, Number: shard}, position.nextOffset, reader.addRecord)
+	position.nextOffset = next
 	if err == nil {
-		tail.readSince = began
+		position.lastReadStarted = start
 	}
 	return err
 }
 
-// take keeps the turn of a record; bytes that are no turn are passed over.
-func (reader *Reader) take(record []byte) {
+// addRecord adds the turn of a record to the store. Malformed records are skipped.
+func (reader *Reader) addRecord(record []byte) {
 	if turn := decode(record); turn != nil {
 		reader.store.Add(turn)
 	}
 }
 
-func (reader *Reader) tail(shard int) *tail {
+func (reader *Reader) cursor(shard int) *cursor {
 	reader.mutex.Lock()
 	defer reader.mutex.Unlock()
-	found := reader.tails[shard]
+	found := reader.cursors[shard]
 	if found == nil {
-		found = &tail{}
-		reader.tails[shard] = found
+		found = &cursor{}
+		reader.cursors[shard] = found
 	}
 	return found
 }
--- a/internal/history/reader_test.go
+++ b/internal/history/reader_test.go
@@ -14,7 +14,7 @@
 
 const shards = 4
 
-// key names a turn that was recorded without tenants.
+// key returns the key of a turn that was recorded without a tenant.
 func key(id string) history.Key { return history.Key{ID: id} }
 
 func turn(id, previous, input, output string) *history.Turn {
@@ -38,20 +38,20 @@
 		return history.NewReader(log, history.NewStore(1<<20), shards)
 	}
 
-	It("finds a chain written by a process that is gone", func() {
+	It("finds a chain written by a process that has ended", func() {
 		found, err := newReader().Find(ctx, 1, key("b"))
 		Expect(err).NotTo(HaveOccurred())
 		Expect(found.Found).To(BeTrue())
 		Expect(string(history.BuildPrompt(found.Chain, []byte("next")))).To(Equal("hellohi\nmoresome\nnext"))
 	})
 
-	It("finds a turn of another program, in another program's shard", func() {
+	It("finds a turn of another program in that program's shard", func() {
 		found, err := newReader().Find(ctx, 3, key("b"))
 		Expect(err).NotTo(HaveOccurred())
 		Expect(found.Found).To(BeTrue())
 	})
 
-	It("leaves the partitions of other shards to the nodes that read them", func() {
+	It("reads the partitions of other shards through the nodes that read them", func() {
 		Expect(history.NewRecorder(log, shards).Record(ctx, 3, turn("c", "b", "x", "y\n"))).To(Succeed())
 		var mutex sync.Mutex
 		reads := map[durable.Partition]int{}
@@ -78,19 +78,19 @@
 			Expect(found.Chain).To(HaveLen(3))
 		}
 		for shard := range shards {
-			// One reading of the records, and one per later search that ends at once.
+			// One read of the records, and one empty read per later search.
 			Expect(reads[durable.Partition{Topic: history.Topic, Number: shard}]).To(BeNumerically("<=", shards+1))
 		}
 	})
 
-	It("joins a chain that goes from one shard to another", func() {
+	It("joins a chain that spans two shards", func() {
 		Expect(history.NewRecorder(log, shards).Record(ctx, 3, turn("c", "b", "x", "y\n"))).To(Succeed())
 		found, err := newReader().Find(ctx, 0, key("c"))
 		Expect(err).NotTo(HaveOccurred())
 		Expect(string(history.BuildPrompt(found.Chain, nil))).To(Equal("hellohi\nmoresome\nxy\n"))
 	})
 
-	It("says that a turn does not exist only where every partition was read", func() {
+	It("reports that a turn does not exist only if every partition was read", func() {
 		found, err := newReader().Find(ctx, 1, key("forged"))
 		Expect(err).NotTo(HaveOccurred())
 		Expect(found.Found).To(BeFalse())
@@ -105,7 +105,7 @@
 		Expect(err).To(HaveOccurred())
 	})
 
-	It("records a turn in a spare partition where its own does not answer, and finds it", func() {
+	It("records a turn in another partition if its own does not answer, and finds it", func() {
 		log.Intercept = func(operation string, partition durable.Partition) error {
 			if operation == "append" && partition == (durable.Partition{Topic: history.Topic, Number: 1}) {
 				return durable.ErrUnavailable
@@ -118,7 +118,7 @@
 		Expect(found.Chain).To(HaveLen(3))
 	})
 
-	It("has another node record a turn that the log does not take from this one", func() {
+	It("records a turn through another node if the log refuses this one", func() {
 		refused := durable.NewMemory()
 		refused.Intercept = func(string, durable.Partition) error { return durable.ErrUnavailable }
 		other := history.NewRecorder(log, shards)
@@ -134,7 +134,7 @@
 		Expect(found.Chain).To(HaveLen(3))
 	})
 
-	It("does not flood a store that refuses", func() {
+	It("backs off while the store refuses", func() {
 		var calls atomic.Int32
 		log.Intercept = func(operation string, _ durable.Partition) error {
 			calls.Add(1)
@@ -143,11 +143,11 @@
 		bounded, cancel := context.WithTimeout(ctx, time.Second)
 		defer cancel()
 		Expect(history.NewRecorder(log, shards).Record(bounded, 1, turn("c", "b", "x", "y\n"))).NotTo(Succeed())
-		// Pauses of 40, 80, 160 and then 250 ms; a fixed one of 40 ms makes 25.
+		// Backoff of 40, 80, 160 and then 250 ms. A fixed 40 ms would make 25 calls.
 		Expect(calls.Load()).To(BeNumerically("<=", 10))
 	})
 
-	It("goes on from the oldest record kept", func() {
+	It("reads from the oldest retained record", func() {
 		log.Trim(durable.Partition{Topic: history.Topic, Number: 1}, 1)
 		_, err := newReader().Find(ctx, 1, key("b"))
 		Expect(err).To(MatchError(ContainSubstring("turn a of the chain is missing")))
--- a/internal/history/record.go
+++ b/internal/history/record.go
@@ -7,7 +7,7 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// ToProto returns a turn in the form that the log and other nodes get.
+// ToProto returns the message of a turn for the log and other nodes.
 func ToProto(turn *Turn) *nodev1.Turn {
 	return &nodev1.Turn{
 		Id:          turn.ID,
@@ -21,7 +21,7 @@
 	}
 }
 
-// FromProto is the reverse of ToMessage.
+// FromProto is the inverse of ToProto.
 func FromProto(message *nodev1.Turn) *Turn {
 	return &Turn{
 		ID:         message.Id,
@@ -35,27 +35,27 @@
 	}
 }
 
-// ToProtos is ToMessage for a line of turns.
-func ToProtos(line []*Turn) []*nodev1.Turn {
-	messages := make([]*nodev1.Turn, 0, len(line))
-	for _, turn := range line {
+// ToProtos is ToProto for a chain of turns.
+func ToProtos(chain []*Turn) []*nodev1.Turn {
+	messages := make([]*nodev1.Turn, 0, len(chain))
+	for _, turn := range chain {
 		messages = append(messages, ToProto(turn))
 	}
 	return messages
 }
 
-// FromProtos is the reverse of ToMessages.
+// FromProtos is the inverse of ToProtos.
 func FromProtos(messages []*nodev1.Turn) []*Turn {
-	line := make([]*Turn, 0, len(messages))
+	chain := make([]*Turn, 0, len(messages))
 	for _, message := range messages {
-		line = append(line, FromProto(message))
+		chain = append(chain, FromProto(message))
 	}
-	return line
+	return chain
 }
 
 func encode(turn *Turn) ([]byte, error) { return proto.Marshal(ToProto(turn)) }
 
-// decode returns nil for bytes that are no turn.
+// decode returns nil for a malformed record.
 func decode(record []byte) *Turn {
 	var message nodev1.Turn
 	if proto.Unmarshal(record, &message) != nil || message.Id == "" {
--- a/internal/history/recorder.go
+++ b/internal/history/recorder.go
@@ -11,86 +11,85 @@
 )
 
 const (
-	// Topic holds turns by the shard of their program; those whose own partition
-	// did not answer in time stand in another one.
+	// Topic holds turns, partitioned by the shard of their program. A turn is in another
+	// partition if its own did not answer in time.
 	Topic = "turns"
-	// firstPause follows a round that the store refused; it doubles up to
-	// longestPause, so that many waiting turns do not flood a store that is away.
-	firstPause   = 40 * time.Millisecond
-	longestPause = 250 * time.Millisecond
-	// refusedFor is how long a failed append says that the log refuses this node.
-	refusedFor = 500 * time.Millisecond
-	// relayPause separates two rounds of asking other nodes.
-	relayPause = 100 * time.Millisecond
-	// batchBytes bounds the records of one append.
-	batchBytes = 512 << 10
+	// initialBackoff is the delay after all appends of a turn have failed. It doubles up
+	// to maxBackoff to limit the load on a store that recovers.
+	initialBackoff = 40 * time.Millisecond
+	maxBackoff     = 250 * time.Millisecond
+	// refusalWindow is how long RecentlyRefused is true after a failed append.
+	refusalWindow = 500 * time.Millisecond
+	// relayRetryDelay is the delay after a failed relay call.
+	relayRetryDelay = 100 * time.Millisecond
+	// maxBatchBytes bounds the size of the records in one append.
+	maxBatchBytes = 512 << 10
 	// appendTimeout bounds one append.
 	appendTimeout = 2500 * time.Millisecond
 )
 
-// Recorder writes turns to the log. A turn is a fact: it may be written by any
-// node, in any partition that works, twice without harm. What waits for the
-// same partition goes in one append. It is safe for concurrent use.
+// Recorder writes turns to the log. Turns are immutable and duplicates are harmless, so
+// any node may write a turn to any available partition. Turns waiting for the same
+// partition are batched in one append. It is safe for concurrent use.
 type Recorder struct {
-	log     durable.Log
-	shards  int
-	mutex   sync.Mutex
-	pending map[durable.Partition]*pendingAppend
-	pace    durable.AppendLatency
-	relay   Relay
-	// underway counts the recordings that have not ended; waitingSince is when the
-	// newest of them was recorded, or the first of them began. The mutex guards both.
-	underway     int
-	waitingSince time.Time
-	// refused is when an append last failed with none done since, zero where the
-	// last one was done. The mutex guards it.
-	refused time.Time
+	log           durable.Log
+	shards        int
+	mutex         sync.Mutex
+	queues        map[durable.Partition]*partitionQueue
+	appendLatency durable.AppendLatency
+	relay         Relay
+	// inFlight counts the unfinished recordings. lastProgress is when a turn was last
+	// recorded, or when the first of them began. The mutex guards both.
+	inFlight     int
+	lastProgress time.Time
+	// lastRefused is when the latest append failed, zero if it succeeded. The mutex guards
+	// it.
+	lastRefused time.Time
 }
 
-// pendingAppend collects what waits while an append is under way.
-type pendingAppend struct {
-	workers int
-	// begun is when the newest append began.
-	begun   time.Time
-	waiting []waitingRecord
+// partitionQueue holds the records that wait for an append to a partition.
+type partitionQueue struct {
+	workers           int
+	lastAppendStarted time.Time
+	queued            []queuedRecord
 }
 
-// Relay has another node record a turn. An error says that this one could not.
+// Relay asks another node to record a turn. An error means that it was not recorded there.
 type Relay func(ctx context.Context, shard int, turn *Turn) error
 
-// maxWorkers bounds the appends under way in one partition.
+// maxWorkers bounds the concurrent appends to one partition.
 const maxWorkers = 4
 
-type waitingRecord struct {
+type queuedRecord struct {
 	record []byte
 	done   chan<- error
 }
 
 // NewRecorder returns a recorder for a number of shards.
 func NewRecorder(log durable.Log, shards int) *Recorder {
-	return &Recorder{log: log, shards: shards, pending: map[durable.Partition]*pendingAppend{}}
+	return &Recorder{log: log, shards: shards, queues: map[durable.Partition]*partitionQueue{}}
 }
 
-// SetRelay makes the recorder ask another node where the log does not answer this
-// one: a store may refuse single nodes. It must be called before the first turn.
+// SetRelay sets the function that asks another node to record a turn when the store does
+// not answer this node. It must be called before the first Record.
 func (recorder *Recorder) SetRelay(relay Relay) { recorder.relay = relay }
 
-// RecentlyRefused tells whether the log has just refused this node, so that it is no
-// help to another one.
+// RecentlyRefused reports whether the latest append failed less than refusalWindow ago.
+// Such a node can't record turns for other nodes.
 func (recorder *Recorder) RecentlyRefused() bool {
 	recorder.mutex.Lock()
 	defer recorder.mutex.Unlock()
-	return time.Since(recorder.refused) < refusedFor
+	return time.Since(recorder.lastRefused) < refusalWindow
 }
 
-// Record returns nil once the log has acknowledged the turn. It tries the
-// shard's partition, and one of the others after another while there is no
-// answer, until ctx ends; beside that another node, where there is a Relay.
+// Record writes a turn and returns nil once the log has acknowledged it. It begins with the
+// shard's partition, adds other partitions one by one while none answers, and uses the
+// Relay, if set, in parallel. It retries until ctx ends.
 func (recorder *Recorder) Record(ctx context.Context, shard int, turn *Turn) error {
 	return recorder.record(ctx, shard, turn, recorder.relay)
 }
 
-// RecordLocally is Record without asking another node.
+// RecordLocally is Record without the Relay.
 func (recorder *Recorder) RecordLocally(ctx context.Context, shard int, turn *Turn) error {
 	return recorder.record(ctx, shard, turn, nil)
 }
@@ -100,7 +99,7 @@
 	if err != nil {
 		return eris.Wrap(err, "encode turn")
 	}
-	current := &recording{
+	operation := &recordOperation{
 		recorder: recorder,
 		relay:    relay,
 		shard:    shard,
@@ -109,191 +108,190 @@
 		done:     make(chan error, recorder.shards+1),
 		relayed:  make(chan error, 1),
 	}
-	recorder.began()
-	err = current.run(ctx)
-	recorder.ended(err)
+	recorder.beginRecording()
+	err = operation.run(ctx)
+	recorder.endRecording(err)
 	return err
 }
 
-func (recorder *Recorder) began() {
+func (recorder *Recorder) beginRecording() {
 	recorder.mutex.Lock()
 	defer recorder.mutex.Unlock()
-	if recorder.underway == 0 {
-		recorder.waitingSince = time.Now()
+	if recorder.inFlight == 0 {
+		recorder.lastProgress = time.Now()
 	}
-	recorder.underway++
+	recorder.inFlight++
 }
 
-func (recorder *Recorder) ended(err error) {
+func (recorder *Recorder) endRecording(err error) {
 	recorder.mutex.Lock()
 	defer recorder.mutex.Unlock()
-	recorder.underway--
+	recorder.inFlight--
 	if err == nil {
-		recorder.waitingSince = time.Now()
+		recorder.lastProgress = time.Now()
 	}
 }
 
-// StalledFor is for how long turns have waited here and none was recorded, 0 where none
+// StalledFor returns how long turns have been waiting without any being recorded, 0 if none
 // waits.
 func (recorder *Recorder) StalledFor(now time.Time) time.Duration {
 	recorder.mutex.Lock()
 	defer recorder.mutex.Unlock()
-	if recorder.underway == 0 {
+	if recorder.inFlight == 0 {
 		return 0
 	}
-	return now.Sub(recorder.waitingSince)
+	return now.Sub(recorder.lastProgress)
 }
 
-// recording is one turn on its way into the log.
-type recording struct {
+// recordOperation is the state of one Record call.
+type recordOperation struct {
 	recorder *Recorder
 	relay    Relay
 	shard    int
 	turn     *Turn
 	record   []byte
-	// done takes the outcomes of appends, relayed that of the other node asked.
+	// done receives the results of appends, relayed those of relay calls.
 	done    chan error
 	relayed chan error
-	// partitions is the number of partitions tried, outstanding of them unanswered.
-	partitions  int
-	outstanding int
-	relaying    bool
+	// pendingAppends counts the partitions tried that have not answered.
+	partitionsTried int
+	pendingAppends  int
+	relaying        bool
 }
 
-func (current *recording) run(ctx context.Context) error {
+func (operation *recordOperation) run(ctx context.Context) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	current.tryNext()
-	// Another partition is tried when an append takes unusually long, the next
-	// one after twice that time, and so on.
-	patience := current.recorder.pace.HedgeDelay()
-	timer := time.NewTimer(patience)
+	operation.tryNextPartition()
+	// Another partition is tried after hedgeDelay, which doubles each time.
+	hedgeDelay := operation.recorder.appendLatency.HedgeDelay()
+	timer := time.NewTimer(hedgeDelay)
 	defer timer.Stop()
-	pause := firstPause
+	backoff := initialBackoff
 	for {
 		select {
-		case err := <-current.done:
+		case err := <-operation.done:
 			if err == nil {
 				return nil
 			}
-			current.outstanding--
-			current.ask(ctx)
-			if current.outstanding == 0 {
-				timer.Reset(pause)
-				pause = min(2*pause, longestPause)
+			operation.pendingAppends--
+			operation.askRelay(ctx)
+			if operation.pendingAppends == 0 {
+				timer.Reset(backoff)
+				backoff = min(2*backoff, maxBackoff)
 			}
-		case err := <-current.relayed:
+		case err := <-operation.relayed:
 			if err == nil {
 				return nil
 			}
-			current.relaying = false
+			operation.relaying = false
 		case <-timer.C:
-			if current.partitions > 1 {
-				current.ask(ctx)
+			if operation.partitionsTried > 1 {
+				operation.askRelay(ctx)
 			}
-			current.tryNext()
-			patience = min(2*patience, appendTimeout)
-			timer.Reset(patience)
+			operation.tryNextPartition()
+			hedgeDelay = min(2*hedgeDelay, appendTimeout)
+			timer.Reset(hedgeDelay)
 		case <-ctx.Done():
 			return ctx.Err()
 		}
 	}
 }
 
-// tryNext appends the turn to the next partition, the shard's own first.
-func (current *recording) tryNext() {
-	number := (current.shard + current.partitions) % current.recorder.shards
-	current.recorder.enqueue(durable.Partition{Topic: Topic, Number: number}, current.record, current.done)
-	current.partitions++
-	current.outstanding++
+// tryNextPartition queues the turn for the next partition, the shard's own first.
+func (operation *recordOperation) tryNextPartition() {
+	number := (operation.shard + operation.partitionsTried) % operation.recorder.shards
+	operation.recorder.enqueue(durable.Partition{Topic: Topic, Number: number}, operation.record, operation.done)
+	operation.partitionsTried++
+	operation.pendingAppends++
 }
 
-// ask has another node record the turn, unless one is being asked.
-func (current *recording) ask(ctx context.Context) {
-	if current.relaying || current.relay == nil {
+// askRelay starts a relay call unless one is in progress.
+func (operation *recordOperation) askRelay(ctx context.Context) {
+	if operation.relaying || operation.relay == nil {
 		return
 	}
-	current.relaying = true
+	operation.relaying = true
 	go func() {
-		err := current.relay(ctx, current.shard, current.turn)
+		err := operation.relay(ctx, operation.shard, operation.turn)
 		if err != nil {
-			wait.Sleep(ctx, relayPause)
+			wait.Sleep(ctx, relayRetryDelay)
 		}
-		current.relayed <- err
+		operation.relayed <- err
 	}()
 }
 
 func (recorder *Recorder) enqueue(partition durable.Partition, record []byte, done chan error) {
 	recorder.mutex.Lock()
 	defer recorder.mutex.Unlock()
-	pending := recorder.pending[partition]
-	if pending == nil {
-		pending = &pendingAppend{}
-		recorder.pending[partition] = pending
+	queue := recorder.queues[partition]
+	if queue == nil {
+		queue = &partitionQueue{}
+		recorder.queues[partition] = queue
 	}
-	pending.waiting = append(pending.waiting, waitingRecord{record: record, done: done})
-	stuck := time.Since(pending.begun) > recorder.pace.HedgeDelay()
-	if pending.workers == 0 || (stuck && pending.workers < maxWorkers) {
-		pending.workers++
-		go recorder.work(partition, pending)
+	queue.queued = append(queue.queued, queuedRecord{record: record, done: done})
+	stuck := time.Since(queue.lastAppendStarted) > recorder.appendLatency.HedgeDelay()
+	if queue.workers == 0 || (stuck && queue.workers < maxWorkers) {
+		queue.workers++
+		go recorder.appendQueued(partition, queue)
 	}
 }
 
-// work appends what waits for a partition until nothing does.
-func (recorder *Recorder) work(partition durable.Partition, pending *pendingAppend) {
+// appendQueued appends batches of queued records until the queue is empty.
+func (recorder *Recorder) appendQueued(partition durable.Partition, queue *partitionQueue) {
 	for {
-		taken := recorder.take(pending)
-		if len(taken) == 0 {
+		batch := recorder.dequeueBatch(queue)
+		if len(batch) == 0 {
 			return
 		}
-		records := make([][]byte, len(taken))
-		for index, waiting := range taken {
-			records[index] = waiting.record
+		records := make([][]byte, len(batch))
+		for index, queued := range batch {
+			records[index] = queued.record
 		}
 		ctx, cancel := context.WithTimeout(context.Background(), appendTimeout)
-		began := time.Now()
+		start := time.Now()
 		_, err := recorder.log.Append(ctx, partition, records, durable.Condition{})
 		cancel()
-		recorder.note(began, err)
-		for _, waiting := range taken {
+		recorder.observeAppend(start, err)
+		for _, queued := range batch {
 			select {
-			case waiting.done <- err:
-			default: // Its caller has its answer from another partition.
+			case queued.done <- err:
+			default: // The caller has returned.
 			}
 		}
 	}
 }
 
-// note learns from an append's outcome.
-func (recorder *Recorder) note(began time.Time, err error) {
+// observeAppend updates the append latency and lastRefused.
+func (recorder *Recorder) observeAppend(start time.Time, err error) {
 	if err == nil {
-		recorder.pace.Observe(time.Since(began))
+		recorder.appendLatency.Observe(time.Since(start))
 	}
 	recorder.mutex.Lock()
 	defer recorder.mutex.Unlock()
 	if err == nil {
-		recorder.refused = time.Time{}
+		recorder.lastRefused = time.Time{}
 		return
 	}
-	recorder.refused = time.Now()
+	recorder.lastRefused = time.Now()
 }
 
-// take removes up to one append's worth of what waits.
-func (recorder *Recorder) take(pending *pendingAppend) []waitingRecord {
+// dequeueBatch removes the records of the next append from a queue.
+func (recorder *Recorder) dequeueBatch(queue *partitionQueue) []queuedRecord {
 	recorder.mutex.Lock()
 	defer recorder.mutex.Unlock()
 	bytes := 0
 	count := 0
-	for count < len(pending.waiting) && (count == 0 || bytes+len(pending.waiting[count].record) <= batchBytes) {
-		bytes += len(pending.waiting[count].record)
+	for count < len(queue.queued) && (count == 0 || bytes+len(queue.queued[count].record) <= maxBatchBytes) {
+		bytes += len(queue.queued[count].record)
 		count++
 	}
-	taken := pending.waiting[:count:count]
-	pending.waiting = pending.waiting[count:]
-	pending.begun = time.Now()
+	batch := queue.queued[:count:count]
+	queue.queued = queue.queued[count:]
+	queue.lastAppendStarted = time.Now()
 	if count == 0 {
-		pending.workers--
-		pending.waiting = nil
+		queue.workers--
+		queue.queued = nil
 	}
-	return taken
+	return batch
 }
--- a/internal/history/tenant_test.go
+++ b/internal/history/tenant_test.go
@@ -14,46 +14,46 @@
 var _ = Describe("Turns of tenants", func() {
 	ctx := context.Background()
 
-	of := func(holder, id, previous, input string) *history.Turn {
-		made := turn(id, previous, input, "said\n")
-		made.Tenant = holder
-		return made
+	turnOf := func(tenant, id, previous, input string) *history.Turn {
+		created := turn(id, previous, input, "said\n")
+		created.Tenant = tenant
+		return created
 	}
 
-	find := func(log durable.Log, holder, id string) history.Lookup {
-		found, err := history.NewReader(log, history.NewStore(1<<20), shards).Find(ctx, 0, history.Key{Tenant: holder, ID: id})
+	find := func(log durable.Log, tenant, id string) history.Lookup {
+		found, err := history.NewReader(log, history.NewStore(1<<20), shards).Find(ctx, 0, history.Key{Tenant: tenant, ID: id})
 		Expect(err).NotTo(HaveOccurred())
 		return found
 	}
 
-	It("are found by their own tenant alone", func() {
+	It("are found only by their own tenant", func() {
 		log := durable.NewMemory()
 		recorder := history.NewRecorder(log, shards)
-		Expect(recorder.Record(ctx, 0, of("a", "1", "", "first"))).To(Succeed())
-		Expect(recorder.Record(ctx, 2, of("a", "2", "1", "second"))).To(Succeed())
+		Expect(recorder.Record(ctx, 0, turnOf("a", "1", "", "first"))).To(Succeed())
+		Expect(recorder.Record(ctx, 2, turnOf("a", "2", "1", "second"))).To(Succeed())
 		Expect(find(log, "a", "2").Chain).To(HaveLen(2))
 		Expect(find(log, "b", "2").Found).To(BeFalse())
 		Expect(find(log, "", "2").Found).To(BeFalse())
 	})
 
-	It("are kept apart where two tenants use one id", func() {
+	It("are separate if two tenants use the same id", func() {
 		log := durable.NewMemory()
 		recorder := history.NewRecorder(log, shards)
-		Expect(recorder.Record(ctx, 0, of("a", "1", "", "of a"))).To(Succeed())
-		Expect(recorder.Record(ctx, 0, of("b", "1", "", "of b"))).To(Succeed())
+		Expect(recorder.Record(ctx, 0, turnOf("a", "1", "", "of a"))).To(Succeed())
+		Expect(recorder.Record(ctx, 0, turnOf("b", "1", "", "of b"))).To(Succeed())
 		Expect(string(find(log, "a", "1").Chain[0].Input)).To(Equal("of a"))
 		Expect(string(find(log, "b", "1").Chain[0].Input)).To(Equal("of b"))
 	})
 
-	It("go on from turns that a node without tenants has recorded", func() {
+	It("continue turns recorded by a node without tenant support", func() {
 		log := durable.NewMemory()
-		// What such a node writes: no field for the tenant.
+		// Such a node does not set the tenant.
 		record, err := proto.Marshal(&nodev1.Turn{Id: "1", Program: "p", Input: []byte("first"), Output: []byte("said\n"),
 			EndedUnixMs: turn("1", "", "", "").Ended.UnixMilli(), RetentionMs: 60_000})
 		Expect(err).NotTo(HaveOccurred())
 		_, err = log.Append(ctx, durable.Partition{Topic: history.Topic, Number: 0}, [][]byte{record}, durable.Condition{})
 		Expect(err).NotTo(HaveOccurred())
-		Expect(history.NewRecorder(log, shards).Record(ctx, 0, of("a", "2", "1", "second"))).To(Succeed())
+		Expect(history.NewRecorder(log, shards).Record(ctx, 0, turnOf("a", "2", "1", "second"))).To(Succeed())
 		Expect(find(log, "a", "2").Chain).To(HaveLen(2))
 	})
 })
