--- a/rehearsal/standin/engine/engine.go
+++ b/rehearsal/standin/engine/engine.go
@@ -193,7 +193,7 @@
 }
 
 func expired() error {
-	return &reply.Failure{
+	return &reply.ErrorResponse{
 		Status: http.StatusGone,
 		Body:   wire.Error{Code: wire.CodeExpired, Message: "the request ran; its output is no longer kept"},
 	}
--- a/rehearsal/standin/engine/engine_benchmark_test.go
+++ b/rehearsal/standin/engine/engine_benchmark_test.go
@@ -98,14 +98,14 @@
 	report := wire.LoadReport{ProgramBlocks: blocks, Sequence: changes.note(nil, blocks)}
 	mux := http.NewServeMux()
 	serve := func(request *http.Request) (wire.LoadReport, error) {
-		after, err := reply.Number(request, wire.ParameterAfter, 0)
+		after, err := reply.UintParameter(request, wire.ParameterAfter, 0)
 		return changes.since(report, after), err
 	}
 	if way == "whole" {
 		report.Sequence = 0
-		reply.Query(mux, wire.PathReport, serve)
+		reply.HandleGet(mux, wire.PathReport, serve)
 	} else {
-		reply.QueryTagged(mux, wire.PathReport, serve, withoutIntegrals)
+		reply.HandleGetWithETag(mux, wire.PathReport, serve, withoutIntegrals)
 	}
 	sent := 0
 	server := httptest.NewServer(http.HandlerFunc(func(writer http.ResponseWriter, request *http.Request) {
--- a/rehearsal/standin/engine/generate.go
+++ b/rehearsal/standin/engine/generate.go
@@ -20,7 +20,7 @@
 // ResumeAfter. The generation goes on when the stream's connection is lost.
 func (engine *Engine) serveGenerate(writer http.ResponseWriter, request *http.Request) {
 	var body wire.GenerateRequest
-	if err := reply.Read(writer, request, &body); err != nil {
+	if err := reply.ReadJSON(writer, request, &body); err != nil {
 		reply.WriteError(writer, err)
 		return
 	}
--- a/rehearsal/standin/engine/observe.go
+++ b/rehearsal/standin/engine/observe.go
@@ -145,10 +145,10 @@
 }
 
 func (engine *Engine) routeQueries(mux *http.ServeMux) {
-	reply.QueryTagged(mux, wire.PathReport, engine.shownReport, withoutIntegrals)
-	reply.Query(mux, wire.PathEvents, engine.events)
-	reply.Query(mux, PathRuns, func(*http.Request) (RunsAnswer, error) { return engine.Runs(), nil })
-	reply.Query(mux, PathState, func(*http.Request) (wire.LoadReport, error) {
+	reply.HandleGetWithETag(mux, wire.PathReport, engine.shownReport, withoutIntegrals)
+	reply.HandleGet(mux, wire.PathEvents, engine.events)
+	reply.HandleGet(mux, PathRuns, func(*http.Request) (RunsAnswer, error) { return engine.Runs(), nil })
+	reply.HandleGet(mux, PathState, func(*http.Request) (wire.LoadReport, error) {
 		engine.lock.Lock()
 		defer engine.lock.Unlock()
 		return engine.report(engine.now()), nil
@@ -158,7 +158,7 @@
 // shownReport answers with the report that is due, with the programs that have
 // changed after a number where one is named.
 func (engine *Engine) shownReport(request *http.Request) (wire.LoadReport, error) {
-	after, err := reply.Number(request, wire.ParameterAfter, 0)
+	after, err := reply.UintParameter(request, wire.ParameterAfter, 0)
 	if err != nil {
 		return wire.LoadReport{}, err
 	}
@@ -178,11 +178,11 @@
 
 // events answers with the events after a sequence number that are due.
 func (engine *Engine) events(request *http.Request) (wire.EventsAnswer, error) {
-	after, err := reply.Number(request, wire.ParameterAfter, 0)
+	after, err := reply.UintParameter(request, wire.ParameterAfter, 0)
 	if err != nil {
 		return wire.EventsAnswer{}, err
 	}
-	limit, err := reply.Number(request, wire.ParameterLimit, defaultEventLimit)
+	limit, err := reply.UintParameter(request, wire.ParameterLimit, defaultEventLimit)
 	if err != nil {
 		return wire.EventsAnswer{}, err
 	}
--- a/rehearsal/standin/engine/orders.go
+++ b/rehearsal/standin/engine/orders.go
@@ -35,13 +35,13 @@
 }
 
 func (engine *Engine) routeOrders(mux *http.ServeMux) {
-	reply.Route(mux, wire.PathCancel, engine.cancel)
-	reply.Route(mux, wire.PathRelease, engine.release)
-	reply.Route(mux, wire.PathExport, engine.export)
-	reply.Route(mux, wire.PathImport, engine.importBlocks)
-	reply.Route(mux, wire.PathLoad, engine.orderLoad)
-	reply.Route(mux, wire.PathRole, engine.setRole)
-	reply.Route(mux, PathLeave, engine.leave)
+	reply.HandlePost(mux, wire.PathCancel, engine.cancel)
+	reply.HandlePost(mux, wire.PathRelease, engine.release)
+	reply.HandlePost(mux, wire.PathExport, engine.export)
+	reply.HandlePost(mux, wire.PathImport, engine.importBlocks)
+	reply.HandlePost(mux, wire.PathLoad, engine.orderLoad)
+	reply.HandlePost(mux, wire.PathRole, engine.setRole)
+	reply.HandlePost(mux, PathLeave, engine.leave)
 }
 
 // cancel ends a generation, or bars an id that has not come yet from running.
--- a/rehearsal/standin/fault/fault.go
+++ b/rehearsal/standin/fault/fault.go
@@ -122,7 +122,7 @@
 // LoseAnswers and the stream faults themselves.
 func (injector *Injector) Handler(next http.Handler, streams ...string) http.Handler {
 	mux := http.NewServeMux()
-	reply.Route(mux, Path, func(order Order) (Order, error) {
+	reply.HandlePost(mux, Path, func(order Order) (Order, error) {
 		return order, injector.Set(order)
 	})
 	mux.HandleFunc("/", func(writer http.ResponseWriter, request *http.Request) {
--- a/rehearsal/standin/logservice/log.go
+++ b/rehearsal/standin/logservice/log.go
@@ -53,9 +53,9 @@
 // Handler serves the log's HTTP interface.
 func (log *Log) Handler() http.Handler {
 	mux := http.NewServeMux()
-	reply.Route(mux, wire.PathLogAppend, log.append)
-	reply.Query(mux, wire.PathLogRead, log.read)
-	reply.Query(mux, wire.PathLogStreams, log.list)
+	reply.HandlePost(mux, wire.PathLogAppend, log.append)
+	reply.HandleGet(mux, wire.PathLogRead, log.read)
+	reply.HandleGet(mux, wire.PathLogStreams, log.list)
 	return log.faults.Handler(mux)
 }
 
@@ -76,11 +76,11 @@
 }
 
 func (log *Log) read(request *http.Request) (wire.ReadAnswer, error) {
-	offset, err := reply.Number(request, wire.ParameterOffset, 0)
+	offset, err := reply.UintParameter(request, wire.ParameterOffset, 0)
 	if err != nil {
 		return wire.ReadAnswer{}, err
 	}
-	limit, err := reply.Number(request, wire.ParameterLimit, defaultReadLimit)
+	limit, err := reply.UintParameter(request, wire.ParameterLimit, defaultReadLimit)
 	if err != nil {
 		return wire.ReadAnswer{}, err
 	}
--- a/rehearsal/standin/machines/machines.go
+++ b/rehearsal/standin/machines/machines.go
@@ -83,13 +83,13 @@
 // Handler serves the list's HTTP interface.
 func (list *List) Handler() http.Handler {
 	mux := http.NewServeMux()
-	reply.QueryTagged(mux, wire.PathMachines, func(*http.Request) (wire.MachinesAnswer, error) {
+	reply.HandleGetWithETag(mux, wire.PathMachines, func(*http.Request) (wire.MachinesAnswer, error) {
 		return wire.MachinesAnswer{Machines: list.shown(time.Now())}, nil
 	}, func(answer wire.MachinesAnswer) wire.MachinesAnswer { return answer })
-	reply.Route(mux, PathRegister, func(machine wire.Machine) (wire.Empty, error) { return wire.Empty{}, list.Register(machine) })
-	reply.Route(mux, PathLeave, func(order MachineID) (wire.Empty, error) { return wire.Empty{}, list.Leave(order.ID) })
-	reply.Route(mux, PathRemove, func(order MachineID) (wire.Empty, error) { return wire.Empty{}, list.Remove(order.ID) })
-	reply.Route(mux, PathLag, func(order LagOrder) (LagOrder, error) {
+	reply.HandlePost(mux, PathRegister, func(machine wire.Machine) (wire.Empty, error) { return wire.Empty{}, list.Register(machine) })
+	reply.HandlePost(mux, PathLeave, func(order MachineID) (wire.Empty, error) { return wire.Empty{}, list.Leave(order.ID) })
+	reply.HandlePost(mux, PathRemove, func(order MachineID) (wire.Empty, error) { return wire.Empty{}, list.Remove(order.ID) })
+	reply.HandlePost(mux, PathLag, func(order LagOrder) (LagOrder, error) {
 		return order, list.SetLag(time.Duration(order.LagMillis) * time.Millisecond)
 	})
 	return list.faults.Handler(mux)
--- a/rehearsal/standin/reply/reply.go
+++ b/rehearsal/standin/reply/reply.go
@@ -1,5 +1,5 @@
-// Package reply holds what all stand-ins share in reading and answering JSON
-// requests.
+// Package reply holds the helpers with which the stand-ins decode requests and encode
+// responses.
 package reply
 
 import (
@@ -13,72 +13,70 @@
 	"github.com/magpielug/magpielug/internal/outside/wire"
 )
 
-// maxBody bounds a request's body, bytes.
-const maxBody = 8 << 20
+// maxBodyBytes bounds the size of a request body.
+const maxBodyBytes = 8 << 20
 
-// Failure is an answer with an error body.
-type Failure struct {
+// ErrorResponse is a response with an error body.
+type ErrorResponse struct {
 	Status int
 	Body   wire.Error
 }
 
-// Error returns the failure's code and message.
-func (failure *Failure) Error() string {
-	return string(failure.Body.Code) + ": " + failure.Body.Message
+// Error returns the code and message.
+func (response *ErrorResponse) Error() string {
+	return string(response.Body.Code) + ": " + response.Body.Message
 }
 
-// NotRun makes a failure that had no effect.
-func NotRun(status int, code wire.ErrorCode, message string) *Failure {
-	return &Failure{Status: status, Body: wire.Error{Code: code, Message: message, NotRun: true}}
+// NotRun returns an error response to a request that had no effect.
+func NotRun(status int, code wire.ErrorCode, message string) *ErrorResponse {
+	return &ErrorResponse{Status: status, Body: wire.Error{Code: code, Message: message, NotRun: true}}
 }
 
-// BadRequest makes the failure for input that can't be used.
-func BadRequest(message string) *Failure {
+// BadRequest returns the error response to invalid input.
+func BadRequest(message string) *ErrorResponse {
 	return NotRun(http.StatusBadRequest, wire.CodeBadRequest, message)
 }
 
-// Route adds a POST route whose body is a Request and whose answer is an
-// Answer.
-func Route[Request, Answer any](mux *http.ServeMux, path string, serve func(Request) (Answer, error)) {
+// HandlePost registers a POST handler that decodes a Request and encodes a Response.
+func HandlePost[Request, Response any](mux *http.ServeMux, path string, serve func(Request) (Response, error)) {
 	mux.HandleFunc("POST "+path, func(writer http.ResponseWriter, request *http.Request) {
 		var body Request
-		if err := Read(writer, request, &body); err != nil {
+		if err := ReadJSON(writer, request, &body); err != nil {
 			WriteError(writer, err)
 			return
 		}
-		answer, err := serve(body)
+		response, err := serve(body)
 		if err != nil {
 			WriteError(writer, err)
 			return
 		}
-		Write(writer, http.StatusOK, answer)
+		WriteJSON(writer, http.StatusOK, response)
 	})
 }
 
-// Query adds a GET route whose answer is an Answer.
-func Query[Answer any](mux *http.ServeMux, path string, serve func(*http.Request) (Answer, error)) {
+// HandleGet registers a GET handler that encodes a Response.
+func HandleGet[Response any](mux *http.ServeMux, path string, serve func(*http.Request) (Response, error)) {
 	mux.HandleFunc("GET "+path, func(writer http.ResponseWriter, request *http.Request) {
-		answer, err := serve(request)
+		response, err := serve(request)
 		if err != nil {
 			WriteError(writer, err)
 			return
 		}
-		Write(writer, http.StatusOK, answer)
+		WriteJSON(writer, http.StatusOK, response)
 	})
 }
 
-// QueryTagged is Query with an entity tag: a request whose If-None-Match names
-// the tag of the present answer gets status 304 without a body (RFC 9110). The
-// tag is of the validated answer, so validate may leave out of its copy what
-// does not matter to an asker; the tag is then a weak one.
-func QueryTagged[Answer any](mux *http.ServeMux, path string, serve func(*http.Request) (Answer, error), validate func(Answer) Answer) {
+// HandleGetWithETag is HandleGet with a weak entity tag: a request whose If-None-Match
+// holds the current tag gets status 304 without a body (RFC 9110). The tag is computed
+// from tagContent(response), which may clear fields that must not affect it.
+func HandleGetWithETag[Response any](mux *http.ServeMux, path string, serve func(*http.Request) (Response, error), tagContent func(Response) Response) {
 	mux.HandleFunc("GET "+path, func(writer http.ResponseWriter, request *http.Request) {
-		answer, err := serve(request)
+		response, err := serve(request)
 		if err != nil {
 			WriteError(writer, err)
 			return
 		}
-		tag, err := weakTag(validate(answer))
+		tag, err := weakTag(tagContent(response))
 		if err != nil {
 			WriteError(writer, err)
 			return
@@ -88,11 +86,11 @@
 			writer.WriteHeader(http.StatusNotModified)
 			return
 		}
-		Write(writer, http.StatusOK, answer)
+		WriteJSON(writer, http.StatusOK, response)
 	})
 }
 
-// weakTag is a weak entity tag of a value's JSON.
+// weakTag returns a weak entity tag of a value's JSON.
 func weakTag(value any) (string, error) {
 	encoded, err := json.Marshal(value)
 	if err != nil {
@@ -103,9 +101,9 @@
 	return fmt.Sprintf("W/\"%x\"", digest.Sum64()), nil
 }
 
-// Read decodes a JSON body; its error is a *Failure.
-func Read(writer http.ResponseWriter, request *http.Request, body any) error {
-	decoder := json.NewDecoder(http.MaxBytesReader(writer, request.Body, maxBody))
+// ReadJSON decodes a JSON body; its error is an *ErrorResponse.
+func ReadJSON(writer http.ResponseWriter, request *http.Request, body any) error {
+	decoder := json.NewDecoder(http.MaxBytesReader(writer, request.Body, maxBodyBytes))
 	err := decoder.Decode(body)
 	var tooLarge *http.MaxBytesError
 	if errors.As(err, &tooLarge) {
@@ -117,8 +115,8 @@
 	return nil
 }
 
-// Write answers with a JSON body.
-func Write(writer http.ResponseWriter, status int, body any) {
+// WriteJSON responds with a JSON body.
+func WriteJSON(writer http.ResponseWriter, status int, body any) {
 	encoded, err := json.Marshal(body)
 	if err != nil {
 		http.Error(writer, err.Error(), http.StatusInternalServerError)
@@ -129,24 +127,24 @@
 	_, _ = writer.Write(encoded)
 }
 
-// WriteError answers with err; an error that is no *Failure is internal.
+// WriteError responds with err; an error other than an *ErrorResponse is internal.
 func WriteError(writer http.ResponseWriter, err error) {
-	var failure *Failure
-	if !errors.As(err, &failure) {
-		failure = &Failure{
+	var response *ErrorResponse
+	if !errors.As(err, &response) {
+		response = &ErrorResponse{
 			Status: http.StatusInternalServerError,
 			Body:   wire.Error{Code: wire.CodeInternal, Message: err.Error()},
 		}
 	}
-	Write(writer, failure.Status, failure.Body)
+	WriteJSON(writer, response.Status, response.Body)
 }
 
-// Number reads a query parameter that is a whole number, fallback where it is
+// UintParameter parses an unsigned query parameter, or returns defaultValue if it is
 // absent.
-func Number(request *http.Request, name string, fallback uint64) (uint64, error) {
+func UintParameter(request *http.Request, name string, defaultValue uint64) (uint64, error) {
 	text := request.URL.Query().Get(name)
 	if text == "" {
-		return fallback, nil
+		return defaultValue, nil
 	}
 	value, err := strconv.ParseUint(text, 10, 64)
 	if err != nil {
@@ -155,9 +153,9 @@
 	return value, nil
 }
 
-// Abort closes the connection in the middle of an answer. It panics with
-// http.ErrAbortHandler, which HTTP servers take as the order to do so; the
-// answer is begun first because a server may otherwise answer with a status.
+// Abort closes the connection in the middle of a response by panicking with
+// http.ErrAbortHandler. It flushes first, since a server may otherwise respond with an
+// error status.
 func Abort(writer http.ResponseWriter) {
 	_ = http.NewResponseController(writer).Flush()
 	panic(http.ErrAbortHandler)
--- a/rehearsal/standin/tool/tool.go
+++ b/rehearsal/standin/tool/tool.go
@@ -83,7 +83,7 @@
 func (tool *Tool) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST "+wire.PathToolCall, tool.serve)
-	reply.Query(mux, PathRuns, func(*http.Request) (RunsAnswer, error) {
+	reply.HandleGet(mux, PathRuns, func(*http.Request) (RunsAnswer, error) {
 		return RunsAnswer{Runs: tool.Runs()}, nil
 	})
 	return tool.faults.Handler(mux)
@@ -105,7 +105,7 @@
 // time.
 func (tool *Tool) serve(writer http.ResponseWriter, request *http.Request) {
 	var body wire.ToolRequest
-	err := reply.Read(writer, request, &body)
+	err := reply.ReadJSON(writer, request, &body)
 	if err == nil {
 		err = tool.check(body)
 	}
@@ -120,7 +120,7 @@
 		return
 	}
 	output := ExpectedOutput(body.Program, body.RequestID, body.Service, body.Input)
-	reply.Write(writer, http.StatusOK, wire.ToolAnswer{Output: &output})
+	reply.WriteJSON(writer, http.StatusOK, wire.ToolAnswer{Output: &output})
 }
 
 func (tool *Tool) check(body wire.ToolRequest) error {
--- a/rehearsal/standin/weights/weights.go
+++ b/rehearsal/standin/weights/weights.go
@@ -52,7 +52,7 @@
 // Handler serves the store's HTTP interface.
 func (store *Store) Handler() http.Handler {
 	mux := http.NewServeMux()
-	reply.Route(mux, wire.PathWeightsReserve, store.reserve)
+	reply.HandlePost(mux, wire.PathWeightsReserve, store.reserve)
 	return store.faults.Handler(mux)
 }
 
