--- a/rehearsal/standin/engine/engine_test.go
+++ b/rehearsal/standin/engine/engine_test.go
@@ -205,7 +205,7 @@
 
 	It("runs a request whose answer is lost, and gives it to the next asker", func() {
 		bench := newBench(Config{})
-		Expect(bench.Faults().Set(fault.Order{Kind: fault.LoseAnswers, ForMillis: faultMillis})).To(Succeed())
+		Expect(bench.Faults().Set(fault.Order{Kind: fault.DropResponses, ForMillis: faultMillis})).To(Succeed())
 		asked := request("a", "hello [[tokens=20]]")
 		_, err := bench.generate(asked)
 		Expect(err).To(MatchError(outside.ErrOutcomeUnknown))
@@ -241,8 +241,8 @@
 			Expect(text).To(Equal(expected(asked)))
 			Expect(bench.runs("a")).To(Equal(1))
 		},
-		Entry("cut", fault.CutStream, outside.ErrOutcomeUnknown),
-		Entry("rubbish", fault.Rubbish, outside.ErrMalformedAnswer),
+		Entry("cut", fault.AbortStream, outside.ErrOutcomeUnknown),
+		Entry("rubbish", fault.Garbage, outside.ErrMalformedAnswer),
 	)
 
 	It("refuses everything in an outage as not run", func() {
--- a/rehearsal/standin/engine/generate.go
+++ b/rehearsal/standin/engine/generate.go
@@ -33,7 +33,7 @@
 		reply.WriteError(writer, err)
 		return
 	}
-	if engine.faults.Hits(fault.LoseAnswers) {
+	if engine.faults.Triggers(fault.DropResponses) {
 		reply.Abort(writer)
 	}
 	stream := eventStream{engine: engine, writer: writer, request: request, output: output, next: body.ResumeAfter + 1}
@@ -92,11 +92,11 @@
 // collect buffers the items up to last.
 func (stream *eventStream) collect(last uint64) {
 	for ; stream.next <= last; stream.next++ {
-		if stream.engine.faults.Hits(fault.CutStream) {
+		if stream.engine.faults.Triggers(fault.AbortStream) {
 			stream.abort()
 		}
-		if stream.engine.faults.Hits(fault.Rubbish) {
-			stream.buffer = append(stream.buffer, fault.RubbishBytes...)
+		if stream.engine.faults.Triggers(fault.Garbage) {
+			stream.buffer = append(stream.buffer, fault.GarbageBytes...)
 			stream.abort()
 		}
 		stream.event(stream.output.chunk(stream.next))
--- a/rehearsal/standin/fault/fault.go
+++ b/rehearsal/standin/fault/fault.go
@@ -1,5 +1,4 @@
-// Package fault lets the stand-ins fail on purpose, as ordered through
-// POST /debug/fault.
+// Package fault injects faults into the stand-ins, as requested through POST /debug/fault.
 package fault
 
 import (
@@ -13,51 +12,49 @@
 	"github.com/magpielug/magpielug/rehearsal/standin/reply"
 )
 
-// Path is where faults are ordered; paths under debugPrefix never fail.
+// Path is the endpoint that sets faults. Paths under debugPrefix are exempt from faults.
 const (
 	Path        = "/debug/fault"
 	debugPrefix = "/debug/"
 )
 
-// Kind is a way to fail.
+// Kind is a kind of fault.
 type Kind string
 
 // Kinds of faults.
 const (
-	// Outage refuses every request before any effect, with status 503.
+	// Outage rejects every request with status 503 before it has any effect.
 	Outage Kind = "outage"
-	// Slow holds every request for DelayMillis before it is served.
+	// Slow delays every request by DelayMillis.
 	Slow Kind = "slow"
-	// LoseAnswers serves a request and closes the connection instead of
-	// answering.
-	LoseAnswers Kind = "lose_answers"
-	// Rubbish puts bytes that mean nothing into an answer.
-	Rubbish Kind = "rubbish"
-	// CutStream closes the connection inside a stream.
-	CutStream Kind = "cut_stream"
+	// DropResponses serves a request and closes the connection without a response.
+	DropResponses Kind = "lose_answers"
+	// Garbage replaces a response or part of a stream with invalid bytes.
+	Garbage Kind = "rubbish"
+	// AbortStream closes the connection in the middle of a stream.
+	AbortStream Kind = "cut_stream"
 	// Clear ends all faults.
 	Clear Kind = "clear"
 )
 
-var kinds = []Kind{Outage, Slow, LoseAnswers, Rubbish, CutStream, Clear}
+var kinds = []Kind{Outage, Slow, DropResponses, Garbage, AbortStream, Clear}
 
 // Order is the body of POST /debug/fault.
 type Order struct {
 	Kind Kind `json:"kind"`
-	// ForMillis is how long the fault lasts.
+	// ForMillis is the duration of the fault.
 	ForMillis int64 `json:"for_ms"`
-	// Probability is the chance that a request (Rubbish and CutStream: an
-	// event of a stream) meets the fault; 0 means 1.
+	// Probability is the chance that a request (for Garbage and AbortStream: an event of a
+	// stream) meets the fault; 0 means 1.
 	Probability float64 `json:"probability"`
-	// Seed makes the draws repeatable.
+	// Seed makes the random draws reproducible.
 	Seed uint64 `json:"seed"`
 	// DelayMillis is the delay of Slow.
 	DelayMillis int64 `json:"delay_ms"`
 }
 
-// active is a fault under way.
-type active struct {
-	order  Order
+type activeFault struct {
+	spec   Order
 	until  time.Time
 	random *rand.Rand
 }
@@ -65,41 +62,41 @@
 // Injector holds the faults of one stand-in. It is safe for concurrent use.
 type Injector struct {
 	lock   sync.Mutex
-	faults map[Kind]*active
+	faults map[Kind]*activeFault
 }
 
-// NewInjector makes an injector without faults.
+// NewInjector returns an injector without faults.
 func NewInjector() *Injector {
-	return &Injector{faults: make(map[Kind]*active)}
+	return &Injector{faults: make(map[Kind]*activeFault)}
 }
 
-// Set starts a fault, in place of an earlier one of its kind.
-func (injector *Injector) Set(order Order) error {
-	if !slices.Contains(kinds, order.Kind) {
-		return reply.BadRequest("unknown kind of fault: " + string(order.Kind))
+// Set starts a fault, replacing an earlier one of the same kind.
+func (injector *Injector) Set(spec Order) error {
+	if !slices.Contains(kinds, spec.Kind) {
+		return reply.BadRequest("unknown kind of fault: " + string(spec.Kind))
 	}
-	if order.Probability < 0 || order.Probability > 1 || order.ForMillis < 0 || order.DelayMillis < 0 {
+	if spec.Probability < 0 || spec.Probability > 1 || spec.ForMillis < 0 || spec.DelayMillis < 0 {
 		return reply.BadRequest("probability must be from 0 to 1, times not negative")
 	}
-	if order.Probability == 0 {
-		order.Probability = 1
+	if spec.Probability == 0 {
+		spec.Probability = 1
 	}
 	injector.lock.Lock()
 	defer injector.lock.Unlock()
-	if order.Kind == Clear {
+	if spec.Kind == Clear {
 		clear(injector.faults)
 		return nil
 	}
-	injector.faults[order.Kind] = &active{
-		order:  order,
-		until:  time.Now().Add(time.Duration(order.ForMillis) * time.Millisecond),
-		random: rand.New(rand.NewPCG(order.Seed, order.Seed)),
+	injector.faults[spec.Kind] = &activeFault{
+		spec:   spec,
+		until:  time.Now().Add(time.Duration(spec.ForMillis) * time.Millisecond),
+		random: rand.New(rand.NewPCG(spec.Seed, spec.Seed)),
 	}
 	return nil
 }
 
-// Hits draws whether a request meets a fault of this kind now.
-func (injector *Injector) Hits(kind Kind) bool {
+// Triggers draws whether a request meets a fault of this kind.
+func (injector *Injector) Triggers(kind Kind) bool {
 	_, hit := injector.draw(kind)
 	return hit
 }
@@ -115,55 +112,55 @@
 		delete(injector.faults, kind)
 		return Order{}, false
 	}
-	return fault.order, fault.random.Float64() < fault.order.Probability
+	return fault.spec, fault.random.Float64() < fault.spec.Probability
 }
 
-// Handler puts the faults before next. Routes that stream (streams) draw
-// LoseAnswers and the stream faults themselves.
-func (injector *Injector) Handler(next http.Handler, streams ...string) http.Handler {
+// Handler applies the faults to next. Handlers of streamPaths apply DropResponses, Garbage
+// and AbortStream themselves.
+func (injector *Injector) Handler(next http.Handler, streamPaths ...string) http.Handler {
 	mux := http.NewServeMux()
-	reply.HandlePost(mux, Path, func(order Order) (Order, error) {
-		return order, injector.Set(order)
+	reply.HandlePost(mux, Path, func(spec Order) (Order, error) {
+		return spec, injector.Set(spec)
 	})
 	mux.HandleFunc("/", func(writer http.ResponseWriter, request *http.Request) {
 		if strings.HasPrefix(request.URL.Path, debugPrefix) {
 			next.ServeHTTP(writer, request)
 			return
 		}
-		injector.serve(writer, request, next, slices.Contains(streams, request.URL.Path))
+		injector.serve(writer, request, next, slices.Contains(streamPaths, request.URL.Path))
 	})
 	return mux
 }
 
-func (injector *Injector) serve(writer http.ResponseWriter, request *http.Request, next http.Handler, stream bool) {
-	if order, hit := injector.draw(Slow); hit {
-		wait(request, time.Duration(order.DelayMillis)*time.Millisecond)
+func (injector *Injector) serve(writer http.ResponseWriter, request *http.Request, next http.Handler, streaming bool) {
+	if spec, hit := injector.draw(Slow); hit {
+		sleep(request, time.Duration(spec.DelayMillis)*time.Millisecond)
 	}
-	if injector.Hits(Outage) {
+	if injector.Triggers(Outage) {
 		reply.WriteError(writer, reply.NotRun(http.StatusServiceUnavailable, "unavailable", "outage"))
 		return
 	}
-	if stream {
+	if streaming {
 		next.ServeHTTP(writer, request)
 		return
 	}
-	if injector.Hits(LoseAnswers) {
-		next.ServeHTTP(newDiscard(), request)
+	if injector.Triggers(DropResponses) {
+		next.ServeHTTP(newDiscardWriter(), request)
 		reply.Abort(writer)
 	}
-	if injector.Hits(Rubbish) {
-		next.ServeHTTP(newDiscard(), request)
-		_, _ = writer.Write([]byte(RubbishBytes))
+	if injector.Triggers(Garbage) {
+		next.ServeHTTP(newDiscardWriter(), request)
+		_, _ = writer.Write([]byte(GarbageBytes))
 		return
 	}
 	next.ServeHTTP(writer, request)
 }
 
-// RubbishBytes is what a stand-in sends under the Rubbish fault.
-const RubbishBytes = "\x00\xff{\"sequence\":\"x\nevent: \n\n:::{]"
+// GarbageBytes is what Garbage sends.
+const GarbageBytes = "\x00\xff{\"sequence\":\"x\nevent: \n\n:::{]"
 
-// wait holds a request, but not past its connection's end.
-func wait(request *http.Request, delay time.Duration) {
+// sleep waits for delay, or until the request is canceled.
+func sleep(request *http.Request, delay time.Duration) {
 	timer := time.NewTimer(delay)
 	defer timer.Stop()
 	select {
@@ -172,16 +169,16 @@
 	}
 }
 
-// discard is a ResponseWriter that drops its answer.
-type discard struct{ header http.Header }
+// discardWriter is a ResponseWriter that drops the response.
+type discardWriter struct{ header http.Header }
 
-func newDiscard() *discard { return &discard{header: make(http.Header)} }
+func newDiscardWriter() *discardWriter { return &discardWriter{header: make(http.Header)} }
 
 // Header implements http.ResponseWriter.
-func (writer *discard) Header() http.Header { return writer.header }
+func (writer *discardWriter) Header() http.Header { return writer.header }
 
 // Write implements http.ResponseWriter.
-func (writer *discard) Write(data []byte) (int, error) { return len(data), nil }
+func (writer *discardWriter) Write(data []byte) (int, error) { return len(data), nil }
 
 // WriteHeader implements http.ResponseWriter.
-func (writer *discard) WriteHeader(int) {}
+func (writer *discardWriter) WriteHeader(int) {}
--- a/rehearsal/standin/logservice/log_test.go
+++ b/rehearsal/standin/logservice/log_test.go
@@ -41,7 +41,7 @@
 
 	It("keeps a record whose answer was lost, and none that it refused", func() {
 		standIn, log := newBench(Config{})
-		Expect(standIn.Faults().Set(fault.Order{Kind: fault.LoseAnswers, ForMillis: 600_000})).To(Succeed())
+		Expect(standIn.Faults().Set(fault.Order{Kind: fault.DropResponses, ForMillis: 600_000})).To(Succeed())
 		_, err := log.Append(ctx, "one", []byte("lost"))
 		Expect(err).To(MatchError(outside.ErrOutcomeUnknown))
 		Expect(standIn.Faults().Set(fault.Order{Kind: fault.Clear})).To(Succeed())
--- a/rehearsal/standin/tool/tool_test.go
+++ b/rehearsal/standin/tool/tool_test.go
@@ -44,7 +44,7 @@
 	})
 
 	It("counts a run whose answer is lost or hangs, and none that it refuses", func() {
-		Expect(standIn.Faults().Set(fault.Order{Kind: fault.LoseAnswers, ForMillis: 600_000})).To(Succeed())
+		Expect(standIn.Faults().Set(fault.Order{Kind: fault.DropResponses, ForMillis: 600_000})).To(Succeed())
 		_, err := call(context.Background(), credit)
 		Expect(err).To(MatchError(outside.ErrOutcomeUnknown))
 		Expect(standIn.Faults().Set(fault.Order{Kind: fault.Clear})).To(Succeed())
