--- a/rehearsal/ports/ports.go
+++ b/rehearsal/ports/ports.go
@@ -1,4 +1,4 @@
-// Package ports finds ports for processes that a test starts, stops and starts again.
+// Package ports allocates TCP ports for processes that a test starts, stops and restarts.
 package ports
 
 import (
@@ -9,62 +9,64 @@
 	"github.com/rotisserie/eris"
 )
 
-// Range is a range of ports, the last one excluded.
+// Range is a range of ports; Last is excluded.
 type Range struct{ First, Last int }
 
-// The ranges lie below the ports that the system gives to outgoing connections (32,768
-// and up on Linux): a process that is down for a moment would lose such a port to any
-// program of the machine, and could not start again. No two of them meet, nor the ports of
-// the fault scenarios' test (10,000 up to 30,000), for tests run side by side.
+// The ranges lie below Linux's default ephemeral ports (32768 and up); otherwise an
+// outgoing connection could take the port of a stopped process before its restart. They
+// overlap neither each other nor the ports of the fault scenario tests (10000 to 30000),
+// so that tests can run in parallel.
 var (
-	// OfSoak are the soak's.
+	// OfSoak is the range of the soak test.
 	OfSoak = Range{First: 30_000, Last: 31_300}
-	// OfPlatform are those of the tests of nodes on the users' platform.
+	// OfPlatform is the range of the platform package's tests.
 	OfPlatform = Range{First: 31_300, Last: 32_500}
-	// OfCommand are those of the tests of what is started by hand.
+	// OfCommand is the range of the command package's tests.
 	OfCommand = Range{First: 32_500, Last: 32_760}
 )
 
-// tries bounds the draws of one port.
-const tries = 200
+// maxAttempts bounds the random draws for one port.
+const maxAttempts = 200
 
-// Picker finds free ports and gives none twice.
+// Picker allocates free ports, each at most once.
 type Picker struct {
-	from  Range
-	given map[int]bool
+	portRange Range
+	allocated map[int]bool
 }
 
-// NewPicker returns a picker of a range's ports.
-func NewPicker(from Range) *Picker { return &Picker{from: from, given: map[int]bool{}} }
+// NewPicker returns an allocator for a port range.
+func NewPicker(portRange Range) *Picker {
+	return &Picker{portRange: portRange, allocated: map[int]bool{}}
+}
 
-// Pick returns a number of ports on which nothing listens.
-func (picker *Picker) Pick(count int) ([]int, error) {
-	picked := make([]int, 0, count)
-	for len(picked) < count {
-		port, err := picker.pickOne()
+// Pick returns count ports on which nothing listens.
+func (allocator *Picker) Pick(count int) ([]int, error) {
+	ports := make([]int, 0, count)
+	for len(ports) < count {
+		port, err := allocator.allocateOne()
 		if err != nil {
 			return nil, err
 		}
-		picked = append(picked, port)
+		ports = append(ports, port)
 	}
-	return picked, nil
+	return ports, nil
 }
 
-func (picker *Picker) pickOne() (int, error) {
-	failure := eris.New("all ports drawn were given before")
-	for range tries {
-		port := picker.from.First + rand.IntN(picker.from.Last-picker.from.First)
-		if picker.given[port] {
+func (allocator *Picker) allocateOne() (int, error) {
+	lastErr := eris.New("all drawn ports are already allocated")
+	for range maxAttempts {
+		port := allocator.portRange.First + rand.IntN(allocator.portRange.Last-allocator.portRange.First)
+		if allocator.allocated[port] {
 			continue
 		}
 		listener, err := net.Listen("tcp", fmt.Sprintf("127.0.0.1:%d", port))
 		if err != nil {
-			failure = err
+			lastErr = err
 			continue
 		}
 		_ = listener.Close()
-		picker.given[port] = true
+		allocator.allocated[port] = true
 		return port, nil
 	}
-	return 0, eris.Wrap(failure, "find a free port")
+	return 0, eris.Wrap(lastErr, "find a free port")
 }
--- a/rehearsal/ports/ports_test.go
+++ b/rehearsal/ports/ports_test.go
@@ -8,33 +8,33 @@
 	. "github.com/onsi/gomega"
 )
 
-// outgoingRange is where Linux tells which ports it gives to outgoing connections.
-const outgoingRange = "/proc/sys/net/ipv4/ip_local_port_range"
+// ephemeralRangeFile holds the first and last ephemeral port on Linux.
+const ephemeralRangeFile = "/proc/sys/net/ipv4/ip_local_port_range"
 
 var _ = Describe("Ports", func() {
-	It("are none that the system gives to outgoing connections", func() {
-		content, err := os.ReadFile(outgoingRange)
+	It("are outside the ephemeral port range", func() {
+		content, err := os.ReadFile(ephemeralRangeFile)
 		if err != nil {
-			Skip("the system does not tell: " + err.Error())
+			Skip("cannot read the ephemeral port range: " + err.Error())
 		}
 		var first, last int
 		_, err = fmt.Sscan(string(content), &first, &last)
 		Expect(err).NotTo(HaveOccurred())
-		for _, each := range []Range{OfSoak, OfPlatform, OfCommand} {
-			picked, err := NewPicker(each).Pick(50)
+		for _, portRange := range []Range{OfSoak, OfPlatform, OfCommand} {
+			ports, err := NewPicker(portRange).Pick(50)
 			Expect(err).NotTo(HaveOccurred())
-			for _, port := range picked {
+			for _, port := range ports {
 				Expect(port).To(Or(BeNumerically("<", first), BeNumerically(">", last)))
 			}
 		}
 	})
 
-	It("are given once", func() {
-		picker := NewPicker(Range{First: OfSoak.First, Last: OfSoak.First + 3})
-		picked, err := picker.Pick(3)
+	It("are allocated once", func() {
+		allocator := NewPicker(Range{First: OfSoak.First, Last: OfSoak.First + 3})
+		ports, err := allocator.Pick(3)
 		Expect(err).NotTo(HaveOccurred())
-		Expect(picked).To(ConsistOf(OfSoak.First, OfSoak.First+1, OfSoak.First+2))
-		_, err = picker.Pick(1)
+		Expect(ports).To(ConsistOf(OfSoak.First, OfSoak.First+1, OfSoak.First+2))
+		_, err = allocator.Pick(1)
 		Expect(err).To(HaveOccurred())
 	})
 })
