--- a/rehearsal/relay/relay.go
+++ b/rehearsal/relay/relay.go
@@ -1,6 +1,7 @@
-// Package relay carries the TCP connections between the machines of a rehearsal,
-// so that zones can be cut off from one another. A machine's address is its
-// relay's; the zone of who dials is read from the source address, 127.Z.0.N.
+// Package relay forwards TCP connections for tests and injects network faults: partitions
+// between zones, and delays, stalls and resets of a proxy's connections. Each machine is
+// reached through its relay's address; the client's zone is read from its source address,
+// 127.Z.0.N.
 package relay
 
 import (
@@ -10,33 +11,33 @@
 	"github.com/rotisserie/eris"
 )
 
-// bufferBytes is how much of a connection one direction holds at most.
+// bufferBytes is the read buffer of one direction of a connection.
 const bufferBytes = 64 << 10
 
-// Outside is the zone of the platform's services, and of clients: all that
-// dials from or listens at 127.0.0.N.
-const Outside = 0
+// ExternalZone is the zone of clients and platform services, which use addresses
+// 127.0.0.N.
+const ExternalZone = 0
 
-// link is a direction of dialing between two zones.
+// link is a pair of zones: the client's and the server's.
 type link struct{ from, to int }
 
-// Network is all relays of a rehearsal and the cuts between their zones. It is
-// safe for concurrent use.
+// Network is a set of relays and the partitions between their zones. It is safe for
+// concurrent use.
 type Network struct {
 	lock      sync.Mutex
-	cuts      map[link]bool
+	blocked   map[link]bool
 	changed   chan struct{}
 	listeners []net.Listener
 	open      map[net.Conn]bool
 	closed    bool
 }
 
-// NewNetwork returns a network without cuts.
+// NewNetwork returns a network without relays or partitions.
 func NewNetwork() *Network {
-	return &Network{cuts: make(map[link]bool), changed: make(chan struct{}), open: make(map[net.Conn]bool)}
+	return &Network{blocked: make(map[link]bool), changed: make(chan struct{}), open: make(map[net.Conn]bool)}
 }
 
-// Relay listens at one address for the process that listens at another.
+// Relay listens on an address and forwards its connections to target.
 func (network *Network) Relay(listen, target string) error {
 	listener, err := net.Listen("tcp", listen)
 	if err != nil {
@@ -49,7 +50,7 @@
 	return nil
 }
 
-// Close ends all relays and their connections.
+// Close stops all relays and closes their connections.
 func (network *Network) Close() {
 	network.lock.Lock()
 	defer network.lock.Unlock()
@@ -60,60 +61,60 @@
 	for connection := range network.open {
 		_ = connection.Close()
 	}
-	network.wake()
+	network.notifyWaiters()
 }
 
-// CutZone stops all bytes between a zone and the other zones; with outside also
-// between the zone's machines and the platform. Connections stay open and go on
-// when the cut is healed. Clients still reach the zone.
-func (network *Network) CutZone(zone, zones int, outside bool) {
-	network.setCuts(zone, zones, outside, true)
+// CutZone blocks traffic between a zone and the other zones, and with external also from
+// the zone to the platform services. Connections stay open and resume after HealZone.
+// Clients still reach the zone.
+func (network *Network) CutZone(zone, zones int, external bool) {
+	network.setBlocked(zone, zones, external, true)
 }
 
-// HealZone ends what CutZone with the same arguments began.
-func (network *Network) HealZone(zone, zones int, outside bool) {
-	network.setCuts(zone, zones, outside, false)
+// HealZone removes a partition that was created with the same arguments.
+func (network *Network) HealZone(zone, zones int, external bool) {
+	network.setBlocked(zone, zones, external, false)
 }
 
-func (network *Network) setCuts(zone, zones int, outside, cut bool) {
+func (network *Network) setBlocked(zone, zones int, external, block bool) {
 	network.lock.Lock()
 	defer network.lock.Unlock()
 	for other := 1; other <= zones; other++ {
 		if other != zone {
-			network.cuts[link{zone, other}] = cut
-			network.cuts[link{other, zone}] = cut
+			network.blocked[link{zone, other}] = block
+			network.blocked[link{other, zone}] = block
 		}
 	}
-	if outside {
-		network.cuts[link{zone, Outside}] = cut
+	if external {
+		network.blocked[link{zone, ExternalZone}] = block
 	}
-	network.wake()
+	network.notifyWaiters()
 }
 
-// wake lets everything that waits look again.
-func (network *Network) wake() {
+// notifyWaiters wakes every goroutine that waits for a change of the network.
+func (network *Network) notifyWaiters() {
 	close(network.changed)
 	network.changed = make(chan struct{})
 }
 
 func (network *Network) accept(listener net.Listener, target string) {
-	to := zoneOf(listener.Addr())
+	to := zoneOfAddress(listener.Addr())
 	for {
 		connection, err := listener.Accept()
 		if err != nil {
 			return
 		}
-		go network.carry(connection, link{zoneOf(connection.RemoteAddr()), to}, target)
+		go network.forward(connection, link{zoneOfAddress(connection.RemoteAddr()), to}, target)
 	}
 }
 
-// carry connects a dialer with the target, once the link is not cut.
-func (network *Network) carry(dialer net.Conn, over link, target string) {
-	defer dialer.Close()
-	if !network.track(dialer) || !network.await(over) {
+// forward connects a client to the target once the link is not blocked.
+func (network *Network) forward(client net.Conn, via link, target string) {
+	defer client.Close()
+	if !network.track(client) || !network.awaitUnblocked(via) {
 		return
 	}
-	defer network.forget(dialer)
+	defer network.untrack(client)
 	server, err := net.Dial("tcp", target)
 	if err != nil {
 		return
@@ -122,59 +123,60 @@
 	if !network.track(server) {
 		return
 	}
-	defer network.forget(server)
-	answered := make(chan struct{})
+	defer network.untrack(server)
+	done := make(chan struct{})
 	go func() {
-		defer close(answered)
-		network.copy(dialer, server, over)
+		defer close(done)
+		network.forwardBytes(client, server, via)
 	}()
-	network.copy(server, dialer, over)
-	<-answered
+	network.forwardBytes(server, client, via)
+	<-done
 }
 
-// copy moves bytes while the link is not cut, and passes an end on.
-func (network *Network) copy(to, from net.Conn, over link) {
-	pump(to, from, func() bool { return network.await(over) })
+// forwardBytes copies one direction of a connection, pausing while the link is blocked.
+func (network *Network) forwardBytes(to, from net.Conn, via link) {
+	copyGated(to, from, func() bool { return network.awaitUnblocked(via) })
 }
 
-// pump moves bytes, each piece as soon as admit returns, until that returns false
-// or one side ends; it passes an end on.
-func pump(to, from net.Conn, admit func() bool) {
+// copyGated copies bytes until either side ends or gate returns false. gate is called
+// after each read and may block. An end of stream half-closes the other side.
+func copyGated(to, from net.Conn, gate func() bool) {
 	buffer := make([]byte, bufferBytes)
 	for {
 		count, err := from.Read(buffer)
-		if !admit() {
+		if !gate() {
 			return
 		}
 		if count > 0 {
-			if _, failed := to.Write(buffer[:count]); failed != nil {
+			if _, writeErr := to.Write(buffer[:count]); writeErr != nil {
 				_ = from.Close()
 				return
 			}
 		}
 		if err != nil {
-			endWrites(to)
+			closeWrite(to)
 			return
 		}
 	}
 }
 
-func endWrites(connection net.Conn) {
-	if half, ok := connection.(*net.TCPConn); ok {
-		_ = half.CloseWrite()
+func closeWrite(connection net.Conn) {
+	if tcp, ok := connection.(*net.TCPConn); ok {
+		_ = tcp.CloseWrite()
 	}
 }
 
-// await waits while a link is cut; false means that the network was closed.
-func (network *Network) await(over link) bool {
+// awaitUnblocked waits until the link is not blocked; false means that the network was
+// closed.
+func (network *Network) awaitUnblocked(via link) bool {
 	for {
 		network.lock.Lock()
-		cut, closed, changed := network.cuts[over], network.closed, network.changed
+		blocked, closed, changed := network.blocked[via], network.closed, network.changed
 		network.lock.Unlock()
 		if closed {
 			return false
 		}
-		if !cut {
+		if !blocked {
 			return true
 		}
 		<-changed
@@ -188,20 +190,20 @@
 	return !network.closed
 }
 
-func (network *Network) forget(connection net.Conn) {
+func (network *Network) untrack(connection net.Conn) {
 	network.lock.Lock()
 	defer network.lock.Unlock()
 	delete(network.open, connection)
 }
 
-// zoneOf reads the zone from an address 127.Z.0.N.
-func zoneOf(address net.Addr) int {
+// zoneOfAddress returns the Z of an address 127.Z.0.N.
+func zoneOfAddress(address net.Addr) int {
 	tcp, ok := address.(*net.TCPAddr)
 	if !ok {
-		return Outside
+		return ExternalZone
 	}
-	if four := tcp.IP.To4(); four != nil {
-		return int(four[1])
+	if ip := tcp.IP.To4(); ip != nil {
+		return int(ip[1])
 	}
-	return Outside
+	return ExternalZone
 }
--- a/rehearsal/relay/relay_test.go
+++ b/rehearsal/relay/relay_test.go
@@ -14,12 +14,12 @@
 )
 
 const (
-	zones      = 2
-	heldBack   = 100 * time.Millisecond
-	longEnough = 10 * time.Second
+	zones          = 2
+	noDataWindow   = 100 * time.Millisecond
+	receiveTimeout = 10 * time.Second
 )
 
-// echo answers what it is sent, line by line.
+// echo sends back whatever it receives.
 func echo(listener net.Listener) {
 	for {
 		connection, err := listener.Accept()
@@ -39,20 +39,20 @@
 	return listener
 }
 
-var _ = Describe("relays", func() {
-	It("hold the bytes of a cut back, for open and new connections, until it is healed", func() {
+var _ = Describe("Network", func() {
+	It("blocks open and new connections between partitioned zones until the partition heals", func() {
 		target := listen("127.2.0.250")
 		defer target.Close()
 		go echo(target)
-		free := listen("127.2.0.251")
-		address := free.Addr().String()
-		Expect(free.Close()).To(Succeed())
+		reserved := listen("127.2.0.251")
+		address := reserved.Addr().String()
+		Expect(reserved.Close()).To(Succeed())
 		network := relay.NewNetwork()
 		defer network.Close()
 		Expect(network.Relay(address, target.Addr().String())).To(Succeed())
 
 		lines := make(chan string, 8)
-		dial := func() net.Conn {
+		connect := func() net.Conn {
 			dialer := net.Dialer{LocalAddr: &net.TCPAddr{IP: net.ParseIP("127.1.0.250")}}
 			connection, err := dialer.Dial("tcp", address)
 			Expect(err).NotTo(HaveOccurred())
@@ -63,20 +63,20 @@
 			}()
 			return connection
 		}
-		open := dial()
+		open := connect()
 		defer open.Close()
 		fmt.Fprintln(open, "before")
-		Eventually(lines, longEnough).Should(Receive(Equal("before")))
+		Eventually(lines, receiveTimeout).Should(Receive(Equal("before")))
 
 		network.CutZone(1, zones, false)
 		fmt.Fprintln(open, "held")
-		fresh := dial()
-		defer fresh.Close()
-		fmt.Fprintln(fresh, "held")
-		Consistently(lines, heldBack).ShouldNot(Receive())
+		opened := connect()
+		defer opened.Close()
+		fmt.Fprintln(opened, "held")
+		Consistently(lines, noDataWindow).ShouldNot(Receive())
 
 		network.HealZone(1, zones, false)
-		Eventually(lines, longEnough).Should(Receive(Equal("held")))
-		Eventually(lines, longEnough).Should(Receive(Equal("held")))
+		Eventually(lines, receiveTimeout).Should(Receive(Equal("held")))
+		Eventually(lines, receiveTimeout).Should(Receive(Equal("held")))
 	})
 })
