--- a/rehearsal/nodesettings/nodesettings.go
+++ b/rehearsal/nodesettings/nodesettings.go
@@ -1,5 +1,5 @@
-// Package nodesettings writes settings files of nodes that are started as processes on one
-// machine, in the product's own form and in that of the users' platform.
+// Package nodesettings writes settings files for test nodes that run as processes on one
+// machine, in the product's TOML format and in the platform's key=value format.
 package nodesettings
 
 import (
@@ -15,75 +15,75 @@
 const Variable = "MAGPIELUG_NODE_FILE"
 
 const (
-	// host is the address of all nodes.
+	// host is the IP address of all nodes.
 	host        = "127.0.0.1"
 	defaultZone = "z1"
-	// memoryMegabytes and descriptors are those of the users' smaller machines.
-	memoryMegabytes = 254
-	descriptors     = 8200
+	// memoryMegabytes and maxFileDescriptors are the limits of a small platform machine.
+	memoryMegabytes    = 254
+	maxFileDescriptors = 8200
 )
 
-// Settings are those of one node.
+// Settings are the settings of one node.
 type Settings struct {
 	Name string
-	// Zone is empty for the one zone of a test.
+	// Zone defaults to defaultZone if empty.
 	Zone string
-	// Front, Ready, Peer, Metrics and Control are ports; Peer is below Metrics. Control
-	// may be 0 for a node without one.
+	// Front, Ready, Peer, Metrics and Control are ports; Peer is less than Metrics. With
+	// Control 0 the node has no control port.
 	Front, Ready, Peer, Metrics, Control int
-	// Store is the store's address, Partitions the number of its partitions.
+	// Store is the log store's address and Partitions its number of partitions.
 	Store      string
 	Partitions int
-	// Grace is how long a planned stop may take, seconds.
+	// Grace is the drain timeout in seconds.
 	Grace int
-	// Seeds are control addresses of other nodes.
+	// Seeds are the control addresses of other nodes.
 	Seeds []string
-	// Quota is how the operators judge tenants' limits; nil leaves it out.
+	// Quota configures rate limit enforcement; nil omits it.
 	Quota *Quota
 }
 
-// Quota is how the operators judge tenants' limits.
+// Quota configures the enforcement of tenants' rate limits.
 type Quota struct {
-	// Window is the span that is judged, seconds.
+	// Window is the length of the accounting window in seconds.
 	Window int
-	// Overage is the share above the limit of a window that is tolerated, Slack the
-	// number of requests beside that.
+	// Overage is the tolerated fraction above a window's limit, and Slack the number of
+	// requests tolerated in addition.
 	Overage float64
 	Slack   int
 }
 
-// Address returns the address of one of the node's ports.
+// Address returns host:port for one of the node's ports.
 func Address(port int) string { return fmt.Sprintf("%s:%d", host, port) }
 
-// Write puts the settings into a directory in the form of the users' platform, and returns
+// Write writes the settings to a directory in the platform's key=value format and returns
 // the file's path.
 func (settings Settings) Write(directory string) (string, error) {
-	return write(filepath.Join(directory, settings.Name+".conf"), settings.content())
+	return writeFile(filepath.Join(directory, settings.Name+".conf"), settings.confContent())
 }
 
-// WriteOwn is Write in the product's own form, which names no other nodes: Control and Seeds
-// are left out.
+// WriteOwn writes the settings in the product's TOML format, which has no control port or
+// seeds.
 func (settings Settings) WriteOwn(directory string) (string, error) {
-	return write(filepath.Join(directory, settings.Name+".toml"), settings.ownContent())
+	return writeFile(filepath.Join(directory, settings.Name+".toml"), settings.tomlContent())
 }
 
-func write(path, content string) (string, error) {
+func writeFile(path, content string) (string, error) {
 	err := os.WriteFile(path, []byte(content), 0o600)
 	return path, eris.Wrap(err, "write a node's settings")
 }
 
-func (settings Settings) zone() string {
+func (settings Settings) zoneOrDefault() string {
 	if settings.Zone == "" {
 		return defaultZone
 	}
 	return settings.Zone
 }
 
-func (settings Settings) ownContent() string {
+func (settings Settings) tomlContent() string {
 	lines := []string{
 		"[node]",
 		fmt.Sprintf("name = %q", settings.Name),
-		fmt.Sprintf("zone = %q", settings.zone()),
+		fmt.Sprintf("zone = %q", settings.zoneOrDefault()),
 		"[listen]",
 		fmt.Sprintf("callers = %q", Address(settings.Front)),
 		fmt.Sprintf("readiness = %q", Address(settings.Ready)),
@@ -103,20 +103,20 @@
 	return strings.Join(lines, "\n") + "\n"
 }
 
-func (settings Settings) content() string {
+func (settings Settings) confContent() string {
 	lines := []string{
 		"NodeName=" + settings.Name,
-		"Zone=" + settings.zone(),
+		"Zone=" + settings.zoneOrDefault(),
 		"Ip=" + host,
 		"Listen.Front=" + Address(settings.Front),
 		"Listen.Readiness=" + Address(settings.Ready),
 		fmt.Sprintf("InternalPortRange=%d,%d", settings.Peer, settings.Metrics),
 		fmt.Sprintf("Limits.MemoryMb=%d", memoryMegabytes),
-		fmt.Sprintf("Limits.MaxFds=%d", descriptors),
+		fmt.Sprintf("Limits.MaxFds=%d", maxFileDescriptors),
 		fmt.Sprintf("Bounds.GraceS=%d", settings.Grace),
 		"Platform.Address=" + settings.Store,
 		fmt.Sprintf("Platform.parts=%d", settings.Partitions),
-		// A field that no node knows must be passed over.
+		// An unknown key must be ignored.
 		"Some.NewField=unknown",
 	}
 	if settings.Control != 0 {
--- a/rehearsal/nodesettings/nodesettings_test.go
+++ b/rehearsal/nodesettings/nodesettings_test.go
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	ownsettings "github.com/magpielug/magpielug/internal/settings"
+	productsettings "github.com/magpielug/magpielug/internal/settings"
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 )
@@ -17,7 +17,7 @@
 }
 
 var _ = Describe("A node's settings file", func() {
-	It("holds what is set, and no field that is not", func() {
+	It("contains the fields that are set and omits the others", func() {
 		settings := Settings{Name: "node-1", Front: 1, Ready: 2, Peer: 3, Metrics: 4, Store: "127.0.0.1:9", Partitions: 4, Grace: 8}
 		path, err := settings.Write(GinkgoT().TempDir())
 		Expect(err).NotTo(HaveOccurred())
@@ -30,21 +30,21 @@
 
 		settings.Control = 5
 		settings.Seeds = []string{"a", "b"}
-		Expect(strings.Split(settings.content(), "\n")).To(ContainElements("Listen.Control=127.0.0.1:5", "Seeds=a,b"))
+		Expect(strings.Split(settings.confContent(), "\n")).To(ContainElements("Listen.Control=127.0.0.1:5", "Seeds=a,b"))
 	})
 
-	It("holds the same in the product's own form", func() {
+	It("contains the same fields in the product's TOML format", func() {
 		settings := Settings{Name: "node-1", Zone: "zone-3", Front: 1, Ready: 2, Peer: 3, Metrics: 4, Store: "127.0.0.1:9", Partitions: 4, Grace: 8,
 			Quota: &Quota{Window: 5, Overage: 0.1, Slack: 20}}
 		path, err := settings.WriteOwn(GinkgoT().TempDir())
 		Expect(err).NotTo(HaveOccurred())
-		loaded, err := ownsettings.LoadNode(path, nil)
+		loaded, err := productsettings.LoadNode(path, nil)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(loaded.Node.Name).To(Equal("node-1"))
 		Expect(loaded.Node.Zone).To(Equal("zone-3"))
-		Expect(loaded.Listen).To(Equal(ownsettings.NodeListen{Callers: "127.0.0.1:1", Readiness: "127.0.0.1:2", Peers: "127.0.0.1:3", Metrics: "127.0.0.1:4"}))
-		Expect(loaded.Store).To(Equal(ownsettings.NodeStore{Address: "127.0.0.1:9", Partitions: 4}))
+		Expect(loaded.Listen).To(Equal(productsettings.NodeListen{Callers: "127.0.0.1:1", Readiness: "127.0.0.1:2", Peers: "127.0.0.1:3", Metrics: "127.0.0.1:4"}))
+		Expect(loaded.Store).To(Equal(productsettings.NodeStore{Address: "127.0.0.1:9", Partitions: 4}))
 		Expect(loaded.Limits.DrainTimeout).To(Equal(8 * time.Second))
-		Expect(loaded.Quota).To(Equal(ownsettings.NodeQuota{Window: 5 * time.Second, Overage: 0.1, Slack: 20}))
+		Expect(loaded.Quota).To(Equal(productsettings.NodeQuota{Window: 5 * time.Second, Overage: 0.1, Slack: 20}))
 	})
 })
