--- a/rehearsal/standin/records/records.go
+++ b/rehearsal/standin/records/records.go
@@ -1,10 +1,10 @@
-// Package records holds the records that operators and engines of the users' platform put
-// into its store, for the stand-ins that take their place.
+// Package records defines the records that the platform's operators and engines write to
+// its log store.
 package records
 
 import "encoding/json"
 
-// Topics of the store, and the key of the configuration.
+// Topics of the store, and the key of the configuration record.
 const (
 	TopicEngines     = "keyed.servers"
 	TopicOperator    = "keyed.op"
@@ -17,15 +17,16 @@
 	StateDraining = "draining"
 )
 
-// Names of services, and the paths of the routes to them.
+// Names of services, and path prefixes of their routes.
 const (
 	ServiceModels = "models"
 	ServiceTools  = "tools"
-	// PathKept takes turns that are kept, PathPlain turns that are not.
+	// PathKept takes turns whose context is retained, PathPlain turns without retention.
 	PathKept  = "/stream/kept/"
 	PathPlain = "/stream/plain/"
-	// PathSafe takes tool calls that may be repeated, PathTool those that may not.
+	// PathSafe takes tool calls that may be retried.
 	PathSafe = "/safe/"
+	// PathTool takes tool calls that must not be retried.
 	PathTool = "/tool/"
 )
 
@@ -33,30 +34,30 @@
 	kindStreaming = "streaming"
 	kindSafe      = "safe"
 	kindUnsafe    = "unsafe"
-	// turnTimeoutMs and toolTimeoutMs bound an answer, milliseconds.
+	// turnTimeoutMs and toolTimeoutMs are request timeouts in milliseconds.
 	turnTimeoutMs = 4000
 	toolTimeoutMs = 2000
-	// keptSeconds is how long a kept turn can be gone on from.
-	keptSeconds = 60
-	// connectionsEach bounds a node's connections to a service's engines.
-	connectionsEach = 80
-	headerBytes     = 16384
-	bodyBytes       = 1_000_000
-	// Slots is how many requests an engine runs at once.
+	// retentionSeconds is how long a turn's context is retained.
+	retentionSeconds = 60
+	// maxConnections bounds a node's connections to a service's engines.
+	maxConnections = 80
+	headerBytes    = 16384
+	bodyBytes      = 1_000_000
+	// Slots is the number of requests an engine runs concurrently.
 	Slots = 8
 )
 
-// Configuration is what operators publish.
+// Configuration is the record that operators publish.
 type Configuration struct {
 	Version  int
 	Routes   []Route
 	Services []Service
 	Limits   Limits
-	// Tenants is left out where calls carry no keys.
+	// Tenants is omitted if requests carry no API keys.
 	Tenants []Tenant `json:",omitempty"`
 }
 
-// Route is the way from a path to a service.
+// Route maps requests by host and path prefix to a service.
 type Route struct {
 	Name          string
 	Host          string
@@ -76,31 +77,31 @@
 	Engine         *Engine `json:",omitempty"`
 }
 
-// Engine is how the engines of a service work.
+// Engine describes the engines of a service.
 type Engine struct {
 	Slots int
-	// StreamStride is how many tokens an event of a stream holds.
+	// StreamStride is the number of tokens per stream event.
 	StreamStride int
 }
 
-// Limits bound callers' requests.
+// Limits bound the size of requests.
 type Limits struct {
 	MaxHeaderBytes int
 	MaxBodyBytes   int
 }
 
-// Tenant is one tenant with its keys.
+// Tenant is one tenant with its API keys.
 type Tenant struct {
 	Name    string
 	ApiKeys []string
-	// Priority goes before a route's where it is given.
+	// Priority overrides the route's priority if set.
 	Priority *int `json:",omitempty"`
-	// RatePerS and Burst bound the requests over all nodes; 0 is no bound.
+	// RatePerS and Burst limit the tenant's requests across all nodes; 0 means no limit.
 	RatePerS int
 	Burst    int
 }
 
-// Server is what an engine records of itself.
+// Server is the registration record of an engine.
 type Server struct {
 	Service string
 	Address string
@@ -109,35 +110,35 @@
 	State   string
 }
 
-// NewConfiguration returns a version with routes of a host to models and to tools. An event
-// of a model's stream holds so many tokens.
+// NewConfiguration returns a configuration that routes a host's requests to models and
+// tools.
 func NewConfiguration(version int, host string, tokensPerEvent int) Configuration {
 	return Configuration{
 		Version: version,
 		Routes: []Route{
-			{Name: "kept", Host: host, PathPrefix: PathKept, Kind: kindStreaming, TimeoutMs: turnTimeoutMs, Service: ServiceModels, MaxAttempts: 1, RetainContext: true, RetentionS: keptSeconds},
+			{Name: "kept", Host: host, PathPrefix: PathKept, Kind: kindStreaming, TimeoutMs: turnTimeoutMs, Service: ServiceModels, MaxAttempts: 1, RetainContext: true, RetentionS: retentionSeconds},
 			{Name: "plain", Host: host, PathPrefix: PathPlain, Kind: kindStreaming, TimeoutMs: turnTimeoutMs, Service: ServiceModels, MaxAttempts: 1},
 			NewSafeRoute("safe", host, PathSafe),
 			{Name: "tool", Host: host, PathPrefix: PathTool, Kind: kindUnsafe, TimeoutMs: toolTimeoutMs, Service: ServiceTools},
 		},
 		Services: []Service{
-			{Name: ServiceModels, MaxConnections: connectionsEach, Engine: &Engine{Slots: Slots, StreamStride: tokensPerEvent}},
-			{Name: ServiceTools, MaxConnections: connectionsEach},
+			{Name: ServiceModels, MaxConnections: maxConnections, Engine: &Engine{Slots: Slots, StreamStride: tokensPerEvent}},
+			{Name: ServiceTools, MaxConnections: maxConnections},
 		},
 		Limits: Limits{MaxHeaderBytes: headerBytes, MaxBodyBytes: bodyBytes},
 	}
 }
 
-// NewSafeRoute returns a route of tool calls that may be repeated once.
+// NewSafeRoute returns a route for tool calls that may be retried once.
 func NewSafeRoute(name, host, prefix string) Route {
 	return Route{Name: name, Host: host, PathPrefix: prefix, Kind: kindSafe, TimeoutMs: toolTimeoutMs, Service: ServiceTools, MaxAttempts: 2}
 }
 
-// Encode returns the record of a configuration or of a server.
+// Encode returns the JSON of a record.
 func Encode(record any) []byte {
 	encoded, err := json.Marshal(record)
 	if err != nil {
-		panic(err) // The records hold nothing that can't be encoded.
+		panic(err) // The record types always encode.
 	}
 	return encoded
 }
