--- a/rehearsal/standin/agentengine/agentengine.go
+++ b/rehearsal/standin/agentengine/agentengine.go
@@ -1,6 +1,5 @@
-// Package agentengine stands in for the engines of the users' platform: it
-// answers opaque requests and streams, refuses as they do, and remembers what
-// ran.
+// Package agentengine is a stand-in for the platform's engines: it answers opaque requests
+// and streams, injects faults and records the requests that it ran.
 package agentengine
 
 import (
@@ -14,17 +13,17 @@
 	"time"
 )
 
-// Faults is how the engine misbehaves; the zero value is a sound engine.
+// Faults is the set of injected faults; the zero value injects none.
 type Faults struct {
-	// Full refuses every request as not run.
+	// Full rejects every request as not executed.
 	Full bool
-	// Fail answers every request with a failure of the engine's own.
+	// Fail answers every request with status 500.
 	Fail bool
-	// LoseAnswers runs requests and closes the connection.
+	// LoseAnswers runs requests and closes the connection without a response.
 	LoseAnswers bool
-	// BreakAfter breaks streams off after so many events, 0 not at all.
+	// BreakAfter aborts streams after this many events; 0 disables it.
 	BreakAfter int
-	// Pause is between the events of a stream.
+	// Pause is added to the delay between the events of a stream.
 	Pause time.Duration
 }
 
@@ -36,7 +35,7 @@
 	Body     string
 	Header   http.Header
 	Canceled bool
-	// At is when the request arrived.
+	// At is the request's arrival time.
 	At time.Time
 }
 
@@ -44,8 +43,8 @@
 type Engine struct {
 	ID     string
 	Events int
-	// Pace is the time between a stream's events, and before another answer, of an engine
-	// that is sound. It is set before the first request.
+	// Pace is the delay between the events of a stream, and before any other response. It
+	// must be set before the first request.
 	Pace     time.Duration
 	server   *http.Server
 	listener net.Listener
@@ -56,13 +55,13 @@
 
 const headerTimeout = 30 * time.Second
 
-// An answer to a path that ends in LargeSuffix has LargeBytes before its text.
+// A response to a path that ends in LargeSuffix begins with LargeBytes of padding.
 const (
 	LargeSuffix = "/large"
 	LargeBytes  = 1 << 20
 )
 
-// Start serves on address. A stream has the given number of events.
+// Start serves on address; each stream has the given number of events.
 func Start(address, id string, events int) (*Engine, error) {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
@@ -74,23 +73,23 @@
 	return engine, nil
 }
 
-// Address returns IP:PORT.
+// Address returns the listen address, IP:PORT.
 func (engine *Engine) Address() string { return engine.listener.Addr().String() }
 
-// Close ends the stand-in and its connections.
+// Close stops the engine and closes its connections.
 func (engine *Engine) Close() { _ = engine.server.Close() }
 
-// Drain takes no new connection and waits for requests under way, until ctx ends.
+// Drain stops accepting connections and waits for requests in flight until ctx ends.
 func (engine *Engine) Drain(ctx context.Context) error { return engine.server.Shutdown(ctx) }
 
-// SetFaults replaces the faults.
+// SetFaults replaces the injected faults.
 func (engine *Engine) SetFaults(faults Faults) {
 	engine.mutex.Lock()
 	defer engine.mutex.Unlock()
 	engine.faults = faults
 }
 
-// Runs returns what has run so far.
+// Runs returns the requests run so far.
 func (engine *Engine) Runs() []Run {
 	engine.mutex.Lock()
 	defer engine.mutex.Unlock()
@@ -117,7 +116,7 @@
 	if err != nil {
 		return
 	}
-	number := engine.note(request, string(body))
+	index := engine.recordRun(request, string(body))
 	if faults.Fail {
 		writer.WriteHeader(http.StatusInternalServerError)
 		return
@@ -127,7 +126,7 @@
 	}
 	writer.Header().Set("Response-Stamp", "stamp-"+engine.ID)
 	if strings.Contains(request.URL.Path, "/stream") {
-		engine.stream(writer, request, faults, number)
+		engine.stream(writer, request, faults, index)
 		return
 	}
 	time.Sleep(engine.Pace)
@@ -137,7 +136,7 @@
 	_, _ = fmt.Fprintf(writer, "answer of %s to %s", engine.ID, request.Header.Get("Request-Id"))
 }
 
-func (engine *Engine) note(request *http.Request, body string) int {
+func (engine *Engine) recordRun(request *http.Request, body string) int {
 	engine.mutex.Lock()
 	defer engine.mutex.Unlock()
 	engine.runs = append(engine.runs, Run{
@@ -151,7 +150,7 @@
 	return len(engine.runs) - 1
 }
 
-func (engine *Engine) stream(writer http.ResponseWriter, request *http.Request, faults Faults, number int) {
+func (engine *Engine) stream(writer http.ResponseWriter, request *http.Request, faults Faults, index int) {
 	writer.Header().Set("Content-Type", "text/event-stream")
 	flusher := writer.(http.Flusher)
 	for event := 1; event <= engine.Events; event++ {
@@ -167,7 +166,7 @@
 		case <-time.After(faults.Pause + engine.Pace):
 		case <-request.Context().Done():
 			engine.mutex.Lock()
-			engine.runs[number].Canceled = true
+			engine.runs[index].Canceled = true
 			engine.mutex.Unlock()
 			return
 		}
