--- a/rehearsal/standin/machines/machines.go
+++ b/rehearsal/standin/machines/machines.go
@@ -1,6 +1,5 @@
-// Package machines is a stand-in for the platform's list of live and leaving
-// machines, which shows every change a settable lag late. Its wire shapes stand
-// in docs/INTERFACES.md.
+// Package machines is a stand-in for the platform's machine list, which shows every change
+// after a configurable lag. Its wire format is described in docs/INTERFACES.md.
 package machines
 
 import (
@@ -17,7 +16,7 @@
 	"github.com/magpielug/magpielug/rehearsal/standin/reply"
 )
 
-// Endpoints by which tests and the rehearsal change the list.
+// Endpoints that change the list.
 const (
 	PathRegister = "/admin/register"
 	PathLeave    = "/admin/leave"
@@ -25,15 +24,15 @@
 	PathLag      = "/admin/lag"
 )
 
-// keptVersions bounds the past lists; with more changes inside the lag the
-// oldest are shown early.
-const keptVersions = 4096
+// maxVersions bounds the retained versions. With more changes than that within the lag,
+// the oldest become visible early.
+const maxVersions = 4096
 
-// Config is one stand-in list.
+// Config configures the list.
 type Config struct {
-	// Lag is how late a change shows.
+	// Lag is the delay until a change is visible.
 	Lag time.Duration
-	// Machines are listed from the start.
+	// Machines are the initial entries.
 	Machines []wire.Machine
 }
 
@@ -42,18 +41,18 @@
 	ID string `json:"id"`
 }
 
-// LagOrder is the body of PathLag.
-type LagOrder struct {
+// LagRequest is the body of PathLag.
+type LagRequest struct {
 	LagMillis int64 `json:"lag_ms"`
 }
 
-// version is the list as it stood from a time on. It is never changed.
+// version is an immutable snapshot of the list, valid from a point in time.
 type version struct {
-	from     time.Time
-	machines map[string]wire.Machine
+	validFrom time.Time
+	machines  map[string]wire.Machine
 }
 
-// List is one stand-in machine list. It is safe for concurrent use.
+// List is a stand-in machine list. It is safe for concurrent use.
 type List struct {
 	faults   *fault.Injector
 	lock     sync.Mutex
@@ -61,19 +60,19 @@
 	versions []version
 }
 
-// New makes a list with the configured machines.
+// New returns a list with the configured machines.
 func New(config Config) *List {
-	first := make(map[string]wire.Machine, len(config.Machines))
+	initial := make(map[string]wire.Machine, len(config.Machines))
 	for _, machine := range config.Machines {
 		if machine.State == "" {
 			machine.State = string(outside.MachineLive)
 		}
-		first[machine.ID] = machine
+		initial[machine.ID] = machine
 	}
 	return &List{
 		faults:   fault.NewInjector(),
 		lag:      config.Lag,
-		versions: []version{{machines: first}},
+		versions: []version{{machines: initial}},
 	}
 }
 
@@ -84,13 +83,13 @@
 func (list *List) Handler() http.Handler {
 	mux := http.NewServeMux()
 	reply.HandleGetWithETag(mux, wire.PathMachines, func(*http.Request) (wire.MachinesAnswer, error) {
-		return wire.MachinesAnswer{Machines: list.shown(time.Now())}, nil
+		return wire.MachinesAnswer{Machines: list.visibleAt(time.Now())}, nil
 	}, func(answer wire.MachinesAnswer) wire.MachinesAnswer { return answer })
 	reply.HandlePost(mux, PathRegister, func(machine wire.Machine) (wire.Empty, error) { return wire.Empty{}, list.Register(machine) })
-	reply.HandlePost(mux, PathLeave, func(order MachineID) (wire.Empty, error) { return wire.Empty{}, list.Leave(order.ID) })
-	reply.HandlePost(mux, PathRemove, func(order MachineID) (wire.Empty, error) { return wire.Empty{}, list.Remove(order.ID) })
-	reply.HandlePost(mux, PathLag, func(order LagOrder) (LagOrder, error) {
-		return order, list.SetLag(time.Duration(order.LagMillis) * time.Millisecond)
+	reply.HandlePost(mux, PathLeave, func(request MachineID) (wire.Empty, error) { return wire.Empty{}, list.Leave(request.ID) })
+	reply.HandlePost(mux, PathRemove, func(request MachineID) (wire.Empty, error) { return wire.Empty{}, list.Remove(request.ID) })
+	reply.HandlePost(mux, PathLag, func(request LagRequest) (LagRequest, error) {
+		return request, list.SetLag(time.Duration(request.LagMillis) * time.Millisecond)
 	})
 	return list.faults.Handler(mux)
 }
@@ -103,7 +102,7 @@
 	if machine.State == "" {
 		machine.State = string(outside.MachineLive)
 	}
-	return list.change(func(machines map[string]wire.Machine) error {
+	return list.update(func(machines map[string]wire.Machine) error {
 		machines[machine.ID] = machine
 		return nil
 	})
@@ -111,10 +110,10 @@
 
 // Leave marks a machine as leaving.
 func (list *List) Leave(id string) error {
-	return list.change(func(machines map[string]wire.Machine) error {
+	return list.update(func(machines map[string]wire.Machine) error {
 		machine, found := machines[id]
 		if !found {
-			return unknown(id)
+			return notFound(id)
 		}
 		machine.State = string(outside.MachineLeaving)
 		machines[id] = machine
@@ -122,18 +121,18 @@
 	})
 }
 
-// Remove takes a machine off the list.
+// Remove deletes a machine from the list.
 func (list *List) Remove(id string) error {
-	return list.change(func(machines map[string]wire.Machine) error {
+	return list.update(func(machines map[string]wire.Machine) error {
 		if _, found := machines[id]; !found {
-			return unknown(id)
+			return notFound(id)
 		}
 		delete(machines, id)
 		return nil
 	})
 }
 
-// SetLag changes how late changes show.
+// SetLag changes the delay until changes are visible.
 func (list *List) SetLag(lag time.Duration) error {
 	if lag < 0 {
 		return reply.BadRequest("the lag must not be negative")
@@ -144,39 +143,39 @@
 	return nil
 }
 
-func unknown(id string) error {
+func notFound(id string) error {
 	return reply.NotRun(http.StatusNotFound, wire.CodeNotFound, "no machine "+id)
 }
 
-// change adds a version made from the newest one.
-func (list *List) change(edit func(map[string]wire.Machine) error) error {
+// update appends a version derived from the latest one.
+func (list *List) update(apply func(map[string]wire.Machine) error) error {
 	list.lock.Lock()
 	defer list.lock.Unlock()
 	machines := maps.Clone(list.versions[len(list.versions)-1].machines)
-	if err := edit(machines); err != nil {
+	if err := apply(machines); err != nil {
 		return err
 	}
-	list.versions = append(list.versions, version{from: time.Now(), machines: machines})
-	if len(list.versions) > keptVersions {
+	list.versions = append(list.versions, version{validFrom: time.Now(), machines: machines})
+	if len(list.versions) > maxVersions {
 		list.versions = list.versions[1:]
 	}
 	return nil
 }
 
-// shown returns the machines as the list shows them at now, by id.
-func (list *List) shown(now time.Time) []wire.Machine {
+// visibleAt returns the machines visible at now, sorted by id.
+func (list *List) visibleAt(now time.Time) []wire.Machine {
 	list.lock.Lock()
 	defer list.lock.Unlock()
-	due := now.Add(-list.lag)
-	newest := list.versions[0]
+	cutoff := now.Add(-list.lag)
+	visible := list.versions[0]
 	for _, candidate := range list.versions[1:] {
-		if candidate.from.After(due) {
+		if candidate.validFrom.After(cutoff) {
 			break
 		}
-		newest = candidate
+		visible = candidate
 	}
-	machines := make([]wire.Machine, 0, len(newest.machines))
-	for _, machine := range newest.machines {
+	machines := make([]wire.Machine, 0, len(visible.machines))
+	for _, machine := range visible.machines {
 		machines = append(machines, machine)
 	}
 	slices.SortFunc(machines, func(left, right wire.Machine) int { return strings.Compare(left.ID, right.ID) })
