--- a/rehearsal/standin/logservice/log.go
+++ b/rehearsal/standin/logservice/log.go
@@ -1,6 +1,6 @@
-// Package logservice is a stand-in for the platform's append-only log service:
-// streams of records with offsets from 0, kept in memory. Its wire shapes stand
-// in docs/INTERFACES.md.
+// Package logservice is a stand-in for the platform's append-only log service: in-memory
+// streams of records with offsets from 0. Its wire format is described in
+// docs/INTERFACES.md.
 package logservice
 
 import (
@@ -17,20 +17,20 @@
 const (
 	defaultReadLimit = 256
 	maxReadLimit     = 4096
-	// maxReadBytes ends an answer early; it holds at least one record.
+	// maxReadBytes bounds a response, which holds at least one record.
 	maxReadBytes = 4 << 20
-	// DefaultMaxBytes bounds all records together.
+	// DefaultMaxBytes bounds the total size of the records.
 	DefaultMaxBytes = 1 << 30
 )
 
-// Config is one stand-in log.
+// Config configures the log.
 type Config struct {
-	// MaxBytes bounds all records together; an append past it is refused. 0
-	// takes DefaultMaxBytes.
+	// MaxBytes bounds the total size of the records; further appends are rejected. 0 means
+	// DefaultMaxBytes.
 	MaxBytes int
 }
 
-// Log is one stand-in log. It is safe for concurrent use.
+// Log is a stand-in log. It is safe for concurrent use.
 type Log struct {
 	config  Config
 	faults  *fault.Injector
@@ -39,7 +39,7 @@
 	bytes   int
 }
 
-// New makes an empty log.
+// New returns an empty log.
 func New(config Config) *Log {
 	if config.MaxBytes <= 0 {
 		config.MaxBytes = DefaultMaxBytes
@@ -55,7 +55,7 @@
 	mux := http.NewServeMux()
 	reply.HandlePost(mux, wire.PathLogAppend, log.append)
 	reply.HandleGet(mux, wire.PathLogRead, log.read)
-	reply.HandleGet(mux, wire.PathLogStreams, log.list)
+	reply.HandleGet(mux, wire.PathLogStreams, log.listStreams)
 	return log.faults.Handler(mux)
 }
 
@@ -87,30 +87,30 @@
 	log.lock.Lock()
 	records := log.streams[request.URL.Query().Get(wire.ParameterStream)]
 	log.lock.Unlock()
-	// Records are never changed, so the slice can be read without the lock.
-	answer := wire.ReadAnswer{Records: []wire.Record{}}
+	// Records are immutable, so the slice can be read without the lock.
+	response := wire.ReadAnswer{Records: []wire.Record{}}
 	bytes := 0
-	for offset < uint64(len(records)) && uint64(len(answer.Records)) < min(limit, maxReadLimit) {
+	for offset < uint64(len(records)) && uint64(len(response.Records)) < min(limit, maxReadLimit) {
 		data := records[offset]
 		if bytes > 0 && bytes+len(data) > maxReadBytes {
 			break
 		}
 		bytes += len(data)
-		answer.Records = append(answer.Records, wire.Record{Offset: offset, Data: data})
+		response.Records = append(response.Records, wire.Record{Offset: offset, Data: data})
 		offset++
 	}
-	return answer, nil
+	return response, nil
 }
 
-func (log *Log) list(*http.Request) (wire.StreamsAnswer, error) {
+func (log *Log) listStreams(*http.Request) (wire.StreamsAnswer, error) {
 	log.lock.Lock()
 	defer log.lock.Unlock()
-	answer := wire.StreamsAnswer{Streams: []wire.StreamState{}}
+	response := wire.StreamsAnswer{Streams: []wire.StreamState{}}
 	for stream, records := range log.streams {
-		answer.Streams = append(answer.Streams, wire.StreamState{Stream: stream, Next: uint64(len(records))})
+		response.Streams = append(response.Streams, wire.StreamState{Stream: stream, Next: uint64(len(records))})
 	}
-	slices.SortFunc(answer.Streams, func(left, right wire.StreamState) int {
+	slices.SortFunc(response.Streams, func(left, right wire.StreamState) int {
 		return cmp.Compare(left.Stream, right.Stream)
 	})
-	return answer, nil
+	return response, nil
 }
--- a/rehearsal/standin/logservice/log_test.go
+++ b/rehearsal/standin/logservice/log_test.go
@@ -13,7 +13,7 @@
 	"github.com/magpielug/magpielug/rehearsal/standin/fault"
 )
 
-func newBench(config Config) (*Log, *httpadapter.Log) {
+func newTestLog(config Config) (*Log, *httpadapter.Log) {
 	standIn := New(config)
 	server := httptest.NewServer(standIn.Handler())
 	pool, err := httpadapter.NewClient(httpadapter.Config{})
@@ -28,8 +28,8 @@
 var _ = Describe("Log stand-in", func() {
 	ctx := context.Background()
 
-	It("keeps the records of each stream in order, from offset 0", func() {
-		_, log := newBench(Config{})
+	It("stores the records of each stream in order from offset 0", func() {
+		_, log := newTestLog(Config{})
 		for offset, text := range []string{"a", "b", "c"} {
 			Expect(log.Append(ctx, "one", []byte(text))).To(Equal(uint64(offset)))
 		}
@@ -39,8 +39,8 @@
 		Expect(log.Read(ctx, "none", 0, 2)).To(BeEmpty())
 	})
 
-	It("keeps a record whose answer was lost, and none that it refused", func() {
-		standIn, log := newBench(Config{})
+	It("stores a record whose response was dropped, and none that it rejected", func() {
+		standIn, log := newTestLog(Config{})
 		Expect(standIn.Faults().Set(fault.Order{Kind: fault.DropResponses, ForMillis: 600_000})).To(Succeed())
 		_, err := log.Append(ctx, "one", []byte("lost"))
 		Expect(err).To(MatchError(outside.ErrOutcomeUnknown))
@@ -52,16 +52,16 @@
 		Expect(log.Read(ctx, "one", 0, 9)).To(Equal([]outside.Record{{Offset: 0, Data: []byte("lost")}}))
 	})
 
-	It("refuses a record when it is full", func() {
-		_, log := newBench(Config{MaxBytes: 3})
+	It("rejects an append beyond its size limit", func() {
+		_, log := newTestLog(Config{MaxBytes: 3})
 		_, err := log.Append(ctx, "one", []byte("1234"))
 		Expect(err).To(MatchError(outside.ErrNotRun))
 		_, err = log.Append(ctx, "", []byte("1"))
 		Expect(err).To(MatchError(outside.ErrNotRun))
 	})
 
-	It("ends an answer early rather than send records without bound", func() {
-		_, log := newBench(Config{})
+	It("bounds the size of a read response", func() {
+		_, log := newTestLog(Config{})
 		for range 3 {
 			_, err := log.Append(ctx, "one", make([]byte, maxReadBytes/2+1))
 			Expect(err).NotTo(HaveOccurred())
