--- a/rehearsal/standin/weights/weights.go
+++ b/rehearsal/standin/weights/weights.go
@@ -1,5 +1,5 @@
-// Package weights is a stand-in for the platform's rate-limited weight store.
-// Its wire shapes stand in docs/INTERFACES.md.
+// Package weights is a stand-in for the platform's rate-limited weight store. Its wire
+// format is described in docs/INTERFACES.md.
 package weights
 
 import (
@@ -19,20 +19,21 @@
 	defaultBurst     = 2
 )
 
-// Config is one stand-in store; zero fields take defaults.
+// Config configures the store; zero fields take defaults.
 type Config struct {
-	// PerSecond is how many moves are granted a second, Burst how many at once.
+	// PerSecond is the rate of granted loads, and Burst the number that can be granted at
+	// once.
 	PerSecond float64
 	Burst     int
 }
 
-// Store is one stand-in store. It is safe for concurrent use.
+// Store is a stand-in weight store. It is safe for concurrent use.
 type Store struct {
 	faults  *fault.Injector
 	limiter *rate.Limiter
 }
 
-// New makes a store with a full bucket.
+// New returns a store with a full token bucket.
 func New(config Config) *Store {
 	if config.PerSecond <= 0 {
 		config.PerSecond = defaultPerSecond
@@ -56,7 +57,7 @@
 	return store.faults.Handler(mux)
 }
 
-// reserve grants a move where a token is free; a refusal takes none.
+// reserve grants a load if a token is available; a rejection consumes none.
 func (store *Store) reserve(request wire.ReserveRequest) (wire.ReserveAnswer, error) {
 	if request.Model == "" || request.Version == "" {
 		return wire.ReserveAnswer{}, reply.BadRequest("model and version must not be empty")
@@ -67,6 +68,6 @@
 		return wire.ReserveAnswer{Granted: true}, nil
 	}
 	reservation.Cancel()
-	// Rounded up, so that a caller that waits so long finds a token.
+	// Rounded up, so that a caller that waits this long finds a token.
 	return wire.ReserveAnswer{WaitMillis: (wait + time.Millisecond - 1).Milliseconds()}, nil
 }
