--- a/rehearsal/standin/tool/tool.go
+++ b/rehearsal/standin/tool/tool.go
@@ -1,7 +1,6 @@
-// Package tool is a stand-in for an application or tool service. Its answer is
-// a function of the request; it counts how often each request id ran, and hangs
-// or delays by markers in the input. Its wire shapes stand in
-// docs/INTERFACES.md.
+// Package tool is a stand-in for an application or tool service. Its output is a function
+// of the request. It counts the runs of each request id, and hangs or delays as markers in
+// the input demand. Its wire format is described in docs/INTERFACES.md.
 package tool
 
 import (
@@ -21,13 +20,13 @@
 	"github.com/magpielug/magpielug/rehearsal/standin/reply"
 )
 
-// PathRuns counts runs by request id.
+// PathRuns returns the number of runs by request id.
 const PathRuns = "/debug/runs"
 
 const (
-	// hangMarker in the input makes the call never answer.
+	// hangMarker in the input makes the call hang.
 	hangMarker = "[[hang]]"
-	// maxHang bounds a hang when the caller never gives up.
+	// maxHang bounds a hang if the caller does not disconnect.
 	maxHang = 10 * time.Minute
 	// maxDelay bounds a delay marker.
 	maxDelay = time.Minute
@@ -35,21 +34,21 @@
 
 var delayMarker = regexp.MustCompile(`\[\[delay=([0-9a-z.]{1,16})\]\]`)
 
-// Config is one stand-in service.
+// Config configures the service.
 type Config struct {
-	// Service is the name served; requests for another are refused. Empty
-	// serves every name.
+	// Service is the name served; requests for other names are rejected. Empty serves
+	// every name.
 	Service string
-	// Delay is how long each call takes at least.
+	// Delay is the minimum duration of a call.
 	Delay time.Duration
 }
 
-// RunsAnswer is the answer of GET PathRuns.
-type RunsAnswer struct {
+// RunsResponse is the response of GET PathRuns.
+type RunsResponse struct {
 	Runs map[string]int `json:"runs"`
 }
 
-// Tool is one stand-in service. It is safe for concurrent use.
+// Tool is a stand-in service. It is safe for concurrent use.
 type Tool struct {
 	config Config
 	faults *fault.Injector
@@ -57,17 +56,17 @@
 	runs   map[string]int
 }
 
-// New makes a service.
+// New returns a service.
 func New(config Config) *Tool {
 	return &Tool{config: config, faults: fault.NewInjector(), runs: make(map[string]int)}
 }
 
-// ExpectedOutput returns the answer that every stand-in tool gives to a
-// request. The request id counts without its attempt ("id#2" is "id").
+// ExpectedOutput returns the output that every stand-in tool gives for a request. The
+// attempt number of the request id is ignored ("id#2" is "id").
 func ExpectedOutput(program, requestID, service, input string) string {
 	base := requestID
-	if place := strings.LastIndex(requestID, "#"); place >= 0 {
-		base = requestID[:place]
+	if index := strings.LastIndex(requestID, "#"); index >= 0 {
+		base = requestID[:index]
 	}
 	encoded, err := json.Marshal([]string{program, base, service, input})
 	if err != nil {
@@ -83,14 +82,14 @@
 func (tool *Tool) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST "+wire.PathToolCall, tool.serve)
-	reply.HandleGet(mux, PathRuns, func(*http.Request) (RunsAnswer, error) {
-		return RunsAnswer{Runs: tool.Runs()}, nil
+	reply.HandleGet(mux, PathRuns, func(*http.Request) (RunsResponse, error) {
+		return RunsResponse{Runs: tool.Runs()}, nil
 	})
 	return tool.faults.Handler(mux)
 }
 
-// Runs counts how often each request id ran. The tool doesn't join requests of
-// one id: callers have to see to that.
+// Runs returns the number of runs by request id. Requests with the same id are not
+// deduplicated.
 func (tool *Tool) Runs() map[string]int {
 	tool.lock.Lock()
 	defer tool.lock.Unlock()
@@ -101,13 +100,12 @@
 	return runs
 }
 
-// serve runs a call: the effect is counted first, then the answer takes its
-// time.
+// serve counts the run before it waits, so that a call that times out has run.
 func (tool *Tool) serve(writer http.ResponseWriter, request *http.Request) {
 	var body wire.ToolRequest
 	err := reply.ReadJSON(writer, request, &body)
 	if err == nil {
-		err = tool.check(body)
+		err = tool.validate(body)
 	}
 	if err != nil {
 		reply.WriteError(writer, err)
@@ -116,14 +114,14 @@
 	tool.lock.Lock()
 	tool.runs[body.RequestID]++
 	tool.lock.Unlock()
-	if !wait(request.Context(), tool.duration(body.Input)) {
+	if !sleep(request.Context(), tool.callDuration(body.Input)) {
 		return
 	}
 	output := ExpectedOutput(body.Program, body.RequestID, body.Service, body.Input)
 	reply.WriteJSON(writer, http.StatusOK, wire.ToolAnswer{Output: &output})
 }
 
-func (tool *Tool) check(body wire.ToolRequest) error {
+func (tool *Tool) validate(body wire.ToolRequest) error {
 	if body.RequestID == "" {
 		return reply.BadRequest("request_id is empty")
 	}
@@ -133,8 +131,8 @@
 	return nil
 }
 
-// duration is how long a call with this input takes.
-func (tool *Tool) duration(input string) time.Duration {
+// callDuration returns the duration of a call with this input.
+func (tool *Tool) callDuration(input string) time.Duration {
 	if strings.Contains(input, hangMarker) {
 		return maxHang
 	}
@@ -149,8 +147,8 @@
 	return max(tool.config.Delay, min(delay, maxDelay))
 }
 
-// wait returns false when the caller is gone first.
-func wait(ctx context.Context, duration time.Duration) bool {
+// sleep returns false if ctx ends first.
+func sleep(ctx context.Context, duration time.Duration) bool {
 	if duration <= 0 {
 		return true
 	}
--- a/rehearsal/standin/tool/tool_test.go
+++ b/rehearsal/standin/tool/tool_test.go
@@ -19,7 +19,7 @@
 		standIn *Tool
 		call    func(context.Context, outside.ToolRequest) (string, error)
 	)
-	credit := outside.ToolRequest{RequestID: "r#1", Program: "p", Service: "metering", Input: "credit [[delay=1ms]]"}
+	creditRequest := outside.ToolRequest{RequestID: "r#1", Program: "p", Service: "metering", Input: "credit [[delay=1ms]]"}
 
 	BeforeEach(func() {
 		standIn = New(Config{Service: "metering"})
@@ -36,22 +36,22 @@
 		}
 	})
 
-	It("gives its expected answer and counts each run", func() {
+	It("returns its expected output and counts each run", func() {
 		for range 2 {
-			Expect(call(context.Background(), credit)).To(Equal(ExpectedOutput("p", "r", "metering", credit.Input)))
+			Expect(call(context.Background(), creditRequest)).To(Equal(ExpectedOutput("p", "r", "metering", creditRequest.Input)))
 		}
 		Expect(standIn.Runs()).To(Equal(map[string]int{"r#1": 2}))
 	})
 
-	It("counts a run whose answer is lost or hangs, and none that it refuses", func() {
+	It("counts a run whose response is dropped or hangs, and no rejected request", func() {
 		Expect(standIn.Faults().Set(fault.Order{Kind: fault.DropResponses, ForMillis: 600_000})).To(Succeed())
-		_, err := call(context.Background(), credit)
+		_, err := call(context.Background(), creditRequest)
 		Expect(err).To(MatchError(outside.ErrOutcomeUnknown))
 		Expect(standIn.Faults().Set(fault.Order{Kind: fault.Clear})).To(Succeed())
-		hanging := outside.ToolRequest{RequestID: "hangs", Service: "metering", Input: "[[hang]]"}
+		hangingRequest := outside.ToolRequest{RequestID: "hangs", Service: "metering", Input: "[[hang]]"}
 		ctx, cancel := context.WithTimeout(context.Background(), 500*time.Millisecond)
 		defer cancel()
-		_, err = call(ctx, hanging)
+		_, err = call(ctx, hangingRequest)
 		Expect(err).To(And(MatchError(outside.ErrOutcomeUnknown), MatchError(context.DeadlineExceeded)))
 		_, err = call(context.Background(), outside.ToolRequest{RequestID: "x", Service: "portal"})
 		Expect(err).To(MatchError(outside.ErrNotRun))
