--- a/rehearsal/standin/logstore/client.go
+++ b/rehearsal/standin/logstore/client.go
@@ -11,14 +11,14 @@
 	"github.com/rotisserie/eris"
 )
 
-// Client writes records into a store that runs in another process.
+// Client writes records to a store in another process.
 type Client struct {
 	// Address is the store's IP:PORT.
 	Address string
 	HTTP    *http.Client
 }
 
-// Put writes a record of a keyed topic; an empty value takes the key away.
+// Put writes a record of a keyed topic; an empty value deletes the key.
 func (client *Client) Put(ctx context.Context, topic, key string, value []byte) error {
 	record := durable.EncodeKeyed(key, value)
 	body := append(binary.BigEndian.AppendUint32(nil, uint32(len(record))), record...)
@@ -26,7 +26,7 @@
 	target := "http://" + client.Address + pathAppend + "?" + query.Encode()
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost, target, bytes.NewReader(body))
 	if err != nil {
-		return eris.Wrap(err, "build an append")
+		return eris.Wrap(err, "build the append request")
 	}
 	response, err := client.HTTP.Do(request)
 	if err != nil {
@@ -34,7 +34,7 @@
 	}
 	defer func() { _ = response.Body.Close() }()
 	if response.StatusCode != http.StatusOK {
-		return eris.Errorf("the store answered %s", response.Status)
+		return eris.Errorf("append to the store: status %s", response.Status)
 	}
 	return nil
 }
--- a/rehearsal/standin/logstore/logstore.go
+++ b/rehearsal/standin/logstore/logstore.go
@@ -1,6 +1,5 @@
-// Package logstore stands in for the users' platform's log store: its HTTP
-// calls for appends, reads and newest records, with the faults that the store
-// has. It keeps everything in memory.
+// Package logstore is an in-memory stand-in for the platform's log store: appends, reads
+// and latest records over HTTP, with fault injection.
 package logstore
 
 import (
@@ -18,17 +17,17 @@
 	"github.com/magpielug/magpielug/internal/durable"
 )
 
-// Faults is how the store misbehaves; the zero value is a sound store.
+// Faults is the set of injected faults; the zero value injects none.
 type Faults struct {
-	// Refuse answers 503 to every call; nothing is done.
+	// Refuse rejects every call with status 503, without effect.
 	Refuse bool
-	// Silent holds every call without an answer; nothing is done.
+	// Silent stalls every call without a response or effect.
 	Silent bool
-	// LoseAnswers does appends and closes the connection without an answer.
+	// LoseAnswers executes appends and closes the connection without a response.
 	LoseAnswers bool
-	// Delay is added to every answer.
+	// Delay is added to every response.
 	Delay time.Duration
-	// DownParts are partitions that answer 503.
+	// DownParts are the partitions that respond with status 503.
 	DownParts map[int]bool
 }
 
@@ -44,18 +43,18 @@
 }
 
 const (
-	// maxWait bounds a waiting read.
-	maxWait    = 30 * time.Second
-	pathAppend = "/log-append"
+	// maxReadWait bounds a long poll.
+	maxReadWait = 30 * time.Second
+	pathAppend  = "/log-append"
 )
 
-// Start serves on address, "127.0.0.1:0" for a free port.
+// Start serves on address; "127.0.0.1:0" picks a free port.
 func Start(address string) (*Store, error) {
 	return start(address, durable.NewMemory())
 }
 
-// Second serves the same records on another address, with faults of its own: it
-// is the store as a single node sees it.
+// Second serves the same records on another address with separate faults, so that a fault
+// can be limited to one node.
 func (store *Store) Second(address string) (*Store, error) {
 	return start(address, store.Log)
 }
@@ -67,45 +66,45 @@
 	}
 	store := &Store{Log: log, listener: listener}
 	mux := http.NewServeMux()
-	mux.HandleFunc("POST "+pathAppend, store.guard(store.append))
-	mux.HandleFunc("GET /log-read", store.guard(store.read))
-	mux.HandleFunc("GET /log-newest", store.guard(store.newest))
-	store.server = &http.Server{Handler: mux, ReadHeaderTimeout: maxWait}
+	mux.HandleFunc("POST "+pathAppend, store.withFaults(store.append))
+	mux.HandleFunc("GET /log-read", store.withFaults(store.read))
+	mux.HandleFunc("GET /log-newest", store.withFaults(store.latest))
+	store.server = &http.Server{Handler: mux, ReadHeaderTimeout: maxReadWait}
 	go func() { _ = store.server.Serve(listener) }()
 	return store, nil
 }
 
-// Address returns IP:PORT.
+// Address returns the listen address, IP:PORT.
 func (store *Store) Address() string { return store.listener.Addr().String() }
 
-// Close ends the stand-in and its connections.
+// Close stops the store and closes its connections.
 func (store *Store) Close() { _ = store.server.Close() }
 
-// SetFaults replaces the faults.
+// SetFaults replaces the injected faults.
 func (store *Store) SetFaults(faults Faults) {
 	store.mutex.Lock()
 	defer store.mutex.Unlock()
 	store.faults = faults
 }
 
-// Calls returns the number of calls so far.
+// Calls returns the number of calls received so far.
 func (store *Store) Calls() int {
 	store.mutex.Lock()
 	defer store.mutex.Unlock()
 	return store.calls
 }
 
-func (store *Store) current() Faults {
+func (store *Store) recordCall() Faults {
 	store.mutex.Lock()
 	defer store.mutex.Unlock()
 	store.calls++
 	return store.faults
 }
 
-// guard applies the faults that hold for every call.
-func (store *Store) guard(serve http.HandlerFunc) http.HandlerFunc {
+// withFaults applies the faults common to all calls.
+func (store *Store) withFaults(serve http.HandlerFunc) http.HandlerFunc {
 	return func(writer http.ResponseWriter, request *http.Request) {
-		faults := store.current()
+		faults := store.recordCall()
 		part, _ := strconv.Atoi(request.URL.Query().Get("part"))
 		time.Sleep(faults.Delay)
 		switch {
@@ -120,18 +119,18 @@
 	}
 }
 
-func partitionOf(request *http.Request) durable.Partition {
+func parsePartition(request *http.Request) durable.Partition {
 	query := request.URL.Query()
 	number, _ := strconv.Atoi(query.Get("part"))
 	return durable.Partition{Topic: query.Get("topic"), Number: number}
 }
 
-func conditionOf(request *http.Request) durable.Condition {
+func parseCondition(request *http.Request) durable.Condition {
 	query := request.URL.Query()
 	var condition durable.Condition
 	if text := query.Get("At"); text != "" {
-		at, _ := strconv.ParseInt(text, 10, 64)
-		condition.ExpectedEnd = &at
+		expectedEnd, _ := strconv.ParseInt(text, 10, 64)
+		condition.ExpectedEnd = &expectedEnd
 	}
 	if producer := query.Get("producer"); producer != "" {
 		epoch, _ := strconv.ParseInt(query.Get("epoch"), 10, 64)
@@ -141,17 +140,17 @@
 	return condition
 }
 
-type appendReply struct {
-	Offset int64  `json:"offset"`
-	End    int64  `json:"end"`
-	Why    string `json:"why,omitempty"`
-	First  int64  `json:"first,omitempty"`
+type appendResponse struct {
+	Offset      int64  `json:"offset"`
+	End         int64  `json:"end"`
+	Reason      string `json:"why,omitempty"`
+	FirstOffset int64  `json:"first,omitempty"`
 }
 
-func reply(writer http.ResponseWriter, status int, content any) {
+func writeJSON(writer http.ResponseWriter, status int, response any) {
 	writer.Header().Set("Content-Type", "application/json")
 	writer.WriteHeader(status)
-	_ = json.NewEncoder(writer).Encode(content)
+	_ = json.NewEncoder(writer).Encode(response)
 }
 
 func (store *Store) append(writer http.ResponseWriter, request *http.Request) {
@@ -159,51 +158,51 @@
 	if err != nil {
 		return
 	}
-	records, sound := unframe(body)
-	if !sound {
+	records, valid := decodeFrames(body)
+	if !valid {
 		writer.WriteHeader(http.StatusBadRequest)
 		return
 	}
-	appended, err := store.Log.Append(request.Context(), partitionOf(request), records, conditionOf(request))
-	if store.losesAnswers() {
+	appended, err := store.Log.Append(request.Context(), parsePartition(request), records, parseCondition(request))
+	if store.dropsResponses() {
 		panic(http.ErrAbortHandler)
 	}
-	content := appendReply{Offset: appended.Offset, End: appended.End}
+	response := appendResponse{Offset: appended.Offset, End: appended.End}
 	switch {
 	case err == nil:
-		reply(writer, http.StatusOK, content)
+		writeJSON(writer, http.StatusOK, response)
 	case errors.Is(err, durable.ErrConflict):
-		reply(writer, http.StatusPreconditionFailed, content)
+		writeJSON(writer, http.StatusPreconditionFailed, response)
 	case errors.Is(err, durable.ErrFenced):
-		content.Why = "fenced"
-		reply(writer, http.StatusConflict, content)
+		response.Reason = "fenced"
+		writeJSON(writer, http.StatusConflict, response)
 	default:
-		content.Why = "seq"
-		reply(writer, http.StatusConflict, content)
+		response.Reason = "seq"
+		writeJSON(writer, http.StatusConflict, response)
 	}
 }
 
-func (store *Store) losesAnswers() bool {
+func (store *Store) dropsResponses() bool {
 	store.mutex.Lock()
 	defer store.mutex.Unlock()
 	return store.faults.LoseAnswers
 }
 
-const lengthBytes = 4
+const frameHeaderBytes = 4
 
-// unframe takes records apart, each behind its length.
-func unframe(body []byte) ([][]byte, bool) {
+// decodeFrames splits a body into length-prefixed records.
+func decodeFrames(body []byte) ([][]byte, bool) {
 	var records [][]byte
 	for len(body) > 0 {
-		if len(body) < lengthBytes {
+		if len(body) < frameHeaderBytes {
 			return nil, false
 		}
 		length := int(binary.BigEndian.Uint32(body))
-		if len(body) < lengthBytes+length {
+		if len(body) < frameHeaderBytes+length {
 			return nil, false
 		}
-		records = append(records, body[lengthBytes:lengthBytes+length])
-		body = body[lengthBytes+length:]
+		records = append(records, body[frameHeaderBytes:frameHeaderBytes+length])
+		body = body[frameHeaderBytes+length:]
 	}
 	return records, true
 }
@@ -212,49 +211,49 @@
 	query := request.URL.Query()
 	from, _ := strconv.ParseInt(query.Get("From"), 10, 64)
 	waitMillis, _ := strconv.Atoi(query.Get("WaitMs"))
-	wait := min(time.Duration(waitMillis)*time.Millisecond, maxWait)
-	ctx, cancel := context.WithTimeout(request.Context(), maxWait)
+	wait := min(time.Duration(waitMillis)*time.Millisecond, maxReadWait)
+	ctx, cancel := context.WithTimeout(request.Context(), maxReadWait)
 	defer cancel()
-	batch, err := store.Log.Read(ctx, partitionOf(request), from, wait)
+	batch, err := store.Log.Read(ctx, parsePartition(request), from, wait)
 	var trimmed *durable.TrimmedError
 	if errors.As(err, &trimmed) {
-		reply(writer, http.StatusGone, appendReply{First: trimmed.First})
+		writeJSON(writer, http.StatusGone, appendResponse{FirstOffset: trimmed.First})
 		return
 	}
 	if err != nil {
 		return
 	}
-	content := binary.BigEndian.AppendUint64(nil, uint64(batch.EndOffset))
-	content = binary.BigEndian.AppendUint64(content, uint64(batch.FirstOffset))
+	response := binary.BigEndian.AppendUint64(nil, uint64(batch.EndOffset))
+	response = binary.BigEndian.AppendUint64(response, uint64(batch.FirstOffset))
 	for _, record := range batch.Records {
-		content = binary.BigEndian.AppendUint32(content, uint32(len(record)))
-		content = append(content, record...)
+		response = binary.BigEndian.AppendUint32(response, uint32(len(record)))
+		response = append(response, record...)
 	}
-	_, _ = writer.Write(content)
+	_, _ = writer.Write(response)
 }
 
-type newestReply struct {
-	Items []newestItem `json:"items"`
+type latestResponse struct {
+	Items []latestItem `json:"items"`
 	More  bool
 	End   int64 `json:"end"`
 }
 
-type newestItem struct {
+type latestItem struct {
 	TlsKey string
 	Value  []byte
 	Offset int64 `json:"offset"`
 }
 
-func (store *Store) newest(writer http.ResponseWriter, request *http.Request) {
+func (store *Store) latest(writer http.ResponseWriter, request *http.Request) {
 	snapshot, err := store.Log.Latest(request.Context(), request.URL.Query().Get("topic"))
 	if err != nil {
 		return
 	}
-	content := newestReply{End: snapshot.End}
+	response := latestResponse{End: snapshot.End}
 	for _, record := range snapshot.Records {
-		content.Items = append(content.Items, newestItem{TlsKey: record.Key, Value: record.Value, Offset: record.Offset})
+		response.Items = append(response.Items, latestItem{TlsKey: record.Key, Value: record.Value, Offset: record.Offset})
 	}
-	reply(writer, http.StatusOK, content)
+	writeJSON(writer, http.StatusOK, response)
 }
 
 // Put writes a record of a keyed topic.
