--- a/rehearsal/standin/engine/bounded_set.go
+++ b/rehearsal/standin/engine/bounded_set.go
@@ -2,11 +2,11 @@
 
 import "github.com/magpielug/magpielug/internal/outside/wire"
 
-// boundedSet remembers the latest ids with a reason each.
+// boundedSet holds the most recently added ids, each with a reason.
 type boundedSet struct {
-	limit   int
-	reasons map[string]wire.ErrorCode
-	order   []string
+	limit          int
+	reasons        map[string]wire.ErrorCode
+	insertionOrder []string
 }
 
 func newBoundedSet(limit int) *boundedSet {
@@ -18,12 +18,12 @@
 		return
 	}
 	set.reasons[id] = reason
-	set.order = append(set.order, id)
-	if len(set.order) > set.limit {
-		delete(set.reasons, set.order[0])
-		set.order = set.order[1:]
+	set.insertionOrder = append(set.insertionOrder, id)
+	if len(set.insertionOrder) > set.limit {
+		delete(set.reasons, set.insertionOrder[0])
+		set.insertionOrder = set.insertionOrder[1:]
 	}
 }
 
-// reason returns why an id is in the set, empty when it is not.
+// reason returns the reason of an id, or "" if the id is not in the set.
 func (set *boundedSet) reason(id string) wire.ErrorCode { return set.reasons[id] }
--- a/rehearsal/standin/engine/config.go
+++ b/rehearsal/standin/engine/config.go
@@ -1,8 +1,7 @@
-// Package engine is a stand-in for a model engine: the engine model on the wall
-// clock behind HTTP. It runs each request id once, keeps generating when the
-// caller's connection is lost, streams resume from a sequence number, orders
-// are fenced, load reports lag, and cache events come late and with gaps. Its
-// wire shapes stand in docs/INTERFACES.md.
+// Package engine is a stand-in for a model engine: the engine model in real time behind
+// HTTP. It runs each request id once and continues generating if the client disconnects;
+// streams resume from a sequence number. Commands are fenced, load reports lag, and cache
+// events are delayed and may be lost. Its wire format is described in docs/INTERFACES.md.
 package engine
 
 import (
@@ -24,7 +23,7 @@
 	defaultLoadDuration    = 500 * time.Millisecond
 )
 
-// Config is one stand-in engine. Zero durations and counts take defaults.
+// Config configures one engine. Zero durations and counts take defaults.
 type Config struct {
 	// Name is the engine's id in reports.
 	Name     string
@@ -33,25 +32,25 @@
 	Adapters []string
 	Role     string
 	Batching enginemodel.Config
-	// WaitingLimit bounds the engine's queue; more is refused as not run.
+	// WaitingLimit bounds the engine's queue; further requests are rejected as not run.
 	WaitingLimit int
-	// ReportInterval is how often load and cache changes are sampled, and
-	// ReportLag how old a served report is.
+	// ReportInterval is the sampling interval of load and cache changes, and ReportLag the
+	// age of a served report.
 	ReportInterval time.Duration
 	ReportLag      time.Duration
-	// EventDelay is how late a cache event shows, EventLoss the share of
-	// events that never do, drawn with EventSeed.
+	// EventDelay is the delay of a cache event, and EventLoss the fraction of events that
+	// are dropped, drawn with EventSeed.
 	EventDelay time.Duration
 	EventLoss  float64
 	EventSeed  uint64
-	// Retention and RetainedOutputs bound how long finished outputs can be
+	// Retention and RetainedOutputs bound how long, and how many, finished outputs can be
 	// read again.
 	Retention       time.Duration
 	RetainedOutputs int
-	// LeaveGrace is how long a leaving engine still takes new requests.
+	// LeaveGrace is how long a leaving engine accepts new requests.
 	LeaveGrace time.Duration
-	// LoadDuration is how long weights take to move once Weights grants it;
-	// nil Weights always grants.
+	// LoadDuration is how long loading weights takes once Weights has granted it; nil
+	// Weights always grants.
 	LoadDuration time.Duration
 	Weights      outside.Weights
 }
--- a/rehearsal/standin/engine/engine.go
+++ b/rehearsal/standin/engine/engine.go
@@ -13,69 +13,69 @@
 	"github.com/magpielug/magpielug/rehearsal/standin/reply"
 )
 
-// maxPace is how far the steps may fall behind the wall clock before the
-// engine gives the lost time up instead of catching up.
-const maxPace = 100 * time.Millisecond
+// maxStepLag is how far the steps may fall behind real time before the engine skips the
+// lost time instead of catching up.
+const maxStepLag = 100 * time.Millisecond
 
-// Engine is one stand-in engine. Close ends it.
+// Engine is one stand-in engine.
 type Engine struct {
-	config Config
-	faults *fault.Injector
-	begun  time.Time
-	closed context.Context
-	close  context.CancelFunc
-	// wake tells the stepping goroutine of new work.
+	config  Config
+	faults  *fault.Injector
+	started time.Time
+	closed  context.Context
+	close   context.CancelFunc
+	// wake signals new work to runSteps.
 	wake chan struct{}
 
-	// lock guards everything below.
+	// lock guards the fields below.
 	lock        sync.Mutex
 	model       *enginemodel.Engine
 	generations map[string]*generation
 	finished    []*generation
-	// barred ids never run (again): value CodeExpired ran and was forgotten,
-	// CodeCancelled was cancelled before it came.
-	barred   *boundedSet
-	counts   counts
-	epoch    uint64
-	weights  weights
-	role     string
-	leaving  time.Time
-	observed observed
+	// rejected holds ids that must not run: CodeExpired for those that ran and whose
+	// output was evicted, CodeCancelled for those cancelled before they arrived.
+	rejected     *boundedSet
+	counts       counts
+	epoch        uint64
+	weights      weights
+	role         string
+	leavingSince time.Time
+	telemetry    telemetry
 }
 
-// counts are read by checks at the debug endpoints.
+// counts are served by the debug endpoints.
 type counts struct {
 	runs map[string]int
-	// late counts requests that came after the leaving engine's grace.
-	late int
+	// lateRequests counts requests that arrived after LeaveGrace.
+	lateRequests int
 }
 
-// New starts a stand-in engine.
+// New starts an engine.
 func New(config Config) *Engine {
 	config = config.withDefaults()
-	closed, closeAll := context.WithCancel(context.Background())
+	closed, cancel := context.WithCancel(context.Background())
 	engine := &Engine{
 		config:      config,
 		faults:      fault.NewInjector(),
-		begun:       time.Now(),
+		started:     time.Now(),
 		closed:      closed,
-		close:       closeAll,
+		close:       cancel,
 		wake:        make(chan struct{}, 1),
 		model:       enginemodel.New(config.Batching),
 		generations: make(map[string]*generation),
-		barred:      newBoundedSet(config.RetainedOutputs),
+		rejected:    newBoundedSet(config.RetainedOutputs),
 		counts:      counts{runs: make(map[string]int)},
 		weights:     weights{model: config.Model, version: config.Version, adapters: slices.Clone(config.Adapters)},
 		role:        config.Role,
-		observed:    newObserved(config),
+		telemetry:   newTelemetry(config),
 	}
-	engine.observe()
-	go engine.run()
-	go engine.watch()
+	engine.sample()
+	go engine.runSteps()
+	go engine.runSampling()
 	return engine
 }
 
-// Close stops generating; open streams end without a finish.
+// Close stops the engine; open streams end without a finish chunk.
 func (engine *Engine) Close() { engine.close() }
 
 // Faults returns the engine's fault injector.
@@ -85,16 +85,16 @@
 func (engine *Engine) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST "+wire.PathGenerate, engine.serveGenerate)
-	engine.routeOrders(mux)
+	engine.routeCommands(mux)
 	engine.routeQueries(mux)
 	return engine.faults.Handler(mux, wire.PathGenerate)
 }
 
 // now is the time on the model's clock.
-func (engine *Engine) now() time.Duration { return time.Since(engine.begun) }
+func (engine *Engine) now() time.Duration { return time.Since(engine.started) }
 
-// run steps the model at the pace of the wall clock until Close.
-func (engine *Engine) run() {
+// runSteps steps the model in real time until Close.
+func (engine *Engine) runSteps() {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	for {
@@ -119,23 +119,23 @@
 	}
 }
 
-// step ends the step due at the given time and hands its tokens to the streams.
+// step completes the step due at the given time and publishes its tokens to the streams.
 func (engine *Engine) step(at time.Duration) {
 	engine.lock.Lock()
 	defer engine.lock.Unlock()
 	now := engine.now()
-	if now-at < maxPace {
+	if now-at < maxStepLag {
 		now = at
 	}
 	for _, output := range engine.model.Step(now) {
-		stream := engine.generations[output.RequestID]
-		stream.produced.Store(int64(output.OutputTokens))
+		generation := engine.generations[output.RequestID]
+		generation.produced.Store(int64(output.OutputTokens))
 		if !output.Finished {
-			stream.notify()
+			generation.notify()
 			continue
 		}
-		engine.finish(stream, wire.Chunk{
-			Finish:       stream.wanted,
+		engine.finish(generation, wire.Chunk{
+			Finish:       generation.finishReason,
 			PromptTokens: output.PromptTokens,
 			CachedTokens: output.CachedTokens,
 			OutputTokens: output.OutputTokens,
@@ -143,78 +143,78 @@
 	}
 }
 
-// finish ends a generation and forgets outputs that were kept long enough.
-func (engine *Engine) finish(stream *generation, last wire.Chunk) {
+// finish completes a generation and evicts outputs past the retention limits.
+func (engine *Engine) finish(generation *generation, last wire.Chunk) {
 	now := time.Now()
-	stream.end(now, last)
-	engine.finished = append(engine.finished, stream)
+	generation.complete(now, last)
+	engine.finished = append(engine.finished, generation)
 	for len(engine.finished) > 0 {
 		oldest := engine.finished[0]
-		kept := now.Sub(oldest.finishedAt) < engine.config.Retention
-		if kept && len(engine.finished) <= engine.config.RetainedOutputs {
+		retained := now.Sub(oldest.finishedAt) < engine.config.Retention
+		if retained && len(engine.finished) <= engine.config.RetainedOutputs {
 			return
 		}
 		engine.finished = engine.finished[1:]
 		delete(engine.generations, oldest.id)
-		engine.barred.add(oldest.id, wire.CodeExpired)
+		engine.rejected.add(oldest.id, wire.CodeExpired)
 	}
 }
 
-// begin starts the request or joins the generation that its id already has.
-// Joining is not fenced: it has no effect.
-func (engine *Engine) begin(request wire.GenerateRequest) (*generation, error) {
+// startOrJoin starts the request or joins the generation with its id. Joining has no
+// effect on the engine and is not fenced.
+func (engine *Engine) startOrJoin(request wire.GenerateRequest) (*generation, error) {
 	seed := outputSeed(request.Program, request.RequestID, request.Prompt)
 	engine.lock.Lock()
 	defer engine.lock.Unlock()
-	known, found := engine.generations[request.RequestID]
+	existing, found := engine.generations[request.RequestID]
 	if found {
-		if known.digest != seed {
+		if existing.digest != seed {
 			return nil, reply.NotRun(http.StatusConflict, wire.CodeMismatch, "the request id was used for another request")
 		}
-		return known, nil
+		return existing, nil
 	}
 	if request.AttachOnly {
-		return nil, engine.refuseAttach(request.RequestID)
+		return nil, engine.rejectAttach(request.RequestID)
 	}
-	if err := engine.admit(request); err != nil {
+	if err := engine.checkAdmission(request); err != nil {
 		return nil, err
 	}
 	return engine.submit(request, seed)
 }
 
-// refuseAttach refuses to join a generation that the engine does not know, and
-// any later start of it: who attaches takes the request for sent before.
-func (engine *Engine) refuseAttach(requestID string) error {
-	if engine.barred.reason(requestID) == wire.CodeExpired {
-		return expired()
+// rejectAttach rejects an attach to an unknown generation, and any later start with the
+// same id: a client attaches only if it sent the request before.
+func (engine *Engine) rejectAttach(requestID string) error {
+	if engine.rejected.reason(requestID) == wire.CodeExpired {
+		return expiredError()
 	}
-	engine.barred.add(requestID, wire.CodeCancelled)
+	engine.rejected.add(requestID, wire.CodeCancelled)
 	return reply.NotRun(http.StatusNotFound, wire.CodeNotFound, "no such generation to attach to")
 }
 
-func expired() error {
+func expiredError() error {
 	return &reply.ErrorResponse{
 		Status: http.StatusGone,
 		Body:   wire.Error{Code: wire.CodeExpired, Message: "the request ran; its output is no longer kept"},
 	}
 }
 
-// admit tells whether a new request may run.
-func (engine *Engine) admit(request wire.GenerateRequest) error {
-	switch engine.barred.reason(request.RequestID) {
+// checkAdmission returns an error if a new request must not run.
+func (engine *Engine) checkAdmission(request wire.GenerateRequest) error {
+	switch engine.rejected.reason(request.RequestID) {
 	case wire.CodeExpired:
-		return expired()
+		return expiredError()
 	case wire.CodeCancelled:
 		return reply.NotRun(http.StatusConflict, wire.CodeCancelled, "the request was cancelled before it came")
 	}
 	if err := engine.checkFence(request.Fence); err != nil {
 		return err
 	}
-	if !engine.leaving.IsZero() && time.Since(engine.leaving) > engine.config.LeaveGrace {
-		engine.counts.late++
+	if !engine.leavingSince.IsZero() && time.Since(engine.leavingSince) > engine.config.LeaveGrace {
+		engine.counts.lateRequests++
 		return reply.NotRun(http.StatusServiceUnavailable, wire.CodeLeaving, "the engine is leaving")
 	}
-	if err := engine.weights.serves(request.Model, request.Adapter); err != nil {
+	if err := engine.weights.checkServes(request.Model, request.Adapter); err != nil {
 		return err
 	}
 	if _, waiting := engine.model.Load(); waiting >= engine.config.WaitingLimit {
@@ -223,7 +223,7 @@
 	return nil
 }
 
-// submit hands an admitted request to the model.
+// submit passes an admitted request to the model.
 func (engine *Engine) submit(request wire.GenerateRequest, seed uint64) (*generation, error) {
 	tokens, finish := outputLength(seed, request.Prompt, request.MaxTokens)
 	promptTokens := countTokens(request.Prompt)
@@ -243,26 +243,25 @@
 	if err != nil {
 		return nil, reply.BadRequest(err.Error())
 	}
-	stream := &generation{id: request.RequestID, seed: seed, digest: seed, wanted: finish}
-	engine.generations[request.RequestID] = stream
+	generation := &generation{id: request.RequestID, seed: seed, digest: seed, finishReason: finish}
+	engine.generations[request.RequestID] = generation
 	engine.counts.runs[request.RequestID]++
-	engine.signal()
-	return stream, nil
+	engine.wakeStepper()
+	return generation, nil
 }
 
-// signal wakes the stepping goroutine.
-func (engine *Engine) signal() {
+func (engine *Engine) wakeStepper() {
 	select {
 	case engine.wake <- struct{}{}:
 	default:
 	}
 }
 
-// checkFence refuses orders under an older lease than the newest seen.
-func (engine *Engine) checkFence(order wire.Fence) error {
-	if order.Epoch < engine.epoch {
+// checkFence rejects epochs lower than the highest one seen.
+func (engine *Engine) checkFence(fence wire.Fence) error {
+	if fence.Epoch < engine.epoch {
 		return reply.NotRun(http.StatusConflict, wire.CodeStaleFence, "a higher fence was seen")
 	}
-	engine.epoch = order.Epoch
+	engine.epoch = fence.Epoch
 	return nil
 }
--- a/rehearsal/standin/engine/engine_benchmark_test.go
+++ b/rehearsal/standin/engine/engine_benchmark_test.go
@@ -19,9 +19,8 @@
 	"github.com/magpielug/magpielug/rehearsal/standin/reply"
 )
 
-// BenchmarkStreams measures events a second from the engine over HTTP to the
-// adapter, both in this process. At 3 ms the steps bound it; at 1 µs the HTTP
-// path does.
+// BenchmarkStreams measures events per second from the engine over HTTP to the adapter in
+// one process. At 3 ms the step duration is the bottleneck, at 1 µs the HTTP path.
 func BenchmarkStreams(b *testing.B) {
 	for _, step := range []time.Duration{3 * time.Millisecond, time.Microsecond} {
 		for _, streams := range []int{1, 64, 256} {
@@ -55,8 +54,8 @@
 		var group sync.WaitGroup
 		for stream := range streams {
 			group.Go(func() {
-				asked := request(fmt.Sprintf("%d-%d", rounds, stream), strings.Repeat("word", 50)+fmt.Sprintf("[[tokens=%d]]", tokens))
-				err := client.Generate(context.Background(), server.Address(), asked, func(outside.EngineChunk) error { return nil })
+				request := newRequest(fmt.Sprintf("%d-%d", rounds, stream), strings.Repeat("word", 50)+fmt.Sprintf("[[tokens=%d]]", tokens))
+				err := client.Generate(context.Background(), server.Address(), request, func(outside.EngineChunk) error { return nil })
 				if err != nil {
 					b.Error(err)
 				}
@@ -75,43 +74,43 @@
 	}
 }
 
-// BenchmarkReports measures one poll of a load report of which a fiftieth of the
-// programs has changed, over HTTP to the adapter, both in this process, and of
-// one without changes. "whole" is an engine that neither tags nor numbers.
+// BenchmarkReports measures one poll of a load report over HTTP to the adapter in one
+// process: "whole" sends the full report, "changes" a delta of 2 % of the programs, and
+// "unchanged" no body.
 func BenchmarkReports(b *testing.B) {
 	for _, programs := range []int{100, 1000} {
-		for _, way := range []string{"whole", "changes", "unchanged"} {
-			b.Run(fmt.Sprintf("%d_programs/%s", programs, way), func(b *testing.B) {
-				benchmarkReports(b, programs, way)
+		for _, mode := range []string{"whole", "changes", "unchanged"} {
+			b.Run(fmt.Sprintf("%d_programs/%s", programs, mode), func(b *testing.B) {
+				benchmarkReports(b, programs, mode)
 			})
 		}
 	}
 }
 
-func benchmarkReports(b *testing.B, programs int, way string) {
+func benchmarkReports(b *testing.B, programs int, mode string) {
 	const changedPart = 50
 	blocks := make(map[string]int, programs)
 	for program := range programs {
 		blocks[fmt.Sprintf("program-%020d", program)] = program + 1
 	}
 	changes := newCacheChanges()
-	report := wire.LoadReport{ProgramBlocks: blocks, Sequence: changes.note(nil, blocks)}
+	report := wire.LoadReport{ProgramBlocks: blocks, Sequence: changes.record(nil, blocks)}
 	mux := http.NewServeMux()
 	serve := func(request *http.Request) (wire.LoadReport, error) {
 		after, err := reply.UintParameter(request, wire.ParameterAfter, 0)
-		return changes.since(report, after), err
+		return changes.deltaSince(report, after), err
 	}
-	if way == "whole" {
+	if mode == "whole" {
 		report.Sequence = 0
 		reply.HandleGet(mux, wire.PathReport, serve)
 	} else {
-		reply.HandleGetWithETag(mux, wire.PathReport, serve, withoutIntegrals)
+		reply.HandleGetWithETag(mux, wire.PathReport, serve, withoutVolatileFields)
 	}
-	sent := 0
+	bodyBytes := 0
 	server := httptest.NewServer(http.HandlerFunc(func(writer http.ResponseWriter, request *http.Request) {
 		counted := httptest.NewRecorder()
 		mux.ServeHTTP(counted, request)
-		sent += counted.Body.Len()
+		bodyBytes += counted.Body.Len()
 		maps.Copy(writer.Header(), counted.Header())
 		writer.WriteHeader(counted.Code)
 		_, _ = writer.Write(counted.Body.Bytes())
@@ -123,15 +122,15 @@
 	}
 	client := httpadapter.NewEngine(pool)
 	for b.Loop() {
-		if way != "unchanged" {
+		if mode != "unchanged" {
 			next := maps.Clone(blocks)
 			for program := range programs / changedPart {
 				next[fmt.Sprintf("program-%020d", program)]++
 			}
-			sequence := changes.note(blocks, next)
+			sequence := changes.record(blocks, next)
 			blocks = next
 			report.ProgramBlocks = next
-			if way == "changes" {
+			if mode == "changes" {
 				report.Sequence = sequence
 			}
 		}
@@ -139,5 +138,5 @@
 			b.Fatal(err)
 		}
 	}
-	b.ReportMetric(float64(sent)/float64(b.N), "body-bytes/poll")
+	b.ReportMetric(float64(bodyBytes)/float64(b.N), "body-bytes/poll")
 }
--- a/rehearsal/standin/engine/engine_test.go
+++ b/rehearsal/standin/engine/engine_test.go
@@ -24,19 +24,18 @@
 	settleTimeout = 20 * time.Second
 	// faultMillis outlasts any test.
 	faultMillis = 600_000
-	// stopGrace is short: no client comes after a test, and 1 s for each is most of the
-	// suite's time (43 s with it, 9 s without).
+	// stopGrace is short, since no client connects after a test.
 	stopGrace = time.Millisecond
 )
 
-// bench is one stand-in engine on nbhttp, and its adapter.
-type bench struct {
+// testEngine is an engine served over HTTP, and its adapter.
+type testEngine struct {
 	*Engine
 	address string
 	client  *httpadapter.Engine
 }
 
-func newBench(config Config) *bench {
+func newTestEngine(config Config) *testEngine {
 	config.Model = testModel
 	standIn := New(config)
 	server, err := httpserver.Start("127.0.0.1:0", standIn.Handler(), httpserver.Limits{DrainGrace: stopGrace})
@@ -50,323 +49,323 @@
 		defer cancel()
 		Expect(server.Shutdown(ctx)).To(Succeed())
 	})
-	return &bench{Engine: standIn, address: server.Address(), client: httpadapter.NewEngine(pool)}
+	return &testEngine{Engine: standIn, address: server.Address(), client: httpadapter.NewEngine(pool)}
 }
 
-func request(id, prompt string) outside.GenerateRequest {
+func newRequest(id, prompt string) outside.GenerateRequest {
 	return outside.GenerateRequest{RequestID: id, Program: "p", Model: testModel, Prompt: []string{prompt}, MaxTokens: 4000}
 }
 
-func expected(asked outside.GenerateRequest) string {
-	return ExpectedOutput(asked.Program, asked.RequestID, asked.Prompt, asked.MaxTokens).Text
+func expectedText(request outside.GenerateRequest) string {
+	return ExpectedOutput(request.Program, request.RequestID, request.Prompt, request.MaxTokens).Text
 }
 
-// received collects a stream's items.
+// received is the text and the last chunk of a stream.
 type received struct {
 	text string
 	last outside.EngineChunk
 }
 
-func (seen *received) add(chunk outside.EngineChunk) error {
-	seen.text += chunk.Text
-	seen.last = chunk
+func (result *received) add(chunk outside.EngineChunk) error {
+	result.text += chunk.Text
+	result.last = chunk
 	return nil
 }
 
-// generate streams a whole request.
-func (bench *bench) generate(asked outside.GenerateRequest) (received, error) {
-	var seen received
-	err := bench.client.Generate(context.Background(), bench.address, asked, seen.add)
-	return seen, err
+// generate reads the whole stream of a request.
+func (engine *testEngine) generate(request outside.GenerateRequest) (received, error) {
+	var result received
+	err := engine.client.Generate(context.Background(), engine.address, request, result.add)
+	return result, err
 }
 
 var errStopReading = errors.New("stop reading")
 
-// generateFirst reads the first items and drops the connection.
-func (bench *bench) generateFirst(asked outside.GenerateRequest, items uint64) received {
-	var seen received
-	err := bench.client.Generate(context.Background(), bench.address, asked, func(chunk outside.EngineChunk) error {
-		_ = seen.add(chunk)
-		if chunk.Sequence == items {
+// generatePrefix reads the first chunks and closes the connection.
+func (engine *testEngine) generatePrefix(request outside.GenerateRequest, chunks uint64) received {
+	var result received
+	err := engine.client.Generate(context.Background(), engine.address, request, func(chunk outside.EngineChunk) error {
+		_ = result.add(chunk)
+		if chunk.Sequence == chunks {
 			return errStopReading
 		}
 		return nil
 	})
 	Expect(err).To(MatchError(errStopReading))
-	return seen
+	return result
 }
 
-func (bench *bench) runs(id string) int { return bench.Runs().Runs[id] }
+func (engine *testEngine) runs(id string) int { return engine.Runs().Runs[id] }
 
 var _ = Describe("Engine stand-in", func() {
-	It("gives each request exactly its expected answer, once", func() {
-		bench := newBench(Config{})
-		asked := request("a", "hello [[tokens=30]]")
-		seen, err := bench.generate(asked)
+	It("generates exactly the expected output of each request, once", func() {
+		engine := newTestEngine(Config{})
+		request := newRequest("a", "hello [[tokens=30]]")
+		result, err := engine.generate(request)
 		Expect(err).NotTo(HaveOccurred())
-		Expect(seen.text).To(Equal(expected(asked)))
-		Expect(seen.last).To(Equal(outside.EngineChunk{Sequence: 31, Finish: "stop", PromptTokens: 5, OutputTokens: 30}))
-		again, err := bench.generate(asked)
+		Expect(result.text).To(Equal(expectedText(request)))
+		Expect(result.last).To(Equal(outside.EngineChunk{Sequence: 31, Finish: "stop", PromptTokens: 5, OutputTokens: 30}))
+		repeated, err := engine.generate(request)
 		Expect(err).NotTo(HaveOccurred())
-		Expect(again).To(Equal(seen))
-		Expect(bench.runs("a")).To(Equal(1))
+		Expect(repeated).To(Equal(result))
+		Expect(engine.runs("a")).To(Equal(1))
 	})
 
-	It("starts nothing for a request that only attaches, nor for one that comes after it", func() {
-		bench := newBench(Config{})
-		asked := request("a", "hello [[tokens=30]]")
-		attaching := asked
+	It("starts nothing for an attach to an unknown id, nor for a later request with that id", func() {
+		engine := newTestEngine(Config{})
+		request := newRequest("a", "hello [[tokens=30]]")
+		attaching := request
 		attaching.AttachOnly = true
-		_, err := bench.generate(attaching)
+		_, err := engine.generate(attaching)
 		Expect(err).To(MatchError(outside.ErrNotRun))
-		_, err = bench.generate(asked)
+		_, err = engine.generate(request)
 		Expect(err).To(MatchError(outside.ErrNotRun))
-		Expect(bench.runs("a")).To(BeZero())
+		Expect(engine.runs("a")).To(BeZero())
 	})
 
-	It("lets a request that only attaches follow a known generation", func() {
-		bench := newBench(Config{})
-		asked := request("a", "hello [[tokens=30]]")
-		bench.generateFirst(asked, 3)
-		asked.AttachOnly = true
-		seen, err := bench.generate(asked)
+	It("lets an attach join a known generation", func() {
+		engine := newTestEngine(Config{})
+		request := newRequest("a", "hello [[tokens=30]]")
+		engine.generatePrefix(request, 3)
+		request.AttachOnly = true
+		result, err := engine.generate(request)
 		Expect(err).NotTo(HaveOccurred())
-		Expect(seen.text).To(Equal(expected(asked)))
-		Expect(bench.runs("a")).To(Equal(1))
+		Expect(result.text).To(Equal(expectedText(request)))
+		Expect(engine.runs("a")).To(Equal(1))
 	})
 
-	It("cuts an output at MaxTokens and says so", func() {
-		bench := newBench(Config{})
-		asked := request("a", "hello [[tokens=30]]")
-		asked.MaxTokens = 10
-		seen, err := bench.generate(asked)
+	It("truncates an output at MaxTokens and reports it", func() {
+		engine := newTestEngine(Config{})
+		request := newRequest("a", "hello [[tokens=30]]")
+		request.MaxTokens = 10
+		result, err := engine.generate(request)
 		Expect(err).NotTo(HaveOccurred())
-		Expect(seen.last.Finish).To(Equal("length"))
-		Expect(seen.last.OutputTokens).To(Equal(10))
+		Expect(result.last.Finish).To(Equal("length"))
+		Expect(result.last.OutputTokens).To(Equal(10))
 	})
 
-	It("goes on when the connection is lost, and resumes from a sequence number", func() {
-		bench := newBench(Config{})
-		asked := request("a", "hello [[tokens=50]]")
-		first := bench.generateFirst(asked, 7)
-		asked.ResumeAfter = first.last.Sequence
-		rest, err := bench.generate(asked)
+	It("continues when the client disconnects, and resumes from a sequence number", func() {
+		engine := newTestEngine(Config{})
+		request := newRequest("a", "hello [[tokens=50]]")
+		first := engine.generatePrefix(request, 7)
+		request.ResumeAfter = first.last.Sequence
+		rest, err := engine.generate(request)
 		Expect(err).NotTo(HaveOccurred())
-		Expect(first.text + rest.text).To(Equal(expected(asked)))
-		Expect(bench.runs("a")).To(Equal(1))
-		asked.ResumeAfter = rest.last.Sequence
-		end, err := bench.generate(asked)
+		Expect(first.text + rest.text).To(Equal(expectedText(request)))
+		Expect(engine.runs("a")).To(Equal(1))
+		request.ResumeAfter = rest.last.Sequence
+		end, err := engine.generate(request)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(end.text).To(BeEmpty())
 		Expect(end.last).To(Equal(rest.last))
 	})
 
-	It("cancels a running request, and bars one that has not come", func() {
-		bench := newBench(Config{})
-		asked := request("a", "hello [[tokens=4000]]")
-		bench.generateFirst(asked, 2)
-		Expect(bench.client.Cancel(context.Background(), bench.address, "a", outside.Fence{})).To(Succeed())
-		seen, err := bench.generate(asked)
+	It("cancels a running request, and rejects one cancelled before it arrives", func() {
+		engine := newTestEngine(Config{})
+		request := newRequest("a", "hello [[tokens=4000]]")
+		engine.generatePrefix(request, 2)
+		Expect(engine.client.Cancel(context.Background(), engine.address, "a", outside.Fence{})).To(Succeed())
+		result, err := engine.generate(request)
 		Expect(err).NotTo(HaveOccurred())
-		Expect(seen.last.Finish).To(Equal("cancelled"))
-		Expect(strings.HasPrefix(expected(asked), seen.text)).To(BeTrue())
-		Expect(bench.Stats().Running).To(BeZero())
-		Expect(bench.client.Cancel(context.Background(), bench.address, "b", outside.Fence{})).To(Succeed())
-		_, err = bench.generate(request("b", "hello"))
+		Expect(result.last.Finish).To(Equal("cancelled"))
+		Expect(strings.HasPrefix(expectedText(request), result.text)).To(BeTrue())
+		Expect(engine.Stats().Running).To(BeZero())
+		Expect(engine.client.Cancel(context.Background(), engine.address, "b", outside.Fence{})).To(Succeed())
+		_, err = engine.generate(newRequest("b", "hello"))
 		Expect(err).To(MatchError(outside.ErrNotRun))
-		Expect(bench.runs("b")).To(BeZero())
+		Expect(engine.runs("b")).To(BeZero())
 	})
 
-	It("refuses orders under an older fence, but lets a stream be joined", func() {
-		bench := newBench(Config{})
-		asked := request("a", "hello [[tokens=20]]")
-		asked.Fence = outside.Fence{Holder: "one", Epoch: 3}
-		_, err := bench.generate(asked)
+	It("rejects commands with a stale fence, but lets a stream be joined", func() {
+		engine := newTestEngine(Config{})
+		request := newRequest("a", "hello [[tokens=20]]")
+		request.Fence = outside.Fence{Holder: "one", Epoch: 3}
+		_, err := engine.generate(request)
 		Expect(err).NotTo(HaveOccurred())
-		Expect(bench.client.SetRole(context.Background(), bench.address, RoleDecode, outside.Fence{Holder: "two", Epoch: 4})).To(Succeed())
-		stale := []error{
-			bench.client.Cancel(context.Background(), bench.address, "a", asked.Fence),
-			bench.client.Release(context.Background(), bench.address, "p", asked.Fence),
-			bench.client.Load(context.Background(), bench.address, "x", "", "1", asked.Fence),
-			bench.client.SetRole(context.Background(), bench.address, RoleMixed, asked.Fence),
-			bench.client.Import(context.Background(), bench.address, "p", []byte(`{"format":1}`), asked.Fence),
+		Expect(engine.client.SetRole(context.Background(), engine.address, RoleDecode, outside.Fence{Holder: "two", Epoch: 4})).To(Succeed())
+		staleErrs := []error{
+			engine.client.Cancel(context.Background(), engine.address, "a", request.Fence),
+			engine.client.Release(context.Background(), engine.address, "p", request.Fence),
+			engine.client.Load(context.Background(), engine.address, "x", "", "1", request.Fence),
+			engine.client.SetRole(context.Background(), engine.address, RoleMixed, request.Fence),
+			engine.client.Import(context.Background(), engine.address, "p", []byte(`{"format":1}`), request.Fence),
 		}
-		for _, err := range stale {
+		for _, err := range staleErrs {
 			Expect(err).To(MatchError(outside.ErrStaleFence))
 			Expect(err).To(MatchError(outside.ErrNotRun))
 		}
-		_, err = bench.generate(asked)
+		_, err = engine.generate(request)
 		Expect(err).NotTo(HaveOccurred())
-		asked.RequestID = "new"
-		_, err = bench.generate(asked)
+		request.RequestID = "new"
+		_, err = engine.generate(request)
 		Expect(err).To(MatchError(outside.ErrStaleFence))
-		Expect(bench.runs("new")).To(BeZero())
+		Expect(engine.runs("new")).To(BeZero())
 	})
 
-	It("runs a request whose answer is lost, and gives it to the next asker", func() {
-		bench := newBench(Config{})
-		Expect(bench.Faults().Set(fault.Order{Kind: fault.DropResponses, ForMillis: faultMillis})).To(Succeed())
-		asked := request("a", "hello [[tokens=20]]")
-		_, err := bench.generate(asked)
+	It("runs a request whose response is dropped, and returns the output to a retry", func() {
+		engine := newTestEngine(Config{})
+		Expect(engine.Faults().Set(fault.Order{Kind: fault.DropResponses, ForMillis: faultMillis})).To(Succeed())
+		request := newRequest("a", "hello [[tokens=20]]")
+		_, err := engine.generate(request)
 		Expect(err).To(MatchError(outside.ErrOutcomeUnknown))
 		Expect(err).NotTo(MatchError(outside.ErrNotRun))
-		err = bench.client.SetRole(context.Background(), bench.address, RoleDecode, outside.Fence{Epoch: 2})
+		err = engine.client.SetRole(context.Background(), engine.address, RoleDecode, outside.Fence{Epoch: 2})
 		Expect(err).To(MatchError(outside.ErrOutcomeUnknown))
-		Expect(bench.Faults().Set(fault.Order{Kind: fault.Clear})).To(Succeed())
-		seen, err := bench.generate(asked)
+		Expect(engine.Faults().Set(fault.Order{Kind: fault.Clear})).To(Succeed())
+		result, err := engine.generate(request)
 		Expect(err).NotTo(HaveOccurred())
-		Expect(seen.text).To(Equal(expected(asked)))
-		Expect(bench.runs("a")).To(Equal(1))
-		Expect(bench.client.SetRole(context.Background(), bench.address, RoleMixed, outside.Fence{Epoch: 1})).To(MatchError(outside.ErrStaleFence))
+		Expect(result.text).To(Equal(expectedText(request)))
+		Expect(engine.runs("a")).To(Equal(1))
+		Expect(engine.client.SetRole(context.Background(), engine.address, RoleMixed, outside.Fence{Epoch: 1})).To(MatchError(outside.ErrStaleFence))
 	})
 
-	DescribeTable("breaks its stream under a fault, and every part can be had by resuming",
-		func(kind fault.Kind, wanted error) {
-			bench := newBench(Config{})
-			Expect(bench.Faults().Set(fault.Order{Kind: kind, ForMillis: faultMillis, Probability: 0.1, Seed: 7})).To(Succeed())
-			asked := request("a", "hello [[tokens=60]]")
+	DescribeTable("breaks streams under a fault without losing output to a resuming client",
+		func(kind fault.Kind, expected error) {
+			engine := newTestEngine(Config{})
+			Expect(engine.Faults().Set(fault.Order{Kind: kind, ForMillis: faultMillis, Probability: 0.1, Seed: 7})).To(Succeed())
+			request := newRequest("a", "hello [[tokens=60]]")
 			text, failures := "", 0
 			for range 200 {
-				seen, err := bench.generate(asked)
-				text += seen.text
-				asked.ResumeAfter = max(asked.ResumeAfter, seen.last.Sequence)
+				result, err := engine.generate(request)
+				text += result.text
+				request.ResumeAfter = max(request.ResumeAfter, result.last.Sequence)
 				if err == nil {
 					break
 				}
 				failures++
-				Expect(err).To(MatchError(wanted))
+				Expect(err).To(MatchError(expected))
 				Expect(err).To(MatchError(outside.ErrOutcomeUnknown))
 			}
 			Expect(failures).To(BeNumerically(">", 0))
-			Expect(text).To(Equal(expected(asked)))
-			Expect(bench.runs("a")).To(Equal(1))
+			Expect(text).To(Equal(expectedText(request)))
+			Expect(engine.runs("a")).To(Equal(1))
 		},
-		Entry("cut", fault.AbortStream, outside.ErrOutcomeUnknown),
-		Entry("rubbish", fault.Garbage, outside.ErrMalformedAnswer),
+		Entry("aborted stream", fault.AbortStream, outside.ErrOutcomeUnknown),
+		Entry("garbage bytes", fault.Garbage, outside.ErrMalformedAnswer),
 	)
 
-	It("refuses everything in an outage as not run", func() {
-		bench := newBench(Config{})
-		Expect(bench.Faults().Set(fault.Order{Kind: fault.Outage, ForMillis: faultMillis})).To(Succeed())
-		_, err := bench.generate(request("a", "hello"))
+	It("rejects every request in an outage as not run", func() {
+		engine := newTestEngine(Config{})
+		Expect(engine.Faults().Set(fault.Order{Kind: fault.Outage, ForMillis: faultMillis})).To(Succeed())
+		_, err := engine.generate(newRequest("a", "hello"))
 		Expect(err).To(MatchError(outside.ErrNotRun))
-		Expect(bench.runs("a")).To(BeZero())
+		Expect(engine.runs("a")).To(BeZero())
 	})
 
-	It("finds the blocks of the last turn by their text, and frees them on release", func() {
-		bench := newBench(Config{})
-		first := request("1", strings.Repeat("question ", 30)+"[[tokens=40]]")
-		seen, err := bench.generate(first)
+	It("reuses the last turn's cache blocks, and frees them on release", func() {
+		engine := newTestEngine(Config{})
+		first := newRequest("1", strings.Repeat("question ", 30)+"[[tokens=40]]")
+		result, err := engine.generate(first)
 		Expect(err).NotTo(HaveOccurred())
-		second := request("2", "")
-		second.Prompt = []string{first.Prompt[0], seen.text, "next question [[tokens=5]]"}
-		answer, err := bench.generate(second)
+		second := newRequest("2", "")
+		second.Prompt = []string{first.Prompt[0], result.text, "next question [[tokens=5]]"}
+		response, err := engine.generate(second)
 		Expect(err).NotTo(HaveOccurred())
-		whole := seen.last.PromptTokens + seen.last.OutputTokens
-		Expect(answer.last.CachedTokens).To(BeNumerically(">=", whole-32))
-		Expect(bench.Stats().ProgramBlocks["p"]).To(BeNumerically(">", 0))
-		Expect(bench.client.Release(context.Background(), bench.address, "p", outside.Fence{})).To(Succeed())
-		Expect(bench.Stats().ProgramBlocks).NotTo(HaveKey("p"))
+		totalTokens := result.last.PromptTokens + result.last.OutputTokens
+		Expect(response.last.CachedTokens).To(BeNumerically(">=", totalTokens-32))
+		Expect(engine.Stats().ProgramBlocks["p"]).To(BeNumerically(">", 0))
+		Expect(engine.client.Release(context.Background(), engine.address, "p", outside.Fence{})).To(Succeed())
+		Expect(engine.Stats().ProgramBlocks).NotTo(HaveKey("p"))
 	})
 
 	It("exports a program's cache to another engine", func() {
-		source, target := newBench(Config{}), newBench(Config{})
-		first := request("1", strings.Repeat("question ", 30)+"[[tokens=4]]")
+		source, target := newTestEngine(Config{}), newTestEngine(Config{})
+		first := newRequest("1", strings.Repeat("question ", 30)+"[[tokens=4]]")
 		_, err := source.generate(first)
 		Expect(err).NotTo(HaveOccurred())
 		content, err := source.client.Export(context.Background(), source.address, "p", outside.Fence{})
 		Expect(err).NotTo(HaveOccurred())
 		Expect(target.client.Import(context.Background(), target.address, "p", content, outside.Fence{})).To(Succeed())
 		first.RequestID = "2"
-		answer, err := target.generate(first)
+		response, err := target.generate(first)
 		Expect(err).NotTo(HaveOccurred())
-		Expect(answer.last.CachedTokens).To(Equal(64))
+		Expect(response.last.CachedTokens).To(Equal(64))
 		Expect(target.client.Import(context.Background(), target.address, "p", []byte("rubbish"), outside.Fence{})).To(MatchError(outside.ErrNotRun))
 	})
 
-	It("refuses new work once its grace for leaving is over", func() {
-		bench := newBench(Config{LeaveGrace: time.Millisecond, ReportLag: time.Millisecond})
-		asked := request("a", "hello [[tokens=60]]")
-		bench.generateFirst(asked, 1)
-		_, err := bench.leave(wire.Empty{})
+	It("rejects new requests after the grace period of leaving", func() {
+		engine := newTestEngine(Config{LeaveGrace: time.Millisecond, ReportLag: time.Millisecond})
+		request := newRequest("a", "hello [[tokens=60]]")
+		engine.generatePrefix(request, 1)
+		_, err := engine.leave(wire.Empty{})
 		Expect(err).NotTo(HaveOccurred())
 		attempts := 0
 		Eventually(func() error {
 			attempts++
-			_, err := bench.generate(request(fmt.Sprint("b", attempts), "hello [[tokens=1]]"))
+			_, err := engine.generate(newRequest(fmt.Sprint("b", attempts), "hello [[tokens=1]]"))
 			return err
 		}, settleTimeout).Should(MatchError(outside.ErrNotRun))
-		Expect(bench.Runs().Late).To(BeNumerically(">", 0))
-		seen, err := bench.generate(asked)
+		Expect(engine.Runs().Late).To(BeNumerically(">", 0))
+		result, err := engine.generate(request)
 		Expect(err).NotTo(HaveOccurred())
-		Expect(seen.text).To(Equal(expected(asked)))
+		Expect(result.text).To(Equal(expectedText(request)))
 		Eventually(func() (bool, error) {
-			report, err := bench.client.Report(context.Background(), bench.address)
+			report, err := engine.client.Report(context.Background(), engine.address)
 			return report.Leaving, err
 		}, settleTimeout).Should(BeTrue())
 	})
 
-	It("switches weights once the requests under way are done, with an empty cache", func() {
-		bench := newBench(Config{LoadDuration: time.Millisecond})
-		asked := request("a", "hello [[tokens=100]]")
-		bench.generateFirst(asked, 1)
-		Expect(bench.client.Load(context.Background(), bench.address, testModel, "", "2", outside.Fence{})).To(Succeed())
-		asked.ResumeAfter = 1
-		seen, err := bench.generate(asked)
+	It("switches weights with an empty cache after requests in flight have finished", func() {
+		engine := newTestEngine(Config{LoadDuration: time.Millisecond})
+		request := newRequest("a", "hello [[tokens=100]]")
+		engine.generatePrefix(request, 1)
+		Expect(engine.client.Load(context.Background(), engine.address, testModel, "", "2", outside.Fence{})).To(Succeed())
+		request.ResumeAfter = 1
+		result, err := engine.generate(request)
 		Expect(err).NotTo(HaveOccurred())
-		Expect(seen.text).To(Equal(expected(asked)[tokenBytes:]))
+		Expect(result.text).To(Equal(expectedText(request)[bytesPerToken:]))
 		Eventually(func() (string, error) {
-			report, err := bench.client.Report(context.Background(), bench.address)
+			report, err := engine.client.Report(context.Background(), engine.address)
 			return report.Version, err
 		}, settleTimeout).Should(Equal("2"))
-		Expect(bench.Stats().BlocksUsed).To(BeZero())
+		Expect(engine.Stats().BlocksUsed).To(BeZero())
 	})
 
-	It("reports the programs changed since a number, and whole maps otherwise", func() {
+	It("reports the programs changed after a number, and the full map if it is unknown", func() {
 		changes := newCacheChanges()
 		report := func(before, now map[string]int) wire.LoadReport {
-			return wire.LoadReport{ProgramBlocks: now, Sequence: changes.note(before, now)}
+			return wire.LoadReport{ProgramBlocks: now, Sequence: changes.record(before, now)}
 		}
 		first := report(nil, map[string]int{"a": 1, "b": 2})
 		second := report(first.ProgramBlocks, map[string]int{"a": 1, "c": 3})
-		Expect(changes.note(second.ProgramBlocks, second.ProgramBlocks)).To(Equal(second.Sequence))
-		delta := changes.since(second, first.Sequence)
+		Expect(changes.record(second.ProgramBlocks, second.ProgramBlocks)).To(Equal(second.Sequence))
+		delta := changes.deltaSince(second, first.Sequence)
 		Expect(delta.Since).To(Equal(first.Sequence))
 		Expect(delta.ProgramBlocks).To(Equal(map[string]int{"b": 0, "c": 3}))
 		for _, unknown := range []uint64{0, 1, second.Sequence + 1} {
-			Expect(changes.since(second, unknown)).To(Equal(second))
+			Expect(changes.deltaSince(second, unknown)).To(Equal(second))
 		}
 	})
 
-	It("gives the same map of blocks by changes as by whole reports", func() {
-		bench := newBench(Config{ReportInterval: time.Millisecond, ReportLag: time.Millisecond})
+	It("yields the same block map from deltas as from full reports", func() {
+		engine := newTestEngine(Config{ReportInterval: time.Millisecond, ReportLag: time.Millisecond})
 		for _, id := range []string{"1", "2", "3"} {
-			asked := request(id, strings.Repeat(id, 100)+"[[tokens=1]]")
-			asked.Program = "p" + id
-			_, err := bench.generate(asked)
+			request := newRequest(id, strings.Repeat(id, 100)+"[[tokens=1]]")
+			request.Program = "p" + id
+			_, err := engine.generate(request)
 			Expect(err).NotTo(HaveOccurred())
 			if id == "2" {
-				Expect(bench.client.Release(context.Background(), bench.address, "p1", outside.Fence{})).To(Succeed())
+				Expect(engine.client.Release(context.Background(), engine.address, "p1", outside.Fence{})).To(Succeed())
 			}
 			Eventually(func() (map[string]int, error) {
-				report, err := bench.client.Report(context.Background(), bench.address)
+				report, err := engine.client.Report(context.Background(), engine.address)
 				return report.ProgramBlocks, err
-			}, settleTimeout).Should(Equal(bench.Stats().ProgramBlocks))
+			}, settleTimeout).Should(Equal(engine.Stats().ProgramBlocks))
 		}
 	})
 
-	It("publishes cache events with rising sequence numbers and gaps", func() {
-		bench := newBench(Config{ReportInterval: time.Millisecond, EventDelay: time.Millisecond, EventLoss: 0.5, EventSeed: 3})
+	It("publishes cache events with increasing sequence numbers and gaps", func() {
+		engine := newTestEngine(Config{ReportInterval: time.Millisecond, EventDelay: time.Millisecond, EventLoss: 0.5, EventSeed: 3})
 		for _, id := range []string{"1", "2", "3", "4", "5", "6", "7", "8"} {
-			asked := request(id, strings.Repeat(id, 100)+"[[tokens=1]]")
-			asked.Program = "p" + id
-			_, err := bench.generate(asked)
+			request := newRequest(id, strings.Repeat(id, 100)+"[[tokens=1]]")
+			request.Program = "p" + id
+			_, err := engine.generate(request)
 			Expect(err).NotTo(HaveOccurred())
 		}
 		var events []outside.CacheEvent
 		Eventually(func() (uint64, error) {
 			var err error
-			events, err = bench.client.Events(context.Background(), bench.address, 0, 100)
+			events, err = engine.client.Events(context.Background(), engine.address, 0, 100)
 			if len(events) == 0 {
 				return 0, err
 			}
@@ -380,48 +379,48 @@
 		Expect(len(events)).To(BeNumerically("<", last))
 	})
 
-	It("says that an output is no longer kept, and does not run it again", func() {
-		bench := newBench(Config{RetainedOutputs: 1})
+	It("reports an evicted output as expired and does not run it again", func() {
+		engine := newTestEngine(Config{RetainedOutputs: 1})
 		for _, id := range []string{"1", "2"} {
-			_, err := bench.generate(request(id, "hello [[tokens=1]]"))
+			_, err := engine.generate(newRequest(id, "hello [[tokens=1]]"))
 			Expect(err).NotTo(HaveOccurred())
 		}
-		_, err := bench.generate(request("1", "hello [[tokens=1]]"))
+		_, err := engine.generate(newRequest("1", "hello [[tokens=1]]"))
 		Expect(err).To(MatchError(outside.ErrOutcomeUnknown))
-		Expect(bench.runs("1")).To(Equal(1))
+		Expect(engine.runs("1")).To(Equal(1))
 	})
 
-	DescribeTable("refuses bad requests as not run",
+	DescribeTable("rejects invalid requests as not run",
 		func(change func(*outside.GenerateRequest)) {
-			bench := newBench(Config{})
-			_, err := bench.generate(request("known", "hello [[tokens=1]]"))
+			engine := newTestEngine(Config{})
+			_, err := engine.generate(newRequest("known", "hello [[tokens=1]]"))
 			Expect(err).NotTo(HaveOccurred())
-			asked := request("a", "hello")
-			change(&asked)
-			_, err = bench.generate(asked)
+			request := newRequest("a", "hello")
+			change(&request)
+			_, err = engine.generate(request)
 			Expect(err).To(MatchError(outside.ErrNotRun))
-			Expect(bench.Runs().Runs).To(HaveLen(1))
+			Expect(engine.Runs().Runs).To(HaveLen(1))
 		},
-		Entry("no id", func(asked *outside.GenerateRequest) { asked.RequestID = "" }),
-		Entry("no prompt", func(asked *outside.GenerateRequest) { asked.Prompt = nil }),
-		Entry("empty prompt", func(asked *outside.GenerateRequest) { asked.Prompt = []string{""} }),
-		Entry("no tokens", func(asked *outside.GenerateRequest) { asked.MaxTokens = 0 }),
-		Entry("far too many tokens", func(asked *outside.GenerateRequest) { asked.MaxTokens = 1 << 30 }),
-		Entry("larger than the cache", func(asked *outside.GenerateRequest) { asked.Prompt[0] = strings.Repeat("x", 1<<20) }),
-		Entry("another model", func(asked *outside.GenerateRequest) { asked.Model = "huge" }),
-		Entry("unknown adapter", func(asked *outside.GenerateRequest) { asked.Adapter = "x" }),
-		Entry("id of another prompt", func(asked *outside.GenerateRequest) { asked.RequestID = "known" }),
+		Entry("no id", func(request *outside.GenerateRequest) { request.RequestID = "" }),
+		Entry("no prompt", func(request *outside.GenerateRequest) { request.Prompt = nil }),
+		Entry("empty prompt", func(request *outside.GenerateRequest) { request.Prompt = []string{""} }),
+		Entry("no tokens", func(request *outside.GenerateRequest) { request.MaxTokens = 0 }),
+		Entry("far too many tokens", func(request *outside.GenerateRequest) { request.MaxTokens = 1 << 30 }),
+		Entry("larger than the cache", func(request *outside.GenerateRequest) { request.Prompt[0] = strings.Repeat("x", 1<<20) }),
+		Entry("another model", func(request *outside.GenerateRequest) { request.Model = "huge" }),
+		Entry("unknown adapter", func(request *outside.GenerateRequest) { request.Adapter = "x" }),
+		Entry("id of another prompt", func(request *outside.GenerateRequest) { request.RequestID = "known" }),
 	)
 
-	DescribeTable("refuses bodies that are no request",
+	DescribeTable("rejects malformed bodies",
 		func(path, body string) {
-			bench := newBench(Config{})
-			response, err := http.Post("http://"+bench.address+path, "application/json", bytes.NewReader([]byte(body)))
+			engine := newTestEngine(Config{})
+			response, err := http.Post("http://"+engine.address+path, "application/json", bytes.NewReader([]byte(body)))
 			Expect(err).NotTo(HaveOccurred())
 			defer func() { Expect(response.Body.Close()).To(Succeed()) }()
 			Expect(response.StatusCode).To(Equal(http.StatusBadRequest))
 		},
-		Entry("rubbish", wire.PathGenerate, "\x00{"),
+		Entry("garbage bytes", wire.PathGenerate, "\x00{"),
 		Entry("wrong type", wire.PathGenerate, `{"max_tokens":"x"}`),
 		Entry("empty", wire.PathCancel, ""),
 		Entry("unknown role", wire.PathRole, `{"role":"x"}`),
--- a/rehearsal/standin/engine/generate.go
+++ b/rehearsal/standin/engine/generate.go
@@ -13,22 +13,22 @@
 // maxTokensLimit bounds a request's MaxTokens.
 const maxTokensLimit = 1 << 20
 
-// acceptedComment is sent at once, so that callers know that the request runs.
+// acceptedComment is sent before the first chunk to tell the client that the request runs.
 const acceptedComment = ": accepted\n\n"
 
-// serveGenerate starts or joins a generation and streams its items after
-// ResumeAfter. The generation goes on when the stream's connection is lost.
+// serveGenerate starts or joins a generation and streams its chunks after ResumeAfter. The
+// generation continues if the client disconnects.
 func (engine *Engine) serveGenerate(writer http.ResponseWriter, request *http.Request) {
 	var body wire.GenerateRequest
 	if err := reply.ReadJSON(writer, request, &body); err != nil {
 		reply.WriteError(writer, err)
 		return
 	}
-	if err := checkGenerate(body); err != nil {
+	if err := validateGenerate(body); err != nil {
 		reply.WriteError(writer, err)
 		return
 	}
-	output, err := engine.begin(body)
+	generation, err := engine.startOrJoin(body)
 	if err != nil {
 		reply.WriteError(writer, err)
 		return
@@ -36,11 +36,11 @@
 	if engine.faults.Triggers(fault.DropResponses) {
 		reply.Abort(writer)
 	}
-	stream := eventStream{engine: engine, writer: writer, request: request, output: output, next: body.ResumeAfter + 1}
+	stream := eventStream{engine: engine, writer: writer, request: request, generation: generation, next: body.ResumeAfter + 1}
 	stream.serve()
 }
 
-func checkGenerate(body wire.GenerateRequest) error {
+func validateGenerate(body wire.GenerateRequest) error {
 	switch {
 	case body.RequestID == "":
 		return reply.BadRequest("request_id is empty")
@@ -52,31 +52,32 @@
 	return nil
 }
 
-// eventStream sends one generation's items as server-sent events.
+// eventStream sends the chunks of a generation as server-sent events.
 type eventStream struct {
-	engine  *Engine
-	writer  http.ResponseWriter
-	request *http.Request
-	output  *generation
-	// next is the sequence number of the next item to send.
+	engine     *Engine
+	writer     http.ResponseWriter
+	request    *http.Request
+	generation *generation
+	// next is the sequence number of the next chunk to send.
 	next   uint64
 	buffer []byte
 }
 
 func (stream *eventStream) serve() {
-	wake := stream.output.subscribe()
-	defer stream.output.unsubscribe(wake)
+	wake := stream.generation.subscribe()
+	defer stream.generation.unsubscribe(wake)
 	stream.writer.Header().Set("Content-Type", "text/event-stream")
 	stream.writer.Header().Set("Cache-Control", "no-store")
 	stream.buffer = append(stream.buffer, acceptedComment...)
 	for {
-		// The finish is read first: tokens stored before it are then seen.
-		finish := stream.output.finish.Load()
-		stream.collect(uint64(stream.output.produced.Load()))
+		// finish must be loaded before produced, so that no token before the finish is
+		// missed.
+		finish := stream.generation.finish.Load()
+		stream.appendChunks(uint64(stream.generation.produced.Load()))
 		if finish != nil {
-			stream.event(*finish)
+			stream.appendEvent(*finish)
 		}
-		if !stream.send() || finish != nil {
+		if !stream.flush() || finish != nil {
 			return
 		}
 		select {
@@ -89,8 +90,8 @@
 	}
 }
 
-// collect buffers the items up to last.
-func (stream *eventStream) collect(last uint64) {
+// appendChunks buffers the chunks up to last.
+func (stream *eventStream) appendChunks(last uint64) {
 	for ; stream.next <= last; stream.next++ {
 		if stream.engine.faults.Triggers(fault.AbortStream) {
 			stream.abort()
@@ -99,12 +100,12 @@
 			stream.buffer = append(stream.buffer, fault.GarbageBytes...)
 			stream.abort()
 		}
-		stream.event(stream.output.chunk(stream.next))
+		stream.appendEvent(stream.generation.chunk(stream.next))
 	}
 }
 
-// event buffers one server-sent event.
-func (stream *eventStream) event(chunk wire.Chunk) {
+// appendEvent buffers one server-sent event.
+func (stream *eventStream) appendEvent(chunk wire.Chunk) {
 	encoded, err := json.Marshal(chunk)
 	if err != nil {
 		return
@@ -116,8 +117,8 @@
 	stream.buffer = append(stream.buffer, "\n\n"...)
 }
 
-// send writes what is buffered; false when the connection is gone.
-func (stream *eventStream) send() bool {
+// flush writes the buffer; false means that the connection is closed.
+func (stream *eventStream) flush() bool {
 	if len(stream.buffer) == 0 {
 		return true
 	}
@@ -129,8 +130,8 @@
 	return http.NewResponseController(stream.writer).Flush() == nil
 }
 
-// abort sends what is buffered and closes the connection.
+// abort flushes the buffer and closes the connection.
 func (stream *eventStream) abort() {
-	stream.send()
+	stream.flush()
 	reply.Abort(stream.writer)
 }
--- a/rehearsal/standin/engine/generation.go
+++ b/rehearsal/standin/engine/generation.go
@@ -9,62 +9,62 @@
 	"github.com/magpielug/magpielug/internal/outside/wire"
 )
 
-// generation is one request id's output. The stepping goroutine advances it;
-// any number of streams read it. Item n of its stream is token n; the item
-// after the last token is the finish.
+// generation is the output of one request id. runSteps advances it, and any number of
+// streams read it. Chunk n of a stream is token n; the chunk after the last token is the
+// finish.
 type generation struct {
 	id     string
 	seed   uint64
 	digest uint64
-	// produced counts the tokens given out so far.
+	// produced is the number of tokens generated so far.
 	produced atomic.Int64
-	// finish is the last item, nil until the generation is over.
+	// finish is the last chunk, nil until the generation ends.
 	finish     atomic.Pointer[wire.Chunk]
 	finishedAt time.Time
-	// wanted is the finish reason at the full length.
-	wanted string
+	// finishReason applies if the generation reaches its full length.
+	finishReason string
 
-	lock    sync.Mutex
-	readers []chan struct{}
+	lock        sync.Mutex
+	subscribers []chan struct{}
 }
 
-// subscribe returns a channel that gets a value after each advance.
-func (output *generation) subscribe() chan struct{} {
-	wake := make(chan struct{}, 1)
-	output.lock.Lock()
-	defer output.lock.Unlock()
-	output.readers = append(output.readers, wake)
-	return wake
+// subscribe returns a channel that is signaled after each advance.
+func (generation *generation) subscribe() chan struct{} {
+	wakeup := make(chan struct{}, 1)
+	generation.lock.Lock()
+	defer generation.lock.Unlock()
+	generation.subscribers = append(generation.subscribers, wakeup)
+	return wakeup
 }
 
-func (output *generation) unsubscribe(wake chan struct{}) {
-	output.lock.Lock()
-	defer output.lock.Unlock()
-	place := slices.Index(output.readers, wake)
-	output.readers = slices.Delete(output.readers, place, place+1)
+func (generation *generation) unsubscribe(wakeup chan struct{}) {
+	generation.lock.Lock()
+	defer generation.lock.Unlock()
+	index := slices.Index(generation.subscribers, wakeup)
+	generation.subscribers = slices.Delete(generation.subscribers, index, index+1)
 }
 
-func (output *generation) notify() {
-	output.lock.Lock()
-	defer output.lock.Unlock()
-	for _, wake := range output.readers {
+func (generation *generation) notify() {
+	generation.lock.Lock()
+	defer generation.lock.Unlock()
+	for _, wakeup := range generation.subscribers {
 		select {
-		case wake <- struct{}{}:
+		case wakeup <- struct{}{}:
 		default:
 		}
 	}
 }
 
-// end closes the generation with its last item.
-func (output *generation) end(now time.Time, finish wire.Chunk) {
-	finish.Sequence = uint64(output.produced.Load()) + 1
-	output.finishedAt = now
-	output.finish.Store(&finish)
-	output.notify()
+// complete ends the generation with its last chunk.
+func (generation *generation) complete(now time.Time, finish wire.Chunk) {
+	finish.Sequence = uint64(generation.produced.Load()) + 1
+	generation.finishedAt = now
+	generation.finish.Store(&finish)
+	generation.notify()
 }
 
-// chunk returns the item with this sequence number, a token already produced.
-func (output *generation) chunk(sequence uint64) wire.Chunk {
-	place := int(sequence)
-	return wire.Chunk{Sequence: sequence, Text: outputText(output.seed, place-1, place), Tokens: 1}
+// chunk returns the chunk of a token that has been produced.
+func (generation *generation) chunk(sequence uint64) wire.Chunk {
+	index := int(sequence)
+	return wire.Chunk{Sequence: sequence, Text: outputText(generation.seed, index-1, index), Tokens: 1}
 }
--- a/rehearsal/standin/engine/weights.go
+++ b/rehearsal/standin/engine/weights.go
@@ -10,25 +10,25 @@
 )
 
 const (
-	// drainPoll is how often a switch of weights looks for the last request.
-	drainPoll = 5 * time.Millisecond
-	// reserveRetry is the wait after the weight store failed to answer.
-	reserveRetry = 200 * time.Millisecond
+	// drainPollInterval is how often a weight switch checks for requests in flight.
+	drainPollInterval = 5 * time.Millisecond
+	// reserveRetryInterval is the wait after a failed call to the weight store.
+	reserveRetryInterval = 200 * time.Millisecond
 )
 
-// weights are what the engine has loaded and what it loads now.
+// weights are the loaded weights and those being loaded.
 type weights struct {
 	model    string
 	version  string
 	adapters []string
-	// loading is the newest order under way, nil when none. The old weights
-	// serve until switching.
+	// loading is the latest load request in progress, or nil. The old weights serve until
+	// switching.
 	loading   *wire.LoadRequest
 	switching bool
 }
 
-// serves tells whether requests for model and adapter can run.
-func (loaded *weights) serves(model, adapter string) error {
+// checkServes returns an error if requests for model and adapter cannot run.
+func (loaded *weights) checkServes(model, adapter string) error {
 	if loaded.switching {
 		return reply.NotRun(http.StatusServiceUnavailable, wire.CodeUnavailable, "weights are being switched")
 	}
@@ -41,77 +41,77 @@
 	return nil
 }
 
-// load carries out an order in the background: reserve a slot at the weight
-// store, move the weights, let the requests under way finish, switch.
-func (engine *Engine) load(order *wire.LoadRequest) {
-	if !engine.reserve(order) || !engine.pause(engine.config.LoadDuration) {
+// carryOutLoad reserves a slot at the weight store, loads the weights, drains the requests
+// in flight and switches.
+func (engine *Engine) carryOutLoad(request *wire.LoadRequest) {
+	if !engine.reserveLoad(request) || !engine.sleep(engine.config.LoadDuration) {
 		return
 	}
-	for !engine.switchWeights(order) {
-		if !engine.pause(drainPoll) {
+	for !engine.switchWeights(request) {
+		if !engine.sleep(drainPollInterval) {
 			return
 		}
 	}
 }
 
-// reserve waits for the weight store's grant; false when the order is
+// reserveLoad waits for the weight store's grant; false means that the request was
 // superseded or the engine closed.
-func (engine *Engine) reserve(order *wire.LoadRequest) bool {
+func (engine *Engine) reserveLoad(request *wire.LoadRequest) bool {
 	if engine.config.Weights == nil {
 		return true
 	}
-	for engine.isCurrent(order) {
-		granted, wait, err := engine.config.Weights.Reserve(engine.closed, order.Model, order.Version)
+	for engine.isCurrent(request) {
+		granted, wait, err := engine.config.Weights.Reserve(engine.closed, request.Model, request.Version)
 		if err != nil {
-			wait = reserveRetry
+			wait = reserveRetryInterval
 		}
 		if granted && err == nil {
 			return true
 		}
-		if !engine.pause(wait) {
+		if !engine.sleep(wait) {
 			return false
 		}
 	}
 	return false
 }
 
-func (engine *Engine) isCurrent(order *wire.LoadRequest) bool {
+func (engine *Engine) isCurrent(request *wire.LoadRequest) bool {
 	engine.lock.Lock()
 	defer engine.lock.Unlock()
-	return engine.weights.loading == order
+	return engine.weights.loading == request
 }
 
-// switchWeights puts an order in force once nothing runs; false to try again. A
-// superseded order is dropped.
-func (engine *Engine) switchWeights(order *wire.LoadRequest) bool {
+// switchWeights switches to the requested weights once no request is in flight; false
+// means to try again. A superseded request is dropped.
+func (engine *Engine) switchWeights(request *wire.LoadRequest) bool {
 	engine.lock.Lock()
 	defer engine.lock.Unlock()
 	loaded := &engine.weights
-	if loaded.loading != order {
+	if loaded.loading != request {
 		return true
 	}
-	if order.Model != loaded.model || order.Version != loaded.version {
+	if request.Model != loaded.model || request.Version != loaded.version {
 		loaded.switching = true
 		running, waiting := engine.model.Load()
 		if running+waiting > 0 {
 			return false
 		}
-		// Cache entries of other weights are of no use.
+		// Cache entries depend on the weights.
 		engine.model.ReleaseAll(engine.now())
 		loaded.adapters = nil
 	}
-	loaded.model = order.Model
-	loaded.version = order.Version
-	if order.Adapter != "" && !slices.Contains(loaded.adapters, order.Adapter) {
-		loaded.adapters = append(loaded.adapters, order.Adapter)
+	loaded.model = request.Model
+	loaded.version = request.Version
+	if request.Adapter != "" && !slices.Contains(loaded.adapters, request.Adapter) {
+		loaded.adapters = append(loaded.adapters, request.Adapter)
 	}
 	loaded.loading = nil
 	loaded.switching = false
 	return true
 }
 
-// pause waits; false when the engine closed.
-func (engine *Engine) pause(wait time.Duration) bool {
+// sleep returns false if the engine closes first.
+func (engine *Engine) sleep(wait time.Duration) bool {
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
 	select {
