--- a/rehearsal/cluster/child.go
+++ b/rehearsal/cluster/child.go
@@ -11,16 +11,16 @@
 	"github.com/rotisserie/eris"
 )
 
-// child is one process that this one has started.
+// child is a process started by this one.
 type child struct {
 	id      string
 	command *exec.Cmd
 	output  *os.File
-	ended   chan struct{}
-	err     error
+	exited  chan struct{}
+	exitErr error
 }
 
-// startChild starts a program; its output goes to a file named by the id.
+// startChild starts a program and appends its output to <id>.log in directory.
 func startChild(directory, id, program string, arguments []string) (*child, error) {
 	output, err := os.OpenFile(filepath.Join(directory, id+".log"), os.O_CREATE|os.O_WRONLY|os.O_APPEND, 0o644)
 	if err != nil {
@@ -29,34 +29,33 @@
 	command := exec.Command(program, arguments...)
 	command.Stdout = output
 	command.Stderr = output
-	// A child must not outlive this process, however that ends.
+	// The kernel kills the child when this process exits, even after a crash.
 	command.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 	if err := command.Start(); err != nil {
 		output.Close()
 		return nil, eris.Wrapf(err, "start %s", id)
 	}
-	started := &child{id: id, command: command, output: output, ended: make(chan struct{})}
+	started := &child{id: id, command: command, output: output, exited: make(chan struct{})}
 	go started.wait()
 	return started, nil
 }
 
 func (child *child) wait() {
-	child.err = child.command.Wait()
+	child.exitErr = child.command.Wait()
 	child.output.Close()
-	close(child.ended)
+	close(child.exited)
 }
 
-// running tells whether the process has not ended.
-func (child *child) running() bool {
+func (child *child) isRunning() bool {
 	select {
-	case <-child.ended:
+	case <-child.exited:
 		return false
 	default:
 		return true
 	}
 }
 
-// signal sends a signal; a process that has ended takes none.
+// signal sends a signal. It is a no-op for a process that has exited.
 func (child *child) signal(signal syscall.Signal) error {
 	err := child.command.Process.Signal(signal)
 	if errors.Is(err, os.ErrProcessDone) {
@@ -65,20 +64,20 @@
 	return eris.Wrapf(err, "signal %s", child.id)
 }
 
-// stop asks the process to end, and kills it if it has not within the bound. It
-// returns how the process ended.
-func (child *child) stop(bound time.Duration) error {
+// stop sends SIGTERM, and SIGKILL if the process is still running after timeout.
+// It returns the exit error, or an error if the process had to be killed.
+func (child *child) stop(timeout time.Duration) error {
 	if err := child.signal(syscall.SIGTERM); err != nil {
 		return err
 	}
 	select {
-	case <-child.ended:
-		return child.err
-	case <-time.After(bound):
+	case <-child.exited:
+		return child.exitErr
+	case <-time.After(timeout):
 	}
 	if err := child.signal(syscall.SIGKILL); err != nil {
 		return err
 	}
-	<-child.ended
-	return eris.Errorf("%s did not stop within %s", child.id, bound)
+	<-child.exited
+	return eris.Errorf("%s did not stop within %s and was killed", child.id, timeout)
 }
--- a/rehearsal/cluster/cluster.go
+++ b/rehearsal/cluster/cluster.go
@@ -18,40 +18,40 @@
 )
 
 const (
-	stopBound    = 15 * time.Second
-	readyBound   = 60 * time.Second
-	readyRetry   = 100 * time.Millisecond
-	machineLagMs = "300ms"
+	stopTimeout       = 15 * time.Second
+	readyTimeout      = 60 * time.Second
+	readyPollInterval = 100 * time.Millisecond
+	machineListLag    = "300ms"
 )
 
-// Binaries are the two programs of the repository.
+// Binaries are the paths of the two executables of the repository.
 type Binaries struct {
 	Magpielug string
 	Rehearsal string
 }
 
-// Cluster is a running plan.
+// Cluster is the set of processes started for a plan.
 type Cluster struct {
 	plan      Plan
 	binaries  Binaries
 	directory string
-	// lock guards the fields below: faults start and end processes side by side.
+	// lock guards the fields below: faults start and stop processes concurrently.
 	lock     sync.Mutex
 	children map[string]*child
-	// network holds the relays of a relayed plan.
+	// network holds the relays, if the plan uses them.
 	network *relay.Network
-	// order is the order of starting; it is stopped in reverse.
-	order []string
+	// startOrder lists process ids; Stop signals them in reverse.
+	startOrder []string
 }
 
-// Start starts everything of the plan and waits until it serves. Logs and
-// settings files go into directory.
+// Start starts all processes of the plan and waits until they are ready. It
+// writes logs and settings files to directory.
 func Start(ctx context.Context, plan Plan, binaries Binaries, directory string) (*Cluster, error) {
 	if err := plan.checkPorts(); err != nil {
 		return nil, err
 	}
 	if err := os.MkdirAll(directory, 0o755); err != nil {
-		return nil, eris.Wrap(err, "make the directory of the run")
+		return nil, eris.Wrap(err, "create run directory")
 	}
 	cluster := &Cluster{plan: plan, binaries: binaries, directory: directory, children: make(map[string]*child),
 		network: relay.NewNetwork()}
@@ -62,7 +62,7 @@
 	return cluster, nil
 }
 
-// checkPorts finds a taken port before anything is started.
+// checkPorts fails if an address of the plan is in use.
 func (plan Plan) checkPorts() error {
 	addresses := []string{plan.LogAddress(), plan.MachinesAddress(), plan.WeightsAddress()}
 	for _, machine := range plan.Machines() {
@@ -71,7 +71,7 @@
 	for _, address := range addresses {
 		listener, err := net.Listen("tcp", address)
 		if err != nil {
-			return eris.Errorf("address %s is taken or not usable (choose another port with --port): %v", address, err)
+			return eris.Errorf("cannot listen on %s (choose another port with --port): %v", address, err)
 		}
 		listener.Close()
 	}
@@ -103,11 +103,11 @@
 		arguments   []string
 	}{
 		{"log", plan.LogAddress(), nil},
-		{"machines", plan.MachinesAddress(), []string{"--lag", machineLagMs}},
+		{"machines", plan.MachinesAddress(), []string{"--lag", machineListLag}},
 		{"weights", plan.WeightsAddress(), nil},
 	}
-	for place, service := range services {
-		listen := plan.platformAddress(place + plan.listenPort() - plan.Port)
+	for offset, service := range services {
+		listen := plan.platformAddress(offset + plan.listenPort() - plan.Port)
 		arguments := append([]string{service.id, "--listen", listen}, service.arguments...)
 		if err := cluster.startChild(service.id, cluster.binaries.Rehearsal, arguments); err != nil {
 			return err
@@ -119,7 +119,8 @@
 	return nil
 }
 
-// StartMachine starts a machine's process and puts it on the machine list.
+// StartMachine starts a machine's process. Gateways and schedulers are registered
+// on the machine list here; engines and tools register themselves.
 func (cluster *Cluster) StartMachine(ctx context.Context, machine Machine) error {
 	switch machine.Role {
 	case outside.RoleEngine:
@@ -171,8 +172,8 @@
 	}
 	cluster.lock.Lock()
 	defer cluster.lock.Unlock()
-	if _, again := cluster.children[id]; !again {
-		cluster.order = append(cluster.order, id)
+	if _, restarted := cluster.children[id]; !restarted {
+		cluster.startOrder = append(cluster.startOrder, id)
 	}
 	cluster.children[id] = started
 	return nil
@@ -189,7 +190,7 @@
 	})
 }
 
-// Machine finds a machine of the plan by its id.
+// Machine returns the machine of the plan with the given id.
 func (cluster *Cluster) Machine(id string) (Machine, bool) {
 	for _, machine := range cluster.plan.Machines() {
 		if machine.ID == id {
@@ -199,10 +200,10 @@
 	return Machine{}, false
 }
 
-// Plan returns what runs.
+// Plan returns the plan that the cluster was started from.
 func (cluster *Cluster) Plan() Plan { return cluster.plan }
 
-// Gateways lists the addresses that callers can use.
+// Gateways lists the gateways' addresses.
 func (cluster *Cluster) Gateways() []string { return cluster.addresses(outside.RoleGateway) }
 
 // Engines lists the engines' addresses.
@@ -218,14 +219,14 @@
 	return addresses
 }
 
-// Kill ends a machine's process without warning.
+// Kill sends SIGKILL to a machine's process.
 func (cluster *Cluster) Kill(id string) error { return cluster.signal(id, syscall.SIGKILL) }
 
-// Freeze stops a machine's process from running, and Wake lets it go on.
+// Freeze suspends a machine's process with SIGSTOP.
 func (cluster *Cluster) Freeze(id string) error { return cluster.signal(id, syscall.SIGSTOP) }
 
-// Wake lets a frozen process go on.
-func (cluster *Cluster) Wake(id string) error { return cluster.signal(id, syscall.SIGCONT) }
+// Resume continues a frozen process with SIGCONT.
+func (cluster *Cluster) Resume(id string) error { return cluster.signal(id, syscall.SIGCONT) }
 
 func (cluster *Cluster) signal(id string, signal syscall.Signal) error {
 	child, err := cluster.child(id)
@@ -235,7 +236,7 @@
 	return child.signal(signal)
 }
 
-// child finds the newest process of an id.
+// child returns the most recently started process of an id.
 func (cluster *Cluster) child(id string) (*child, error) {
 	cluster.lock.Lock()
 	defer cluster.lock.Unlock()
@@ -246,38 +247,40 @@
 	return found, nil
 }
 
-// StopMachine asks one process to stop and waits for its end.
+// StopMachine stops a machine's process gracefully and waits until it exits. A
+// process that does not exit in time is killed, and an error is returned.
 func (cluster *Cluster) StopMachine(id string) error {
 	child, err := cluster.child(id)
 	if err != nil {
 		return err
 	}
-	return child.stop(stopBound)
+	return child.stop(stopTimeout)
 }
 
-// Stop ends every process that was started, the last one first.
+// Stop stops every process, signaling them in reverse start order, and closes
+// the relays.
 func (cluster *Cluster) Stop() {
 	defer cluster.network.Close()
 	cluster.lock.Lock()
 	defer cluster.lock.Unlock()
-	for index := len(cluster.order) - 1; index >= 0; index-- {
-		child := cluster.children[cluster.order[index]]
-		if child.running() {
+	for index := len(cluster.startOrder) - 1; index >= 0; index-- {
+		child := cluster.children[cluster.startOrder[index]]
+		if child.isRunning() {
 			child.signal(syscall.SIGCONT)
 			child.signal(syscall.SIGTERM)
 		}
 	}
-	for _, id := range cluster.order {
+	for _, id := range cluster.startOrder {
 		child := cluster.children[id]
-		if child.running() {
-			child.stop(stopBound)
+		if child.isRunning() {
+			child.stop(stopTimeout)
 		}
 	}
 }
 
-// awaitReady waits until every gateway and scheduler says it is ready.
+// awaitReady waits until every gateway and scheduler is ready.
 func (cluster *Cluster) awaitReady(ctx context.Context) error {
-	bounded, cancel := context.WithTimeout(ctx, readyBound)
+	bounded, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
 	for _, machine := range cluster.plan.Machines() {
 		if machine.Role != outside.RoleGateway && machine.Role != outside.RoleScheduler {
@@ -290,28 +293,28 @@
 	return nil
 }
 
-// AwaitReady waits until a gateway or scheduler says it is ready, at most until
-// ctx ends.
+// AwaitReady waits until a gateway or scheduler reports that it is ready. It fails
+// if the process exits or ctx is done first.
 func (cluster *Cluster) AwaitReady(ctx context.Context, machine Machine) error {
 	for !isReady(ctx, machine.Address) {
 		child, err := cluster.child(machine.ID)
 		if err != nil {
 			return err
 		}
-		if !child.running() {
-			return eris.Errorf("%s ended at once; see %s/%s.log", machine.ID, cluster.directory, machine.ID)
+		if !child.isRunning() {
+			return eris.Errorf("%s exited before it was ready; see %s/%s.log", machine.ID, cluster.directory, machine.ID)
 		}
 		if ctx.Err() != nil {
-			return eris.Errorf("%s was not ready in time; see %s/%s.log", machine.ID, cluster.directory, machine.ID)
+			return eris.Errorf("%s was not ready before the deadline; see %s/%s.log", machine.ID, cluster.directory, machine.ID)
 		}
-		time.Sleep(readyRetry)
+		time.Sleep(readyPollInterval)
 	}
 	return nil
 }
 
-// awaitListening waits until an address takes connections.
+// awaitListening waits until an address accepts connections.
 func awaitListening(ctx context.Context, address string) error {
-	bounded, cancel := context.WithTimeout(ctx, readyBound)
+	bounded, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
 	dialer := net.Dialer{}
 	for {
@@ -320,25 +323,25 @@
 			return connection.Close()
 		}
 		if bounded.Err() != nil {
-			return fmt.Errorf("%s does not answer: %w", address, err)
+			return fmt.Errorf("%s does not accept connections: %w", address, err)
 		}
-		time.Sleep(readyRetry)
+		time.Sleep(readyPollInterval)
 	}
 }
 
-// Running tells whether a machine's process runs.
-func (cluster *Cluster) Running(id string) bool {
+// IsRunning reports whether a machine's process is running.
+func (cluster *Cluster) IsRunning(id string) bool {
 	child, err := cluster.child(id)
-	return err == nil && child.running()
+	return err == nil && child.isRunning()
 }
 
-// Processes lists the system's process ids of what runs, by machine id.
-func (cluster *Cluster) Processes() map[string]int {
-	processes := make(map[string]int)
+// PIDs returns the process ids of the running processes, by machine id.
+func (cluster *Cluster) PIDs() map[string]int {
+	pids := make(map[string]int)
 	for id, child := range cluster.children {
-		if child.running() {
-			processes[id] = child.command.Process.Pid
+		if child.isRunning() {
+			pids[id] = child.command.Process.Pid
 		}
 	}
-	return processes
+	return pids
 }
--- a/rehearsal/cluster/configuration.go
+++ b/rehearsal/cluster/configuration.go
@@ -18,9 +18,9 @@
 )
 
 const (
-	// OperatorKey is the operators' key of every rehearsal.
+	// OperatorKey is the operator key of every cluster.
 	OperatorKey = "rehearsal-operator"
-	// Tenant owns every tier of a rehearsal.
+	// Tenant owns every tier of a cluster.
 	Tenant = "rehearsal"
 
 	promptPriceMicros       = 50
@@ -28,11 +28,11 @@
 	defaultTierBudgetMicros = 1_000_000_000
 	defaultProgramCapMicros = 20_000
 	turnLimit               = 240
-	pauseLimit              = 2 * time.Minute
+	toolPauseLimit          = 2 * time.Minute
 	toolDeadline            = 5 * time.Second
 )
 
-// TierKey is the key that callers of a tier present in a rehearsal.
+// TierKey is the API key of a tier's callers.
 func TierKey(tier string) string { return "rehearsal-" + tier }
 
 func keyDigest(key string) string {
@@ -40,7 +40,8 @@
 	return hex.EncodeToString(digest[:])
 }
 
-// Configuration is the operators' configuration for a deployment's programs.
+// Configuration returns the operator configuration for a deployment's tiers and
+// program kinds.
 func (plan Plan) Configuration(deployment workload.Deployment) *operatorv1.Configuration {
 	declared := &operatorv1.Configuration{
 		Services: []*operatorv1.Service{
@@ -71,13 +72,13 @@
 			Tiers:            []string{kind.Tier},
 			Services:         []string{plan.Model, plan.Tool},
 			TurnLimit:        turnLimit,
-			ToolPauseLimitMs: uint32(pauseLimit / time.Millisecond),
+			ToolPauseLimitMs: uint32(toolPauseLimit / time.Millisecond),
 		})
 	}
 	return declared
 }
 
-// publish puts the plan's first configuration into the log.
+// publish appends the plan's first configuration to the log.
 func (cluster *Cluster) publish(ctx context.Context) error {
 	deployment, err := workload.DeploymentByName(cluster.plan.Deployment)
 	if err != nil {
--- a/rehearsal/cluster/http.go
+++ b/rehearsal/cluster/http.go
@@ -22,7 +22,7 @@
 
 var httpClient = &http.Client{Timeout: requestTimeout}
 
-// PostJSON posts a body to a stand-in and expects success.
+// PostJSON posts body as JSON and fails on any status other than 200.
 func PostJSON(ctx context.Context, address, path string, body any) error {
 	encoded, err := json.Marshal(body)
 	if err != nil {
@@ -39,13 +39,13 @@
 	}
 	defer response.Body.Close()
 	if response.StatusCode != http.StatusOK {
-		told, _ := io.ReadAll(io.LimitReader(response.Body, errorBodyBytes))
-		return eris.Errorf("%s%s answered %s: %s", address, path, response.Status, told)
+		message, _ := io.ReadAll(io.LimitReader(response.Body, errorBodyBytes))
+		return eris.Errorf("post to %s%s: status %s: %s", address, path, response.Status, message)
 	}
 	return nil
 }
 
-// isReady asks a process whether it takes work.
+// isReady queries a process's readiness endpoint.
 func isReady(ctx context.Context, address string) bool {
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+metrics.ReadyPath, nil)
 	if err != nil {
--- a/rehearsal/cluster/network.go
+++ b/rehearsal/cluster/network.go
@@ -1,13 +1,14 @@
 package cluster
 
-// startRelays puts a relay at the address of every process of a relayed plan.
+// startRelays starts a relay at the address of every process, if the plan uses
+// relays.
 func (cluster *Cluster) startRelays() error {
 	plan := cluster.plan
 	if !plan.Relayed {
 		return nil
 	}
-	for place, address := range []string{plan.LogAddress(), plan.MachinesAddress(), plan.WeightsAddress()} {
-		if err := cluster.network.Relay(address, plan.platformAddress(place+relayedPort)); err != nil {
+	for offset, address := range []string{plan.LogAddress(), plan.MachinesAddress(), plan.WeightsAddress()} {
+		if err := cluster.network.Relay(address, plan.platformAddress(offset+relayPortOffset)); err != nil {
 			return err
 		}
 	}
@@ -19,13 +20,14 @@
 	return nil
 }
 
-// CutZone cuts a zone, counted from 1, off from the others, and from the
-// platform too if wanted. The plan has to be relayed.
-func (cluster *Cluster) CutZone(zone int, platform bool) {
+// IsolateZone blocks traffic between a zone, numbered from 1, and the other zones,
+// and with platform set also between it and the platform's services. It requires
+// a plan with relays.
+func (cluster *Cluster) IsolateZone(zone int, platform bool) {
 	cluster.network.CutZone(zone, cluster.plan.Zones, platform)
 }
 
-// HealZone ends what CutZone with the same arguments began.
+// HealZone undoes IsolateZone with the same arguments.
 func (cluster *Cluster) HealZone(zone int, platform bool) {
 	cluster.network.HealZone(zone, cluster.plan.Zones, platform)
 }
--- a/rehearsal/cluster/plan.go
+++ b/rehearsal/cluster/plan.go
@@ -1,6 +1,6 @@
-// Package cluster starts magpielug's own processes and the platform's stand-ins
-// on loopback addresses, one address a machine, and stops them again. It alone
-// starts processes, and ends only those.
+// Package cluster starts and stops gateways, schedulers and the stand-ins of the
+// platform, engines and tools as local processes, each machine on its own
+// loopback address.
 package cluster
 
 import (
@@ -10,43 +10,46 @@
 )
 
 const (
-	// Region is the one region of a plan.
+	// Region is the region of every machine.
 	Region = "region-1"
-	// relayedPort is how far above its relay a process listens.
-	relayedPort = 4
-	// platformHost carries the platform's services.
-	platformHost = "127.0.0.1"
-	// First host numbers of the machines of a zone.
+	// relayPortOffset is the difference between the port of a process and that of
+	// its relay.
+	relayPortOffset = 4
+	platformHost    = "127.0.0.1"
+	// Last octet of the address of the first machine of each role in a zone.
 	firstGateway   = 1
 	firstScheduler = 21
 	firstEngine    = 51
 	firstTool      = 101
 )
 
-// Plan is what runs where. Machine N of zone Z answers at 127.Z.0.N, all at the
-// same port; the platform's services answer at 127.0.0.1 from that port on.
+// Plan is the layout of a cluster. Machine N of zone Z is reached at 127.Z.0.N,
+// all on the same port; the platform's services are reached at 127.0.0.1 on
+// consecutive ports from that one.
 type Plan struct {
 	Zones             int
 	GatewaysPerZone   int
 	SchedulersPerZone int
-	// Engines and Tools are spread over the zones in turn.
+	// Engines and Tools are totals, distributed evenly over the zones.
 	Engines int
 	Tools   int
 	Model   string
 	Tool    string
 	Port    int
 	Shards  int
-	// Blocks and RunningLimit size each engine.
+	// Blocks is the number of cache blocks of each engine, RunningLimit its maximum
+	// batch size.
 	Blocks       int
 	RunningLimit int
 	LogLevel     string
-	// Deployment names the workload whose tiers and kinds are published.
+	// Deployment names the workload that defines the tiers and program kinds of
+	// the configuration.
 	Deployment string
-	// TierBudgetMicros and ProgramCapMicros bound the spending of each tier and
-	// of each program; 0 takes the defaults.
+	// TierBudgetMicros and ProgramCapMicros limit the spending of each tier and of
+	// each program, in millionths of the currency unit; 0 selects the defaults.
 	TierBudgetMicros uint64
 	ProgramCapMicros uint64
-	// Relayed puts a relay before every process, at its address.
+	// Relayed routes the traffic to every process through a relay.
 	Relayed bool
 }
 
@@ -57,46 +60,49 @@
 	Zone    string
 	Host    string
 	Address string
-	// Listen is where the process listens: its address, or behind its relay.
+	// Listen is the process's own listen address; it differs from Address behind a
+	// relay.
 	Listen  string
 	Service string
 }
 
-// LogAddress is where the log service answers.
+// LogAddress is the address of the log service.
 func (plan Plan) LogAddress() string { return plan.platformAddress(0) }
 
-// MachinesAddress is where the machine list answers.
+// MachinesAddress is the address of the machine list.
 func (plan Plan) MachinesAddress() string { return plan.platformAddress(1) }
 
-// WeightsAddress is where the weight store answers.
+// WeightsAddress is the address of the weight store.
 func (plan Plan) WeightsAddress() string { return plan.platformAddress(2) }
 
 func (plan Plan) platformAddress(offset int) string {
 	return fmt.Sprintf("%s:%d", platformHost, plan.Port+offset)
 }
 
-// listenPort is the port that machines' processes listen at.
+// listenPort is the port that the processes of machines listen on.
 func (plan Plan) listenPort() int {
 	if plan.Relayed {
-		return plan.Port + relayedPort
+		return plan.Port + relayPortOffset
 	}
 	return plan.Port
 }
 
-// Machines lists the machines of the plan: gateways, schedulers, engines, tools.
+// Machines lists the machines of the plan by zone; within a zone gateways come
+// first, then schedulers, engines and tools.
 func (plan Plan) Machines() []Machine {
 	var machines []Machine
 	for zone := 1; zone <= plan.Zones; zone++ {
-		machines = append(machines, plan.inZone(outside.RoleGateway, zone, plan.GatewaysPerZone, firstGateway, "")...)
-		machines = append(machines, plan.inZone(outside.RoleScheduler, zone, plan.SchedulersPerZone, firstScheduler, "")...)
-		machines = append(machines, plan.inZone(outside.RoleEngine, zone, plan.share(plan.Engines, zone), firstEngine, plan.Model)...)
-		machines = append(machines, plan.inZone(outside.RoleTool, zone, plan.share(plan.Tools, zone), firstTool, plan.Tool)...)
+		machines = append(machines, plan.zoneMachines(outside.RoleGateway, zone, plan.GatewaysPerZone, firstGateway, "")...)
+		machines = append(machines, plan.zoneMachines(outside.RoleScheduler, zone, plan.SchedulersPerZone, firstScheduler, "")...)
+		machines = append(machines, plan.zoneMachines(outside.RoleEngine, zone, plan.machinesInZone(plan.Engines, zone), firstEngine, plan.Model)...)
+		machines = append(machines, plan.zoneMachines(outside.RoleTool, zone, plan.machinesInZone(plan.Tools, zone), firstTool, plan.Tool)...)
 	}
 	return machines
 }
 
-// share is how many of total machines stand in a zone, counted from 1.
-func (plan Plan) share(total, zone int) int {
+// machinesInZone returns how many of total machines are placed in a zone, numbered
+// from 1.
+func (plan Plan) machinesInZone(total, zone int) int {
 	count := total / plan.Zones
 	if zone <= total%plan.Zones {
 		count++
@@ -104,10 +110,10 @@
 	return count
 }
 
-func (plan Plan) inZone(role outside.MachineRole, zone, count, first int, service string) []Machine {
+func (plan Plan) zoneMachines(role outside.MachineRole, zone, count, firstHost int, service string) []Machine {
 	var machines []Machine
 	for number := range count {
-		host := fmt.Sprintf("127.%d.0.%d", zone, first+number)
+		host := fmt.Sprintf("127.%d.0.%d", zone, firstHost+number)
 		machines = append(machines, Machine{
 			ID:      fmt.Sprintf("%s-%d-%d", role, zone, number+1),
 			Role:    role,
--- a/rehearsal/cluster/settings_file.go
+++ b/rehearsal/cluster/settings_file.go
@@ -8,8 +8,8 @@
 	"go.yaml.in/yaml/v3"
 )
 
-// settingsFile is the part of a settings file that a plan decides; all other
-// keys keep their defaults.
+// settingsFile holds the settings that a plan defines; all other keys keep their
+// defaults.
 type settingsFile struct {
 	Node struct {
 		ID        string `yaml:"id"`
--- a/rehearsal/fault/back_end.go
+++ b/rehearsal/fault/back_end.go
@@ -74,7 +74,7 @@
 // collectRuns takes the counts of every back end that runs.
 func (runner *runner) collectRuns(ctx context.Context) error {
 	for _, machine := range runner.cluster.Plan().Machines() {
-		if !isBackEnd(machine.Role) || !runner.cluster.Running(machine.ID) {
+		if !isBackEnd(machine.Role) || !runner.cluster.IsRunning(machine.ID) {
 			continue
 		}
 		if err := runner.count(ctx, machine); err != nil {
@@ -105,7 +105,7 @@
 func (runner *runner) heldMemory(ctx context.Context) ([]history.HeldMemory, error) {
 	var held []history.HeldMemory
 	for _, machine := range runner.cluster.Plan().Machines() {
-		if machine.Role != outside.RoleEngine || !runner.cluster.Running(machine.ID) {
+		if machine.Role != outside.RoleEngine || !runner.cluster.IsRunning(machine.ID) {
 			continue
 		}
 		var state wire.LoadReport
--- a/rehearsal/fault/throw.go
+++ b/rehearsal/fault/throw.go
@@ -130,7 +130,7 @@
 		return err
 	}
 	pause(ctx, length)
-	err := runner.cluster.Wake(target)
+	err := runner.cluster.Resume(target)
 	runner.disturbed(target, from, runner.now())
 	runner.tell("%s woken", target)
 	return err
@@ -182,7 +182,7 @@
 func (runner *runner) cutZone(ctx context.Context, planned Fault) {
 	from, off := runner.now(), planned.Kind == CutOff
 	zone := runner.scenario.zone(planned)
-	runner.cluster.CutZone(zone, off)
+	runner.cluster.IsolateZone(zone, off)
 	pause(ctx, planned.For)
 	runner.cluster.HealZone(zone, off)
 	runner.tell("%s healed", planned.Target)
--- a/rehearsal/speed/cost.go
+++ b/rehearsal/speed/cost.go
@@ -36,7 +36,7 @@
 	var costs []Cost
 	var processes []int
 	var roles []int
-	pids := running.Processes()
+	pids := running.PIDs()
 	for index, role := range []outside.MachineRole{outside.RoleScheduler, outside.RoleGateway} {
 		costs = append(costs, Cost{Role: role})
 		for _, machine := range running.Plan().Machines() {
