--- a/rehearsal/command/cost.go
+++ b/rehearsal/command/cost.go
@@ -33,7 +33,7 @@
 		return err
 	}
 	defer started.Stop()
-	idle, err := speed.Watch(ctx, started, command.Duration)
+	idle, err := speed.MeasureCosts(ctx, started, command.Duration)
 	if err != nil {
 		return err
 	}
@@ -54,7 +54,7 @@
 
 // loaded measures under a steady rate of calls.
 func (command *Cost) loaded(ctx context.Context, started *cluster.Cluster, client *http.Client, key string, rate float64, idle []speed.Cost) error {
-	load := &speed.Load{Way: speed.Chat(started.Gateways(), key, rehearsalModel), Client: client, PerSecond: rate}
+	load := &speed.Load{Path: speed.Chat(started.Gateways(), key, rehearsalModel), Client: client, CallsPerSecond: rate}
 	running, stop := context.WithCancel(ctx)
 	ended := make(chan struct{})
 	go func() {
@@ -67,7 +67,7 @@
 	}()
 	time.Sleep(rampUp)
 	before, _ := load.Counts()
-	costs, err := speed.Watch(ctx, started, command.Duration)
+	costs, err := speed.MeasureCosts(ctx, started, command.Duration)
 	if err != nil {
 		return err
 	}
@@ -88,7 +88,7 @@
 			return eris.Wrapf(err, "create program %d", number)
 		}
 	}
-	costs, err := speed.Watch(ctx, started, command.Duration)
+	costs, err := speed.MeasureCosts(ctx, started, command.Duration)
 	if err != nil {
 		return err
 	}
--- a/rehearsal/command/speed.go
+++ b/rehearsal/command/speed.go
@@ -59,7 +59,7 @@
 		inFlight = []int{1, 64, 512}
 	}
 	rounds := speed.Compare(ctx, speed.Config{
-		Ways: []speed.Way{
+		Paths: []speed.CallPath{
 			speed.Direct(adapters, started.Engines()[0], rehearsalModel),
 			speed.Program(client, started.Gateways(), key, kind, rehearsalModel),
 			speed.Chat(started.Gateways(), key, rehearsalModel),
@@ -110,10 +110,10 @@
 }
 
 func showRound(round speed.Round) {
-	fmt.Fprintf(os.Stderr, "%d in flight, %s: %d calls, first token p50 %s, each next mean %s", round.InFlight, round.Way,
-		round.Calls, round.First.Median.Round(time.Microsecond), round.Gap.Mean.Round(time.Microsecond))
+	fmt.Fprintf(os.Stderr, "%d in flight, %s: %d calls, first token p50 %s, each next mean %s", round.InFlight, round.Path,
+		round.Calls, round.FirstToken.Median.Round(time.Microsecond), round.InterToken.Mean.Round(time.Microsecond))
 	if round.Failed > 0 {
-		fmt.Fprintf(os.Stderr, ", %d failed, the first: %s", round.Failed, round.FailedFor)
+		fmt.Fprintf(os.Stderr, ", %d failed, the first: %s", round.Failed, round.FirstError)
 	}
 	fmt.Fprintln(os.Stderr)
 }
--- a/rehearsal/speed/call.go
+++ b/rehearsal/speed/call.go
@@ -15,126 +15,129 @@
 
 const (
 	errorBodyBytes = 512
-	// joinEvery calls, one is joined at the engine.
-	joinEvery = 4
-	// catchUp tokens after those that the engine had at the joining are passed
-	// over: they come in a burst.
-	catchUp = 8
+	// joinInterval: one in this many calls is also read directly from the engine.
+	joinInterval = 4
+	// joinBurstTokens is the number of tokens that are skipped after the backlog
+	// sent on joining: they arrive in a burst.
+	joinBurstTokens = 8
 )
 
-// callTimes are the times of one call's tokens.
+// callTimes are the token latencies of one call.
 type callTimes struct {
-	// first is from the request to the first token, gaps between one token and
-	// the next.
-	first time.Duration
-	gaps  []time.Duration
-	// delays are from a token's arrival straight from the engine to its arrival
-	// by the call's way.
-	delays []time.Duration
+	// firstToken is the time from the request to the first token; interToken are
+	// the times between consecutive tokens.
+	firstToken time.Duration
+	interToken []time.Duration
+	// forwardingDelays are the times from a token's arrival directly from the engine
+	// to its arrival over the call's path.
+	forwardingDelays []time.Duration
 }
 
-// arrivals are the times at which the tokens of a call came, in order.
+// arrivals are the arrival times of a call's tokens, in order.
 type arrivals []time.Time
 
-// probe makes calls by a way, and joins some of them at the engine.
+// probe makes calls over a path, and joins the generation of some of them at the
+// engine to compare arrival times.
 type probe struct {
-	way    Way
+	path   CallPath
 	client *http.Client
 	engine string
 }
 
-// measure makes one call and takes the times of its tokens.
+// measure makes one call and returns its token latencies.
 func (probe probe) measure(ctx context.Context, number uint64, tokens int) (callTimes, error) {
-	made, err := probe.way.begin(ctx, number, tokens)
+	call, err := probe.path.prepare(ctx, number, tokens)
 	if err != nil {
 		return callTimes{}, err
 	}
-	if made.done != nil {
-		defer made.done()
+	if call.cleanup != nil {
+		defer call.cleanup()
 	}
-	joined := make(chan arrivals, 1)
-	started := func() { joined <- nil }
-	if made.generation != nil && probe.engine != "" && number%joinEvery == 0 {
-		started = func() { go func() { joined <- probe.join(ctx, *made.generation, tokens) }() }
+	direct := make(chan arrivals, 1)
+	onFirstToken := func() { direct <- nil }
+	if call.generation != nil && probe.engine != "" && number%joinInterval == 0 {
+		onFirstToken = func() { go func() { direct <- probe.joinGeneration(ctx, *call.generation, tokens) }() }
 	}
-	begun := time.Now()
-	came, err := exchange(probe.client, made.request, probe.way, tokens, started)
+	start := time.Now()
+	arrived, err := streamTokens(probe.client, call.request, probe.path, tokens, onFirstToken)
 	if err != nil {
 		return callTimes{}, err
 	}
-	times := timesOf(came, begun)
-	times.delays = came.after(<-joined)
+	times := callTimesOf(arrived, start)
+	times.forwardingDelays = arrived.delaysBehind(<-direct)
 	return times, nil
 }
 
-// join follows the call's generation at the engine itself. It returns nil where
-// that fails.
-func (probe probe) join(ctx context.Context, generation wire.GenerateRequest, tokens int) arrivals {
+// joinGeneration streams the call's generation directly from the engine. It returns
+// nil if that fails.
+func (probe probe) joinGeneration(ctx context.Context, generation wire.GenerateRequest, tokens int) arrivals {
 	request, err := post(ctx, probe.engine+wire.PathGenerate, "", generation)
 	if err != nil {
 		return nil
 	}
-	came, err := exchange(probe.client, request, Direct(nil, "", ""), tokens, func() {})
+	arrived, err := streamTokens(probe.client, request, Direct(nil, "", ""), tokens, func() {})
 	if err != nil {
 		return nil
 	}
-	return came
+	return arrived
 }
 
-// after returns how much later each token came than straight from the engine.
-func (came arrivals) after(straight arrivals) []time.Duration {
-	if len(straight) != len(came) {
+// delaysBehind returns how much later each token arrived than directly from the
+// engine, without those of the backlog and the burst after it. It returns nil if the
+// two streams differ in length.
+func (arrived arrivals) delaysBehind(direct arrivals) []time.Duration {
+	if len(direct) != len(arrived) {
 		return nil
 	}
 	first := 0
-	for first < len(straight) && straight[first].Sub(straight[0]) < time.Millisecond {
+	for first < len(direct) && direct[first].Sub(direct[0]) < time.Millisecond {
 		first++
 	}
 	var delays []time.Duration
-	for index := first + catchUp; index < len(came); index++ {
-		delays = append(delays, came[index].Sub(straight[index]))
+	for index := first + joinBurstTokens; index < len(arrived); index++ {
+		delays = append(delays, arrived[index].Sub(direct[index]))
 	}
 	return delays
 }
 
-func timesOf(came arrivals, begun time.Time) callTimes {
-	times := callTimes{first: came[0].Sub(begun)}
-	for index := 1; index < len(came); index++ {
-		times.gaps = append(times.gaps, came[index].Sub(came[index-1]))
+func callTimesOf(arrived arrivals, start time.Time) callTimes {
+	times := callTimes{firstToken: arrived[0].Sub(start)}
+	for index := 1; index < len(arrived); index++ {
+		times.interToken = append(times.interToken, arrived[index].Sub(arrived[index-1]))
 	}
 	return times
 }
 
-// exchange sends a request and notes when each token comes; started is called at
-// the first.
-func exchange(client *http.Client, request *http.Request, way Way, tokens int, started func()) (arrivals, error) {
+// streamTokens sends a request and returns the arrival times of its tokens. It calls
+// onFirstToken when the first one arrives.
+func streamTokens(client *http.Client, request *http.Request, path CallPath, tokens int, onFirstToken func()) (arrivals, error) {
 	response, err := client.Do(request)
 	if err != nil {
 		return nil, eris.Wrap(err, "send request")
 	}
 	defer response.Body.Close()
 	if response.StatusCode != http.StatusOK {
-		told, _ := io.ReadAll(io.LimitReader(response.Body, errorBodyBytes))
-		return nil, eris.Errorf("%s: %s", response.Status, told)
+		message, _ := io.ReadAll(io.LimitReader(response.Body, errorBodyBytes))
+		return nil, eris.Errorf("%s: %s", response.Status, message)
 	}
-	came := make(arrivals, 0, tokens)
+	arrived := make(arrivals, 0, tokens)
 	ended := false
 	lines := bufio.NewScanner(response.Body)
 	for lines.Scan() {
-		ended = ended || bytes.Contains(lines.Bytes(), way.end)
-		if !bytes.Contains(lines.Bytes(), way.token) {
+		ended = ended || bytes.Contains(lines.Bytes(), path.endMarker)
+		if !bytes.Contains(lines.Bytes(), path.tokenMarker) {
 			continue
 		}
-		came = append(came, time.Now())
-		if len(came) == 1 {
-			started()
+		arrived = append(arrived, time.Now())
+		if len(arrived) == 1 {
+			onFirstToken()
 		}
 	}
 	if err := lines.Err(); err != nil {
-		return nil, eris.Wrap(err, "read answer")
+		return nil, eris.Wrap(err, "read response")
 	}
-	if !ended || len(came) != tokens {
-		return nil, eris.Errorf("%s: the answer has %d of %d tokens, ended %t", way.Name, len(came), tokens, ended)
+	if !ended || len(arrived) != tokens {
+		return nil, eris.Errorf("%s: incomplete response: got %d of %d tokens, end marker seen: %t", path.Name, len(arrived), tokens, ended)
 	}
-	return came, nil
+	return arrived, nil
 }
--- a/rehearsal/speed/cost.go
+++ b/rehearsal/speed/cost.go
@@ -16,30 +16,31 @@
 )
 
 const (
-	procFolder = "/proc"
-	// costTokens is the output of each call whose cost is taken.
-	costTokens = 40
+	procDirectory = "/proc"
+	// outputTokens is the output length of each call of a Load.
+	outputTokens = 40
 )
 
-// Cost is what the processes of one role used together, on average over a while.
+// Cost is the total resource use of the processes of one role, averaged over a
+// measurement.
 type Cost struct {
 	Role      outside.MachineRole
 	Processes int
-	// Processor is in cores, Read and Written in bytes a second.
-	Processor, Read, Written float64
-	// Resident is in bytes.
-	Resident float64
+	// The read and write rates count the bytes of system calls.
+	CPUCores, ReadBytesPerSecond, WrittenBytesPerSecond float64
+	// ResidentBytes is the resident memory.
+	ResidentBytes float64
 }
 
-// Watch takes what each role of magpielug's own uses for a while.
-func Watch(ctx context.Context, running *cluster.Cluster, duration time.Duration) ([]Cost, error) {
+// MeasureCosts measures the resource use of schedulers and gateways over duration.
+func MeasureCosts(ctx context.Context, started *cluster.Cluster, duration time.Duration) ([]Cost, error) {
 	var costs []Cost
 	var processes []int
 	var roles []int
-	pids := running.PIDs()
+	pids := started.PIDs()
 	for index, role := range []outside.MachineRole{outside.RoleScheduler, outside.RoleGateway} {
 		costs = append(costs, Cost{Role: role})
-		for _, machine := range running.Plan().Machines() {
+		for _, machine := range started.Plan().Machines() {
 			if pid, found := pids[machine.ID]; found && machine.Role == role {
 				costs[index].Processes++
 				processes = append(processes, pid)
@@ -47,37 +48,38 @@
 			}
 		}
 	}
-	rates, err := usage.Watch(ctx, procFolder, processes, duration)
+	rates, err := usage.Watch(ctx, procDirectory, processes, duration)
 	if err != nil {
 		return nil, err
 	}
 	for index, rate := range rates {
 		cost := &costs[roles[index]]
-		cost.Processor += rate.ProcessorShare
-		cost.Read += rate.ReadBytesPerSecond
-		cost.Written += rate.WriteBytesPerSecond
-		cost.Resident += float64(rate.Resident)
+		cost.CPUCores += rate.ProcessorShare
+		cost.ReadBytesPerSecond += rate.ReadBytesPerSecond
+		cost.WrittenBytesPerSecond += rate.WriteBytesPerSecond
+		cost.ResidentBytes += float64(rate.Resident)
 	}
 	return costs, nil
 }
 
-// Load begins calls of a way at a steady rate until ctx ends, and counts them.
+// Load starts calls over a path at a constant rate, independent of their completion,
+// and counts them.
 type Load struct {
-	Way       Way
-	Client    *http.Client
-	PerSecond float64
-	begun     atomic.Int64
-	failed    atomic.Int64
+	Path           CallPath
+	Client         *http.Client
+	CallsPerSecond float64
+	started        atomic.Int64
+	failed         atomic.Int64
 }
 
-// Counts returns the calls begun and failed so far.
-func (load *Load) Counts() (begun, failed int64) { return load.begun.Load(), load.failed.Load() }
+// Counts returns the number of calls started and failed so far.
+func (load *Load) Counts() (started, failed int64) { return load.started.Load(), load.failed.Load() }
 
-// Run makes calls until ctx ends, and waits for those under way.
+// Run starts calls until ctx is done, then waits for those in flight.
 func (load *Load) Run(ctx context.Context) {
 	var group sync.WaitGroup
-	probe := probe{way: load.Way, client: load.Client}
-	ticker := time.NewTicker(time.Duration(float64(time.Second) / load.PerSecond))
+	probe := probe{path: load.Path, client: load.Client}
+	ticker := time.NewTicker(time.Duration(float64(time.Second) / load.CallsPerSecond))
 	defer ticker.Stop()
 	for {
 		select {
@@ -87,33 +89,33 @@
 		case <-ticker.C:
 		}
 		group.Add(1)
-		number := uint64(load.begun.Add(1))
+		number := uint64(load.started.Add(1))
 		go func() {
 			defer group.Done()
-			if _, err := probe.measure(context.WithoutCancel(ctx), number, costTokens); err != nil {
+			if _, err := probe.measure(context.WithoutCancel(ctx), number, outputTokens); err != nil {
 				load.failed.Add(1)
 			}
 		}()
 	}
 }
 
-// CostHeader heads the rows of WriteCosts.
-const CostHeader = "| load | role | processes | cores together | read kB/s | written kB/s | resident MB each | processor ms a call |\n" +
+// CostHeader is the Markdown header of the rows of WriteCosts.
+const CostHeader = "| load | role | processes | total CPU cores | read kB/s | written kB/s | resident MB per process | CPU ms per call |\n" +
 	"|---|---|---|---|---|---|---|---|\n"
 
-// WriteCosts writes a row for each role. calls is how many were made in a
-// second; idle, where given, is what the roles use without them.
+// WriteCosts writes a Markdown row for each role. With callsPerSecond above 0 and
+// idle given, the row includes the CPU time per call beyond the idle use.
 func WriteCosts(out io.Writer, load string, costs, idle []Cost, callsPerSecond float64) {
 	const kilo, mega = 1e3, 1e6
 	for index, cost := range costs {
 		perCall := "–"
 		if callsPerSecond > 0 && idle != nil {
-			perCall = fmt.Sprintf("%.2f", (cost.Processor-idle[index].Processor)*kilo/callsPerSecond)
+			perCall = fmt.Sprintf("%.2f", (cost.CPUCores-idle[index].CPUCores)*kilo/callsPerSecond)
 		}
 		row := []string{
-			load, string(cost.Role), fmt.Sprint(cost.Processes), fmt.Sprintf("%.4f", cost.Processor),
-			fmt.Sprintf("%.1f", cost.Read/kilo), fmt.Sprintf("%.1f", cost.Written/kilo),
-			fmt.Sprintf("%.1f", cost.Resident/mega/float64(cost.Processes)), perCall,
+			load, string(cost.Role), fmt.Sprint(cost.Processes), fmt.Sprintf("%.4f", cost.CPUCores),
+			fmt.Sprintf("%.1f", cost.ReadBytesPerSecond/kilo), fmt.Sprintf("%.1f", cost.WrittenBytesPerSecond/kilo),
+			fmt.Sprintf("%.1f", cost.ResidentBytes/mega/float64(cost.Processes)), perCall,
 		}
 		fmt.Fprintf(out, "| %s |\n", strings.Join(row, " | "))
 	}
--- a/rehearsal/speed/round.go
+++ b/rehearsal/speed/round.go
@@ -11,114 +11,115 @@
 )
 
 const (
-	// Outputs vary in length, so that calls in flight don't begin together.
-	shortestOutput = 60
-	longestOutput  = 140
-	// longestPause before a call is several steps of the engine. A call begun where
-	// the one before has ended, at a step's end, would always wait a whole step,
-	// and a way that comes later in the step would look as fast.
-	longestPause = 20 * time.Millisecond
-	// failurePause keeps a caller whose call has failed from trying at once.
-	failurePause = 200 * time.Millisecond
+	// Output lengths vary so that calls in flight don't start in lockstep.
+	minOutputTokens = 60
+	maxOutputTokens = 140
+	// maxCallDelay bounds the random delay before a call and spans several engine
+	// steps. Without it every call would start at the end of a step and wait for a
+	// full step, which would hide latency added by the path.
+	maxCallDelay = 20 * time.Millisecond
+	// retryDelay is the wait after a failed call.
+	retryDelay = 200 * time.Millisecond
 )
 
-// Config is one measurement.
+// Config configures a measurement.
 type Config struct {
-	Ways []Way
-	// InFlight are the numbers of calls under way at once.
+	Paths []CallPath
+	// InFlight lists the numbers of concurrent calls to measure.
 	InFlight []int
 	Rounds   int
-	// RoundDuration is how long calls are begun in one round of one way; those
-	// begun in its first part, WarmUp, are not counted.
+	// RoundDuration is how long a round starts calls; calls started within the
+	// initial WarmUp are not counted.
 	RoundDuration time.Duration
 	WarmUp        time.Duration
 	Seed          int64
 	Client        *http.Client
-	// Engine is where generations are joined to see when a token was sent.
+	// Engine is the engine address at which generations are joined to measure the
+	// forwarding delay.
 	Engine string
-	// Progress is told of each round.
+	// Progress is called after each round.
 	Progress func(Round)
 }
 
-// Round is what one round of one way has shown.
+// Round is the result of one round of one path.
 type Round struct {
-	Way      string
+	Path     string
 	InFlight int
 	Calls    int
 	Failed   int
-	// FailedFor is why the first failed call failed.
-	FailedFor string
-	First     Spread
-	Gap       Spread
-	// Delay is from a token's arrival straight from the engine to its arrival by
-	// the way; of some calls, none of ways whose calls can't be joined.
-	Delay Spread
+	// FirstError is the error of the first failed call.
+	FirstError string
+	FirstToken LatencySummary
+	InterToken LatencySummary
+	// ForwardingDelay is the time from a token's arrival directly from the engine to
+	// its arrival over the path. It is sampled from some of the calls, and zero for
+	// paths whose generations can't be joined.
+	ForwardingDelay LatencySummary
 }
 
-// Spread sums up a set of durations.
-type Spread struct {
-	Median, High, Mean time.Duration
+// LatencySummary summarizes a set of durations.
+type LatencySummary struct {
+	Median, P95, Mean time.Duration
 }
 
-// highShare is the percentile shown beside the median.
-const highShare = 0.95
+// highQuantile is the quantile that LatencySummary.P95 reports.
+const highQuantile = 0.95
 
-func spreadOf(values []time.Duration) Spread {
+func summarize(values []time.Duration) LatencySummary {
 	if len(values) == 0 {
-		return Spread{}
+		return LatencySummary{}
 	}
 	slices.Sort(values)
 	sum := time.Duration(0)
 	for _, value := range values {
 		sum += value
 	}
-	return Spread{
+	return LatencySummary{
 		Median: values[len(values)/2],
-		High:   values[min(int(highShare*float64(len(values))), len(values)-1)],
+		P95:    values[min(int(highQuantile*float64(len(values))), len(values)-1)],
 		Mean:   sum / time.Duration(len(values)),
 	}
 }
 
-// collection gathers the times of one round.
-type collection struct {
-	mutex     sync.Mutex
-	first     []time.Duration
-	gaps      []time.Duration
-	delays    []time.Duration
-	failed    int
-	failedFor string
+// roundTimes collects the token latencies of one round.
+type roundTimes struct {
+	mutex            sync.Mutex
+	firstToken       []time.Duration
+	interToken       []time.Duration
+	forwardingDelays []time.Duration
+	failed           int
+	firstError       string
 }
 
-func (collection *collection) add(times callTimes, err error) {
-	collection.mutex.Lock()
-	defer collection.mutex.Unlock()
+func (times *roundTimes) add(call callTimes, err error) {
+	times.mutex.Lock()
+	defer times.mutex.Unlock()
 	if err != nil {
-		collection.failed++
-		if collection.failedFor == "" {
-			collection.failedFor = err.Error()
+		times.failed++
+		if times.firstError == "" {
+			times.firstError = err.Error()
 		}
 		return
 	}
-	collection.first = append(collection.first, times.first)
-	collection.gaps = append(collection.gaps, times.gaps...)
-	collection.delays = append(collection.delays, times.delays...)
+	times.firstToken = append(times.firstToken, call.firstToken)
+	times.interToken = append(times.interToken, call.interToken...)
+	times.forwardingDelays = append(times.forwardingDelays, call.forwardingDelays...)
 }
 
-// Compare runs the ways one after the other, several rounds at each number of
-// calls in flight.
+// Compare measures the paths one after the other, in several rounds for each number
+// of concurrent calls.
 func Compare(ctx context.Context, config Config) []Round {
 	var rounds []Round
 	var numbers atomic.Uint64
 	for _, inFlight := range config.InFlight {
 		for number := range config.Rounds {
-			for index := range config.Ways {
-				// Each round begins with another way, so that none always comes
-				// first.
-				way := config.Ways[(index+number)%len(config.Ways)]
+			for index := range config.Paths {
+				// Rotate the order so that no path always runs first.
+				path := config.Paths[(index+number)%len(config.Paths)]
 				if ctx.Err() != nil {
 					return rounds
 				}
-				round := config.round(ctx, way, inFlight, &numbers)
+				round := config.runRound(ctx, path, inFlight, &numbers)
 				config.Progress(round)
 				rounds = append(rounds, round)
 			}
@@ -127,40 +128,40 @@
 	return rounds
 }
 
-// round keeps the number of calls in flight for the round's duration.
-func (config Config) round(ctx context.Context, way Way, inFlight int, numbers *atomic.Uint64) Round {
-	var times collection
-	probe := probe{way: way, client: config.Client, engine: config.Engine}
+// runRound keeps inFlight callers busy for the round's duration.
+func (config Config) runRound(ctx context.Context, path CallPath, inFlight int, numbers *atomic.Uint64) Round {
+	var times roundTimes
+	probe := probe{path: path, client: config.Client, engine: config.Engine}
 	var group sync.WaitGroup
-	begun := time.Now()
+	start := time.Now()
 	for worker := range inFlight {
 		group.Add(1)
 		random := rand.New(rand.NewSource(config.Seed + int64(worker)))
 		go func() {
 			defer group.Done()
-			for time.Since(begun) < config.RoundDuration && ctx.Err() == nil {
-				counted := time.Since(begun) >= config.WarmUp
-				time.Sleep(time.Duration(random.Int63n(int64(longestPause))))
-				tokens := shortestOutput + random.Intn(longestOutput-shortestOutput)
+			for time.Since(start) < config.RoundDuration && ctx.Err() == nil {
+				counted := time.Since(start) >= config.WarmUp
+				time.Sleep(time.Duration(random.Int63n(int64(maxCallDelay))))
+				tokens := minOutputTokens + random.Intn(maxOutputTokens-minOutputTokens)
 				measured, err := probe.measure(ctx, numbers.Add(1), tokens)
 				if counted || err != nil {
 					times.add(measured, err)
 				}
 				if err != nil {
-					time.Sleep(failurePause)
+					time.Sleep(retryDelay)
 				}
 			}
 		}()
 	}
 	group.Wait()
 	return Round{
-		Way:       way.Name,
-		InFlight:  inFlight,
-		Calls:     len(times.first),
-		Failed:    times.failed,
-		FailedFor: times.failedFor,
-		First:     spreadOf(times.first),
-		Gap:       spreadOf(times.gaps),
-		Delay:     spreadOf(times.delays),
+		Path:            path.Name,
+		InFlight:        inFlight,
+		Calls:           len(times.firstToken),
+		Failed:          times.failed,
+		FirstError:      times.firstError,
+		FirstToken:      summarize(times.firstToken),
+		InterToken:      summarize(times.interToken),
+		ForwardingDelay: summarize(times.forwardingDelays),
 	}
 }
--- a/rehearsal/speed/speed_suite_test.go
+++ b/rehearsal/speed/speed_suite_test.go
@@ -13,33 +13,34 @@
 	RunSpecs(t, "Speed")
 }
 
-// tokensFrom returns tokens that come each 3 ms, those of the backlog at once.
-func tokensFrom(begun time.Time, backlog, count int) arrivals {
-	var came arrivals
+// arrivalsFrom returns the arrival times of tokens that arrive every 3 ms, with the
+// first backlog+1 of them at the same time.
+func arrivalsFrom(start time.Time, backlog, count int) arrivals {
+	var arrived arrivals
 	for index := range count {
-		came = append(came, begun.Add(3*time.Millisecond*time.Duration(max(index, backlog))))
+		arrived = append(arrived, start.Add(3*time.Millisecond*time.Duration(max(index, backlog))))
 	}
-	return came
+	return arrived
 }
 
 var _ = Describe("arrivals", func() {
-	It("are compared with the engine's from past the backlog of the joining on", func() {
+	It("are compared with the engine's after the backlog sent on joining", func() {
 		const count, backlog = 40, 10
-		begun := time.Unix(0, 0)
-		delays := tokensFrom(begun.Add(time.Millisecond), 0, count).after(tokensFrom(begun, backlog, count))
-		Expect(delays).To(HaveLen(count - backlog - 1 - catchUp))
+		start := time.Unix(0, 0)
+		delays := arrivalsFrom(start.Add(time.Millisecond), 0, count).delaysBehind(arrivalsFrom(start, backlog, count))
+		Expect(delays).To(HaveLen(count - backlog - 1 - joinBurstTokens))
 		Expect(delays).To(HaveEach(time.Millisecond))
 	})
 
-	It("are not compared where the joining failed", func() {
-		Expect(tokensFrom(time.Unix(0, 0), 0, 5).after(nil)).To(BeEmpty())
+	It("are not compared if joining failed", func() {
+		Expect(arrivalsFrom(time.Unix(0, 0), 0, 5).delaysBehind(nil)).To(BeEmpty())
 	})
 })
 
 var _ = Describe("table", func() {
-	It("subtracts the first way round by round, and leaves out delays that were not taken", func() {
-		round := func(way string, first, delay time.Duration) Round {
-			return Round{Way: way, InFlight: 1, Calls: 2, First: Spread{Median: first}, Delay: Spread{Median: delay}}
+	It("subtracts the first path round by round, and omits delays that were not measured", func() {
+		round := func(path string, first, delay time.Duration) Round {
+			return Round{Path: path, InFlight: 1, Calls: 2, FirstToken: LatencySummary{Median: first}, ForwardingDelay: LatencySummary{Median: delay}}
 		}
 		text := Table([]Round{
 			round("direct", 4*time.Millisecond, time.Microsecond), round("chat", 6*time.Millisecond, 0),
--- a/rehearsal/speed/table.go
+++ b/rehearsal/speed/table.go
@@ -7,28 +7,28 @@
 	"time"
 )
 
-// Table renders, as Markdown, the times of the first way and what each other
-// way adds to it: the median over the rounds, and in brackets the least and the
-// greatest. The rounds of two ways are compared in the order they were run.
+// Table renders as Markdown the latencies of each path, and what each path adds to
+// the first one: the median over the rounds, with the minimum and maximum in
+// parentheses. Rounds of two paths are paired in the order they ran.
 func Table(rounds []Round) string {
 	var text strings.Builder
-	text.WriteString("| in flight | way | calls | failed | first token p50 ms | p95 ms | gap to each next p50 ms | p95 ms | mean ms | behind the engine p50 ms | p95 ms | mean ms |\n")
+	text.WriteString("| in flight | path | calls | failed | first token p50 ms | p95 ms | inter-token p50 ms | p95 ms | mean ms | forwarding delay p50 ms | p95 ms | mean ms |\n")
 	text.WriteString("|---|---|---|---|---|---|---|---|---|---|---|---|\n")
-	base := rounds[0].Way
-	for _, inFlight := range levels(rounds) {
-		direct := ofWay(rounds, inFlight, base)
-		for _, way := range ways(rounds) {
-			found := ofWay(rounds, inFlight, way)
-			writeRow(&text, way, found, nil)
-			if way != base {
-				writeRow(&text, way+", added", found, direct)
+	base := rounds[0].Path
+	for _, inFlight := range inFlightLevels(rounds) {
+		baseRounds := roundsOf(rounds, inFlight, base)
+		for _, path := range pathNames(rounds) {
+			found := roundsOf(rounds, inFlight, path)
+			writeRow(&text, path, found, nil)
+			if path != base {
+				writeRow(&text, path+", added", found, baseRounds)
 			}
 		}
 	}
 	return text.String()
 }
 
-func levels(rounds []Round) []int {
+func inFlightLevels(rounds []Round) []int {
 	var found []int
 	for _, round := range rounds {
 		if !slices.Contains(found, round.InFlight) {
@@ -38,43 +38,44 @@
 	return found
 }
 
-func ways(rounds []Round) []string {
+func pathNames(rounds []Round) []string {
 	var found []string
 	for _, round := range rounds {
-		if !slices.Contains(found, round.Way) {
-			found = append(found, round.Way)
+		if !slices.Contains(found, round.Path) {
+			found = append(found, round.Path)
 		}
 	}
 	return found
 }
 
-func ofWay(rounds []Round, inFlight int, way string) []Round {
+func roundsOf(rounds []Round, inFlight int, path string) []Round {
 	var found []Round
 	for _, round := range rounds {
-		if round.InFlight == inFlight && round.Way == way {
+		if round.InFlight == inFlight && round.Path == path {
 			found = append(found, round)
 		}
 	}
 	return found
 }
 
-// firstDelay is the first column of quantities about delays, which not every way
-// has.
-const firstDelay = 5
+// firstDelayColumn is the index in timeColumns of the first forwarding delay column,
+// which not every path has.
+const firstDelayColumn = 5
 
-// quantities are the columns of times.
-var quantities = []func(Round) time.Duration{
-	func(round Round) time.Duration { return round.First.Median },
-	func(round Round) time.Duration { return round.First.High },
-	func(round Round) time.Duration { return round.Gap.Median },
-	func(round Round) time.Duration { return round.Gap.High },
-	func(round Round) time.Duration { return round.Gap.Mean },
-	func(round Round) time.Duration { return round.Delay.Median },
-	func(round Round) time.Duration { return round.Delay.High },
-	func(round Round) time.Duration { return round.Delay.Mean },
+// timeColumns are the table's duration columns.
+var timeColumns = []func(Round) time.Duration{
+	func(round Round) time.Duration { return round.FirstToken.Median },
+	func(round Round) time.Duration { return round.FirstToken.P95 },
+	func(round Round) time.Duration { return round.InterToken.Median },
+	func(round Round) time.Duration { return round.InterToken.P95 },
+	func(round Round) time.Duration { return round.InterToken.Mean },
+	func(round Round) time.Duration { return round.ForwardingDelay.Median },
+	func(round Round) time.Duration { return round.ForwardingDelay.P95 },
+	func(round Round) time.Duration { return round.ForwardingDelay.Mean },
 }
 
-// writeRow writes the rounds' times, less those of the base's rounds.
+// writeRow writes a row of the rounds' latencies, less those of the base rounds if
+// given.
 func writeRow(text *strings.Builder, name string, rounds, base []Round) {
 	calls, failed := 0, 0
 	for _, round := range rounds {
@@ -82,16 +83,16 @@
 		failed += round.Failed
 	}
 	fmt.Fprintf(text, "| %d | %s | %d | %d |", rounds[0].InFlight, name, calls, failed)
-	for column, quantity := range quantities {
-		if column >= firstDelay && rounds[0].Delay == (Spread{}) {
+	for column, valueOf := range timeColumns {
+		if column >= firstDelayColumn && rounds[0].ForwardingDelay == (LatencySummary{}) {
 			text.WriteString(" – |")
 			continue
 		}
 		var values []time.Duration
 		for index, round := range rounds {
-			value := quantity(round)
+			value := valueOf(round)
 			if base != nil {
-				value -= quantity(base[index])
+				value -= valueOf(base[index])
 			}
 			values = append(values, value)
 		}
