--- a/rehearsal/command/cost.go
+++ b/rehearsal/command/cost.go
@@ -14,8 +14,8 @@
 	"github.com/magpielug/magpielug/rehearsal/speed"
 )
 
-// Cost measures what schedulers and gateways use when idle, under steady calls,
-// and for programs in progress.
+// Cost measures the CPU, I/O and memory use of schedulers and gateways when idle,
+// under a constant call rate, and with programs in progress.
 type Cost struct {
 	SpeedLayout
 	Rates    []float64     `arg:"--rate" help:"calls a second; default 50 200"`
@@ -23,10 +23,10 @@
 	Programs int           `arg:"--programs" default:"4000" help:"programs to create for the memory of programs in progress"`
 }
 
-// rampUp is how long a load runs before it is measured.
+// rampUp is how long a load runs before the measurement starts.
 const rampUp = 2 * time.Second
 
-// Run prints a table.
+// Run prints the measurements as a Markdown table.
 func (command *Cost) Run(ctx context.Context) error {
 	started, kind, key, err := command.start(ctx)
 	if err != nil {
@@ -45,16 +45,16 @@
 	}
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: speedRunningLimit}}
 	for _, rate := range rates {
-		if err := command.loaded(ctx, started, client, key, rate, idle); err != nil {
+		if err := command.measureUnderLoad(ctx, started, client, key, rate, idle); err != nil {
 			return err
 		}
 	}
-	return command.memory(ctx, started, caller.New(client, key), kind)
+	return command.measureMemory(ctx, started, caller.New(client, key), kind)
 }
 
-// loaded measures under a steady rate of calls.
-func (command *Cost) loaded(ctx context.Context, started *cluster.Cluster, client *http.Client, key string, rate float64, idle []speed.Cost) error {
-	load := &speed.Load{Path: speed.Chat(started.Gateways(), key, rehearsalModel), Client: client, CallsPerSecond: rate}
+// measureUnderLoad measures at a constant call rate; idle is the use without calls.
+func (command *Cost) measureUnderLoad(ctx context.Context, started *cluster.Cluster, client *http.Client, key string, rate float64, idle []speed.Cost) error {
+	load := &speed.Load{Path: speed.Chat(started.Gateways(), key, modelName), Client: client, CallsPerSecond: rate}
 	running, stop := context.WithCancel(ctx)
 	ended := make(chan struct{})
 	go func() {
@@ -75,16 +75,16 @@
 	if failed > 0 {
 		fmt.Fprintf(os.Stderr, "%d calls failed\n", failed)
 	}
-	made := float64(after-before) / command.Duration.Seconds()
-	speed.WriteCosts(os.Stdout, fmt.Sprintf("%.0f calls/s", made), costs, idle, made)
+	callRate := float64(after-before) / command.Duration.Seconds()
+	speed.WriteCosts(os.Stdout, fmt.Sprintf("%.0f calls/s", callRate), costs, idle, callRate)
 	return nil
 }
 
-// memory creates programs and measures with them in progress.
-func (command *Cost) memory(ctx context.Context, started *cluster.Cluster, user *caller.Caller, kind string) error {
+// measureMemory measures with idle programs in progress.
+func (command *Cost) measureMemory(ctx context.Context, started *cluster.Cluster, client *caller.Caller, kind string) error {
 	gateways := started.Gateways()
 	for number := range command.Programs {
-		if _, err := user.CreateProgram(ctx, gateways[number%len(gateways)], "", kind, ""); err != nil {
+		if _, err := client.CreateProgram(ctx, gateways[number%len(gateways)], "", kind, ""); err != nil {
 			return eris.Wrapf(err, "create program %d", number)
 		}
 	}
--- a/rehearsal/command/experiment.go
+++ b/rehearsal/command/experiment.go
@@ -18,8 +18,8 @@
 	Quiet   bool   `arg:"--quiet" help:"print no line for each run"`
 }
 
-// Run carries the experiment out; it prints the tables to standard output and
-// progress to standard error.
+// Run runs the experiment. It prints the tables to standard output and progress to
+// standard error.
 func (command *Experiment) Run(ctx context.Context) error {
 	file, err := experiment.ReadFile(command.File)
 	if err != nil {
--- a/rehearsal/command/fault.go
+++ b/rehearsal/command/fault.go
@@ -12,7 +12,7 @@
 	"github.com/magpielug/magpielug/rehearsal/fault"
 )
 
-// Fault runs scenarios of faults on real processes.
+// Fault runs fault scenarios on real processes.
 type Fault struct {
 	Files     []string `arg:"positional,required" placeholder:"FILE" help:"scenario files"`
 	Port      int      `arg:"--port" default:"7800" help:"port of every machine; the platform's services take this one and the next two"`
@@ -21,7 +21,8 @@
 	Times     int      `arg:"--times" default:"1" help:"how often each scenario runs; the seed rises by one each time"`
 }
 
-// Run runs all scenarios one after the other; it fails where a check failed.
+// Run runs all scenarios sequentially. It fails if a scenario could not be run or
+// a check failed.
 func (command *Fault) Run(ctx context.Context) error {
 	binaries, err := (&Layout{Magpielug: command.Magpielug}).binaries()
 	if err != nil {
@@ -38,20 +39,20 @@
 	failed := 0
 	for round := range command.Times {
 		for _, scenario := range scenarios {
-			again := *scenario
-			again.Seed += uint64(round)
-			directory := filepath.Join(command.Directory, fmt.Sprintf("%s-%d", again.Name, again.Seed))
+			run := *scenario
+			run.Seed += uint64(round)
+			directory := filepath.Join(command.Directory, fmt.Sprintf("%s-%d", run.Name, run.Seed))
 			if err := os.RemoveAll(directory); err != nil {
-				return eris.Wrap(err, "clear the directory of the run")
+				return eris.Wrap(err, "remove old run directory")
 			}
-			report, err := fault.Run(ctx, &again, fault.Environment{
+			report, err := fault.Run(ctx, &run, fault.Environment{
 				Binaries:  binaries,
 				Directory: directory,
 				Port:      command.Port,
 				Output:    os.Stderr,
 			})
 			if err != nil {
-				return eris.Wrapf(err, "scenario %s", again.Name)
+				return eris.Wrapf(err, "scenario %s", run.Name)
 			}
 			printReport(report)
 			if report.Failed() {
@@ -60,7 +61,7 @@
 		}
 	}
 	if failed > 0 {
-		return eris.Errorf("%d runs failed a check", failed)
+		return eris.Errorf("%d scenario runs had failed checks", failed)
 	}
 	return nil
 }
--- a/rehearsal/command/layout.go
+++ b/rehearsal/command/layout.go
@@ -12,8 +12,7 @@
 	"github.com/magpielug/magpielug/rehearsal/workload"
 )
 
-// Layout says what is started of gateways and schedulers, to measure them and to throw faults at
-// them.
+// Layout holds the options of a cluster of gateways and schedulers.
 type Layout struct {
 	Deployment        string `arg:"--deployment" default:"namibia" help:"namibia or cairo: zones, back ends, tiers and program kinds"`
 	Port              int    `arg:"--port" default:"7700" help:"port of every machine; the platform's services take this one and the next two"`
@@ -29,10 +28,10 @@
 	Magpielug         string `arg:"--magpielug" help:"program to start; default is the one beside this program"`
 }
 
-// Names of the one model and the one tool service of schedulers.
+// Names of the model and the tool service that the cluster's engines and tools serve.
 const (
-	rehearsalModel = "small"
-	rehearsalTool  = "records"
+	modelName = "small"
+	toolName  = "records"
 )
 
 func (layout *Layout) plan() (cluster.Plan, workload.Deployment, error) {
@@ -44,10 +43,10 @@
 		Zones:             len(deployment.Zones),
 		GatewaysPerZone:   layout.GatewaysPerZone,
 		SchedulersPerZone: layout.SchedulersPerZone,
-		Engines:           orNumber(layout.Engines, deployment.ModelEngines),
-		Tools:             orNumber(layout.Tools, deployment.ApplicationBackEnds),
-		Model:             rehearsalModel,
-		Tool:              rehearsalTool,
+		Engines:           positiveOrDefault(layout.Engines, deployment.ModelEngines),
+		Tools:             positiveOrDefault(layout.Tools, deployment.ApplicationBackEnds),
+		Model:             modelName,
+		Tool:              toolName,
 		Port:              layout.Port,
 		Shards:            layout.Shards,
 		Blocks:            layout.Blocks,
@@ -58,9 +57,9 @@
 	return plan, deployment, nil
 }
 
-func orNumber(given, fallback int) int {
-	if given > 0 {
-		return given
+func positiveOrDefault(value, fallback int) int {
+	if value > 0 {
+		return value
 	}
 	return fallback
 }
@@ -68,7 +67,7 @@
 func (layout *Layout) binaries() (cluster.Binaries, error) {
 	self, err := os.Executable()
 	if err != nil {
-		return cluster.Binaries{}, eris.Wrap(err, "find this program")
+		return cluster.Binaries{}, eris.Wrap(err, "locate the rehearsal executable")
 	}
 	magpielug := layout.Magpielug
 	if magpielug == "" {
@@ -77,7 +76,7 @@
 	return cluster.Binaries{Magpielug: magpielug, Rehearsal: self}, nil
 }
 
-// start starts the layout's processes and waits until they serve.
+// start starts the layout's processes and waits until they are ready.
 func (layout *Layout) start(ctx context.Context) (*cluster.Cluster, workload.Deployment, error) {
 	plan, deployment, err := layout.plan()
 	if err != nil {
--- a/rehearsal/command/losses.go
+++ b/rehearsal/command/losses.go
@@ -10,26 +10,26 @@
 	"github.com/magpielug/magpielug/rehearsal/losses"
 )
 
-// Losses tells from the log lines of a run which programs were lost and why.
+// Losses reports which programs were lost in a run and why, from the nodes' logs.
 type Losses struct {
 	File     string        `arg:"positional,required" help:"output of a run with the lines of all nodes"`
 	Window   time.Duration `arg:"--window" default:"2s" help:"length of the spans that losses are counted in"`
 	Examples int           `arg:"--examples" default:"3" help:"losses shown of each cause"`
 }
 
-// Run prints the table.
+// Run prints the losses by cause and time window.
 func (command *Losses) Run(context.Context) error {
 	if command.Window <= 0 {
-		return eris.Errorf("window is %s; it must be above 0", command.Window)
+		return eris.Errorf("--window must be positive, got %s", command.Window)
 	}
 	file, err := os.Open(command.File)
 	if err != nil {
 		return eris.Wrap(err, "open the run's output")
 	}
 	defer func() { _ = file.Close() }()
-	found, first, err := losses.Read(file)
+	lost, first, err := losses.Read(file)
 	if err != nil {
 		return eris.Wrap(err, "read the run's output")
 	}
-	return losses.Write(os.Stdout, found, losses.Windows(found, first, command.Window), command.Examples)
+	return losses.Write(os.Stdout, lost, losses.Windows(lost, first, command.Window), command.Examples)
 }
--- a/rehearsal/command/standin_test.go
+++ b/rehearsal/command/node_standins_test.go
@@ -17,11 +17,12 @@
 	"github.com/magpielug/magpielug/rehearsal/standin/records"
 )
 
-// nodeExample is the settings file that README starts a node with.
-const nodeExample = "../../examples/node.toml"
+// exampleSettings is the settings file of the README's example.
+const exampleSettings = "../../examples/node.toml"
 
-// ask sends a request to a node and returns its status and body, and how many reads gave it.
-func ask(address, path, id, body string) (status int, content string, pieces int) {
+// post sends a request to a node. It returns the status, the body, and the number of
+// reads that the body took.
+func post(address, path, id, body string) (status int, content string, reads int) {
 	request, err := http.NewRequest(http.MethodPost, "http://"+address+path, strings.NewReader(body))
 	Expect(err).NotTo(HaveOccurred())
 	request.Header.Set("Request-Id", id)
@@ -36,44 +37,45 @@
 		var count int
 		count, err = response.Body.Read(buffer)
 		content += string(buffer[:count])
-		pieces++
+		reads++
 	}
 	Expect(err).To(MatchError(io.EOF))
-	return response.StatusCode, content, pieces
+	return response.StatusCode, content, reads
 }
 
-// startNode starts a node by its example file, at addresses of the test.
-func startNode(store string) (callers string) {
+// startNode starts a node with the example settings on free ports, and returns the
+// address for callers.
+func startNode(store string) (callerAddress string) {
 	binary, err := gexec.Build("github.com/magpielug/magpielug/cmd/magpielug")
 	Expect(err).NotTo(HaveOccurred())
 	DeferCleanup(gexec.CleanupBuildArtifacts)
-	callers = freeAddress()
-	session, err := gexec.Start(exec.Command(binary, "node", "--settings", nodeExample, "--set", "store.address="+store, "--set", "listen.callers="+callers,
+	callerAddress = freeAddress()
+	session, err := gexec.Start(exec.Command(binary, "node", "--settings", exampleSettings, "--set", "store.address="+store, "--set", "listen.callers="+callerAddress,
 		"--set", "listen.readiness="+freeAddress(), "--set", "listen.peers="+freeAddress(), "--set", "listen.metrics="+freeAddress()), GinkgoWriter, GinkgoWriter)
 	Expect(err).NotTo(HaveOccurred())
 	DeferCleanup(func() { session.Kill().Wait() })
-	return callers
+	return callerAddress
 }
 
 var _ = Describe("A store, an engine, a tool and a node started by hand", func() {
 	It("stream an answer, and run a tool call", func() {
 		store := freeAddress()
-		start(&Engine{}, "--listen", freeAddress(), "--store", store, "--events", "5", "--pause", "20ms")
-		start(&Tool{}, "--listen", freeAddress(), "--store", store)
-		start(&Store{}, "--listen", store)
-		callers := startNode(store)
-		// Each try is a request of its own.
+		startCommand(&Engine{}, "--listen", freeAddress(), "--store", store, "--events", "5", "--pause", "20ms")
+		startCommand(&Tool{}, "--listen", freeAddress(), "--store", store)
+		startCommand(&Store{}, "--listen", store)
+		callerAddress := startNode(store)
+		// Each attempt is a separate request, with its own request id.
 		Eventually(func() int {
-			status, _, _ := ask(callers, records.PathTool+"x", "tool-"+time.Now().String(), "credit")
+			status, _, _ := post(callerAddress, records.PathTool+"x", "tool-"+time.Now().String(), "credit")
 			return status
 		}, settleTimeout, "50ms").Should(Equal(http.StatusOK))
-		status, content, pieces := ask(callers, records.PathKept+"chat", "turn-1", "why was the token refused?")
+		status, content, reads := post(callerAddress, records.PathKept+"chat", "turn-1", "why was the token refused?")
 		Expect(status).To(Equal(http.StatusOK))
 		Expect(content).To(And(HavePrefix("id: 1\ndata: turn-1-1\n\n"), HaveSuffix("id: 5\ndata: turn-1-5\n\n")))
-		Expect(pieces).To(BeNumerically(">", 2), "the answer came at once")
+		Expect(reads).To(BeNumerically(">", 2), "the response was not streamed")
 	})
 
-	It("leave the store's list when they stop", func() {
+	It("remove their records from the store when they stop", func() {
 		store, err := logstore.Start(freeAddress())
 		Expect(err).NotTo(HaveOccurred())
 		DeferCleanup(store.Close)
--- a/rehearsal/command/registration.go
+++ b/rehearsal/command/registration.go
@@ -15,13 +15,13 @@
 )
 
 const (
-	// registerRetry is the wait before a failed registration is tried again.
+	// registerRetry is the wait before a failed registration is retried.
 	registerRetry = 200 * time.Millisecond
-	// registerTimeout bounds one exchange with the machine list.
+	// registerTimeout bounds one request to the machine list.
 	registerTimeout = 2 * time.Second
 )
 
-// Registration puts a stand-in back end on the stand-in machine list.
+// Registration holds the options of a stand-in's entry in the machine list.
 type Registration struct {
 	ID        string `arg:"--id" help:"machine id"`
 	Region    string `arg:"--region" default:"region-1" help:"region of the machine"`
@@ -33,9 +33,9 @@
 	service string
 }
 
-// machine is the entry for a stand-in that listens on address. It sets the id
-// where none was given.
-func (entry *Registration) machine(address string) wire.Machine {
+// machineEntry returns the list entry of a stand-in that listens on address. It
+// sets the id if none was given.
+func (entry *Registration) machineEntry(address string) wire.Machine {
 	if entry.Advertise != "" {
 		address = entry.Advertise
 	}
@@ -52,10 +52,10 @@
 	}
 }
 
-// register puts the machine on the list, trying until it stands or ctx ends.
+// register adds the machine to the list, retrying until it succeeds or ctx is done.
 func (entry *Registration) register(ctx context.Context, machine wire.Machine) {
 	for entry.Machines != "" {
-		err := postAdmin(ctx, entry.Machines, machines.PathRegister, machine)
+		err := postToMachineList(ctx, entry.Machines, machines.PathRegister, machine)
 		if err == nil {
 			return
 		}
@@ -67,17 +67,17 @@
 	}
 }
 
-// order gives the list an order about the machine; the list may be gone
-// already.
-func (entry *Registration) order(ctx context.Context, path string) {
+// updateList posts a state change of the machine. Errors are ignored: on shutdown
+// the list may have stopped first.
+func (entry *Registration) updateList(ctx context.Context, path string) {
 	if entry.Machines == "" {
 		return
 	}
-	_ = postAdmin(ctx, entry.Machines, path, machines.MachineID{ID: entry.ID})
+	_ = postToMachineList(ctx, entry.Machines, path, machines.MachineID{ID: entry.ID})
 }
 
-// postAdmin posts an order to the machine list's admin endpoints.
-func postAdmin(ctx context.Context, address, path string, body any) error {
+// postToMachineList posts body to an admin endpoint of the machine list.
+func postToMachineList(ctx context.Context, address, path string, body any) error {
 	encoded, err := json.Marshal(body)
 	if err != nil {
 		return err
@@ -97,7 +97,7 @@
 	}
 	defer func() { _ = response.Body.Close() }()
 	if response.StatusCode != http.StatusOK {
-		return fmt.Errorf("machine list answered %s", response.Status)
+		return fmt.Errorf("machine list returned status %s", response.Status)
 	}
 	return nil
 }
--- a/rehearsal/command/run.go
+++ b/rehearsal/command/run.go
@@ -14,14 +14,15 @@
 )
 
 const (
-	// rehearsalHost is the host that callers name; it is what curl sends by itself.
-	rehearsalHost = "127.0.0.1"
-	// eventPause makes a turn of the stand-in engines last some 60 ms, so that a run takes
-	// well under 40 s: at 3 ms a step an event's 9 tokens would take 27 ms.
+	// callerHost is the Host header of callers; curl sends it by default for the
+	// nodes' addresses.
+	callerHost = "127.0.0.1"
+	// eventPause is the time between two events of a stand-in engine's stream. To keep
+	// runs short it is less than the 27 ms that an event's 9 tokens take at 3 ms a step.
 	eventPause = 15 * time.Millisecond
 )
 
-// NodeLayout says what is started of nodes and around them.
+// NodeLayout holds the options of a cluster of nodes and their stand-ins.
 type NodeLayout struct {
 	Deployment string `arg:"--deployment" default:"namibia" help:"namibia or cairo: zones, engines, tools, kinds of programs, and tiers as tenants"`
 	Nodes      int    `arg:"--nodes" default:"8" help:"nodes, spread over the zones"`
@@ -42,12 +43,12 @@
 	directory := filepath.Clean(layout.Directory)
 	err = os.RemoveAll(directory)
 	if err != nil {
-		return soak.StagedOptions{}, eris.Wrap(err, "clear the directory of the run")
+		return soak.StagedOptions{}, eris.Wrap(err, "remove old run directory")
 	}
 	return soak.StagedOptions{
 		Options: soak.Options{
 			Nodes:      layout.Nodes,
-			Host:       rehearsalHost,
+			Host:       callerHost,
 			FirstPort:  layout.Port,
 			EventPause: eventPause,
 			Magpielug:  binaries.Magpielug,
@@ -58,24 +59,25 @@
 	}, nil
 }
 
-// Run starts nodes, runs a mixed set of programs with a few faults and prints the figures.
+// Run starts nodes, runs a mixed set of programs with a few faults and prints the
+// measurements.
 type Run struct {
 	NodeLayout
-	Programs   int           `arg:"--programs" default:"60" help:"programs to run, besides one that loops without end"`
-	Over       time.Duration `arg:"--over" default:"16s" help:"time over which the programs arrive"`
-	TimeScale  float64       `arg:"--time-scale" default:"0.5" help:"factor on the programs' pauses, each at most 0.5s then"`
-	LoopBudget int64         `arg:"--loop-budget" default:"4000" help:"tokens that the program that loops without end may use; the default lasts beyond the faults"`
-	Seed       uint64        `arg:"--seed" default:"1" help:"seed of the programs"`
+	Programs    int           `arg:"--programs" default:"60" help:"programs to run, besides one that loops without end"`
+	ArrivalSpan time.Duration `arg:"--over" default:"16s" help:"time over which the programs arrive"`
+	TimeScale   float64       `arg:"--time-scale" default:"0.5" help:"factor on the programs' pauses, each at most 0.5s then"`
+	LoopBudget  int64         `arg:"--loop-budget" default:"4000" help:"tokens that the program that loops without end may use; the default lasts beyond the faults"`
+	Seed        uint64        `arg:"--seed" default:"1" help:"seed of the programs"`
 }
 
-// longestAim is what the lowest tier's programs should take at most; each tier above is to take
-// aimStep less. The figures are the rehearsal's own, to show the order of the tiers.
+// maxSoftDeadline is the soft deadline of the lowest tier's programs; it shrinks by
+// softDeadlineStep with each higher tier.
 const (
-	longestAim = 10 * time.Second
-	aimStep    = 2 * time.Second
+	maxSoftDeadline  = 10 * time.Second
+	softDeadlineStep = 2 * time.Second
 )
 
-// Run fails where a promise was broken.
+// Run returns an error if the run could not be made or a guarantee was violated.
 func (command *Run) Run(ctx context.Context) error {
 	options, err := command.options()
 	if err != nil {
@@ -83,10 +85,10 @@
 	}
 	options.Seed = command.Seed
 	options.Programs = command.Programs
-	options.Over = command.Over
+	options.Over = command.ArrivalSpan
 	options.TimeScale = command.TimeScale
 	options.LoopBudget = command.LoopBudget
-	options.Aims = aimsOf(options.Deployment)
+	options.Aims = softDeadlines(options.Deployment)
 	fmt.Fprintf(os.Stderr, "starting %d nodes in %d zones, %d engines, %d tools and a store; logs in %s\n",
 		options.Nodes, len(options.Deployment.Zones), options.Deployment.ModelEngines, options.Deployment.ApplicationBackEnds, options.Directory)
 	outcome, err := soak.RunStaged(ctx, options)
@@ -94,29 +96,29 @@
 		return err
 	}
 	fmt.Print(outcome.Table(tierNames(options.Deployment), options.Aims))
-	return judge(outcome.Violations)
+	return reportViolations(outcome.Violations)
 }
 
-// judge shows the broken promises; it fails where there is one.
-func judge(violations []soak.Violation) error {
+// reportViolations prints the violations, and returns an error if there are any.
+func reportViolations(violations []soak.Violation) error {
 	if len(violations) == 0 {
-		fmt.Println("no promise was broken")
+		fmt.Println("no guarantee was violated")
 		return nil
 	}
-	for _, violation := range violations[:min(mostShown, len(violations))] {
-		fmt.Println("broken: " + violation.String())
+	for _, violation := range violations[:min(maxViolationsShown, len(violations))] {
+		fmt.Println("violated: " + violation.String())
 	}
-	return eris.Errorf("%d promises were broken", len(violations))
+	return eris.Errorf("%d violations of guarantees", len(violations))
 }
 
-// aimsOf is what programs should take at most, by tier.
-func aimsOf(deployment workload.Deployment) map[string]time.Duration {
-	aims := map[string]time.Duration{}
-	for rank := range deployment.Tiers {
-		fromLowest := time.Duration(len(deployment.Tiers) - 1 - rank)
-		aims[deployment.Tiers[rank].Name] = longestAim - fromLowest*aimStep
+// softDeadlines returns the soft deadline of each tier's programs.
+func softDeadlines(deployment workload.Deployment) map[string]time.Duration {
+	deadlines := map[string]time.Duration{}
+	for index := range deployment.Tiers {
+		fromLowest := time.Duration(len(deployment.Tiers) - 1 - index)
+		deadlines[deployment.Tiers[index].Name] = maxSoftDeadline - fromLowest*softDeadlineStep
 	}
-	return aims
+	return deadlines
 }
 
 func tierNames(deployment workload.Deployment) []string {
--- a/rehearsal/command/pool.go
+++ b/rehearsal/command/scheduler_standins.go
@@ -20,15 +20,14 @@
 )
 
 const (
-	// standInBodyBytes bounds the requests that a stand-in takes.
-	standInBodyBytes = 16 << 20
-	// standInInFlight bounds the requests that a stand-in serves at once.
-	standInInFlight = 16384
-	// standInDrain bounds the wait for requests under way at a stop.
-	standInDrain = 10 * time.Second
+	maxBodyBytes = 16 << 20
+	// maxInFlight limits a stand-in's connections and its concurrent requests.
+	maxInFlight = 16384
+	// drainTimeout bounds the wait for in-flight requests on shutdown.
+	drainTimeout = 10 * time.Second
 )
 
-// PoolEngine runs a stand-in model engine of the pools that schedulers serve.
+// PoolEngine runs a stand-in model engine for the schedulers' engine pools.
 type PoolEngine struct {
 	Listen string `arg:"--listen,required" placeholder:"HOST:PORT" help:"address to listen on"`
 	Registration
@@ -47,7 +46,7 @@
 	LoadDuration   time.Duration `arg:"--load-duration" default:"500ms" help:"time to move weights"`
 }
 
-// Run serves until ctx ends.
+// Run serves until ctx is done.
 func (command *PoolEngine) Run(ctx context.Context) error {
 	config, err := command.config()
 	if err != nil {
@@ -99,7 +98,7 @@
 	MaxBytes int    `arg:"--max-bytes" default:"1073741824" help:"bound on all records together"`
 }
 
-// Run serves until ctx ends.
+// Run serves until ctx is done.
 func (command *StandInLog) Run(ctx context.Context) error {
 	standIn := logservice.New(logservice.Config{MaxBytes: command.MaxBytes})
 	return serveStandIn(ctx, command.Listen, standIn.Handler(), nil)
@@ -111,7 +110,7 @@
 	Lag    time.Duration `arg:"--lag" default:"1s" help:"how late a change shows"`
 }
 
-// Run serves until ctx ends.
+// Run serves until ctx is done.
 func (command *StandInMachines) Run(ctx context.Context) error {
 	standIn := machines.New(machines.Config{Lag: command.Lag})
 	return serveStandIn(ctx, command.Listen, standIn.Handler(), nil)
@@ -124,13 +123,13 @@
 	Burst     int     `arg:"--burst" default:"2" help:"moves granted at once"`
 }
 
-// Run serves until ctx ends.
+// Run serves until ctx is done.
 func (command *StandInWeights) Run(ctx context.Context) error {
 	standIn := weights.New(weights.Config{PerSecond: command.PerSecond, Burst: command.Burst})
 	return serveStandIn(ctx, command.Listen, standIn.Handler(), nil)
 }
 
-// PoolTool runs a stand-in application or tool service that schedulers call.
+// PoolTool runs a stand-in tool or application service for schedulers.
 type PoolTool struct {
 	Listen string `arg:"--listen,required" placeholder:"HOST:PORT" help:"address to listen on"`
 	Registration
@@ -138,7 +137,7 @@
 	Delay   time.Duration `arg:"--delay" default:"0s" help:"least duration of a call"`
 }
 
-// Run serves until ctx ends.
+// Run serves until ctx is done.
 func (command *PoolTool) Run(ctx context.Context) error {
 	standIn := tool.New(tool.Config{Service: command.Service, Delay: command.Delay})
 	command.role = outside.RoleTool
@@ -146,32 +145,33 @@
 	return serveStandIn(ctx, command.Listen, standIn.Handler(), &command.Registration)
 }
 
-// serveStandIn serves until ctx ends, then lets requests under way finish. With
-// a registration the stand-in is on the machine list meanwhile: live, then
-// leaving, then gone.
+// serveStandIn serves until ctx is done, then drains in-flight requests. With a
+// registration, the machine list shows the stand-in as live, as leaving while it
+// drains, and no longer afterwards. It returns an error if requests were still in
+// flight after drainTimeout.
 func serveStandIn(ctx context.Context, listen string, handler http.Handler, entry *Registration) error {
 	server, err := httpserver.Start(listen, handler, httpserver.Limits{
-		MaxConnections: standInInFlight,
-		MaxInFlight:    standInInFlight,
-		MaxBodyBytes:   standInBodyBytes,
+		MaxConnections: maxInFlight,
+		MaxInFlight:    maxInFlight,
+		MaxBodyBytes:   maxBodyBytes,
 	})
 	if err != nil {
 		return err
 	}
 	fmt.Fprintf(os.Stderr, "event=listening address=%s\n", server.Address())
 	if entry != nil {
-		go entry.register(ctx, entry.machine(server.Address()))
+		go entry.register(ctx, entry.machineEntry(server.Address()))
 	}
 	<-ctx.Done()
-	drain, cancel := context.WithTimeout(context.WithoutCancel(ctx), standInDrain)
+	drain, cancel := context.WithTimeout(context.WithoutCancel(ctx), drainTimeout)
 	defer cancel()
 	if entry != nil {
-		entry.order(drain, machines.PathLeave)
-		defer entry.order(drain, machines.PathRemove)
+		entry.updateList(drain, machines.PathLeave)
+		defer entry.updateList(drain, machines.PathRemove)
 	}
 	err = server.Shutdown(drain)
 	if errors.Is(err, context.DeadlineExceeded) {
-		return fmt.Errorf("requests were cut after %s: %w", standInDrain, err)
+		return fmt.Errorf("requests still in flight after %s were aborted: %w", drainTimeout, err)
 	}
 	return err
 }
--- a/rehearsal/command/soak.go
+++ b/rehearsal/command/soak.go
@@ -13,7 +13,7 @@
 	"github.com/magpielug/magpielug/rehearsal/soak"
 )
 
-// Soak throws random faults at nodes run as processes.
+// Soak injects random faults into nodes that run as processes under load.
 type Soak struct {
 	Seed      uint64        `arg:"--seed" help:"seed of the first run; 0 draws one"`
 	Runs      int           `arg:"--runs" default:"1" help:"runs, each with the next seed"`
@@ -26,10 +26,11 @@
 	Magpielug string        `arg:"--magpielug" help:"program to start; default is the one beside this program"`
 }
 
-// mostShown bounds the broken promises shown of one run.
-const mostShown = 10
+// maxViolationsShown limits the violations printed for one run.
+const maxViolationsShown = 10
 
-// Run makes the runs one after the other; it fails where a promise was broken.
+// Run makes the runs sequentially. It returns an error if a run could not be made or
+// a guarantee was violated.
 func (command *Soak) Run(ctx context.Context) error {
 	binaries, err := (&Layout{Magpielug: command.Magpielug}).binaries()
 	if err != nil {
@@ -41,26 +42,26 @@
 	}
 	failed := 0
 	for range command.Runs {
-		broken, err := command.once(ctx, seed, binaries.Magpielug)
+		violated, err := command.runOnce(ctx, seed, binaries.Magpielug)
 		if err != nil {
 			return err
 		}
-		if broken {
+		if violated {
 			failed++
 		}
 		seed++
 	}
 	if failed > 0 {
-		return eris.Errorf("%d of %d runs broke a promise", failed, command.Runs)
+		return eris.Errorf("%d of %d runs violated a guarantee", failed, command.Runs)
 	}
 	return nil
 }
 
-// once makes one run and tells whether a promise was broken.
-func (command *Soak) once(ctx context.Context, seed uint64, magpielug string) (bool, error) {
+// runOnce makes one run and reports whether a guarantee was violated.
+func (command *Soak) runOnce(ctx context.Context, seed uint64, magpielug string) (bool, error) {
 	directory := filepath.Join(command.Directory, fmt.Sprint(seed))
 	if err := os.RemoveAll(directory); err != nil {
-		return false, eris.Wrap(err, "clear the directory of the run")
+		return false, eris.Wrap(err, "remove old run directory")
 	}
 	report, err := soak.Run(ctx, soak.Options{
 		Seed:      seed,
@@ -76,9 +77,9 @@
 	if err != nil {
 		return false, err
 	}
-	fmt.Printf("seed %d: %d faults, %d turns, answers by status %v, %d broken\n",
+	fmt.Printf("seed %d: %d faults, %d turns, responses by status %v, %d violations\n",
 		report.Seed, report.Thrown, report.Turns, report.Statuses, len(report.Violations))
-	for _, violation := range report.Violations[:min(mostShown, len(report.Violations))] {
+	for _, violation := range report.Violations[:min(maxViolationsShown, len(report.Violations))] {
 		fmt.Println("  " + violation.String())
 	}
 	return len(report.Violations) > 0, nil
--- a/rehearsal/command/speed.go
+++ b/rehearsal/command/speed.go
@@ -14,8 +14,8 @@
 	"github.com/magpielug/magpielug/rehearsal/speed"
 )
 
-// SpeedLayout is what the measurements of speed and cost start: one gateway and
-// one scheduler a zone, and one engine at which calls don't queue.
+// SpeedLayout holds the options of the cluster that Speed and Cost measure: one
+// gateway and one scheduler per zone, and one engine at which calls don't queue.
 type SpeedLayout struct {
 	Port      int           `arg:"--port" default:"7700" help:"port of every machine; the platform's services take this one and the next two"`
 	Directory string        `arg:"--directory" default:"out/speed" help:"where logs and settings files go"`
@@ -24,7 +24,7 @@
 	Settle    time.Duration `arg:"--settle" default:"15s" help:"wait before the first measurement: leaders hand over to the preferred processes"`
 }
 
-// Speed measures what gateway and scheduler add to a call's tokens.
+// Speed measures the latency that gateway and scheduler add to a call's tokens.
 type Speed struct {
 	SpeedLayout
 	InFlight []int         `arg:"--in-flight" help:"numbers of calls in flight; default 1 64 512"`
@@ -35,13 +35,14 @@
 }
 
 const (
-	// speedRunningLimit keeps calls from queueing at the engine.
+	// speedRunningLimit is high enough that calls don't queue at the engine.
 	speedRunningLimit = 1024
-	// speedBlocks holds every call in flight and the prefixes of calls before.
+	// speedBlocks is enough cache for all calls in flight and the prefixes of earlier
+	// calls.
 	speedBlocks = 1 << 17
 )
 
-// Run prints a table.
+// Run prints the latencies as a Markdown table.
 func (command *Speed) Run(ctx context.Context) error {
 	started, kind, key, err := command.start(ctx)
 	if err != nil {
@@ -60,9 +61,9 @@
 	}
 	rounds := speed.Compare(ctx, speed.Config{
 		Paths: []speed.CallPath{
-			speed.Direct(adapters, started.Engines()[0], rehearsalModel),
-			speed.Program(client, started.Gateways(), key, kind, rehearsalModel),
-			speed.Chat(started.Gateways(), key, rehearsalModel),
+			speed.Direct(adapters, started.Engines()[0], modelName),
+			speed.Program(client, started.Gateways(), key, kind, modelName),
+			speed.Chat(started.Gateways(), key, modelName),
 		},
 		InFlight:      inFlight,
 		Rounds:        command.Rounds,
@@ -71,7 +72,7 @@
 		Seed:          command.Seed,
 		Client:        client,
 		Engine:        started.Engines()[0],
-		Progress:      showRound,
+		Progress:      printRound,
 	})
 	if err := ctx.Err(); err != nil {
 		return eris.Wrap(err, "measure")
@@ -80,8 +81,8 @@
 	return nil
 }
 
-// start returns once everything serves and has settled, with a kind of programs
-// and the key of its tier.
+// start starts the cluster and returns after the settle time, with a program kind
+// and the API key of its tier.
 func (command *SpeedLayout) start(ctx context.Context) (started *cluster.Cluster, kind, key string, err error) {
 	layout := Layout{
 		Deployment:        "namibia",
@@ -109,11 +110,11 @@
 	return started, first.Name, cluster.TierKey(first.Tier), nil
 }
 
-func showRound(round speed.Round) {
-	fmt.Fprintf(os.Stderr, "%d in flight, %s: %d calls, first token p50 %s, each next mean %s", round.InFlight, round.Path,
+func printRound(round speed.Round) {
+	fmt.Fprintf(os.Stderr, "%d in flight, %s: %d calls, first token p50 %s, inter-token mean %s", round.InFlight, round.Path,
 		round.Calls, round.FirstToken.Median.Round(time.Microsecond), round.InterToken.Mean.Round(time.Microsecond))
 	if round.Failed > 0 {
-		fmt.Fprintf(os.Stderr, ", %d failed, the first: %s", round.Failed, round.FirstError)
+		fmt.Fprintf(os.Stderr, ", %d failed, first error: %s", round.Failed, round.FirstError)
 	}
 	fmt.Fprintln(os.Stderr)
 }
