--- a/rehearsal/fault/call.go
+++ b/rehearsal/fault/call.go
@@ -12,112 +12,112 @@
 )
 
 const (
-	// answerBound is how long one send waits for its whole answer.
-	answerBound = 20 * time.Second
-	// callBound is how long a caller sends one request id again.
-	callBound = 60 * time.Second
+	// attemptTimeout bounds one attempt, up to the complete response.
+	attemptTimeout = 20 * time.Second
+	// callTimeout is how long a request id is retried.
+	callTimeout = 60 * time.Second
 )
 
-// makeCall sends a call to its final answer, through two gateways at once where
-// it is a duplicate. The failure is nil where the call was answered or its
-// caller gave up.
+// makeCall sends a call until it has a final outcome; a duplicate is sent twice
+// concurrently. The failure is nil if the call succeeded or its outcome is unknown.
 func (program *programRun) makeCall(ctx context.Context, requestID string, call caller.Call, duplicate bool) (history.Call, *caller.Failure) {
 	if !duplicate {
 		return program.sendUntilAnswered(ctx, requestID, call)
 	}
 	type answer struct {
-		made    history.Call
+		record  history.Call
 		failure *caller.Failure
 	}
 	second := make(chan answer, 1)
 	go func() {
-		made, failure := program.sendUntilAnswered(ctx, requestID, call)
-		second <- answer{made, failure}
+		record, failure := program.sendUntilAnswered(ctx, requestID, call)
+		second <- answer{record, failure}
 	}()
-	made, failure := program.sendUntilAnswered(ctx, requestID, call)
+	record, failure := program.sendUntilAnswered(ctx, requestID, call)
 	other := <-second
-	return program.agreed(made, failure, other.made, other.failure)
+	return program.mergeDuplicates(record, failure, other.record, other.failure)
 }
 
-// agreed makes one call of the two answers to one request id. Both have to be
-// the same; an unknown outcome, and a refusal of one request alone, tell nothing
-// of the other.
-func (program *programRun) agreed(first history.Call, firstFailure *caller.Failure, second history.Call, secondFailure *caller.Failure) (history.Call, *caller.Failure) {
-	if tellsNothing(first) {
+// mergeDuplicates merges the outcomes of two concurrent sends of a request id into
+// one call. It records a problem if both are conclusive and differ.
+func (program *programRun) mergeDuplicates(first history.Call, firstFailure *caller.Failure, second history.Call, secondFailure *caller.Failure) (history.Call, *caller.Failure) {
+	if isInconclusive(first) {
 		first, firstFailure, second = second, secondFailure, first
 	}
 	first.Sends += second.Sends
 	first.Invoked = min(first.Invoked, second.Invoked)
 	same := first.Outcome == second.Outcome && first.Result.Output == second.Result.Output
-	if !same && !tellsNothing(second) {
-		program.record.Problem = first.RequestID + " got two answers: " + string(first.Outcome) + " " + first.Failure +
+	if !same && !isInconclusive(second) {
+		program.record.Problem = first.RequestID + " got two different responses: " + string(first.Outcome) + " " + first.Failure +
 			", " + string(second.Outcome) + " " + second.Failure
 	}
 	return first, firstFailure
 }
 
-func tellsNothing(made history.Call) bool {
-	return made.Outcome == history.Unknown || (made.Outcome == history.NotRun && speaksOfRequestAlone(resultcode.Code(made.Code)))
+// isInconclusive reports whether an outcome allows no conclusion about the other send
+// of the same request id.
+func isInconclusive(record history.Call) bool {
+	return record.Outcome == history.Unknown || (record.Outcome == history.NotRun && isUnrecordedRefusal(resultcode.Code(record.Code)))
 }
 
-// sendUntilAnswered sends a call, and again with the same request id through
-// any gateway while its connection breaks or a refusal speaks of that request
-// alone, as a careful caller does. Where no send was broken off, such a refusal
-// at the end means that the call did not run.
+// sendUntilAnswered sends a call and retries it with the same request id, through any
+// gateway, after connection failures and retryable error responses. When callTimeout
+// passes, a call that was refused and never interrupted counts as not run; otherwise
+// its outcome is unknown.
 func (program *programRun) sendUntilAnswered(ctx context.Context, requestID string, call caller.Call) (history.Call, *caller.Failure) {
 	runner := program.runner()
-	made := history.Call{RequestID: requestID, Sent: call, Invoked: runner.now(), Outcome: history.Unknown}
-	until := time.Now().Add(callBound)
-	cut := false
-	var last *caller.Failure
-	for time.Now().Before(until) && ctx.Err() == nil {
+	record := history.Call{RequestID: requestID, Sent: call, Invoked: runner.elapsed(), Outcome: history.Unknown}
+	deadline := time.Now().Add(callTimeout)
+	interrupted := false
+	var lastRefusal *caller.Failure
+	for time.Now().Before(deadline) && ctx.Err() == nil {
 		gateway := program.gateway()
 		result, err := program.send(ctx, gateway, requestID, call)
-		made.Returned = runner.now()
-		made.Sends++
+		record.Returned = runner.elapsed()
+		record.Sends++
 		if err == nil {
-			made.Outcome, made.Result, made.Failure = history.Answered, result, ""
-			return made, nil
+			record.Outcome, record.Result, record.Failure = history.Answered, result, ""
+			return record, nil
 		}
-		made.Failure = err.Error()
+		record.Failure = err.Error()
 		var failure *caller.Failure
 		switch {
 		case errors.As(err, &failure) && isFinal(failure):
-			made.Code = failure.Code
-			made.Outcome = history.OutcomeOf(resultcode.Code(failure.Code))
-			return made, failure
-		case failure != nil && speaksOfRequestAlone(resultcode.Code(failure.Code)):
-			last = failure
-			runner.shown(gateway, history.BackEndName(program.record.ID, requestID), err)
+			record.Code = failure.Code
+			record.Outcome = history.OutcomeOf(resultcode.Code(failure.Code))
+			return record, failure
+		case failure != nil && isUnrecordedRefusal(resultcode.Code(failure.Code)):
+			lastRefusal = failure
+			runner.recordRetriedError(gateway, history.BackEndName(program.record.ID, requestID), err)
 		case !isUnreachable(err):
-			cut = true
-			runner.cut(gateway, history.BackEndName(program.record.ID, requestID), err)
+			interrupted = true
+			runner.recordInterruption(gateway, history.BackEndName(program.record.ID, requestID), err)
 		}
-		pause(ctx, program.backOff(err))
+		sleep(ctx, program.backOff(err))
 	}
-	if !cut && last != nil {
-		made.Code, made.Outcome = last.Code, history.NotRun
-		return made, last
+	if !interrupted && lastRefusal != nil {
+		record.Code, record.Outcome = lastRefusal.Code, history.NotRun
+		return record, lastRefusal
 	}
-	return made, nil
+	return record, nil
 }
 
 func (program *programRun) send(ctx context.Context, gateway, requestID string, call caller.Call) (caller.Result, error) {
-	bounded, cancel := context.WithTimeout(ctx, answerBound)
+	bounded, cancel := context.WithTimeout(ctx, attemptTimeout)
 	defer cancel()
 	return program.caller.Run(bounded, gateway, program.record.ID, requestID, call)
 }
 
-// isFinal tells whether an error answer ends its request id. The others ask for
-// the same request again.
+// isFinal reports whether an error response is the final outcome of its request id.
+// After any other, the same request is to be retried.
 func isFinal(failure *caller.Failure) bool {
 	code := resultcode.Code(failure.Code)
-	return code != resultcode.SlowReader && code != resultcode.Internal && !speaksOfRequestAlone(code)
+	return code != resultcode.SlowReader && code != resultcode.Internal && !isUnrecordedRefusal(code)
 }
 
-// speaksOfRequestAlone tells whether a refusal is not recorded for its request
-// id: it says that this request did not run, and nothing of an earlier one.
-func speaksOfRequestAlone(code resultcode.Code) bool {
+// isUnrecordedRefusal reports whether a refusal is not recorded for its request id:
+// this attempt did not run, but an earlier one with the same id may have.
+func isUnrecordedRefusal(code resultcode.Code) bool {
 	switch code {
 	case resultcode.NoLeader, resultcode.Stopping, resultcode.ConfigurationStale, resultcode.TooManyConnections:
 		return true
@@ -125,26 +125,28 @@
 	return false
 }
 
-// isUnreachable tells whether no connection was made: nothing was sent.
+// isUnreachable reports whether the connection could not be established, so that
+// nothing was sent.
 func isUnreachable(err error) bool {
 	var operation *net.OpError
 	return errors.As(err, &operation) && operation.Op == "dial"
 }
 
-// cut notes a request that was broken off.
-func (runner *runner) cut(gateway, request string, cause error) {
+// recordInterruption records a request whose connection failed after it was
+// established.
+func (runner *runner) recordInterruption(gateway, request string, cause error) {
 	runner.lock.Lock()
 	defer runner.lock.Unlock()
-	runner.record.Cuts = append(runner.record.Cuts, runner.incident(gateway, request, cause))
+	runner.record.Cuts = append(runner.record.Cuts, runner.newIncident(gateway, request, cause))
 }
 
-// shown notes an error answer after which the same request is sent again.
-func (runner *runner) shown(gateway, request string, cause error) {
+// recordRetriedError records an error response after which the request is retried.
+func (runner *runner) recordRetriedError(gateway, request string, cause error) {
 	runner.lock.Lock()
 	defer runner.lock.Unlock()
-	runner.record.Shown = append(runner.record.Shown, runner.incident(gateway, request, cause))
+	runner.record.Shown = append(runner.record.Shown, runner.newIncident(gateway, request, cause))
 }
 
-func (runner *runner) incident(gateway, request string, cause error) history.Cut {
-	return history.Cut{At: runner.now(), Gateway: gateway, Request: request, Cause: cause.Error()}
+func (runner *runner) newIncident(gateway, request string, cause error) history.Cut {
+	return history.Cut{At: runner.elapsed(), Gateway: gateway, Request: request, Cause: cause.Error()}
 }
--- a/rehearsal/fault/client.go
+++ b/rehearsal/fault/client.go
@@ -10,10 +10,11 @@
 	"github.com/magpielug/magpielug/rehearsal/workload"
 )
 
-// refusedPause is left after a program that could not go on.
-const refusedPause = 500 * time.Millisecond
+// incompleteProgramDelay is the wait after a program that could not make all of its
+// calls.
+const incompleteProgramDelay = 500 * time.Millisecond
 
-// client runs programs one after the other.
+// client runs programs sequentially.
 type client struct {
 	runner *runner
 	number int
@@ -21,10 +22,11 @@
 	random *rand.Rand
 }
 
-// runClients runs all clients until the scenario's duration is over and their
-// programs have made their calls.
+// runClients runs all clients concurrently. Clients start no new program after the
+// scenario's duration; runClients returns when their last programs have made their
+// calls.
 func (runner *runner) runClients(ctx context.Context) {
-	kinds := topKinds(runner.deployment)
+	kinds := topLevelKinds(runner.deployment)
 	var group sync.WaitGroup
 	for number := range runner.scenario.Load.Clients {
 		client := &client{
@@ -38,8 +40,9 @@
 	group.Wait()
 }
 
-// topKinds lists the kinds that callers begin themselves.
-func topKinds(deployment workload.Deployment) []workload.Kind {
+// topLevelKinds lists the program kinds that callers start, without those that are
+// only sub-agents.
+func topLevelKinds(deployment workload.Deployment) []workload.Kind {
 	var kinds []workload.Kind
 	for _, kind := range deployment.Kinds {
 		if kind.Share > 0 {
@@ -50,32 +53,32 @@
 }
 
 func (client *client) run(ctx context.Context) {
-	for count := 0; ctx.Err() == nil && client.runner.now() < client.runner.scenario.Duration; count++ {
+	for count := 0; ctx.Err() == nil && client.runner.elapsed() < client.runner.scenario.Duration; count++ {
 		program := client.newProgram(fmt.Sprintf("client-%d-program-%d", client.number, count), "")
-		more := program.run(ctx, client.runner.scenario.Load.Turns)
-		// Every other program waits over the faults before it is ended, and has
-		// to find its place again.
+		completed := program.run(ctx, client.runner.scenario.Load.Turns)
+		// Every other program stays open until all faults have ended, to check that
+		// it can still be read and ended then.
 		if count%2 == 0 {
 			program.close(ctx)
 		} else {
-			client.runner.keepOpen(program)
+			client.runner.deferClose(program)
 		}
-		if !more && !pause(ctx, refusedPause) {
+		if !completed && !sleep(ctx, incompleteProgramDelay) {
 			return
 		}
 	}
 }
 
-func (runner *runner) keepOpen(program *programRun) {
+func (runner *runner) deferClose(program *programRun) {
 	runner.lock.Lock()
 	defer runner.lock.Unlock()
-	runner.open = append(runner.open, program)
+	runner.openPrograms = append(runner.openPrograms, program)
 }
 
-// closePrograms reads and ends the programs that were left open.
-func (runner *runner) closePrograms(ctx context.Context) {
+// closeOpenPrograms reads and ends the programs that were kept open.
+func (runner *runner) closeOpenPrograms(ctx context.Context) {
 	var group sync.WaitGroup
-	for _, program := range runner.open {
+	for _, program := range runner.openPrograms {
 		runner.background(&group, func() { program.close(ctx) })
 	}
 	group.Wait()
--- a/rehearsal/fault/program.go
+++ b/rehearsal/fault/program.go
@@ -14,26 +14,25 @@
 )
 
 const (
-	// subAgentTurns is the number of calls of a sub-agent.
+	// subAgentTurns is the number of calls that a sub-agent makes.
 	subAgentTurns = 2
 	readInterval  = 400 * time.Millisecond
-	// goOnBound bounds how long one step of a program is tried.
-	goOnBound  = 60 * time.Second
-	retryPause = 50 * time.Millisecond
-	kindModel  = "model"
-	kindTool   = "tool"
+	// stepTimeout is how long one step of a program is retried.
+	stepTimeout    = 60 * time.Second
+	defaultBackOff = 50 * time.Millisecond
+	kindModel      = "model"
+	kindTool       = "tool"
 )
 
-// programRun is one program and its caller.
+// programRun is a program driven by its caller.
 type programRun struct {
 	client *client
 	name   string
 	caller *caller.Caller
 	random *rand.Rand
 	record history.Program
-	// over is set where the program can make no more calls, for a reason that
-	// callers have to expect.
-	over bool
+	// exhausted is set once a budget or turn limit allows no more calls.
+	exhausted bool
 }
 
 func (client *client) newProgram(name, parent string) *programRun {
@@ -48,14 +47,14 @@
 
 func (program *programRun) runner() *runner { return program.client.runner }
 
-// gateway picks any gateway.
+// gateway picks a random gateway.
 func (program *programRun) gateway() string {
 	gateways := program.runner().cluster.Gateways()
 	return gateways[rand.IntN(len(gateways))]
 }
 
-// run creates the program and makes its calls. False means that it could not go
-// on to its last call.
+// run creates the program and makes its calls. It returns false if the program could
+// not make all of them.
 func (program *programRun) run(ctx context.Context, turns int) bool {
 	if !program.create(ctx) {
 		return false
@@ -63,42 +62,42 @@
 	reading, stopReading := context.WithCancel(ctx)
 	reads := make(chan []history.Read, 1)
 	go func() { reads <- program.readHistory(reading) }()
-	for number := 0; number < turns && program.turn(ctx, number); number++ {
+	for number := 0; number < turns && program.runTurn(ctx, number); number++ {
 	}
 	stopReading()
 	program.record.Reads = <-reads
-	return program.record.Problem == "" && !program.over
+	return program.record.Problem == "" && !program.exhausted
 }
 
 func (program *programRun) create(ctx context.Context) bool {
-	until := time.Now().Add(goOnBound)
+	deadline := time.Now().Add(stepTimeout)
 	requestID := program.name
 	for attempt := 1; ; attempt++ {
 		gateway := program.gateway()
-		made, err := program.caller.CreateProgram(ctx, gateway, requestID, program.record.Kind, program.record.Parent)
+		created, err := program.caller.CreateProgram(ctx, gateway, requestID, program.record.Kind, program.record.Parent)
 		if err == nil {
-			program.record.ID = made.ID
+			program.record.ID = created.ID
 			return true
 		}
-		program.noteError(gateway, "create "+requestID, err)
+		program.recordError(gateway, "create "+requestID, err)
 		var failure *caller.Failure
 		if errors.As(err, &failure) && history.OutcomeOf(resultcode.Code(failure.Code)) == history.NotRun {
 			requestID = fmt.Sprintf("%s-again-%d", program.name, attempt)
 		}
-		if isSpent(failure) {
+		if isExhausted(failure) {
 			return false
 		}
-		if time.Now().After(until) || !pause(ctx, program.backOff(err)) {
+		if time.Now().After(deadline) || !sleep(ctx, program.backOff(err)) {
 			program.record.Problem = "could not be created: " + err.Error()
-			program.keep()
+			program.saveRecord()
 			return false
 		}
 	}
 }
 
-// isSpent tells whether a tier or program has no money left, or a program no
-// more turns: its caller has to expect that.
-func isSpent(failure *caller.Failure) bool {
+// isExhausted reports whether a budget, cap or turn limit was reached, which is no
+// violation.
+func isExhausted(failure *caller.Failure) bool {
 	if failure == nil {
 		return false
 	}
@@ -109,64 +108,65 @@
 	return false
 }
 
-// isUnknownProgram tells whether the program is lost: asking again won't help.
+// isUnknownProgram reports whether the program has been lost; a retry can't succeed.
 func isUnknownProgram(err error) bool {
 	var failure *caller.Failure
 	return errors.As(err, &failure) && resultcode.Code(failure.Code) == resultcode.UnknownProgram
 }
 
-// backOff is how long to wait after an error.
+// backOff returns how long to wait before a retry.
 func (program *programRun) backOff(err error) time.Duration {
 	var failure *caller.Failure
 	if errors.As(err, &failure) && failure.RetryAfter() > 0 {
 		return failure.RetryAfter()
 	}
-	return retryPause
+	return defaultBackOff
 }
 
-// turn makes one call, again under new request ids while it is refused as not
-// run, and lets a sub-agent run after it. False ends the program.
-func (program *programRun) turn(ctx context.Context, number int) bool {
+// runTurn makes one call and maybe runs a sub-agent after it. A call that was refused
+// without running is retried with a new request id. It returns false if the program
+// can't make further calls.
+func (program *programRun) runTurn(ctx context.Context, number int) bool {
 	load := program.runner().scenario.Load
-	if load.Think > 0 && !pause(ctx, time.Duration(program.random.Int64N(int64(load.Think)))) {
+	if load.MaxThinkTime > 0 && !sleep(ctx, time.Duration(program.random.Int64N(int64(load.MaxThinkTime)))) {
 		return false
 	}
 	call := program.nextCall(number)
 	duplicate := program.random.Float64() < load.DuplicateShare
-	until := time.Now().Add(goOnBound)
+	deadline := time.Now().Add(stepTimeout)
 	for attempt := 0; ; attempt++ {
 		requestID := fmt.Sprintf("call-%03d", number)
 		if attempt > 0 {
 			requestID = fmt.Sprintf("call-%03d-again-%d", number, attempt)
 		}
-		made, failure := program.makeCall(ctx, requestID, call, duplicate)
-		program.record.Calls = append(program.record.Calls, made)
-		if made.Outcome != history.NotRun {
+		record, failure := program.makeCall(ctx, requestID, call, duplicate)
+		program.record.Calls = append(program.record.Calls, record)
+		if record.Outcome != history.NotRun {
 			break
 		}
-		if isSpent(failure) {
-			program.over = true
+		if isExhausted(failure) {
+			program.exhausted = true
 			return false
 		}
-		if isUnknownProgram(failure) || time.Now().After(until) || !pause(ctx, program.backOff(failure)) {
-			program.record.Problem = fmt.Sprintf("call %d was refused to the end: %v", number, failure)
+		if isUnknownProgram(failure) || time.Now().After(deadline) || !sleep(ctx, program.backOff(failure)) {
+			program.record.Problem = fmt.Sprintf("call %d was refused on every attempt: %v", number, failure)
 			return false
 		}
 	}
 	if program.record.Parent == "" && program.random.Float64() < load.SubAgentShare {
-		return program.subAgent(ctx, number)
+		return program.runSubAgent(ctx, number)
 	}
 	return true
 }
 
-func (program *programRun) subAgent(ctx context.Context, number int) bool {
+func (program *programRun) runSubAgent(ctx context.Context, number int) bool {
 	child := program.client.newProgram(fmt.Sprintf("%s-agent-%d", program.name, number), program.record.ID)
 	child.run(ctx, subAgentTurns)
 	child.close(ctx)
-	return !child.over
+	return !child.exhausted
 }
 
-// nextCall draws the next call.
+// nextCall generates the next call at random.
 func (program *programRun) nextCall(number int) caller.Call {
 	load := program.runner().scenario.Load
 	repeatable := program.random.Float64() < load.RepeatableShare
@@ -174,83 +174,86 @@
 		input := fmt.Sprintf("reading %d of %s [[delay=%s]]", number, program.name, load.ToolDelay)
 		return caller.Call{Kind: kindTool, Target: toolName, Input: &input, Repeatable: repeatable}
 	}
-	bound := 2 * load.OutputTokens
+	maxTokens := 2 * load.OutputTokens
 	text := fmt.Sprintf("question %d of %s [[tokens=%d]]", number, program.name, load.OutputTokens)
 	return caller.Call{
 		Kind:       kindModel,
 		Target:     modelName,
 		Messages:   []caller.Message{{Role: "user", Content: text}},
-		MaxTokens:  &bound,
+		MaxTokens:  &maxTokens,
 		Repeatable: repeatable,
 	}
 }
 
-// readHistory reads the program's history beside its calls until ctx ends.
+// readHistory periodically reads the program's history, concurrently with its calls,
+// until ctx is done.
 func (program *programRun) readHistory(ctx context.Context) []history.Read {
 	var reads []history.Read
-	for pause(ctx, readInterval) {
-		invoked := program.runner().now()
+	for sleep(ctx, readInterval) {
+		invoked := program.runner().elapsed()
 		turns, err := program.caller.GetHistory(ctx, program.gateway(), program.record.ID)
 		if err == nil {
-			reads = append(reads, history.Read{Invoked: invoked, Returned: program.runner().now(), Turns: turns})
+			reads = append(reads, history.Read{Invoked: invoked, Returned: program.runner().elapsed(), Turns: turns})
 		}
 	}
 	return reads
 }
 
-// close reads the whole history and ends the program.
+// close reads the program's complete history and its state, and ends it.
 func (program *programRun) close(ctx context.Context) {
 	if program.record.ID == "" {
 		return
 	}
-	defer program.keep()
-	program.goOn(ctx, "history", func(gateway string) error {
+	defer program.saveRecord()
+	program.retryStep(ctx, "history", func(gateway string) error {
 		turns, err := program.caller.GetHistory(ctx, gateway, program.record.ID)
 		if err == nil {
 			program.record.Final = append([]caller.Turn{}, turns...)
 		}
 		return err
 	})
-	program.goOn(ctx, "state", func(gateway string) error {
+	program.retryStep(ctx, "state", func(gateway string) error {
 		var err error
 		program.record.State, err = program.caller.GetProgram(ctx, gateway, program.record.ID)
 		return err
 	})
-	program.goOn(ctx, "end", func(gateway string) error {
+	program.retryStep(ctx, "end", func(gateway string) error {
 		return program.caller.EndProgram(ctx, gateway, program.record.ID)
 	})
 }
 
-// goOn repeats a step until it succeeds.
-func (program *programRun) goOn(ctx context.Context, step string, try func(gateway string) error) {
-	until := time.Now().Add(goOnBound)
+// retryStep retries a step until it succeeds. It records a problem if the program is
+// lost or stepTimeout passes.
+func (program *programRun) retryStep(ctx context.Context, step string, try func(gateway string) error) {
+	deadline := time.Now().Add(stepTimeout)
 	for {
 		gateway := program.gateway()
 		err := try(gateway)
 		if err == nil {
 			return
 		}
-		program.noteError(gateway, step+" "+program.record.ID, err)
-		if isUnknownProgram(err) || time.Now().After(until) || !pause(ctx, program.backOff(err)) {
+		program.recordError(gateway, step+" "+program.record.ID, err)
+		if isUnknownProgram(err) || time.Now().After(deadline) || !sleep(ctx, program.backOff(err)) {
 			program.record.Problem = step + ": " + err.Error()
 			return
 		}
 	}
 }
 
-// noteError notes an error answer or a broken request other than a call.
-func (program *programRun) noteError(gateway, request string, err error) {
+// recordError records an error response to, or an interruption of, a request other
+// than a call.
+func (program *programRun) recordError(gateway, request string, err error) {
 	var failure *caller.Failure
 	switch {
 	case errors.As(err, &failure):
-		program.runner().shown(gateway, request, err)
+		program.runner().recordRetriedError(gateway, request, err)
 	case !isUnreachable(err):
-		program.runner().cut(gateway, request, err)
+		program.runner().recordInterruption(gateway, request, err)
 	}
 }
 
-// keep hands the program's record to the run.
-func (program *programRun) keep() {
+// saveRecord adds the program's record to the run's.
+func (program *programRun) saveRecord() {
 	runner := program.runner()
 	runner.lock.Lock()
 	defer runner.lock.Unlock()
--- a/rehearsal/fault/run.go
+++ b/rehearsal/fault/run.go
@@ -15,23 +15,24 @@
 )
 
 const (
-	// settleTime is left between the last fault's end and the closing reads.
-	settleTime = 2 * time.Second
-	// quietBound bounds everything after the load's duration.
-	quietBound = 2 * time.Minute
-	// releaseBound is the time for the memory of programs that are gone.
-	releaseBound   = 15 * time.Second
-	releasePoll    = 250 * time.Millisecond
-	idlePerGateway = 256
-	sampleInterval = 500 * time.Millisecond
+	// settleDelay is the wait between the end of load and faults and the final reads.
+	settleDelay = 2 * time.Second
+	// completionTimeout bounds the part of the run after the scenario's duration.
+	completionTimeout = 2 * time.Minute
+	// memoryReleaseTimeout bounds the wait until engines release the memory of programs
+	// that have ended.
+	memoryReleaseTimeout   = 15 * time.Second
+	memoryPollInterval     = 250 * time.Millisecond
+	maxIdleConnsPerGateway = 256
+	sampleInterval         = 500 * time.Millisecond
 )
 
-// Environment is where a scenario runs.
+// Environment holds what a scenario needs to run.
 type Environment struct {
 	Binaries  cluster.Binaries
 	Directory string
 	Port      int
-	// Output gets a line for each fault.
+	// Output receives a log line for each event.
 	Output io.Writer
 }
 
@@ -42,7 +43,7 @@
 	Duration time.Duration
 }
 
-// Failed tells whether a check failed.
+// Failed reports whether a check failed.
 func (report *Report) Failed() bool {
 	for _, result := range report.Results {
 		if result.Verdict == history.Violated {
@@ -52,29 +53,29 @@
 	return false
 }
 
-// runner is one scenario under way.
+// runner executes one scenario.
 type runner struct {
 	scenario   *Scenario
 	deployment workload.Deployment
 	cluster    *cluster.Cluster
 	client     *http.Client
 	output     io.Writer
-	begun      time.Time
-
-	// lock guards everything below.
-	lock     sync.Mutex
-	record   history.Run
-	problems []error
-	// starts counts the processes of each machine: each has its own counts.
-	starts map[string]int
-	// open holds the programs to end once all faults are healed.
-	open []*programRun
+	startedAt  time.Time
+
+	// lock guards the fields below.
+	lock      sync.Mutex
+	record    history.Run
+	runErrors []error
+	// restarts counts the restarts of each machine's process; see processName.
+	restarts map[string]int
+	// openPrograms are the programs to end after all faults have ended.
+	openPrograms []*programRun
 }
 
-// Run runs a scenario. An error means that it could not be run; what the checks
-// found stands in the report.
+// Run runs a scenario and its checks. It returns an error if the scenario could not
+// be run; failed checks are in the report.
 func Run(ctx context.Context, scenario *Scenario, environment Environment) (*Report, error) {
-	found, err := workload.DeploymentByName(deployment)
+	found, err := workload.DeploymentByName(deploymentName)
 	if err != nil {
 		return nil, err
 	}
@@ -100,10 +101,10 @@
 		scenario:   scenario,
 		deployment: deployment,
 		cluster:    started,
-		client:     &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: idlePerGateway}},
+		client:     &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: maxIdleConnsPerGateway}},
 		output:     output,
-		begun:      time.Now(),
-		starts:     make(map[string]int),
+		startedAt:  time.Now(),
+		restarts:   make(map[string]int),
 	}
 	runner.record.Budgets = make(map[string]uint64)
 	for _, tier := range started.Plan().Configuration(deployment).GetTiers() {
@@ -112,47 +113,47 @@
 	return runner
 }
 
-// now is the time since the load began.
-func (runner *runner) now() time.Duration { return time.Since(runner.begun) }
+// elapsed returns the time since the load started.
+func (runner *runner) elapsed() time.Duration { return time.Since(runner.startedAt) }
 
-// fail notes that the scenario itself could not go on as written.
-func (runner *runner) fail(err error) {
+// addError records an error that prevents the scenario from running as specified.
+func (runner *runner) addError(err error) {
 	runner.lock.Lock()
 	defer runner.lock.Unlock()
-	runner.problems = append(runner.problems, err)
+	runner.runErrors = append(runner.runErrors, err)
 }
 
 func (runner *runner) run(ctx context.Context) error {
-	bounded, cancel := context.WithTimeout(ctx, runner.scenario.Duration+quietBound)
+	bounded, cancel := context.WithTimeout(ctx, runner.scenario.Duration+completionTimeout)
 	defer cancel()
 	if err := runner.awaitLeaders(bounded); err != nil {
 		return err
 	}
-	runner.begun = time.Now()
+	runner.startedAt = time.Now()
 	watching, stopWatching := context.WithCancel(bounded)
 	defer stopWatching()
 	var watchers, load sync.WaitGroup
 	runner.background(&watchers, func() { runner.sampleVersions(watching) })
-	runner.background(&load, func() { runner.throwAll(bounded) })
+	runner.background(&load, func() { runner.runFaults(bounded) })
 	runner.background(&load, func() { runner.runPublishers(bounded) })
 	runner.background(&load, func() { runner.runClients(bounded) })
 	load.Wait()
-	runner.tell("load over, faults healed")
-	pause(bounded, settleTime)
-	runner.closePrograms(bounded)
-	if last := runner.lastPublish(); last > 0 {
-		pause(bounded, last+history.ForceBound+2*sampleInterval-runner.now())
+	runner.logf("load and faults ended")
+	sleep(bounded, settleDelay)
+	runner.closeOpenPrograms(bounded)
+	if last := runner.lastPublishReturn(); last > 0 {
+		sleep(bounded, last+history.ForceBound+2*sampleInterval-runner.elapsed())
 	}
 	stopWatching()
 	watchers.Wait()
-	runner.collectMemory(bounded)
+	runner.awaitMemoryRelease(bounded)
 	if err := runner.collectRuns(bounded); err != nil {
 		return err
 	}
-	if len(runner.problems) > 0 {
-		return runner.problems[0]
+	if len(runner.runErrors) > 0 {
+		return runner.runErrors[0]
 	}
-	return eris.Wrap(bounded.Err(), "the run took too long")
+	return eris.Wrap(bounded.Err(), "scenario did not complete in time")
 }
 
 func (runner *runner) background(group *sync.WaitGroup, work func()) {
@@ -163,8 +164,8 @@
 	}()
 }
 
-// pause waits; false means that ctx ended first.
-func pause(ctx context.Context, wait time.Duration) bool {
+// sleep waits for a duration. It returns false if ctx is done first.
+func sleep(ctx context.Context, wait time.Duration) bool {
 	if wait <= 0 {
 		return ctx.Err() == nil
 	}
--- a/rehearsal/fault/run_test.go
+++ b/rehearsal/fault/run_test.go
@@ -19,14 +19,14 @@
 
 const (
 	shortScenarios = "../scenarios/ci/*.yaml"
-	runBound       = 3 * time.Minute
-	// Ports below the ones that the kernel gives out, apart for test processes
-	// that run side by side.
-	firstPort = 10_000
-	portStep  = 25
-	portSteps = 800
-	// portsOfRun are the ports that one run takes on the platform's address.
-	portsOfRun = 8
+	runTimeout     = 3 * time.Minute
+	// Ports are below the ephemeral range. Each test process has its own range, chosen by
+	// its pid, so that concurrent test processes rarely collide.
+	firstPort       = 10_000
+	portsPerProcess = 25
+	processSlots    = 800
+	// portsPerRun is the number of ports that one run uses on the platform's address.
+	portsPerRun = 8
 )
 
 func buildBinaries(directory string) cluster.Binaries {
@@ -38,53 +38,52 @@
 	}
 }
 
-// outcome is what one run gave.
-type outcome struct {
+type runOutcome struct {
 	report *fault.Report
 	err    error
 }
 
-// runShort runs a scenario at a port of its own.
-func runShort(file string, number int, binaries cluster.Binaries, directory string) outcome {
+// runScenario runs the scenario file with the given index on ports of its own.
+func runScenario(file string, number int, binaries cluster.Binaries, directory string) runOutcome {
 	scenario, err := fault.LoadScenario(file)
 	if err != nil {
-		return outcome{err: err}
+		return runOutcome{err: err}
 	}
-	bounded, cancel := context.WithTimeout(context.Background(), runBound)
+	bounded, cancel := context.WithTimeout(context.Background(), runTimeout)
 	defer cancel()
 	report, err := fault.Run(bounded, scenario, fault.Environment{
 		Binaries:  binaries,
 		Directory: filepath.Join(directory, scenario.Name),
-		Port:      firstPort + os.Getpid()%portSteps*portStep + number*portsOfRun,
+		Port:      firstPort + os.Getpid()%processSlots*portsPerProcess + number*portsPerRun,
 		Output:    io.Discard,
 	})
-	return outcome{report, err}
+	return runOutcome{report, err}
 }
 
-// The scenarios run side by side, each with processes of its own.
+// The scenarios run concurrently, each with its own processes.
 var _ = Describe("short scenarios on real processes", Ordered, func() {
 	files, _ := filepath.Glob(shortScenarios)
-	outcomes := make([]chan outcome, len(files))
+	outcomes := make([]chan runOutcome, len(files))
 	directory := ""
 
 	BeforeAll(func() {
 		binaries := buildBinaries(GinkgoT().TempDir())
 		directory = GinkgoT().TempDir()
 		for number, file := range files {
-			outcomes[number] = make(chan outcome, 1)
-			go func() { outcomes[number] <- runShort(file, number, binaries, directory) }()
+			outcomes[number] = make(chan runOutcome, 1)
+			go func() { outcomes[number] <- runScenario(file, number, binaries, directory) }()
 		}
 	})
 
 	for number, file := range files {
 		It("hold in "+filepath.Base(file), func() {
-			ended := <-outcomes[number]
-			if ended.err != nil {
+			finished := <-outcomes[number]
+			if finished.err != nil {
 				printLogs(directory)
 			}
-			Expect(ended.err).NotTo(HaveOccurred())
-			for _, result := range ended.report.Results {
-				if len(result.Violations) > 0 && knownRed(file, result.Check) {
+			Expect(finished.err).NotTo(HaveOccurred())
+			for _, result := range finished.report.Results {
+				if len(result.Violations) > 0 && isKnownFailure(file, result.Check) {
 					fmt.Println("known red:", result.String())
 					continue
 				}
@@ -96,24 +95,25 @@
 	It("are found", func() { Expect(files).To(HaveLen(3)) })
 })
 
-// printLogs prints how each process ended its log, since its directory goes with the test.
+// printLogs prints the end of each process's log: the directory is removed after the
+// test.
 func printLogs(directory string) {
-	const mostBytes = 600
+	const maxBytes = 600
 	logs, _ := filepath.Glob(filepath.Join(directory, "*", "*.log"))
 	for _, name := range logs {
 		content, err := os.ReadFile(name)
 		if err == nil {
-			fmt.Printf("%s: %s\n", name, content[max(len(content)-mostBytes, 0):])
+			fmt.Printf("%s: %s\n", name, content[max(len(content)-maxBytes, 0):])
 		}
 	}
 }
 
-// knownRedFile lists the tests that fail for a fault which is not mended yet.
-const knownRedFile = "../../KNOWN-RED.txt"
+// knownFailuresFile lists the tests that fail because of a known, unfixed fault.
+const knownFailuresFile = "../../KNOWN-RED.txt"
 
-// knownRed tells whether one check of a scenario stands in the list of known
-// failures. All its other checks must hold.
-func knownRed(file, check string) bool {
-	content, err := os.ReadFile(knownRedFile)
+// isKnownFailure reports whether one check of a scenario is a known failure. The
+// scenario's other checks must pass.
+func isKnownFailure(file, check string) bool {
+	content, err := os.ReadFile(knownFailuresFile)
 	return err == nil && strings.Contains(string(content), "scenarios/ci/"+filepath.Base(file)+" "+check+":")
 }
--- a/rehearsal/fault/scenario.go
+++ b/rehearsal/fault/scenario.go
@@ -1,6 +1,6 @@
-// Package fault runs scenarios on real processes: it starts a cluster, drives
-// concurrent callers and operators, throws the scenario's faults, heals, waits
-// for quiet and judges what was recorded.
+// Package fault runs fault scenarios on real processes: it starts a cluster, drives
+// concurrent callers and operators, injects the scenario's faults, and after their
+// end checks the recorded history.
 package fault
 
 import (
@@ -18,23 +18,23 @@
 	"github.com/magpielug/magpielug/rehearsal/standin/fault"
 )
 
-// Scenario is one file of rehearsal/scenarios.
+// Scenario is the content of a scenario file; see rehearsal/scenarios.
 type Scenario struct {
-	Name  string `yaml:"name"`
-	About string `yaml:"about"`
-	Seed  uint64 `yaml:"seed"`
-	// Duration is how long callers begin new programs.
+	Name        string `yaml:"name"`
+	Description string `yaml:"about"`
+	Seed        uint64 `yaml:"seed"`
+	// Duration is how long callers start new programs.
 	Duration  time.Duration `yaml:"duration"`
 	Layout    Layout        `yaml:"layout"`
 	Load      Load          `yaml:"load"`
 	Operators Operators     `yaml:"operators"`
 	Faults    []Fault       `yaml:"faults"`
-	// Checks are names of history.Checks.
+	// Checks are keys of history.Checks.
 	Checks []string `yaml:"checks"`
 }
 
-// Layout says what runs. Gateways and schedulers count for each zone, engines
-// and tools altogether.
+// Layout is the size of the cluster. Gateways and Schedulers are per zone; Engines
+// and Tools are totals.
 type Layout struct {
 	Zones            int    `yaml:"zones"`
 	Gateways         int    `yaml:"gateways"`
@@ -46,89 +46,93 @@
 	ProgramCapMicros uint64 `yaml:"program_cap_micros"`
 }
 
-// Load says what the callers do. Shares are from 0 to 1.
+// Load describes the callers' load. Shares are probabilities from 0 to 1.
 type Load struct {
-	// Clients run one program after the other, all side by side.
+	// Clients is the number of concurrent clients, each of which runs programs
+	// sequentially.
 	Clients int `yaml:"clients"`
-	// Turns is the number of calls of a program.
+	// Turns is the number of calls per program.
 	Turns int `yaml:"turns"`
-	// OutputTokens is the length of each model answer.
+	// OutputTokens is the length of each model response.
 	OutputTokens int `yaml:"output_tokens"`
-	// ToolShare of the calls go to the tool service; ToolDelay is how long each
-	// of these takes.
+	// ToolShare is the share of calls that go to the tool service, ToolDelay the
+	// duration of each.
 	ToolShare float64       `yaml:"tool_share"`
 	ToolDelay time.Duration `yaml:"tool_delay"`
-	// RepeatableShare of the calls may run again.
+	// RepeatableShare is the share of calls that are allowed to run more than once.
 	RepeatableShare float64 `yaml:"repeatable_share"`
-	// DuplicateShare of the calls are sent through two gateways at once.
+	// DuplicateShare is the share of calls that are sent twice concurrently.
 	DuplicateShare float64 `yaml:"duplicate_share"`
-	// SubAgentShare of the turns run a sub-agent before the next.
+	// SubAgentShare is the share of turns that are followed by a sub-agent's run.
 	SubAgentShare float64 `yaml:"sub_agent_share"`
-	// Think is the longest pause before a call.
-	Think time.Duration `yaml:"think"`
+	// MaxThinkTime bounds the random think time before a call.
+	MaxThinkTime time.Duration `yaml:"think"`
 }
 
-// Operators says what operators publish.
+// Operators describes the configuration changes that operators publish.
 type Operators struct {
-	// Publishers each publish a change at every Interval, all at once.
+	// Publishers is the number of operators that each publish a change per Interval,
+	// concurrently.
 	Publishers int           `yaml:"publishers"`
 	Interval   time.Duration `yaml:"interval"`
-	// Until is when they end; 0 is the scenario's end.
+	// Until is when they stop, as an offset from the start of the load; 0 is the
+	// scenario's Duration.
 	Until time.Duration `yaml:"until"`
 }
 
-// Kind is what a fault does.
+// Kind is the kind of a fault.
 type Kind string
 
 // Kinds of faults.
 const (
-	// Kill ends a process by SIGKILL; it is started anew after For.
+	// Kill sends SIGKILL to a process and restarts it after Duration.
 	Kill Kind = "kill"
-	// Freeze stops a process by SIGSTOP and wakes it after For.
+	// Freeze suspends a process with SIGSTOP and resumes it after Duration.
 	Freeze Kind = "freeze"
-	// Stop ends a process by SIGTERM; it is started anew after For.
+	// Stop sends SIGTERM to a process and restarts it after Duration.
 	Stop Kind = "stop"
-	// Rolling stops every gateway and scheduler in turn and starts each anew,
-	// with a pause of For between them.
+	// Rolling stops and restarts every gateway and scheduler in turn, with a pause of
+	// Duration between them.
 	Rolling Kind = "rolling"
-	// Leave marks a back end as leaving on the machine list.
+	// Leave marks a backend as leaving on the machine list.
 	Leave Kind = "leave"
-	// ReportLeaving makes an engine itself tell that it is leaving.
+	// ReportLeaving makes an engine report that it is leaving.
 	ReportLeaving Kind = "report_leaving"
-	// Inject orders a fault of a stand-in for a time of For.
+	// Inject enables one of a stand-in's own faults for Duration.
 	Inject Kind = "inject"
-	// Cut stops all bytes between a zone and the others for a time of For.
-	Cut Kind = "cut"
-	// CutOff does that, and between the zone and the platform too.
-	CutOff Kind = "cut_off"
+	// IsolateZone blocks traffic between a zone and the other zones for Duration.
+	IsolateZone Kind = "cut"
+	// IsolateZoneFully also blocks traffic between the zone and the platform.
+	IsolateZoneFully Kind = "cut_off"
 )
 
-var faultKinds = []Kind{Kill, Freeze, Stop, Rolling, Leave, ReportLeaving, Inject, Cut, CutOff}
+var faultKinds = []Kind{Kill, Freeze, Stop, Rolling, Leave, ReportLeaving, Inject, IsolateZone, IsolateZoneFully}
 
-// Targets that are no machine ids.
+// Targets other than machine and zone ids.
 const (
-	// LeaderTarget is the scheduler that leads the most shards at the time.
+	// LeaderTarget is the scheduler that leads the most shards when the fault starts.
 	LeaderTarget = "leader"
 	// LogTarget and MachinesTarget are the platform's services.
 	LogTarget      = "log"
 	MachinesTarget = "machines"
 )
 
-// Fault is one fault with its time.
+// Fault is a scheduled fault.
 type Fault struct {
-	// At counts from the begin of the load.
+	// At is the offset from the start of the load.
 	At     time.Duration `yaml:"at"`
 	Kind   Kind          `yaml:"kind"`
 	Target string        `yaml:"target"`
-	// For is how long the fault lasts; 0 is until the end of the run.
-	For time.Duration `yaml:"for"`
-	// Effect, Probability and Delay belong to Inject.
+	// Duration is how long the fault lasts; see Kind. For Kill, 0 leaves the process
+	// down until the end of the run.
+	Duration time.Duration `yaml:"for"`
+	// Effect, Probability and Delay configure an Inject fault.
 	Effect      fault.Kind    `yaml:"effect"`
 	Probability float64       `yaml:"probability"`
 	Delay       time.Duration `yaml:"delay"`
 }
 
-// Bounds of a scenario.
+// Limits of a scenario.
 const (
 	maximumDuration = 30 * time.Minute
 	maximumZones    = 8
@@ -136,7 +140,7 @@
 	maximumClients  = 1000
 )
 
-// LoadScenario reads and checks a scenario file; an unknown key is an error.
+// LoadScenario reads and validates a scenario file. Unknown keys are errors.
 func LoadScenario(path string) (*Scenario, error) {
 	content, err := os.ReadFile(path)
 	if err != nil {
@@ -151,13 +155,13 @@
 	return &scenario, eris.Wrapf(scenario.Validate(), "scenario %s", path)
 }
 
-// Validate checks every value of the scenario.
+// Validate returns an error for the first invalid value.
 func (scenario *Scenario) Validate() error {
 	if scenario.Name == "" {
 		return eris.New("name: missing")
 	}
 	if scenario.Duration <= 0 || scenario.Duration > maximumDuration {
-		return eris.Errorf("duration: %s is not above 0 and up to %s", scenario.Duration, maximumDuration)
+		return eris.Errorf("duration: %s must be above 0 and at most %s", scenario.Duration, maximumDuration)
 	}
 	if err := scenario.Layout.validate(); err != nil {
 		return err
@@ -189,7 +193,7 @@
 	}
 	for _, name := range scenario.Checks {
 		if history.Checks[name] == nil {
-			return eris.Errorf("checks: no check %q", name)
+			return eris.Errorf("checks: unknown check %q", name)
 		}
 	}
 	return nil
@@ -197,8 +201,8 @@
 
 func (layout Layout) validate() error {
 	numbers := []struct {
-		key                 string
-		value, least, bound int
+		key                     string
+		value, minimum, maximum int
 	}{
 		{"zones", layout.Zones, 1, maximumZones},
 		{"gateways", layout.Gateways, 1, maximumMachines},
@@ -208,8 +212,8 @@
 		{"shards", layout.Shards, 1, 1024},
 	}
 	for _, number := range numbers {
-		if number.value < number.least || number.value > number.bound {
-			return eris.Errorf("layout: %s is not from %d to %d", number.key, number.least, number.bound)
+		if number.value < number.minimum || number.value > number.maximum {
+			return eris.Errorf("layout: %s must be from %d to %d", number.key, number.minimum, number.maximum)
 		}
 	}
 	return nil
@@ -219,7 +223,7 @@
 	if load.Clients < 1 || load.Clients > maximumClients || load.Turns < 1 || load.OutputTokens < 1 {
 		return eris.Errorf("load: clients must be 1 to %d, turns and output_tokens above 0", maximumClients)
 	}
-	if load.Think < 0 || load.ToolDelay < 0 {
+	if load.MaxThinkTime < 0 || load.ToolDelay < 0 {
 		return eris.New("load: think and tool_delay must not be negative")
 	}
 	for _, share := range []float64{load.ToolShare, load.RepeatableShare, load.DuplicateShare, load.SubAgentShare} {
@@ -232,39 +236,42 @@
 
 func (scenario *Scenario) validateFault(fault Fault) error {
 	if !slices.Contains(faultKinds, fault.Kind) {
-		return eris.Errorf("kind: no kind %q", fault.Kind)
+		return eris.Errorf("kind: unknown kind %q", fault.Kind)
 	}
-	if fault.At < 0 || fault.At > scenario.Duration || fault.For < 0 {
-		return eris.New("at must lie within the duration, for must not be negative")
+	if fault.At < 0 || fault.At > scenario.Duration || fault.Duration < 0 {
+		return eris.New("at must be within the scenario's duration and for must not be negative")
 	}
 	if fault.Kind == Rolling {
 		return nil
 	}
 	if (fault.Kind == Inject) != (fault.Effect != "") {
-		return eris.New("effect belongs to inject, and inject needs one")
+		return eris.New("effect: required for kind inject and not allowed for other kinds")
 	}
-	if fault.mustEnd() && fault.For == 0 {
+	if fault.requiresDuration() && fault.Duration == 0 {
 		return eris.New("for: missing")
 	}
-	if !scenario.hasTarget(fault) {
-		return eris.Errorf("target: no %q that this kind takes", fault.Target)
+	if !scenario.acceptsTarget(fault) {
+		return eris.Errorf("target: %q is not a valid target of this kind", fault.Target)
 	}
 	return nil
 }
 
-// mustEnd tells whether a fault of this kind can't last to the end of the run.
-func (fault Fault) mustEnd() bool {
+// requiresDuration reports whether a fault of this kind must end before the run does.
+func (fault Fault) requiresDuration() bool {
 	switch fault.Kind {
-	case Freeze, Inject, Cut, CutOff:
+	case Freeze, Inject, IsolateZone, IsolateZoneFully:
 		return true
 	}
 	return false
 }
 
-func (fault Fault) cutsZone() bool { return fault.Kind == Cut || fault.Kind == CutOff }
+func (fault Fault) isolatesZone() bool {
+	return fault.Kind == IsolateZone || fault.Kind == IsolateZoneFully
+}
 
-// zone is the number of the zone that a cut is about, 0 for no zone.
-func (scenario *Scenario) zone(fault Fault) int {
+// targetZone returns the number of the fault's target zone, or 0 if its target is not
+// a zone.
+func (scenario *Scenario) targetZone(fault Fault) int {
 	for number := 1; number <= scenario.Layout.Zones; number++ {
 		if fault.Target == fmt.Sprintf("zone-%d", number) {
 			return number
@@ -273,9 +280,9 @@
 	return 0
 }
 
-func (scenario *Scenario) hasTarget(fault Fault) bool {
-	if fault.cutsZone() {
-		return scenario.zone(fault) > 0
+func (scenario *Scenario) acceptsTarget(fault Fault) bool {
+	if fault.isolatesZone() {
+		return scenario.targetZone(fault) > 0
 	}
 	switch fault.Target {
 	case LogTarget, MachinesTarget:
@@ -288,16 +295,15 @@
 	})
 }
 
-// Names of the one model and the one tool service.
 const (
-	modelName  = "small"
-	toolName   = "records"
-	deployment = "namibia"
-	blocks     = 4096
-	running    = 32
+	modelName          = "small"
+	toolName           = "records"
+	deploymentName     = "namibia"
+	engineBlocks       = 4096
+	engineRunningLimit = 32
 )
 
-// Plan is what the scenario starts, at a port.
+// Plan returns the cluster that the scenario runs on, with its ports starting at port.
 func (scenario *Scenario) Plan(port int) cluster.Plan {
 	layout := scenario.Layout
 	return cluster.Plan{
@@ -310,12 +316,12 @@
 		Model:             modelName,
 		Tool:              toolName,
 		Port:              port,
-		Blocks:            blocks,
-		RunningLimit:      running,
+		Blocks:            engineBlocks,
+		RunningLimit:      engineRunningLimit,
 		LogLevel:          "info",
-		Deployment:        deployment,
+		Deployment:        deploymentName,
 		TierBudgetMicros:  layout.TierBudgetMicros,
 		ProgramCapMicros:  layout.ProgramCapMicros,
-		Relayed:           slices.ContainsFunc(scenario.Faults, Fault.cutsZone),
+		Relayed:           slices.ContainsFunc(scenario.Faults, Fault.isolatesZone),
 	}
 }
--- a/rehearsal/fault/scenario_test.go
+++ b/rehearsal/fault/scenario_test.go
@@ -14,7 +14,7 @@
 const scenarioFiles = "../scenarios/*.yaml"
 
 var _ = Describe("scenario files", func() {
-	It("are all whole", func() {
+	It("are all valid", func() {
 		files, err := filepath.Glob(scenarioFiles)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(files).NotTo(BeEmpty())
@@ -25,12 +25,12 @@
 		}
 	})
 
-	DescribeTable("with a mistake are refused", func(right, wrong string) {
+	DescribeTable("with an error are rejected", func(valid, invalid string) {
 		content, err := os.ReadFile("../scenarios/leader-kill.yaml")
 		Expect(err).NotTo(HaveOccurred())
-		Expect(string(content)).To(ContainSubstring(right))
+		Expect(string(content)).To(ContainSubstring(valid))
 		path := filepath.Join(GinkgoT().TempDir(), "scenario.yaml")
-		Expect(os.WriteFile(path, []byte(strings.Replace(string(content), right, wrong, 1)), 0o644)).To(Succeed())
+		Expect(os.WriteFile(path, []byte(strings.Replace(string(content), valid, invalid, 1)), 0o644)).To(Succeed())
 		_, err = fault.LoadScenario(path)
 		Expect(err).To(HaveOccurred())
 	},
@@ -42,7 +42,7 @@
 		Entry("unknown fault", "kind: kill", "kind: burn"),
 		Entry("unknown target", "target: leader", "target: scheduler-9-9"),
 		Entry("a fault after the end", "at: 4s", "at: 40s"),
-		Entry("a freeze that lasts for ever", "kind: kill, target: leader, for: 3s", "kind: freeze, target: leader"),
+		Entry("a freeze without a duration", "kind: kill, target: leader, for: 3s", "kind: freeze, target: leader"),
 		Entry("an injection without an effect", "kind: kill", "kind: inject"),
 		Entry("unknown check", "progress,", "progres,"),
 	)
