--- a/rehearsal/enginemodel/block.go
+++ b/rehearsal/enginemodel/block.go
@@ -2,52 +2,53 @@
 
 import "time"
 
-// none marks the end of a block list.
-const none = int32(-1)
+// noBlock marks the end of a block list and a failed allocation.
+const noBlock = int32(-1)
 
-// block is one cache block. Blocks are addressed by index in the pool's slice.
+// block is one KV cache block, addressed by its index in blockCache.blocks.
 type block struct {
 	hash uint64
 	// owner is the program that used the block last.
 	owner string
-	// position is the block's place in its prefix, from 0.
+	// position is the index of the block in its prefix, from 0.
 	position int32
-	// references counts the running requests that use the block.
-	references int32
-	// previous and next link the idle blocks, least recently used first; next
-	// also links the free blocks.
+	// refCount is the number of running requests that use the block.
+	refCount int32
+	// previous and next link the idle blocks in LRU order; next also links the
+	// free list.
 	previous, next int32
 	heldSince      time.Duration
 	idleSince      time.Duration
-	// shared is true once the block can be found by its hash.
-	shared bool
-	reused bool
+	// registered is true while the block is in blockCache.byHash.
+	registered bool
+	reused     bool
 }
 
-// pool is the bounded block cache. A block is free, or referenced by running
-// requests, or idle: kept for reuse until it is evicted or released.
-type pool struct {
-	blocks    []block
-	byHash    map[uint64]int32
-	owned     map[string]int
-	freeHead  int32
-	free      int
-	idleFirst int32
-	idleLast  int32
-	idle      int
-	evictions uint64
-	usage     usage
+// blockCache is a KV cache of a fixed number of blocks. A block is either free,
+// referenced by running requests, or idle: unreferenced, but kept for reuse
+// until it is evicted or released.
+type blockCache struct {
+	blocks        []block
+	byHash        map[uint64]int32
+	blocksByOwner map[string]int
+	freeHead      int32
+	freeCount     int
+	idleHead      int32
+	idleTail      int32
+	idleCount     int
+	evictions     uint64
+	usage         blockUsage
 }
 
-func newPool(size int) *pool {
-	cache := &pool{
-		blocks:    make([]block, size),
-		byHash:    make(map[uint64]int32, size),
-		owned:     make(map[string]int),
-		freeHead:  none,
-		idleFirst: none,
-		idleLast:  none,
-		free:      size,
+func newBlockCache(size int) *blockCache {
+	cache := &blockCache{
+		blocks:        make([]block, size),
+		byHash:        make(map[uint64]int32, size),
+		blocksByOwner: make(map[string]int),
+		freeHead:      noBlock,
+		idleHead:      noBlock,
+		idleTail:      noBlock,
+		freeCount:     size,
 	}
 	for index := size - 1; index >= 0; index-- {
 		cache.blocks[index].next = cache.freeHead
@@ -56,56 +57,58 @@
 	return cache
 }
 
-// available is how many blocks allocate can hand out.
-func (cache *pool) available() int { return cache.free + cache.idle }
+// available returns the number of blocks that allocate can return.
+func (cache *blockCache) available() int { return cache.freeCount + cache.idleCount }
 
-// allocate takes a free block, evicting the least recently used idle one where
-// none is free, and references it once. It returns none when every block is
-// referenced.
-func (cache *pool) allocate(now time.Duration, owner string, position int) int32 {
-	if cache.free == 0 {
-		if cache.idleFirst == none {
-			return none
+// allocate returns a free block with a reference count of 1. If no block is
+// free, it evicts the least recently used idle block. It returns noBlock when
+// every block is referenced.
+func (cache *blockCache) allocate(now time.Duration, owner string, position int) int32 {
+	if cache.freeCount == 0 {
+		if cache.idleHead == noBlock {
+			return noBlock
 		}
 		cache.evictions++
-		cache.drop(now, cache.idleFirst)
+		cache.freeBlock(now, cache.idleHead)
 	}
 	index := cache.freeHead
 	cache.freeHead = cache.blocks[index].next
-	cache.free--
+	cache.freeCount--
 	cache.blocks[index] = block{
-		owner:      owner,
-		position:   int32(position),
-		references: 1,
-		previous:   none,
-		next:       none,
-		heldSince:  now,
-	}
-	cache.owned[owner]++
-	cache.usage.hold(now)
+		owner:     owner,
+		position:  int32(position),
+		refCount:  1,
+		previous:  noBlock,
+		next:      noBlock,
+		heldSince: now,
+	}
+	cache.blocksByOwner[owner]++
+	cache.usage.allocated(now)
 	return index
 }
 
-// share makes a computed block findable by its hash. A block whose hash is
-// already there stays private to its request.
-func (cache *pool) share(index int32, hash uint64) {
+// registerHash makes a computed block available for reuse under its hash. If
+// another block is registered under that hash, this one stays private to its
+// request.
+func (cache *blockCache) registerHash(index int32, hash uint64) {
 	if _, found := cache.byHash[hash]; found {
 		return
 	}
 	cache.byHash[hash] = index
 	cache.blocks[index].hash = hash
-	cache.blocks[index].shared = true
+	cache.blocks[index].registered = true
 }
 
-// reference adds a user to a shared block and moves it to the user's program.
-// countReuse is false for a request that finds its own blocks again.
-func (cache *pool) reference(index int32, owner string, countReuse bool) {
+// addReference increments the block's reference count and makes owner its
+// owner. countReuse is false if the block must not count as reused, as for a
+// preempted request that finds its own blocks.
+func (cache *blockCache) addReference(index int32, owner string, countReuse bool) {
 	entry := &cache.blocks[index]
-	if entry.references == 0 {
+	if entry.refCount == 0 {
 		cache.unlinkIdle(index)
-		cache.usage.leaveIdle(entry.idleSince)
+		cache.usage.reusedFromIdle(entry.idleSince)
 	}
-	entry.references++
+	entry.refCount++
 	cache.setOwner(entry, owner)
 	if countReuse && !entry.reused {
 		entry.reused = true
@@ -113,48 +116,48 @@
 	}
 }
 
-// dereference removes a user. A shared block without users becomes idle; a
-// private one is freed.
-func (cache *pool) dereference(now time.Duration, index int32) {
+// removeReference decrements the block's reference count. At zero, a registered
+// block becomes idle and an unregistered one is freed.
+func (cache *blockCache) removeReference(now time.Duration, index int32) {
 	entry := &cache.blocks[index]
-	entry.references--
-	if entry.references > 0 {
+	entry.refCount--
+	if entry.refCount > 0 {
 		return
 	}
 	entry.idleSince = now
-	cache.usage.enterIdle(now)
+	cache.usage.becameIdle(now)
 	cache.linkIdle(index)
-	if !entry.shared {
-		cache.drop(now, index)
+	if !entry.registered {
+		cache.freeBlock(now, index)
 	}
 }
 
-// drop frees an idle block.
-func (cache *pool) drop(now time.Duration, index int32) {
+// freeBlock moves an idle block to the free list.
+func (cache *blockCache) freeBlock(now time.Duration, index int32) {
 	entry := &cache.blocks[index]
 	cache.unlinkIdle(index)
-	cache.usage.free(now, entry)
-	if entry.shared {
+	cache.usage.freed(now, entry)
+	if entry.registered {
 		delete(cache.byHash, entry.hash)
 	}
-	cache.disown(entry.owner)
-	entry.shared = false
+	cache.decrementOwned(entry.owner)
+	entry.registered = false
 	entry.owner = ""
 	entry.next = cache.freeHead
 	cache.freeHead = index
-	cache.free++
+	cache.freeCount++
 }
 
-// release frees the idle blocks that program owns and returns their number.
-func (cache *pool) release(now time.Duration, program string) int {
-	if cache.owned[program] == 0 {
+// freeIdleOf frees the idle blocks that program owns and returns their number.
+func (cache *blockCache) freeIdleOf(now time.Duration, program string) int {
+	if cache.blocksByOwner[program] == 0 {
 		return 0
 	}
 	freed := 0
-	for index := cache.idleFirst; index != none; {
+	for index := cache.idleHead; index != noBlock; {
 		next := cache.blocks[index].next
 		if cache.blocks[index].owner == program {
-			cache.drop(now, index)
+			cache.freeBlock(now, index)
 			freed++
 		}
 		index = next
@@ -162,48 +165,48 @@
 	return freed
 }
 
-func (cache *pool) setOwner(entry *block, owner string) {
+func (cache *blockCache) setOwner(entry *block, owner string) {
 	if entry.owner == owner {
 		return
 	}
-	cache.disown(entry.owner)
+	cache.decrementOwned(entry.owner)
 	entry.owner = owner
-	cache.owned[owner]++
+	cache.blocksByOwner[owner]++
 }
 
-func (cache *pool) disown(owner string) {
-	cache.owned[owner]--
-	if cache.owned[owner] == 0 {
-		delete(cache.owned, owner)
+func (cache *blockCache) decrementOwned(owner string) {
+	cache.blocksByOwner[owner]--
+	if cache.blocksByOwner[owner] == 0 {
+		delete(cache.blocksByOwner, owner)
 	}
 }
 
-func (cache *pool) linkIdle(index int32) {
+func (cache *blockCache) linkIdle(index int32) {
 	entry := &cache.blocks[index]
-	entry.previous = cache.idleLast
-	entry.next = none
-	if cache.idleLast == none {
-		cache.idleFirst = index
+	entry.previous = cache.idleTail
+	entry.next = noBlock
+	if cache.idleTail == noBlock {
+		cache.idleHead = index
 	} else {
-		cache.blocks[cache.idleLast].next = index
+		cache.blocks[cache.idleTail].next = index
 	}
-	cache.idleLast = index
-	cache.idle++
+	cache.idleTail = index
+	cache.idleCount++
 }
 
-func (cache *pool) unlinkIdle(index int32) {
+func (cache *blockCache) unlinkIdle(index int32) {
 	entry := &cache.blocks[index]
-	if entry.previous == none {
-		cache.idleFirst = entry.next
+	if entry.previous == noBlock {
+		cache.idleHead = entry.next
 	} else {
 		cache.blocks[entry.previous].next = entry.next
 	}
-	if entry.next == none {
-		cache.idleLast = entry.previous
+	if entry.next == noBlock {
+		cache.idleTail = entry.previous
 	} else {
 		cache.blocks[entry.next].previous = entry.previous
 	}
-	entry.previous = none
-	entry.next = none
-	cache.idle--
+	entry.previous = noBlock
+	entry.next = noBlock
+	cache.idleCount--
 }
--- a/rehearsal/enginemodel/config.go
+++ b/rehearsal/enginemodel/config.go
@@ -1,17 +1,15 @@
-// Package enginemodel is a pure model of one model-serving engine on a virtual
-// clock: continuous batching in steps, a bounded KV cache of blocks with prefix
-// reuse, priorities, preemption and release. It has no goroutine, no wall clock
-// and no random source; every method takes the time as a duration since an
-// epoch of the caller's choice. It is not safe for concurrent use.
+// Package enginemodel is a deterministic model of one LLM inference engine on a
+// virtual clock: continuous batching, a bounded KV cache of blocks with prefix
+// reuse, priorities, preemption and release. It has no goroutines, wall clock
+// or random source; methods take the time as a duration since an epoch that the
+// caller chooses. It is not safe for concurrent use.
 //
-// Wasted cache is measured in block-seconds. A block is held from its
-// allocation to the moment it is freed (evicted, released, or dropped with the
-// request that filled it). It is reused once a later request finds it by its
-// hash when it is admitted; a preempted request that finds its own blocks again
-// does not count. The wasted share is the block-seconds held by blocks that
-// were never reused, over the block-seconds held by all blocks, whole
-// lifetimes counted. Blocks still held at the time of a Stats call are counted
-// as though they were freed at that time. See Stats.
+// Cache usage is measured in block-seconds. A block is held from its allocation
+// until it is freed: evicted, released, or dropped with the request that filled
+// it. It is reused once a later request finds it by its hash at admission; a
+// preempted request that finds its own blocks does not count. Wasted
+// block-seconds are the whole lifetimes of blocks that were never reused. See
+// Stats.
 package enginemodel
 
 import (
@@ -31,24 +29,26 @@
 	defaultStepPerPrefillToken  = 20 * time.Microsecond
 )
 
-// Config sizes one engine.
+// Config describes the capacity and speed of one engine.
 type Config struct {
-	// BlockTokens is how many tokens one cache block holds.
+	// BlockTokens is the number of tokens in one cache block.
 	BlockTokens int
-	// Blocks bounds the cache.
+	// Blocks is the size of the cache in blocks.
 	Blocks int
-	// RunningLimit bounds the requests in one batch.
+	// RunningLimit is the maximum number of requests in one batch.
 	RunningLimit int
-	// PrefillTokensPerStep bounds the prompt tokens computed in one step.
+	// PrefillTokensPerStep is the maximum number of prompt tokens computed in
+	// one step.
 	PrefillTokensPerStep int
-	// StepBase is the duration of an empty step; each decoding sequence and
-	// each prompt token adds to it.
+	// StepBase is the fixed part of a step's duration; StepPerSequence is added
+	// for each decoding sequence and StepPerPrefillToken for each prompt token.
 	StepBase            time.Duration
 	StepPerSequence     time.Duration
 	StepPerPrefillToken time.Duration
 }
 
-// DefaultConfig is an engine with 16-token blocks and a base step of 3 ms.
+// DefaultConfig returns the configuration of an engine with 16-token blocks and
+// a base step of 3 ms.
 func DefaultConfig() Config {
 	return Config{
 		BlockTokens:          defaultBlockTokens,
@@ -61,7 +61,7 @@
 	}
 }
 
-// Validate tells the first field that is out of bounds.
+// Validate returns an error that names the first field that is out of bounds.
 func (config Config) Validate() error {
 	counts := []struct {
 		name  string
@@ -74,14 +74,14 @@
 	}
 	for _, count := range counts {
 		if count.value < 1 {
-			return fmt.Errorf("enginemodel: %s must be at least 1, is %d", count.name, count.value)
+			return fmt.Errorf("enginemodel: %s must be at least 1, got %d", count.name, count.value)
 		}
 	}
 	if config.StepBase <= 0 {
 		return errors.New("enginemodel: StepBase must be positive")
 	}
 	if config.StepPerSequence < 0 || config.StepPerPrefillToken < 0 {
-		return errors.New("enginemodel: step durations must not be negative")
+		return errors.New("enginemodel: StepPerSequence and StepPerPrefillToken must not be negative")
 	}
 	return nil
 }
--- a/rehearsal/enginemodel/engine.go
+++ b/rehearsal/enginemodel/engine.go
@@ -5,39 +5,40 @@
 // FinishStop is the FinishReason of a request that produced all its tokens.
 const FinishStop = "stop"
 
-// Output is what one step produced for one request.
+// Output is the result of one step for one request.
 type Output struct {
 	RequestID string
-	// Tokens is how many tokens the step produced, at least 1.
+	// Tokens is the number of tokens that the step produced, at least 1.
 	Tokens int
-	// First marks the request's first token, Finished its last.
+	// First is set on the request's first token, Finished on its last.
 	First    bool
 	Finished bool
 	// FinishReason is empty until Finished.
 	FinishReason string
-	// PromptTokens, CachedTokens and OutputTokens are totals so far.
+	// PromptTokens, CachedTokens and OutputTokens are the request's totals so
+	// far.
 	PromptTokens int
 	CachedTokens int
 	OutputTokens int
 }
 
-// Engine is one engine. The zero value is not usable; see New.
+// Engine models one engine. The zero value is not usable; see New.
 type Engine struct {
-	config   Config
-	cache    *pool
-	known    map[string]*sequence
-	waiting  waitingQueue
-	running  []*sequence
-	order    uint64
-	planned  bool
-	stepEnds time.Duration
-	// stepTook is the duration of the step planned last.
-	stepTook time.Duration
-	outputs  []Output
-	totals   totals
+	config      Config
+	cache       *blockCache
+	requests    map[string]*sequence
+	waiting     waitingQueue
+	running     []*sequence
+	lastOrder   uint64
+	stepPlanned bool
+	stepEnds    time.Duration
+	// stepDuration is the duration of the latest planned step.
+	stepDuration time.Duration
+	outputs      []Output
+	totals       totals
 }
 
-// totals are counters since the engine began.
+// totals are the engine's counters since New.
 type totals struct {
 	steps        uint64
 	preemptions  uint64
@@ -46,84 +47,83 @@
 	outputTokens uint64
 }
 
-// New makes an idle engine with an empty cache. It panics when config is
-// invalid; check with Config.Validate where it comes from outside.
+// New returns an idle engine with an empty cache. It panics if config is
+// invalid; see Config.Validate.
 func New(config Config) *Engine {
 	if err := config.Validate(); err != nil {
 		panic(err)
 	}
 	return &Engine{
-		config: config,
-		cache:  newPool(config.Blocks),
-		known:  make(map[string]*sequence),
+		config:   config,
+		cache:    newBlockCache(config.Blocks),
+		requests: make(map[string]*sequence),
 	}
 }
 
-// Submit adds a request to the waiting queue. It joins (does nothing) if the id
-// is already waiting or running; a finished id is forgotten and would run
-// anew, so callers that need once-only keep finished ids themselves.
+// Submit adds a request to the waiting queue. It does nothing if a request with
+// the same ID is waiting or running. The IDs of finished requests are not kept:
+// a finished request that is submitted again runs again.
 func (engine *Engine) Submit(now time.Duration, request Request) error {
-	if _, found := engine.known[request.ID]; found {
+	if _, found := engine.requests[request.ID]; found {
 		return nil
 	}
 	if err := request.validate(engine.config); err != nil {
 		return err
 	}
-	engine.order++
-	item := &sequence{request: request, order: engine.order, place: -1}
-	engine.known[request.ID] = item
-	engine.waiting.add(item)
+	engine.lastOrder++
+	seq := &sequence{request: request, order: engine.lastOrder, heapIndex: -1}
+	engine.requests[request.ID] = seq
+	engine.waiting.add(seq)
 	return nil
 }
 
-// Cancel removes a waiting or running request; false if it is not known. What
-// the step under way computes for it is lost; blocks already computed stay
-// cached.
+// Cancel removes a waiting or running request and returns false if there is
+// none with that ID. The current step's work for it is lost; computed blocks
+// stay cached.
 func (engine *Engine) Cancel(now time.Duration, id string) bool {
-	item, found := engine.known[id]
+	seq, found := engine.requests[id]
 	if !found {
 		return false
 	}
-	delete(engine.known, id)
-	if item.place >= 0 {
-		engine.waiting.remove(item)
+	delete(engine.requests, id)
+	if seq.heapIndex >= 0 {
+		engine.waiting.remove(seq)
 		return true
 	}
-	engine.dropBlocks(now, item)
-	engine.removeRunning(item)
+	engine.releaseBlocks(now, seq)
+	engine.removeRunning(seq)
 	return true
 }
 
-// Release frees the blocks that program owns and no running request uses, and
-// returns their number.
+// Release frees the idle blocks that program owns and returns their number.
 func (engine *Engine) Release(now time.Duration, program string) int {
-	return engine.cache.release(now, program)
+	return engine.cache.freeIdleOf(now, program)
 }
 
-// ReleaseAll frees every block that no running request uses, as a change of the
-// model's weights must, and returns their number.
+// ReleaseAll frees all idle blocks, as after a change of the model's weights,
+// and returns their number.
 func (engine *Engine) ReleaseAll(now time.Duration) int {
 	freed := 0
-	for engine.cache.idleFirst != none {
-		engine.cache.drop(now, engine.cache.idleFirst)
+	for engine.cache.idleHead != noBlock {
+		engine.cache.freeBlock(now, engine.cache.idleHead)
 		freed++
 	}
 	return freed
 }
 
-// NextStep tells when the step under way ends; busy is false when there is
-// nothing to do. An idle engine starts a step at now, with all requests
-// submitted so far.
+// NextStep returns the end of the current step. If no step is planned, it
+// starts one at now with all requests submitted so far; busy is false if there
+// are none.
 func (engine *Engine) NextStep(now time.Duration) (at time.Duration, busy bool) {
-	if !engine.planned {
+	if !engine.stepPlanned {
 		engine.plan(now)
 	}
-	return engine.stepEnds, engine.planned
+	return engine.stepEnds, engine.stepPlanned
 }
 
-// Step ends the step under way and starts the next one at now; call it at the
-// time NextStep gave. It returns what the step produced; the slice is valid
-// until the next call. Before that time it does nothing.
+// Step completes the current step and starts the next one at now. It does
+// nothing before the time that NextStep returns. The returned outputs are valid
+// until the next call.
 func (engine *Engine) Step(now time.Duration) []Output {
 	if _, busy := engine.NextStep(now); !busy || now < engine.stepEnds {
 		return nil
@@ -131,83 +131,83 @@
 	engine.totals.steps++
 	engine.outputs = engine.outputs[:0]
 	kept := engine.running[:0]
-	for _, item := range engine.running {
-		engine.compute(item)
-		if item.produced == item.request.OutputTokens {
-			engine.finish(now, item)
+	for _, seq := range engine.running {
+		engine.compute(seq)
+		if seq.producedTokens == seq.request.OutputTokens {
+			engine.finish(now, seq)
 			continue
 		}
-		kept = append(kept, item)
+		kept = append(kept, seq)
 	}
 	clear(engine.running[len(kept):])
 	engine.running = kept
-	engine.planned = false
+	engine.stepPlanned = false
 	engine.plan(now)
 	return engine.outputs
 }
 
-// compute applies the planned work of one sequence.
-func (engine *Engine) compute(item *sequence) {
-	if item.planned == 0 {
+// compute applies the planned tokens of one sequence.
+func (engine *Engine) compute(seq *sequence) {
+	if seq.plannedTokens == 0 {
 		return
 	}
-	item.computed += item.planned
-	item.planned = 0
-	engine.shareBlocks(item)
-	if item.computed < item.goal() {
+	seq.computedTokens += seq.plannedTokens
+	seq.plannedTokens = 0
+	engine.registerBlocks(seq)
+	if seq.computedTokens < seq.targetTokens() {
 		return
 	}
-	item.produced++
+	seq.producedTokens++
 	engine.totals.outputTokens++
 	output := Output{
-		RequestID:    item.request.ID,
+		RequestID:    seq.request.ID,
 		Tokens:       1,
-		First:        item.produced == 1,
-		PromptTokens: item.request.PromptTokens,
-		CachedTokens: item.cached,
-		OutputTokens: item.produced,
+		First:        seq.producedTokens == 1,
+		PromptTokens: seq.request.PromptTokens,
+		CachedTokens: seq.cachedTokens,
+		OutputTokens: seq.producedTokens,
 	}
-	if item.produced == item.request.OutputTokens {
+	if seq.producedTokens == seq.request.OutputTokens {
 		output.Finished = true
 		output.FinishReason = FinishStop
 	}
 	engine.outputs = append(engine.outputs, output)
 }
 
-// shareBlocks offers the blocks that are now whole for reuse.
-func (engine *Engine) shareBlocks(item *sequence) {
-	for (item.shared+1)*engine.config.BlockTokens <= item.computed {
-		hash, sharable := item.blockHash(item.shared, item.hash)
-		if sharable {
-			engine.cache.share(item.blocks[item.shared], hash)
-			item.hash = hash
+// registerBlocks registers the hashes of the sequence's newly filled blocks.
+func (engine *Engine) registerBlocks(seq *sequence) {
+	for (seq.registeredBlocks+1)*engine.config.BlockTokens <= seq.computedTokens {
+		hash, reusable := seq.blockHash(seq.registeredBlocks, seq.lastHash)
+		if reusable {
+			engine.cache.registerHash(seq.blocks[seq.registeredBlocks], hash)
+			seq.lastHash = hash
 		}
-		item.shared++
+		seq.registeredBlocks++
 	}
 }
 
-func (engine *Engine) finish(now time.Duration, item *sequence) {
-	delete(engine.known, item.request.ID)
-	engine.dropBlocks(now, item)
+func (engine *Engine) finish(now time.Duration, seq *sequence) {
+	delete(engine.requests, seq.request.ID)
+	engine.releaseBlocks(now, seq)
 }
 
-// dropBlocks gives up a sequence's blocks, last block first, so that the
-// beginning of a prefix is evicted last.
-func (engine *Engine) dropBlocks(now time.Duration, item *sequence) {
-	for place := len(item.blocks) - 1; place >= 0; place-- {
-		engine.cache.dereference(now, item.blocks[place])
-	}
-	item.blocks = item.blocks[:0]
-	item.shared = 0
-	item.hash = 0
-	item.computed = 0
-	item.planned = 0
+// releaseBlocks removes the sequence's references, last block first, so that
+// the beginning of a prefix is evicted last.
+func (engine *Engine) releaseBlocks(now time.Duration, seq *sequence) {
+	for position := len(seq.blocks) - 1; position >= 0; position-- {
+		engine.cache.removeReference(now, seq.blocks[position])
+	}
+	seq.blocks = seq.blocks[:0]
+	seq.registeredBlocks = 0
+	seq.lastHash = 0
+	seq.computedTokens = 0
+	seq.plannedTokens = 0
 }
 
-func (engine *Engine) removeRunning(item *sequence) {
-	for place, other := range engine.running {
-		if other == item {
-			engine.running = append(engine.running[:place], engine.running[place+1:]...)
+func (engine *Engine) removeRunning(seq *sequence) {
+	for position, other := range engine.running {
+		if other == seq {
+			engine.running = append(engine.running[:position], engine.running[position+1:]...)
 			return
 		}
 	}
--- a/rehearsal/enginemodel/engine_benchmark_test.go
+++ b/rehearsal/enginemodel/engine_benchmark_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// BenchmarkStep measures full batches that decode: steps and tokens a second.
+// BenchmarkStep measures the throughput of decoding with full batches.
 func BenchmarkStep(b *testing.B) {
 	for _, running := range []int{1, 16, 64, 256} {
 		b.Run(fmt.Sprint(running, "_running"), func(b *testing.B) {
--- a/rehearsal/enginemodel/engine_test.go
+++ b/rehearsal/enginemodel/engine_test.go
@@ -9,8 +9,8 @@
 	"pgregory.net/rapid"
 )
 
-// runUntilIdle steps the engine to its end and returns the last output of each
-// finished request and the time.
+// runUntilIdle steps the engine until it is idle. It returns the last output of
+// each finished request and the time.
 func runUntilIdle(engine *Engine, now time.Duration) (map[string]Output, time.Duration) {
 	finished := make(map[string]Output)
 	for {
@@ -37,7 +37,7 @@
 }
 
 var _ = Describe("Engine", func() {
-	It("lets the next turn reuse the whole blocks of prompt and output", func() {
+	It("reuses the full blocks of prompt and output in the next turn", func() {
 		engine := New(smallConfig())
 		first := Request{ID: "1", Program: "p", PromptTokens: 10, OutputTokens: 7, OutputSeed: 5}
 		Expect(engine.Submit(0, first)).To(Succeed())
@@ -48,7 +48,7 @@
 		Expect(finished["2"].CachedTokens).To(Equal(16))
 	})
 
-	It("counts blocks never reused as wasted, for their whole lifetime", func() {
+	It("counts the whole lifetime of blocks that are never reused as wasted", func() {
 		engine := New(smallConfig())
 		Expect(engine.Submit(0, Request{ID: "1", Program: "p", PromptTokens: 8, OutputTokens: 1, OutputSeed: 1})).To(Succeed())
 		runUntilIdle(engine, 0)
@@ -61,7 +61,7 @@
 		Expect(released.IdleBlockSeconds).To(BeNumerically("~", 20, 0.1))
 	})
 
-	It("admits by priority, then by submission", func() {
+	It("admits by priority, then by submission order", func() {
 		config := smallConfig()
 		config.RunningLimit = 1
 		engine := New(config)
@@ -78,7 +78,7 @@
 		Expect(order).To(Equal([]string{"1", "2", "0"}))
 	})
 
-	It("preempts the lowest priority when blocks run out, and finishes it later", func() {
+	It("preempts the lowest-priority request when the cache is full and finishes it later", func() {
 		config := smallConfig()
 		config.Blocks = 8
 		engine := New(config)
@@ -96,7 +96,7 @@
 		Expect(finished).To(Equal([]string{"high", "low"}))
 		stats := engine.Stats(time.Minute)
 		Expect(stats.Preemptions).To(BeNumerically(">", 0))
-		// The preempted request found its own blocks again: no reuse.
+		// A preempted request that finds its own blocks is not counted as reuse.
 		Expect(stats.WastedShare()).To(BeNumerically("~", 1, 1e-9))
 	})
 
@@ -116,19 +116,19 @@
 		Expect(finished["3"].CachedTokens).To(Equal(12))
 	})
 
-	It("takes time for the base, each decoding sequence and each prompt token", func() {
+	It("adds up step durations from the base, decoding sequences and prompt tokens", func() {
 		config := smallConfig()
 		config.StepBase, config.StepPerSequence, config.StepPerPrefillToken = time.Second, time.Millisecond, time.Microsecond
 		engine := New(config)
 		Expect(engine.Submit(0, Request{ID: "1", PromptTokens: 20, OutputTokens: 3})).To(Succeed())
 		Expect(engine.Submit(0, Request{ID: "2", PromptTokens: 4, OutputTokens: 2})).To(Succeed())
 		_, now := runUntilIdle(engine, 0)
-		// Steps: prompt tokens 8, 8 and 8, both first tokens in the third; then
-		// two decoding sequences, then one.
+		// Three prefill steps of 8 tokens each, then one step with two decoding
+		// sequences and one step with one.
 		Expect(now).To(Equal(5*time.Second + 3*time.Millisecond + 24*time.Microsecond))
 	})
 
-	It("exports a program's blocks and imports them elsewhere for reuse", func() {
+	It("reuses blocks exported from one engine and imported into another", func() {
 		source, target := New(smallConfig()), New(smallConfig())
 		first := Request{ID: "1", Program: "p", PromptTokens: 12, OutputTokens: 5, OutputSeed: 5}
 		Expect(source.Submit(0, first)).To(Succeed())
@@ -142,7 +142,7 @@
 		Expect(target.Stats(now).BlocksUsed).To(BeZero())
 	})
 
-	It("refuses what it can never run", func() {
+	It("rejects requests that are invalid or exceed the cache", func() {
 		engine := New(smallConfig())
 		Expect(engine.Submit(0, Request{ID: "1", PromptTokens: 100, OutputTokens: 29})).To(MatchError(ErrTooLarge))
 		Expect(engine.Submit(0, Request{ID: "1", PromptTokens: 4})).To(MatchError(ErrInvalidRequest))
@@ -152,8 +152,8 @@
 	})
 })
 
-// machine drives an engine with random calls and checks its invariants.
-type machine struct {
+// engineDriver makes random calls to an engine and checks its invariants.
+type engineDriver struct {
 	engine    *Engine
 	now       time.Duration
 	submitted map[string]Request
@@ -161,7 +161,7 @@
 	open      map[string]bool
 }
 
-func (driver *machine) submit(t *rapid.T) {
+func (driver *engineDriver) submit(t *rapid.T) {
 	id := fmt.Sprint("r", len(driver.submitted))
 	program := rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "program")
 	request := Request{
@@ -180,7 +180,7 @@
 	driver.open[id] = true
 }
 
-func (driver *machine) step(t *rapid.T) {
+func (driver *engineDriver) step(t *rapid.T) {
 	at, busy := driver.engine.NextStep(driver.now)
 	if !busy {
 		if len(driver.open) > 0 {
@@ -204,7 +204,7 @@
 	}
 }
 
-func (driver *machine) cancel(t *rapid.T) {
+func (driver *engineDriver) cancel(t *rapid.T) {
 	if len(driver.submitted) == 0 {
 		t.Skip("nothing submitted")
 	}
@@ -215,28 +215,28 @@
 	delete(driver.open, id)
 }
 
-func (driver *machine) release(t *rapid.T) {
+func (driver *engineDriver) release(t *rapid.T) {
 	program := rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "program")
 	before := driver.engine.Stats(driver.now)
 	freed := driver.engine.Release(driver.now, program)
 	after := driver.engine.Stats(driver.now)
 	if before.BlocksUsed-after.BlocksUsed != freed {
-		t.Fatalf("release told %d, freed %d", freed, before.BlocksUsed-after.BlocksUsed)
+		t.Fatalf("Release returned %d, but %d blocks were freed", freed, before.BlocksUsed-after.BlocksUsed)
 	}
 	for index := range driver.engine.cache.blocks {
 		entry := &driver.engine.cache.blocks[index]
-		if entry.owner == program && entry.references == 0 {
-			t.Fatalf("block %d of %s kept after release", index, program)
+		if entry.owner == program && entry.refCount == 0 {
+			t.Fatalf("idle block %d of program %s was not freed by Release", index, program)
 		}
 	}
 }
 
-// check recounts everything the engine keeps incrementally.
-func (driver *machine) check(t *rapid.T) {
+// check compares the engine's incremental counters with a full count.
+func (driver *engineDriver) check(t *rapid.T) {
 	engine := driver.engine
 	references := make(map[int32]int32)
-	for _, item := range engine.running {
-		for _, index := range item.blocks {
+	for _, seq := range engine.running {
+		for _, index := range seq.blocks {
 			references[index]++
 		}
 	}
@@ -244,17 +244,17 @@
 	owned := make(map[string]int)
 	for index := range engine.cache.blocks {
 		entry := &engine.cache.blocks[index]
-		if entry.references != references[int32(index)] {
-			t.Fatalf("block %d has %d references, counted %d", index, entry.references, references[int32(index)])
+		if entry.refCount != references[int32(index)] {
+			t.Fatalf("block %d has reference count %d, counted %d", index, entry.refCount, references[int32(index)])
 		}
-		if entry.references > 0 || entry.shared {
+		if entry.refCount > 0 || entry.registered {
 			used++
 			owned[entry.owner]++
 		}
 	}
 	stats := engine.Stats(driver.now)
-	if stats.BlocksUsed != used || used > engine.config.Blocks || used+engine.cache.free != engine.config.Blocks {
-		t.Fatalf("blocks used %d, counted %d, free %d", stats.BlocksUsed, used, engine.cache.free)
+	if stats.BlocksUsed != used || used > engine.config.Blocks || used+engine.cache.freeCount != engine.config.Blocks {
+		t.Fatalf("blocks used %d, counted %d, free %d", stats.BlocksUsed, used, engine.cache.freeCount)
 	}
 	for program, count := range owned {
 		if stats.ProgramBlocks[program] != count {
@@ -276,9 +276,9 @@
 }
 
 var _ = Describe("Engine under random calls", func() {
-	It("conserves blocks, keeps its limits and finishes each request with its own tokens", func() {
+	It("conserves blocks, keeps its limits and produces the exact tokens of each request", func() {
 		rapid.Check(GinkgoT(), func(t *rapid.T) {
-			driver := &machine{
+			driver := &engineDriver{
 				engine:    New(smallConfig()),
 				submitted: make(map[string]Request),
 				produced:  make(map[string]int),
@@ -296,7 +296,7 @@
 				driver.step(t)
 				driver.check(t)
 				if attempts > 100000 {
-					t.Fatalf("requests never finish: %v", driver.open)
+					t.Fatalf("requests did not finish in 100000 steps: %v", driver.open)
 				}
 			}
 		})
--- a/rehearsal/enginemodel/enginemodel_suite_test.go
+++ b/rehearsal/enginemodel/enginemodel_suite_test.go
@@ -9,7 +9,7 @@
 )
 
 func TestEngineModel(t *testing.T) {
-	// Property tests draw from a fixed seed.
+	// A fixed seed makes the property tests repeatable.
 	if err := flag.Set("rapid.seed", "1"); err != nil {
 		t.Fatal(err)
 	}
--- a/rehearsal/enginemodel/plan.go
+++ b/rehearsal/enginemodel/plan.go
@@ -2,31 +2,32 @@
 
 import "time"
 
-// plan starts a step at now: it finds blocks for the running sequences, admits
-// waiting ones, and sets what each computes and when the step ends.
+// plan starts a step at now: it allocates blocks for the running sequences,
+// admits waiting ones, assigns tokens to each and sets the end of the step.
 func (engine *Engine) plan(now time.Duration) {
-	if len(engine.known) == 0 {
+	if len(engine.requests) == 0 {
 		return
 	}
-	engine.growRunning(now)
+	engine.extendRunning(now)
 	engine.admit(now)
 	if len(engine.running) == 0 {
 		return
 	}
-	engine.planned = true
-	engine.stepTook = engine.assign()
-	engine.stepEnds = now + engine.stepTook
+	engine.stepPlanned = true
+	engine.stepDuration = engine.assignTokens()
+	engine.stepEnds = now + engine.stepDuration
 }
 
-// growRunning gives each running sequence the block that its next token needs.
-// Invariant afterwards: every running sequence has blocks up to its goal.
-func (engine *Engine) growRunning(now time.Duration) {
+// extendRunning allocates the blocks that each running sequence needs for its
+// next token, and preempts sequences when the cache is full. Afterwards, every
+// running sequence has blocks for targetTokens.
+func (engine *Engine) extendRunning(now time.Duration) {
 	preempted := false
-	for _, item := range engine.running {
-		for !item.removed && len(item.blocks)*engine.config.BlockTokens < item.goal() {
-			index := engine.cache.allocate(now, item.request.Program, len(item.blocks))
-			if index != none {
-				item.blocks = append(item.blocks, index)
+	for _, seq := range engine.running {
+		for !seq.preempted && len(seq.blocks)*engine.config.BlockTokens < seq.targetTokens() {
+			index := engine.cache.allocate(now, seq.request.Program, len(seq.blocks))
+			if index != noBlock {
+				seq.blocks = append(seq.blocks, index)
 				continue
 			}
 			engine.preempt(now)
@@ -38,90 +39,91 @@
 	}
 }
 
-// preempt sends the running sequence of the lowest priority, the youngest of
-// them, back to the waiting queue; it will compute its tokens again.
+// preempt moves the running sequence that is last in scheduling order back to
+// the waiting queue and releases its blocks. It computes its tokens again.
 func (engine *Engine) preempt(now time.Duration) {
 	var victim *sequence
-	for _, item := range engine.running {
-		if !item.removed && (victim == nil || victim.before(item)) {
-			victim = item
+	for _, seq := range engine.running {
+		if !seq.preempted && (victim == nil || victim.precedes(seq)) {
+			victim = seq
 		}
 	}
-	victim.removed = true
+	victim.preempted = true
 	engine.totals.preemptions++
-	engine.dropBlocks(now, victim)
+	engine.releaseBlocks(now, victim)
 	engine.waiting.add(victim)
 }
 
-// compactRunning drops the sequences that were preempted.
+// compactRunning removes preempted sequences from the batch.
 func (engine *Engine) compactRunning() {
 	kept := engine.running[:0]
-	for _, item := range engine.running {
-		if item.removed {
-			item.removed = false
+	for _, seq := range engine.running {
+		if seq.preempted {
+			seq.preempted = false
 			continue
 		}
-		kept = append(kept, item)
+		kept = append(kept, seq)
 	}
 	clear(engine.running[len(kept):])
 	engine.running = kept
 }
 
-// admit moves waiting sequences into the batch, best first, while the batch and
-// the cache have room. It never passes over a sequence that doesn't fit.
+// admit moves waiting sequences into the batch in scheduling order while the
+// batch and the cache have room. It stops at the first one that doesn't fit.
 func (engine *Engine) admit(now time.Duration) {
 	for len(engine.waiting) > 0 && len(engine.running) < engine.config.RunningLimit {
-		item := engine.waiting[0]
-		if !engine.place(now, item) {
+		seq := engine.waiting[0]
+		if !engine.allocateFor(now, seq) {
 			return
 		}
-		engine.waiting.remove(item)
-		engine.running = append(engine.running, item)
+		engine.waiting.remove(seq)
+		engine.running = append(engine.running, seq)
 	}
 }
 
-// place finds the sequence's cached prefix and allocates the other blocks up to
-// its goal; false, with nothing changed, when the cache has no room.
-func (engine *Engine) place(now time.Duration, item *sequence) bool {
-	needed := (item.goal() + engine.config.BlockTokens - 1) / engine.config.BlockTokens
-	matched, idle := engine.match(item)
+// allocateFor references the sequence's cached prefix and allocates the
+// remaining blocks for targetTokens. If the cache has no room, it changes
+// nothing and returns false.
+func (engine *Engine) allocateFor(now time.Duration, seq *sequence) bool {
+	needed := (seq.targetTokens() + engine.config.BlockTokens - 1) / engine.config.BlockTokens
+	matched, idle := engine.matchPrefix(seq)
 	if needed-len(matched) > engine.cache.available()-idle {
 		return false
 	}
 	for _, index := range matched {
-		engine.cache.reference(index, item.request.Program, !item.admitted)
-		item.hash = engine.cache.blocks[index].hash
+		engine.cache.addReference(index, seq.request.Program, !seq.admitted)
+		seq.lastHash = engine.cache.blocks[index].hash
 	}
-	item.blocks = append(item.blocks, matched...)
-	item.shared = len(matched)
-	item.computed = len(matched) * engine.config.BlockTokens
-	for len(item.blocks) < needed {
-		index := engine.cache.allocate(now, item.request.Program, len(item.blocks))
-		item.blocks = append(item.blocks, index)
+	seq.blocks = append(seq.blocks, matched...)
+	seq.registeredBlocks = len(matched)
+	seq.computedTokens = len(matched) * engine.config.BlockTokens
+	for len(seq.blocks) < needed {
+		index := engine.cache.allocate(now, seq.request.Program, len(seq.blocks))
+		seq.blocks = append(seq.blocks, index)
 	}
-	if !item.admitted {
-		item.admitted = true
-		item.cached = item.computed
-		engine.totals.promptTokens += uint64(item.request.PromptTokens)
-		engine.totals.cachedTokens += uint64(item.cached)
+	if !seq.admitted {
+		seq.admitted = true
+		seq.cachedTokens = seq.computedTokens
+		engine.totals.promptTokens += uint64(seq.request.PromptTokens)
+		engine.totals.cachedTokens += uint64(seq.cachedTokens)
 	}
 	return true
 }
 
-// match returns the cached blocks of the sequence's prefix and how many of them
-// are idle. At least one token is always left to compute.
-func (engine *Engine) match(item *sequence) (matched []int32, idle int) {
+// matchPrefix returns the cached blocks of the sequence's prefix and how many of
+// them are idle. It leaves at least one token to compute.
+func (engine *Engine) matchPrefix(seq *sequence) (matched []int32, idle int) {
 	previous := uint64(0)
-	for (len(matched)+1)*engine.config.BlockTokens < item.goal() {
-		hash, sharable := item.blockHash(len(matched), previous)
-		if !sharable {
+	for (len(matched)+1)*engine.config.BlockTokens < seq.targetTokens() {
+		hash, reusable := seq.blockHash(len(matched), previous)
+		if !reusable {
 			return matched, idle
 		}
 		index, found := engine.cache.byHash[hash]
 		if !found {
 			return matched, idle
 		}
-		if engine.cache.blocks[index].references == 0 {
+		if engine.cache.blocks[index].refCount == 0 {
 			idle++
 		}
 		matched = append(matched, index)
@@ -130,20 +132,20 @@
 	return matched, idle
 }
 
-// assign shares the step among the running sequences and returns its duration.
-// Decoding sequences compute one token each; the others share the step's
-// bounded prompt tokens in order of admission.
-func (engine *Engine) assign() time.Duration {
+// assignTokens sets the tokens that each running sequence computes in the step
+// and returns the step's duration. Decoding sequences compute one token each;
+// the others share PrefillTokensPerStep in order of admission.
+func (engine *Engine) assignTokens() time.Duration {
 	budget := engine.config.PrefillTokensPerStep
 	decoding := 0
-	for _, item := range engine.running {
-		if item.decoding() {
-			item.planned = 1
+	for _, seq := range engine.running {
+		if seq.decoding() {
+			seq.plannedTokens = 1
 			decoding++
 			continue
 		}
-		item.planned = min(budget, item.goal()-item.computed)
-		budget -= item.planned
+		seq.plannedTokens = min(budget, seq.targetTokens()-seq.computedTokens)
+		budget -= seq.plannedTokens
 	}
 	prefill := engine.config.PrefillTokensPerStep - budget
 	duration := engine.config.StepBase
--- a/rehearsal/enginemodel/request.go
+++ b/rehearsal/enginemodel/request.go
@@ -4,28 +4,29 @@
 
 // Errors of Submit.
 var (
-	// ErrInvalidRequest says that a field of the request is out of bounds.
+	// ErrInvalidRequest is returned if a field of the request is out of bounds.
 	ErrInvalidRequest = errors.New("enginemodel: invalid request")
-	// ErrTooLarge says that prompt and output together exceed the whole cache.
+	// ErrTooLarge is returned if prompt and output exceed the cache size.
 	ErrTooLarge = errors.New("enginemodel: request larger than the cache")
 )
 
-// Request is one generation.
+// Request is one generation request.
 type Request struct {
 	ID      string
 	Program string
-	// Prefix holds the chained hashes of the prompt's whole blocks, first block
-	// first (see ChainHash). Blocks past it are chained from OutputSeed.
+	// Prefix holds the chained hashes of the prompt's full blocks, in order (see
+	// ChainHash). Later blocks are hashed from OutputSeed or OutputBlocks.
 	Prefix       []uint64
 	PromptTokens int
-	// OutputTokens is exactly how many tokens the request generates.
+	// OutputTokens is the exact number of tokens that the request generates.
 	OutputTokens int
 	// Priority orders the waiting queue and preemption; higher runs first.
 	Priority int
-	// OutputSeed chains the blocks after Prefix; see OutputPrefix.
+	// OutputSeed is the content from which the blocks after Prefix are hashed;
+	// see OutputPrefix.
 	OutputSeed uint64
-	// OutputBlocks, where not nil, replaces the chain from OutputSeed: the
-	// hashes of the blocks after Prefix. Blocks past it are never shared.
+	// OutputBlocks, if not nil, holds the hashes of the blocks after Prefix and
+	// replaces OutputSeed. Blocks after these are never reused.
 	OutputBlocks []uint64
 }
 
@@ -36,8 +37,8 @@
 	mixSecond    = 0x94d049bb133111eb
 )
 
-// ChainHash returns the hash of a block with the given content that follows the
-// block hashed previous (0 for the first block). Equal chains mean equal
+// ChainHash returns the hash of a block from its content and the hash of the
+// previous block (0 for the first block). Blocks with equal hashes have equal
 // prefixes.
 func ChainHash(previous, content uint64) uint64 {
 	value := previous ^ (content + mixIncrement)
@@ -47,28 +48,27 @@
 	return value ^ (value >> 31)
 }
 
-// ExtendPrefix appends blocks chained from seed to prefix until it covers the
-// whole blocks of tokens. It returns a new slice.
+// ExtendPrefix returns a copy of prefix, extended with blocks hashed from seed
+// to cover all full blocks of the given number of tokens.
 func ExtendPrefix(prefix []uint64, seed uint64, tokens, blockTokens int) []uint64 {
-	whole := tokens / blockTokens
-	extended := make([]uint64, len(prefix), max(whole, len(prefix)))
+	fullBlocks := tokens / blockTokens
+	extended := make([]uint64, len(prefix), max(fullBlocks, len(prefix)))
 	copy(extended, prefix)
-	for len(extended) < whole {
+	for len(extended) < fullBlocks {
 		extended = append(extended, ChainHash(lastHash(extended), seed))
 	}
 	return extended
 }
 
-// OutputPrefix returns the hashes of all whole blocks of the request's prompt
-// and output together: the prefix with which a next turn that keeps both can
-// find them in the cache.
+// OutputPrefix returns the hashes of all full blocks of the request's prompt and
+// output. A later request whose prompt begins with both uses it as its Prefix.
 func OutputPrefix(request Request, blockTokens int) []uint64 {
 	tokens := request.PromptTokens + request.OutputTokens
 	if request.OutputBlocks == nil {
 		return ExtendPrefix(request.Prefix, request.OutputSeed, tokens, blockTokens)
 	}
-	whole := append(append([]uint64{}, request.Prefix...), request.OutputBlocks...)
-	return whole[:min(len(whole), tokens/blockTokens)]
+	hashes := append(append([]uint64{}, request.Prefix...), request.OutputBlocks...)
+	return hashes[:min(len(hashes), tokens/blockTokens)]
 }
 
 func lastHash(prefix []uint64) uint64 {
@@ -78,7 +78,8 @@
 	return prefix[len(prefix)-1]
 }
 
-// validate tells whether the engine can ever run the request.
+// validate returns an error if an engine of this config can never run the
+// request.
 func (request Request) validate(config Config) error {
 	if request.ID == "" || request.PromptTokens < 1 || request.OutputTokens < 1 {
 		return ErrInvalidRequest
--- a/rehearsal/enginemodel/transfer.go
+++ b/rehearsal/enginemodel/transfer.go
@@ -6,23 +6,23 @@
 	"time"
 )
 
-// ExportedBlock names one block of a program's cache.
+// ExportedBlock identifies one cached block of a program.
 type ExportedBlock struct {
 	Hash uint64
-	// Position is the block's place in its prefix, from 0.
+	// Position is the index of the block in its prefix, from 0.
 	Position int
 }
 
-// Export lists the shared blocks that program owns, prefix order first. The
-// blocks stay; Release frees them.
+// Export returns the reusable blocks that program owns, ordered by position and
+// then hash. The blocks stay cached until Release or eviction.
 func (engine *Engine) Export(program string) []ExportedBlock {
-	if engine.cache.owned[program] == 0 {
+	if engine.cache.blocksByOwner[program] == 0 {
 		return nil
 	}
 	var exported []ExportedBlock
 	for index := range engine.cache.blocks {
 		entry := &engine.cache.blocks[index]
-		if entry.shared && entry.owner == program {
+		if entry.registered && entry.owner == program {
 			exported = append(exported, ExportedBlock{Hash: entry.hash, Position: int(entry.position)})
 		}
 	}
@@ -32,27 +32,27 @@
 	return exported
 }
 
-// Import caches blocks for program, evicting idle ones where none is free, and
-// returns how many it took. Blocks already there move to program. It stops
-// when every block is in use.
+// Import caches blocks for program, evicting idle blocks if none is free, and
+// returns the number imported. Blocks that are already cached become owned by
+// program. It stops when every block is referenced.
 func (engine *Engine) Import(now time.Duration, program string, blocks []ExportedBlock) int {
 	taken := make([]int32, 0, len(blocks))
 	for _, exported := range blocks {
 		index, found := engine.cache.byHash[exported.Hash]
 		if found {
-			engine.cache.reference(index, program, false)
+			engine.cache.addReference(index, program, false)
 		} else {
 			index = engine.cache.allocate(now, program, exported.Position)
-			if index == none {
+			if index == noBlock {
 				break
 			}
-			engine.cache.share(index, exported.Hash)
+			engine.cache.registerHash(index, exported.Hash)
 		}
 		taken = append(taken, index)
 	}
-	// The blocks were referenced so that the import doesn't evict its own.
-	for place := len(taken) - 1; place >= 0; place-- {
-		engine.cache.dereference(now, taken[place])
+	// The references kept the import from evicting its own blocks.
+	for position := len(taken) - 1; position >= 0; position-- {
+		engine.cache.removeReference(now, taken[position])
 	}
 	return len(taken)
 }
--- a/rehearsal/enginemodel/usage.go
+++ b/rehearsal/enginemodel/usage.go
@@ -2,65 +2,66 @@
 
 import "time"
 
-// usage integrates block-seconds in constant time an event: for the blocks now
-// in a state it keeps their count and the sum of the times they entered it, so
-// that the time spent so far is count × now − sum.
-type usage struct {
-	held     integral
-	unreused integral
-	idle     integral
+// blockUsage accumulates block-seconds by block state.
+type blockUsage struct {
+	held     timeIntegral
+	unreused timeIntegral
+	idle     timeIntegral
 }
 
-// integral sums the time that a changing set of blocks spends in one state.
-type integral struct {
-	count   int64
-	entered time.Duration
-	closed  time.Duration
+// timeIntegral accumulates the block-seconds that blocks spend in one state, in
+// constant time per event. For the blocks in the state it keeps their count and
+// the sum of their entry times, so their time so far is count × now − enteredSum.
+type timeIntegral struct {
+	count      int64
+	enteredSum time.Duration
+	closedSum  time.Duration
 }
 
-func (sum *integral) enter(now time.Duration) {
-	sum.count++
-	sum.entered += now
+func (integral *timeIntegral) add(now time.Duration) {
+	integral.count++
+	integral.enteredSum += now
 }
 
-// leave removes a block that entered at since and adds its time to the total.
-func (sum *integral) leave(since, now time.Duration) {
-	sum.forget(since)
-	sum.closed += now - since
+// remove removes a block that entered at since and adds its time to closedSum.
+func (integral *timeIntegral) remove(since, now time.Duration) {
+	integral.discard(since)
+	integral.closedSum += now - since
 }
 
-// forget removes a block that entered at since without counting its time.
-func (sum *integral) forget(since time.Duration) {
-	sum.count--
-	sum.entered -= since
+// discard removes a block that entered at since without counting its time.
+func (integral *timeIntegral) discard(since time.Duration) {
+	integral.count--
+	integral.enteredSum -= since
 }
 
-// seconds is the total as though every block left now.
-func (sum *integral) seconds(now time.Duration) float64 {
-	open := float64(sum.count)*now.Seconds() - sum.entered.Seconds()
-	return sum.closed.Seconds() + open
+// seconds returns the block-seconds up to now, blocks still in the state
+// included.
+func (integral *timeIntegral) seconds(now time.Duration) float64 {
+	open := float64(integral.count)*now.Seconds() - integral.enteredSum.Seconds()
+	return integral.closedSum.Seconds() + open
 }
 
-func (total *usage) hold(now time.Duration) {
-	total.held.enter(now)
-	total.unreused.enter(now)
+func (usage *blockUsage) allocated(now time.Duration) {
+	usage.held.add(now)
+	usage.unreused.add(now)
 }
 
-// markReused takes a block that was held since then out of the unreused ones.
-func (total *usage) markReused(heldSince time.Duration) {
-	total.unreused.forget(heldSince)
+// markReused removes a block allocated at heldSince from the unreused blocks.
+func (usage *blockUsage) markReused(heldSince time.Duration) {
+	usage.unreused.discard(heldSince)
 }
 
-func (total *usage) enterIdle(now time.Duration) { total.idle.enter(now) }
+func (usage *blockUsage) becameIdle(now time.Duration) { usage.idle.add(now) }
 
-// leaveIdle forgets an idle time that ended in a reuse.
-func (total *usage) leaveIdle(idleSince time.Duration) { total.idle.forget(idleSince) }
+// reusedFromIdle discards the idle time of a block that is in use again.
+func (usage *blockUsage) reusedFromIdle(idleSince time.Duration) { usage.idle.discard(idleSince) }
 
-// free closes the account of an idle block that is freed now.
-func (total *usage) free(now time.Duration, entry *block) {
-	total.held.leave(entry.heldSince, now)
-	total.idle.leave(entry.idleSince, now)
+// freed adds the times of an idle block that is freed now.
+func (usage *blockUsage) freed(now time.Duration, entry *block) {
+	usage.held.remove(entry.heldSince, now)
+	usage.idle.remove(entry.idleSince, now)
 	if !entry.reused {
-		total.unreused.leave(entry.heldSince, now)
+		usage.unreused.remove(entry.heldSince, now)
 	}
 }
