--- a/rehearsal/report/csv.go
+++ b/rehearsal/report/csv.go
@@ -10,7 +10,7 @@
 	"github.com/magpielug/magpielug/rehearsal/experiment"
 )
 
-// csvHeader names the columns; durations are in milliseconds.
+// csvHeader is the list of columns; durations are in milliseconds.
 var csvHeader = []string{
 	"policy", "load", "seed", "tier",
 	"latency_mean", "latency_p50", "latency_p95", "latency_p99", "latency_max",
@@ -22,7 +22,7 @@
 	"wasted_share", "wasted_block_seconds", "idle_share", "hit_share", "evictions", "preemptions",
 }
 
-// writeCSV writes a row for each run and tier.
+// writeCSV writes a row for each tier of each run and one for all its tiers.
 func writeCSV(path string, result experiment.Result) error {
 	file, err := os.Create(path)
 	if err != nil {
@@ -40,8 +40,8 @@
 }
 
 func csvRow(cell experiment.Cell, tier experiment.Tier) []string {
-	row := []string{cell.Policy, number(cell.Load), strconv.FormatUint(cell.Seed, 10), tier.Tier}
-	row = appendNumbers(row,
+	row := []string{cell.Policy, formatFloat(cell.Load), strconv.FormatUint(cell.Seed, 10), tier.Tier}
+	row = appendFloats(row,
 		tier.Latency.Mean, tier.Latency.P50, tier.Latency.P95, tier.Latency.P99, tier.Latency.Max,
 		tier.Unloaded.Mean, tier.Unloaded.P95,
 		tier.Delay.Mean, tier.Delay.P95,
@@ -54,19 +54,19 @@
 	} {
 		row = append(row, strconv.Itoa(count))
 	}
-	return appendNumbers(row,
+	return appendFloats(row,
 		cell.Cache.WastedShare, cell.Cache.WastedBlockSeconds, cell.Cache.IdleShare, cell.Cache.HitShare,
 		float64(cell.Cache.Evictions), float64(cell.Cache.Preemptions))
 }
 
-func appendNumbers(row []string, values ...float64) []string {
+func appendFloats(row []string, values ...float64) []string {
 	for _, value := range values {
-		row = append(row, number(value))
+		row = append(row, formatFloat(value))
 	}
 	return row
 }
 
-func number(value float64) string {
+func formatFloat(value float64) string {
 	const digits = 6
 	return strconv.FormatFloat(value, 'g', digits, 64)
 }
--- a/rehearsal/report/plots.go
+++ b/rehearsal/report/plots.go
@@ -19,7 +19,7 @@
 	plotHeight = 4 * vg.Inch
 )
 
-// measure is one value of a cell that is plotted over the load.
+// measure is one value of a cell, plotted over the load.
 type measure struct {
 	file  string
 	title string
@@ -27,8 +27,8 @@
 	value func(experiment.Cell) (float64, bool)
 }
 
-// writePlots draws each measure over the load, one line a policy, and returns
-// the files' names.
+// writePlots writes one plot per measure, with one line per policy, and returns
+// the file names.
 func writePlots(folder string, result experiment.Result) ([]string, error) {
 	var names []string
 	for _, measure := range measures(result) {
--- a/rehearsal/report/report.go
+++ b/rehearsal/report/report.go
@@ -1,5 +1,5 @@
-// Package report writes the result of an experiment into a folder: CSV and JSON
-// for programs, a text table and a Markdown page with plots for people.
+// Package report writes the result of an experiment to a folder as CSV, JSON, a
+// text table and a Markdown page with plots.
 package report
 
 import (
@@ -13,7 +13,7 @@
 	"github.com/magpielug/magpielug/rehearsal/experiment"
 )
 
-// Names of the files in the folder.
+// File names in the report folder.
 const (
 	jsonName     = "result.json"
 	csvName      = "result.csv"
@@ -26,10 +26,10 @@
 	fileMode   = 0o644
 )
 
-// Write writes all files of a report into folder, making it where needed.
+// Write writes all files of a report to folder and creates it if needed.
 func Write(folder string, result experiment.Result) error {
 	if err := os.MkdirAll(folder, folderMode); err != nil {
-		return eris.Wrap(err, "make report folder")
+		return eris.Wrap(err, "create report folder")
 	}
 	content, err := json.MarshalIndent(result, "", "  ")
 	if err != nil {
@@ -56,7 +56,7 @@
 	return eris.Wrapf(err, "write %s", name)
 }
 
-// Text is the whole result as plain tables.
+// Text returns the result as plain-text tables.
 func Text(result experiment.Result) string {
 	var text strings.Builder
 	for _, section := range sections(result) {
@@ -67,8 +67,8 @@
 	return text.String()
 }
 
-// Markdown is the whole result as a Markdown page that shows plots, given by
-// their file names.
+// Markdown returns the result as a Markdown page. plots are the file names of
+// the images that it shows.
 func Markdown(result experiment.Result, plots []string) string {
 	var text strings.Builder
 	text.WriteString("# Experiment " + result.Name + "\n\n")
--- a/rehearsal/report/report_test.go
+++ b/rehearsal/report/report_test.go
@@ -13,9 +13,9 @@
 	"github.com/magpielug/magpielug/rehearsal/experiment"
 )
 
-// handMade has a candidate that halves the baseline's tail, keeps its mean and
-// wastes half as much.
-func handMade() experiment.Result {
+// sampleResult returns a result in which the candidate has half the p95 and half
+// the waste of the baseline, and the same mean.
+func sampleResult() experiment.Result {
 	cell := func(policy string, mean, p95, wasted float64) experiment.Cell {
 		latency := experiment.Summary{Count: 10, Mean: mean, P50: mean, P95: p95, P99: p95}
 		return experiment.Cell{
@@ -37,26 +37,26 @@
 }
 
 var _ = Describe("Report", func() {
-	It("judges the candidate measure by measure", func() {
-		judgements := Judge(handMade())
-		Expect(judgements).To(HaveLen(6))
+	It("compares the candidate with its target in each measure", func() {
+		comparisons := CompareWithTargets(sampleResult())
+		Expect(comparisons).To(HaveLen(6))
 		met := []bool{}
-		for _, judgement := range judgements {
-			met = append(met, judgement.Met())
+		for _, comparison := range comparisons {
+			met = append(met, comparison.MeetsTarget())
 		}
 		Expect(met).To(Equal([]bool{true, true, true, false, false, false}))
-		Expect(judgements[5].Ratio()).To(BeNumerically("~", 2, 1e-9))
+		Expect(comparisons[5].Ratio()).To(BeNumerically("~", 2, 1e-9))
 	})
 
 	It("writes every file", func() {
 		folder := filepath.Join(GinkgoT().TempDir(), "new")
-		Expect(Write(folder, handMade())).To(Succeed())
+		Expect(Write(folder, sampleResult())).To(Succeed())
 
 		content, err := os.ReadFile(filepath.Join(folder, jsonName))
 		Expect(err).NotTo(HaveOccurred())
 		var result experiment.Result
 		Expect(json.Unmarshal(content, &result)).To(Succeed())
-		Expect(result).To(Equal(handMade()))
+		Expect(result).To(Equal(sampleResult()))
 
 		file, err := os.Open(filepath.Join(folder, csvName))
 		Expect(err).NotTo(HaveOccurred())
@@ -73,18 +73,18 @@
 		}
 	})
 
-	It("says which file can't be written", func() {
-		taken := filepath.Join(GinkgoT().TempDir(), "taken")
-		Expect(os.WriteFile(taken, nil, fileMode)).To(Succeed())
-		Expect(Write(taken, handMade())).To(MatchError(ContainSubstring("report folder")))
+	It("reports that the folder can't be created", func() {
+		path := filepath.Join(GinkgoT().TempDir(), "taken")
+		Expect(os.WriteFile(path, nil, fileMode)).To(Succeed())
+		Expect(Write(path, sampleResult())).To(MatchError(ContainSubstring("report folder")))
 	})
 
-	It("renders rows of the header's width", func() {
-		for _, section := range sections(handMade()) {
+	It("renders rows with as many cells as the header", func() {
+		for _, section := range sections(sampleResult()) {
 			for _, row := range section.table.rows {
 				Expect(row).To(HaveLen(len(section.table.header)), section.title)
 			}
 		}
-		Expect(strings.Count(Text(handMade()), "mine")).To(BeNumerically(">=", 3))
+		Expect(strings.Count(Text(sampleResult()), "mine")).To(BeNumerically(">=", 3))
 	})
 })
--- a/rehearsal/report/sections.go
+++ b/rehearsal/report/sections.go
@@ -13,11 +13,11 @@
 	table *table
 }
 
-// sections lists the report's tables in order.
+// sections returns the report's tables in order.
 func sections(result experiment.Result) []section {
-	list := []section{{"Setting", settingTable(result)}}
+	list := []section{{"Setting", settingsTable(result)}}
 	if result.Candidate != "" {
-		list = append(list, section{"Aim", aimTable(Judge(result))})
+		list = append(list, section{"Aim", targetTable(CompareWithTargets(result))})
 	}
 	for _, load := range result.Loads {
 		title := fmt.Sprintf("Load %g: programs (latency in ms)", load)
@@ -28,7 +28,7 @@
 	return list
 }
 
-func settingTable(result experiment.Result) *table {
+func settingsTable(result experiment.Result) *table {
 	origin := "given"
 	if result.CapacityPolicy != "" {
 		origin = "measured under " + result.CapacityPolicy
@@ -38,10 +38,10 @@
 	return table
 }
 
-// programTable has a row for each policy and tier at a load.
+// programTable returns a table with a row for each policy and tier at a load.
 func programTable(result experiment.Result, load float64) *table {
 	table := &table{header: []string{
-		"policy", "tier", "mean", "p50", "p95", "p99", "alone: mean", "p95", "less pauses: mean", "p95",
+		"policy", "tier", "mean", "p50", "p95", "p99", "unloaded: mean", "p95", "less pauses: mean", "p95",
 		"Jain", "arrived", "completed", "refused", "capped", "failed",
 	}}
 	for _, policy := range result.Policies {
@@ -59,16 +59,16 @@
 func programRow(policy string, tier experiment.Tier) []string {
 	return []string{
 		policy, tier.Tier,
-		whole(tier.Latency.Mean), whole(tier.Latency.P50), whole(tier.Latency.P95), whole(tier.Latency.P99),
-		whole(tier.Unloaded.Mean), whole(tier.Unloaded.P95),
-		whole(tier.Delay.Mean), whole(tier.Delay.P95),
+		integer(tier.Latency.Mean), integer(tier.Latency.P50), integer(tier.Latency.P95), integer(tier.Latency.P99),
+		integer(tier.Unloaded.Mean), integer(tier.Unloaded.P95),
+		integer(tier.Delay.Mean), integer(tier.Delay.P95),
 		decimal(tier.Fairness, 3),
 		strconv.Itoa(tier.Arrived), strconv.Itoa(tier.Completed), strconv.Itoa(tier.Refused),
 		strconv.Itoa(tier.Capped), strconv.Itoa(tier.Failed),
 	}
 }
 
-// callTable has a row for each policy at a load.
+// callTable returns a table with a row for each policy at a load.
 func callTable(result experiment.Result, load float64) *table {
 	table := &table{header: []string{
 		"policy", "first token p50", "p95", "top tier p95", "between tokens p50", "p95", "p99",
@@ -88,15 +88,15 @@
 	lowest := cell.Tiers[len(cell.Tiers)-1]
 	return []string{
 		cell.Policy,
-		whole(cell.All.FirstToken.P50), whole(cell.All.FirstToken.P95), whole(top.FirstToken.P95),
+		integer(cell.All.FirstToken.P50), integer(cell.All.FirstToken.P95), integer(top.FirstToken.P95),
 		decimal(cell.All.TokenGap.P50, 1), decimal(cell.All.TokenGap.P95, 1), decimal(cell.All.TokenGap.P99, 1),
-		whole(lowest.QueueWait.Max), strconv.Itoa(cell.All.CallRefusals),
+		integer(lowest.QueueWait.Max), strconv.Itoa(cell.All.CallRefusals),
 		percent(cell.Cache.WastedShare), percent(cell.Cache.IdleShare), percent(cell.Cache.HitShare),
 		strconv.FormatUint(cell.Cache.Evictions, 10), strconv.FormatUint(cell.Cache.Preemptions, 10),
 	}
 }
 
-func whole(value float64) string { return strconv.FormatFloat(value, 'f', 0, 64) }
+func integer(value float64) string { return strconv.FormatFloat(value, 'f', 0, 64) }
 
 func decimal(value float64, digits int) string {
 	return strconv.FormatFloat(value, 'f', digits, 64)
--- a/rehearsal/report/table.go
+++ b/rehearsal/report/table.go
@@ -6,7 +6,7 @@
 	"text/tabwriter"
 )
 
-// table is rows of cells under a header.
+// table is a header and rows of text cells.
 type table struct {
 	header []string
 	rows   [][]string
@@ -16,7 +16,7 @@
 	table.rows = append(table.rows, cells)
 }
 
-// text aligns the columns with spaces.
+// text renders the table with columns aligned by spaces.
 func (table *table) text() string {
 	const padding = 2
 	var text strings.Builder
@@ -24,12 +24,12 @@
 	for _, row := range append([][]string{table.header}, table.rows...) {
 		fmt.Fprintln(writer, strings.Join(row, "\t")+"\t")
 	}
-	// A strings.Builder never fails.
+	// Writes to a strings.Builder never fail.
 	_ = writer.Flush()
 	return text.String()
 }
 
-// markdown renders a pipe table.
+// markdown renders the table as a Markdown table.
 func (table *table) markdown() string {
 	var text strings.Builder
 	text.WriteString("| " + strings.Join(table.header, " | ") + " |\n")
