--- a/rehearsal/experiment/capacity.go
+++ b/rehearsal/experiment/capacity.go
@@ -8,20 +8,20 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// populationFactors are the closed populations tried to measure capacity, in
-// programs a batch slot. A small one leaves slots idle; a large one makes
-// programs push each other's history out of the cache.
+// populationFactors are the closed-loop populations used to measure capacity, in
+// programs per batch slot. Small populations leave slots idle; in large ones,
+// programs evict each other's history from the cache.
 var populationFactors = []float64{0.5, 0.75, 1, 1.5, 2}
 
-// unboundedWait switches admission off while capacity is measured.
+// unboundedWait is a wait bound that disables admission control while capacity
+// is measured.
 const unboundedWait = 24 * time.Hour
 
-var errNoCapacity = errors.New("no program completed while capacity was measured: the duration is too short")
+var errNoCapacity = errors.New("capacity measurement: no program completed; increase duration")
 
-// MeasureCapacity returns the saturation rate in programs a second: the highest
-// rate at which a closed population of programs completes under the file's
-// capacity policy, over several sizes of the population, with the file's first
-// seed.
+// MeasureCapacity returns the saturation rate in programs per second: the
+// highest completion rate of a closed-loop population over several population
+// sizes, under the file's capacity policy and with its first seed.
 func MeasureCapacity(ctx context.Context, file File, workers int) (float64, error) {
 	group, ctx := errgroup.WithContext(ctx)
 	group.SetLimit(workers)
@@ -31,7 +31,7 @@
 			if ctx.Err() != nil {
 				return ctx.Err()
 			}
-			rate, err := file.closedRate(factor)
+			rate, err := file.closedLoopRate(factor)
 			rates[index] = rate
 			return err
 		})
@@ -49,8 +49,9 @@
 	return highest, nil
 }
 
-// closedRate is the rate at which a closed population completes.
-func (file File) closedRate(factor float64) (float64, error) {
+// closedLoopRate returns the completion rate of a closed-loop population, in
+// programs per second.
+func (file File) closedLoopRate(factor float64) (float64, error) {
 	config := file.runConfig(file.policy(file.capacityPolicy()), file.Seeds[0], 0)
 	for index := range config.Deployment.Tiers {
 		config.Deployment.Tiers[index].WaitBound = unboundedWait
--- a/rehearsal/experiment/collector.go
+++ b/rehearsal/experiment/collector.go
@@ -9,44 +9,44 @@
 	"github.com/magpielug/magpielug/rehearsal/workload"
 )
 
-// Histograms record microseconds up to an hour with three significant digits.
+// Histograms record microseconds up to one hour with three significant digits.
 const (
 	histogramHigh   = int64(time.Hour / time.Microsecond)
 	histogramDigits = 3
 )
 
-// collector gathers what one run, or several runs merged, measured.
+// collector accumulates the measurements of one run or of several merged runs.
 type collector struct {
-	// tiers stand in the deployment's order.
+	// tiers are in the deployment's order.
 	tiers []*tierCollector
 	cache cacheTotals
 	runs  int
-	// completed counts the programs of any arrival that completed within the
-	// measured time: the throughput of a closed population.
+	// completed counts the programs that completed within the measured period,
+	// whenever they arrived. It gives the throughput of a closed loop.
 	completed int
 }
 
-// tierCollector gathers the measures of one tier.
+// tierCollector accumulates the measurements of one tier.
 type tierCollector struct {
 	name    string
 	latency *hdrhistogram.Histogram
-	// unloaded is the latency that the same programs would have alone.
+	// unloaded is the latency of the same programs on an unloaded deployment.
 	unloaded *hdrhistogram.Histogram
-	// delay is latency less the program's own tool pauses.
+	// delay is the latency without the time in the program's own tools.
 	delay      *hdrhistogram.Histogram
 	firstToken *hdrhistogram.Histogram
 	tokenGap   *hdrhistogram.Histogram
 	queueWait  *hdrhistogram.Histogram
-	// speed sums describe the ratio of unloaded to measured latency over the
-	// completed programs, for Jain's index.
-	speedSum     float64
-	speedSquares float64
-	arrived      int
-	completed    int
-	refused      int
-	capped       int
-	failed       int
-	// callRefusals counts refusals of calls, retries included.
+	// speedSum and speedSquareSum are over the ratios of unloaded to measured
+	// latency of the completed programs, for Jain's index.
+	speedSum       float64
+	speedSquareSum float64
+	arrived        int
+	completed      int
+	refused        int
+	capped         int
+	failed         int
+	// callRefusals counts refused submissions of calls, retries included.
 	callRefusals int
 }
 
@@ -82,10 +82,10 @@
 	return hdrhistogram.New(1, histogramHigh, histogramDigits)
 }
 
-// record adds one duration, cut to the histogram's bounds.
+// record adds one duration, clamped to the histogram's bounds.
 func record(histogram *hdrhistogram.Histogram, value time.Duration) {
 	microseconds := min(max(int64(value/time.Microsecond), 1), histogramHigh)
-	// The value is within the bounds, the only error there is.
+	// RecordValue fails only for values out of bounds.
 	_ = histogram.RecordValue(microseconds)
 }
 
@@ -95,13 +95,13 @@
 			return tier
 		}
 	}
-	panic("experiment: a program of an unknown tier " + name)
+	panic("experiment: unknown tier " + name)
 }
 
-// programEnded counts a program that arrived from outside and is over.
-func (metrics *collector) programEnded(program *programRun, now, warmUp time.Duration) {
+// recordProgram records the end of a root program.
+func (metrics *collector) recordProgram(program *programRun, now, warmUp time.Duration) {
 	simulation := program.simulation
-	if program.outcome == outcomeCompleted && simulation.measuring(now) {
+	if program.outcome == outcomeCompleted && simulation.inMeasuredPeriod(now) {
 		metrics.completed++
 	}
 	if program.startsAt < warmUp {
@@ -114,12 +114,12 @@
 	case outcomeCompleted:
 		tier.completed++
 		record(tier.latency, latency)
-		record(tier.delay, latency-program.paused)
-		unloaded := idealLatency(program.program, simulation.config)
+		record(tier.delay, latency-program.toolTime)
+		unloaded := unloadedLatency(program.program, simulation.config)
 		record(tier.unloaded, unloaded)
 		speed := unloaded.Seconds() / latency.Seconds()
 		tier.speedSum += speed
-		tier.speedSquares += speed * speed
+		tier.speedSquareSum += speed * speed
 	case outcomeRefused:
 		tier.refused++
 	case outcomeCapped:
@@ -129,25 +129,25 @@
 	}
 }
 
-func (metrics *collector) callGranted(tier string, wait time.Duration, measuring bool) {
+func (metrics *collector) recordQueueWait(tier string, wait time.Duration, measuring bool) {
 	if measuring {
 		record(metrics.tier(tier).queueWait, wait)
 	}
 }
 
-func (metrics *collector) callRefused(tier string, measuring bool) {
+func (metrics *collector) countCallRefusal(tier string, measuring bool) {
 	if measuring {
 		metrics.tier(tier).callRefusals++
 	}
 }
 
-func (metrics *collector) firstToken(tier string, wait time.Duration, measuring bool) {
+func (metrics *collector) recordFirstToken(tier string, wait time.Duration, measuring bool) {
 	if measuring {
 		record(metrics.tier(tier).firstToken, wait)
 	}
 }
 
-func (metrics *collector) tokenGap(tier string, gap time.Duration, measuring bool) {
+func (metrics *collector) recordTokenGap(tier string, gap time.Duration, measuring bool) {
 	if measuring {
 		record(metrics.tier(tier).tokenGap, gap)
 	}
@@ -164,7 +164,7 @@
 	metrics.cache.outputTokens += stats.OutputTokens
 }
 
-// merge adds another run of the same deployment.
+// merge adds the measurements of another run of the same deployment.
 func (metrics *collector) merge(other *collector) {
 	metrics.runs += other.runs
 	metrics.completed += other.completed
@@ -182,7 +182,7 @@
 	tier.tokenGap.Merge(other.tokenGap)
 	tier.queueWait.Merge(other.queueWait)
 	tier.speedSum += other.speedSum
-	tier.speedSquares += other.speedSquares
+	tier.speedSquareSum += other.speedSquareSum
 	tier.arrived += other.arrived
 	tier.completed += other.completed
 	tier.refused += other.refused
--- a/rehearsal/experiment/engine.go
+++ b/rehearsal/experiment/engine.go
@@ -8,20 +8,20 @@
 	"github.com/magpielug/magpielug/rehearsal/enginemodel"
 )
 
-// engine drives one engine model on the timeline.
+// engine runs one engine model on the simulation's clock.
 type engine struct {
-	simulation *simulation
-	name       string
-	zone       string
-	model      *enginemodel.Engine
-	pool       *pool
-	calls      map[string]*call
-	awake      bool
-	lost       bool
-	lostAt     enginemodel.Stats
+	simulation    *simulation
+	name          string
+	zone          string
+	model         *enginemodel.Engine
+	pool          *pool
+	calls         map[string]*call
+	stepScheduled bool
+	lost          bool
+	statsAtLoss   enginemodel.Stats
 }
 
-// modelName is the one model that the engines serve.
+// modelName is the model that all engines serve.
 const modelName = "agent-model"
 
 func (simulation *simulation) makeEngines() {
@@ -37,7 +37,8 @@
 	}
 }
 
-// submit takes a granted call in.
+// submit adds a granted call to the engine, unless the call has been cancelled
+// or the engine is lost.
 func (engine *engine) submit(call *call) {
 	if engine.lost {
 		return
@@ -46,29 +47,29 @@
 		return
 	}
 	if err := engine.model.Submit(engine.simulation.now, call.request); err != nil {
-		call.program.failed(call)
+		call.program.onRejected(call)
 		return
 	}
 	engine.calls[call.request.ID] = call
-	engine.wake()
+	engine.scheduleStep()
 }
 
-// wake makes sure that the end of the step under way is on the timeline.
-func (engine *engine) wake() {
-	if engine.awake || engine.lost {
+// scheduleStep schedules the end of the engine's current step, if any.
+func (engine *engine) scheduleStep() {
+	if engine.stepScheduled || engine.lost {
 		return
 	}
 	at, busy := engine.model.NextStep(engine.simulation.now)
 	if !busy {
 		return
 	}
-	engine.awake = true
+	engine.stepScheduled = true
 	engine.simulation.at(at, engine.step)
 }
 
-// step ends one engine step and hands its tokens on.
+// step completes one engine step and delivers its output.
 func (engine *engine) step() {
-	engine.awake = false
+	engine.stepScheduled = false
 	if engine.lost {
 		return
 	}
@@ -77,36 +78,36 @@
 		if output.Finished {
 			delete(engine.calls, output.RequestID)
 		}
-		call.produced(output)
+		call.deliver(output)
 	}
-	engine.wake()
+	engine.scheduleStep()
 }
 
-// cancel drops a call.
+// cancel removes a call from the engine.
 func (engine *engine) cancel(call *call) {
 	call.cancelled = true
 	delete(engine.calls, call.request.ID)
 	engine.model.Cancel(engine.simulation.now, call.request.ID)
 }
 
-// lose ends the engine. Its calls fail once the loss is seen.
+// lose takes the engine down. Its calls fail after lossDetection.
 func (engine *engine) lose() {
 	engine.lost = true
-	engine.lostAt = engine.model.Stats(engine.simulation.now)
+	engine.statsAtLoss = engine.model.Stats(engine.simulation.now)
 	engine.simulation.after(lossDetection, func() {
 		engine.pool.handle(keeper.EngineLost{Engine: engine.name})
-		for _, call := range engine.pool.granted() {
+		for _, call := range engine.pool.dispatchedCalls() {
 			if call.engine == engine {
-				call.program.lostEngine(call)
+				call.program.onEngineLost(call)
 			}
 		}
 	})
 }
 
-// stats returns the model's counters; a lost engine's are those at its loss.
+// stats returns the model's state, for a lost engine as of its loss.
 func (engine *engine) stats(now time.Duration) enginemodel.Stats {
 	if engine.lost {
-		return engine.lostAt
+		return engine.statsAtLoss
 	}
 	return engine.model.Stats(now)
 }
@@ -114,22 +115,22 @@
 func (simulation *simulation) scheduleReports() {
 	for index, engine := range simulation.engines {
 		offset := reportInterval * time.Duration(index) / time.Duration(len(simulation.engines))
-		engine.sendReport()
-		simulation.after(offset, engine.reportAgain)
+		engine.sendInitialReport()
+		simulation.after(offset, engine.sendPeriodicReport)
 	}
 }
 
-func (engine *engine) reportAgain() {
+func (engine *engine) sendPeriodicReport() {
 	if engine.lost {
 		return
 	}
 	report := engine.report()
 	engine.simulation.after(reportLag, func() { engine.pool.handle(report) })
-	engine.simulation.after(reportInterval, engine.reportAgain)
+	engine.simulation.after(reportInterval, engine.sendPeriodicReport)
 }
 
-// sendReport gives the keeper its first view of the engine without a lag.
-func (engine *engine) sendReport() { engine.pool.handle(engine.report()) }
+// sendInitialReport reports the engine to its keeper without reportLag.
+func (engine *engine) sendInitialReport() { engine.pool.handle(engine.report()) }
 
 func (engine *engine) report() keeper.EngineReported {
 	stats := engine.model.Stats(engine.simulation.now)
@@ -148,10 +149,11 @@
 	}
 }
 
-// publishCacheEvent tells the keeper, late and with gaps, what is cached.
+// publishCacheEvent sends a cache event to the keeper with a random lag; some
+// events are lost.
 func (engine *engine) publishCacheEvent(program string, tokens int) {
 	simulation := engine.simulation
-	lag := time.Duration(simulation.random.Int64N(int64(cacheEventLag)))
+	lag := time.Duration(simulation.random.Int64N(int64(maxCacheEventLag)))
 	if simulation.random.IntN(cacheEventLossOneIn) == 0 {
 		return
 	}
@@ -163,8 +165,8 @@
 	})
 }
 
-// measureCache adds up the engines' cache counters at the end of the arrivals.
-func (simulation *simulation) measureCache() {
+// collectCacheStats adds the engines' cache counters to the measurements.
+func (simulation *simulation) collectCacheStats() {
 	for _, engine := range simulation.engines {
 		simulation.metrics.addEngine(engine.stats(simulation.now))
 	}
--- a/rehearsal/experiment/file.go
+++ b/rehearsal/experiment/file.go
@@ -1,6 +1,6 @@
-// Package experiment runs generated agent programs against scheduling policies
-// over the engine model, on a virtual clock, and measures what the brief asks
-// for: program latency per tier and wasted cache.
+// Package experiment simulates generated agent programs under scheduling
+// policies, with the engine model on a virtual clock, and measures program
+// latency per tier and wasted cache.
 package experiment
 
 import (
@@ -19,41 +19,42 @@
 	"github.com/magpielug/magpielug/rehearsal/workload"
 )
 
-// File is an experiment as its YAML file declares it. An unknown key is
-// refused.
+// File is the YAML definition of an experiment. Unknown keys are rejected.
 type File struct {
 	Name string `yaml:"name"`
-	// Workload names a deployment: namibia or cairo.
+	// Workload is the name of a deployment: namibia or cairo.
 	Workload string `yaml:"workload"`
-	// Engines replaces the deployment's number of model engines; 0 keeps it.
+	// Engines overrides the deployment's number of model engines if not 0.
 	Engines int `yaml:"engines"`
-	// OnlyTier keeps the programs of one tier alone; empty keeps all.
+	// OnlyTier restricts the workload to the programs of one tier; empty keeps
+	// all.
 	OnlyTier string `yaml:"only_tier"`
-	// EndlessPrograms is how many programs loop without end.
+	// EndlessPrograms is the number of programs that loop until their token cap.
 	EndlessPrograms int `yaml:"endless_programs"`
-	// LoseEngineAt is the share of the duration after which the first engine is
+	// LoseEngineAt is the fraction of Duration after which the first engine is
 	// lost; 0 loses none.
 	LoseEngineAt float64 `yaml:"lose_engine_at"`
-	// Loads are factors of the capacity.
+	// Loads are multiples of the capacity.
 	Loads []float64 `yaml:"loads"`
 	Seeds []uint64  `yaml:"seeds"`
-	// Duration is how long programs arrive; those that arrive before WarmUp are
-	// run and not measured.
+	// Duration is the length of the arrival period. Programs that arrive before
+	// WarmUp are not measured.
 	Duration time.Duration `yaml:"duration"`
 	WarmUp   time.Duration `yaml:"warm_up"`
-	// CapacityRate is the capacity in programs a second; 0 measures it by
-	// saturating the engines under CapacityPolicy, the baseline where empty.
+	// CapacityRate is the capacity in programs per second. If it is 0, the
+	// capacity is measured under CapacityPolicy, or under Baseline if that is
+	// empty; see MeasureCapacity.
 	CapacityRate   float64  `yaml:"capacity_rate"`
 	CapacityPolicy string   `yaml:"capacity_policy"`
 	Engine         Engine   `yaml:"engine"`
 	Policies       []Policy `yaml:"policies"`
-	// Baseline, Oracle and Candidate name the policies that the aim compares.
+	// Baseline, Oracle and Candidate name the policies that the report compares.
 	Baseline  string `yaml:"baseline"`
 	Oracle    string `yaml:"oracle"`
 	Candidate string `yaml:"candidate"`
 }
 
-// Engine is the engine model's configuration.
+// Engine is the configuration of the engine model; see enginemodel.Config.
 type Engine struct {
 	BlockTokens          int           `yaml:"block_tokens"`
 	Blocks               int           `yaml:"blocks"`
@@ -64,29 +65,29 @@
 	StepPerPrefillToken  time.Duration `yaml:"step_per_prefill_token"`
 }
 
-// Policy is one scheduling setting under test.
+// Policy is a combination of scheduling policies under test.
 type Policy struct {
 	Name            string `yaml:"name"`
 	Queue           string `yaml:"queue"`
 	Placement       string `yaml:"placement"`
 	Cache           string `yaml:"cache"`
 	AffinityPercent uint32 `yaml:"affinity_percent"`
-	// EnginesPerKeeper splits the engines over several keepers; 0 is one keeper
-	// for all of them.
+	// EnginesPerKeeper is the number of engines per keeper; 0 means one keeper
+	// for all engines.
 	EnginesPerKeeper int `yaml:"engines_per_keeper"`
-	// KeeperBinding binds a program to one of several keepers at its arrival:
-	// fewest-programs, which needs an exact view of all keepers, or hash, which
-	// needs none. Empty is fewest-programs.
+	// KeeperBinding determines how arriving programs are bound to keepers:
+	// fewest-programs (the default) uses exact program counts of all keepers;
+	// hash uses only the program's ID.
 	KeeperBinding string `yaml:"keeper_binding"`
 }
 
-// Bindings of programs to keepers.
+// Values of Policy.KeeperBinding.
 const (
 	bindingFewestPrograms = "fewest-programs"
 	bindingHash           = "hash"
 )
 
-// ReadFile reads and checks an experiment file.
+// ReadFile reads and validates an experiment file.
 func ReadFile(path string) (File, error) {
 	content, err := os.ReadFile(path)
 	if err != nil {
@@ -95,7 +96,7 @@
 	return ParseFile(content)
 }
 
-// ParseFile parses and checks the content of an experiment file.
+// ParseFile parses and validates the content of an experiment file.
 func ParseFile(content []byte) (File, error) {
 	decoder := yaml.NewDecoder(bytes.NewReader(content))
 	decoder.KnownFields(true)
@@ -106,7 +107,7 @@
 	return file, file.check()
 }
 
-// check returns the first fault of the file, naming its key.
+// check returns an error that names the key of the first invalid value.
 func (file File) check() error {
 	checks := []func() error{
 		file.checkWorkload,
@@ -132,26 +133,26 @@
 		return invalid("workload", err.Error())
 	}
 	if file.Engines < 0 {
-		return invalid("engines", "is below 0")
+		return invalid("engines", "must not be negative")
 	}
 	if file.OnlyTier != "" && deployment.TierByName(file.OnlyTier).Name == "" {
-		return invalid("only_tier", fmt.Sprintf("names no tier of %s", file.Workload))
+		return invalid("only_tier", fmt.Sprintf("is not a tier of %s", file.Workload))
 	}
 	if file.EndlessPrograms < 0 {
-		return invalid("endless_programs", "is below 0")
+		return invalid("endless_programs", "must not be negative")
 	}
 	return nil
 }
 
 func (file File) checkTimes() error {
 	if file.Duration <= 0 {
-		return invalid("duration", "is not above 0")
+		return invalid("duration", "must be positive")
 	}
 	if file.WarmUp < 0 || file.WarmUp >= file.Duration {
-		return invalid("warm_up", "is not between 0 and duration")
+		return invalid("warm_up", "must be at least 0 and less than duration")
 	}
 	if file.LoseEngineAt < 0 || file.LoseEngineAt >= 1 {
-		return invalid("lose_engine_at", "is not between 0 and 1")
+		return invalid("lose_engine_at", "must be at least 0 and less than 1")
 	}
 	return nil
 }
@@ -162,14 +163,14 @@
 	}
 	for _, load := range file.Loads {
 		if load <= 0 {
-			return invalid("loads", "has a load that is not above 0")
+			return invalid("loads", "must contain positive loads only")
 		}
 	}
 	if len(file.Seeds) == 0 {
 		return invalid("seeds", "is empty")
 	}
 	if file.CapacityRate < 0 {
-		return invalid("capacity_rate", "is below 0")
+		return invalid("capacity_rate", "must not be negative")
 	}
 	return nil
 }
@@ -179,14 +180,14 @@
 	for index, policy := range file.Policies {
 		key := fmt.Sprintf("policies[%d]", index)
 		if policy.Name == "" || names[policy.Name] {
-			return invalid(key+".name", "is missing or used twice")
+			return invalid(key+".name", "is missing or not unique")
 		}
 		names[policy.Name] = true
 		if policy.EnginesPerKeeper < 0 {
-			return invalid(key+".engines_per_keeper", "is below 0")
+			return invalid(key+".engines_per_keeper", "must not be negative")
 		}
-		if !policy.bindingKnown() {
-			return invalid(key+".keeper_binding", "is neither fewest-programs nor hash")
+		if !policy.hasKnownBinding() {
+			return invalid(key+".keeper_binding", "must be fewest-programs or hash")
 		}
 		if _, err := policy.policies(); err != nil {
 			return invalid(key, err.Error())
@@ -196,7 +197,7 @@
 		{"baseline", file.Baseline}, {"oracle", file.Oracle}, {"candidate", file.Candidate}, {"capacity_policy", file.CapacityPolicy},
 	} {
 		if reference.name != "" && !names[reference.name] {
-			return invalid(reference.key, "names no policy of the file")
+			return invalid(reference.key, "is not a policy of this file")
 		}
 	}
 	if !names[file.Baseline] {
@@ -205,7 +206,7 @@
 	return nil
 }
 
-func (policy Policy) bindingKnown() bool {
+func (policy Policy) hasKnownBinding() bool {
 	switch policy.KeeperBinding {
 	case "", bindingFewestPrograms, bindingHash:
 		return true
@@ -214,14 +215,14 @@
 	}
 }
 
-// policies looks the keeper's policies up by name.
+// policies returns the keeper policies with the configured names.
 func (policy Policy) policies() (keeper.Policies, error) {
 	return keeper.PoliciesByName(policy.Queue, policy.Placement, policy.Cache, policy.AffinityPercent)
 }
 
-// knowsTiers is false for first come first served, which gives no priority to
-// the engine's own queue either.
-func (policy Policy) knowsTiers() bool { return policy.Queue != queue.FirstCome }
+// usesPriorities reports whether engines get the priorities of the keeper's
+// grants: under every queue policy except first come, first served.
+func (policy Policy) usesPriorities() bool { return policy.Queue != queue.FirstCome }
 
 func (engine Engine) check() error {
 	values := []struct {
@@ -236,16 +237,16 @@
 	}
 	for _, entry := range values {
 		if entry.value <= 0 {
-			return invalid("engine."+entry.key, "is not above 0")
+			return invalid("engine."+entry.key, "must be positive")
 		}
 	}
 	if engine.StepPerSequence < 0 || engine.StepPerPrefillToken < 0 {
-		return invalid("engine", "has a duration below 0")
+		return invalid("engine", "must not contain negative durations")
 	}
 	return nil
 }
 
-// model converts to the engine model's own configuration.
+// model converts engine to the configuration of the engine model.
 func (engine Engine) model() enginemodel.Config {
 	return enginemodel.Config{
 		BlockTokens:          engine.BlockTokens,
@@ -258,6 +259,6 @@
 	}
 }
 
-func invalid(key, fault string) error {
-	return resultcode.New(resultcode.InvalidSettings, "experiment file: key %s %s", key, fault)
+func invalid(key, problem string) error {
+	return resultcode.New(resultcode.InvalidSettings, "experiment file: key %s %s", key, problem)
 }
--- a/rehearsal/experiment/file_test.go
+++ b/rehearsal/experiment/file_test.go
@@ -10,7 +10,7 @@
 	"github.com/magpielug/magpielug/internal/resultcode"
 )
 
-// tinyFile is a whole experiment that runs in well under a second.
+// tinyFile is a complete experiment file with a short run time.
 const tinyFile = `
 name: tiny
 workload: namibia
@@ -40,14 +40,14 @@
 `
 
 var _ = Describe("File", func() {
-	It("takes a whole file", func() {
+	It("parses a complete file", func() {
 		file, err := ParseFile([]byte(tinyFile))
 		Expect(err).NotTo(HaveOccurred())
 		Expect(file.Policies).To(HaveLen(4))
 		Expect(file.Engine.StepBase.String()).To(Equal("3ms"))
 	})
 
-	It("takes every file of the repository", func() {
+	It("parses every experiment file in the repository", func() {
 		paths, err := filepath.Glob("../experiments/*.yaml")
 		Expect(err).NotTo(HaveOccurred())
 		Expect(paths).NotTo(BeEmpty())
@@ -57,7 +57,7 @@
 		}
 	})
 
-	DescribeTable("refuses a bad file and names the key",
+	DescribeTable("rejects an invalid file and names the key",
 		func(from, to, key string) {
 			Expect(tinyFile).To(ContainSubstring(from))
 			_, err := ParseFile([]byte(strings.Replace(tinyFile, from, to, 1)))
@@ -81,7 +81,7 @@
 		Entry("unknown capacity policy", "capacity_rate: 6", "capacity_policy: best", "capacity_policy"),
 		Entry("no blocks", "blocks: 6144", "blocks: 0", "engine.blocks"),
 		Entry("negative step", "step_per_sequence: 20us", "step_per_sequence: -1us", "engine"),
-		Entry("policy twice", "name: attained,", "name: first-come,", "policies[1].name"),
+		Entry("duplicate policy name", "name: attained,", "name: first-come,", "policies[1].name"),
 		Entry("unknown queue", "queue: fcfs", "queue: lifo", "policies[0]"),
 		Entry("unknown placement", "placement: round-robin", "placement: dice", "policies[0]"),
 		Entry("unknown cache", "cache: none", "cache: all", "policies[0]"),
--- a/rehearsal/experiment/pool.go
+++ b/rehearsal/experiment/pool.go
@@ -8,20 +8,19 @@
 	"github.com/magpielug/magpielug/internal/keeper"
 )
 
-// pool is one keeper with its engines and the calls it knows.
+// pool is a keeper with its engines and its queued and running calls.
 type pool struct {
 	simulation *simulation
 	zone       string
 	keeper     *keeper.Keeper
 	engines    map[string]*engine
 	calls      map[keeper.CallKey]*call
-	// programs counts the programs bound to the pool.
-	programs int
-	// capacity is the number of engines.
-	capacity int
+	// programs is the number of programs bound to the pool.
+	programs    int
+	engineCount int
 }
 
-// makePools splits the engines over keepers as the policy says.
+// makePools distributes the engines over keepers according to the policy.
 func (simulation *simulation) makePools() error {
 	size := simulation.config.Policy.EnginesPerKeeper
 	if size == 0 {
@@ -34,12 +33,12 @@
 			return err
 		}
 		pool := &pool{
-			simulation: simulation,
-			zone:       members[0].zone,
-			keeper:     keeper.New(simulation.config.keeperConfig(), policies),
-			engines:    map[string]*engine{},
-			calls:      map[keeper.CallKey]*call{},
-			capacity:   len(members),
+			simulation:  simulation,
+			zone:        members[0].zone,
+			keeper:      keeper.New(simulation.config.keeperConfig(), policies),
+			engines:     map[string]*engine{},
+			calls:       map[keeper.CallKey]*call{},
+			engineCount: len(members),
 		}
 		for _, engine := range members {
 			engine.pool = pool
@@ -50,19 +49,19 @@
 	return nil
 }
 
-// choosePool binds a program that arrives to a pool.
-func (simulation *simulation) choosePool(program string) *pool {
+// assignPool returns the pool for an arriving program.
+func (simulation *simulation) assignPool(program string) *pool {
 	if simulation.config.Policy.KeeperBinding == bindingHash {
 		return simulation.pools[xxhash.Sum64String(program)%uint64(len(simulation.pools))]
 	}
-	return simulation.emptiestPool()
+	return simulation.leastLoadedPool()
 }
 
-// emptiestPool returns the pool with the fewest programs an engine.
-func (simulation *simulation) emptiestPool() *pool {
+// leastLoadedPool returns the pool with the fewest programs per engine.
+func (simulation *simulation) leastLoadedPool() *pool {
 	chosen := simulation.pools[0]
 	for _, candidate := range simulation.pools[1:] {
-		if candidate.programs*chosen.capacity < chosen.programs*candidate.capacity {
+		if candidate.programs*chosen.engineCount < chosen.programs*candidate.engineCount {
 			chosen = candidate
 		}
 	}
@@ -80,19 +79,19 @@
 	pool.simulation.after(tickInterval, pool.tick)
 }
 
-// offer queues a call.
-func (pool *pool) offer(call *call) {
+// enqueue adds a call to the keeper's queue.
+func (pool *pool) enqueue(call *call) {
 	pool.calls[call.key] = call
 	pool.handle(keeper.CallQueued{Request: call.program.keeperRequest(call)})
 }
 
-// forget drops a call that is over.
-func (pool *pool) forget(call *call) {
+// remove removes a call that has ended.
+func (pool *pool) remove(call *call) {
 	delete(pool.calls, call.key)
 }
 
-// granted lists the calls that have an engine, in the order of their keys.
-func (pool *pool) granted() []*call {
+// dispatchedCalls returns the calls that have an engine, ordered by request ID.
+func (pool *pool) dispatchedCalls() []*call {
 	var granted []*call
 	for _, call := range pool.calls {
 		if call.engine != nil {
@@ -105,63 +104,63 @@
 	return granted
 }
 
-// handle steps the keeper and carries its effects out.
+// handle passes an event to the keeper and applies the resulting effects.
 func (pool *pool) handle(event keeper.Event) {
 	for _, effect := range pool.keeper.Step(pool.simulation.now, event) {
-		pool.apply(effect)
+		pool.applyEffect(effect)
 	}
 }
 
-func (pool *pool) apply(effect keeper.Effect) {
-	switch order := effect.(type) {
+func (pool *pool) applyEffect(effect keeper.Effect) {
+	switch effect := effect.(type) {
 	case keeper.Grant:
-		if call, found := pool.calls[order.Request.Call]; found {
-			call.granted(order, pool.engines[order.Engine])
+		if call, found := pool.calls[effect.Request.Call]; found {
+			call.dispatch(effect, pool.engines[effect.Engine])
 		}
 	case keeper.Refuse:
-		pool.refuse(order)
+		pool.refuse(effect)
 	case keeper.Preempt:
-		pool.preempt(order)
+		pool.preempt(effect)
 	case keeper.ReleaseCache:
-		pool.release(order.Engine, order.Program)
+		pool.releaseCache(effect.Engine, effect.Program)
 	case keeper.ExportCache:
-		// Exported blocks are freed; nothing takes them in again here, so an
-		// export costs a recomputation.
-		pool.release(order.Engine, order.Program)
+		// Exported blocks are freed and never imported, so they have to be
+		// computed again.
+		pool.releaseCache(effect.Engine, effect.Program)
 	}
 }
 
-func (pool *pool) refuse(order keeper.Refuse) {
-	call, found := pool.calls[order.Request.Call]
+func (pool *pool) refuse(effect keeper.Refuse) {
+	call, found := pool.calls[effect.Request.Call]
 	if !found {
 		return
 	}
-	pool.forget(call)
+	pool.remove(call)
 	run := call.program
-	pool.simulation.after(run.toKeeper(), func() { run.refused(order.RetryAfter) })
+	pool.simulation.after(run.keeperDelay(), func() { run.onRefused(effect.RetryAfter) })
 }
 
-// preempt cancels a running call by way of its leader, which offers it again.
-func (pool *pool) preempt(order keeper.Preempt) {
-	call, found := pool.calls[order.Request.Call]
+// preempt cancels a running call through its leader, which submits it again.
+func (pool *pool) preempt(effect keeper.Preempt) {
+	call, found := pool.calls[effect.Request.Call]
 	if !found || call.engine == nil {
 		return
 	}
 	run := call.program
-	delay := run.toKeeper() + pool.simulation.delay(run.program.Zone, call.engine.zone)
+	delay := run.keeperDelay() + pool.simulation.delay(run.program.Zone, call.engine.zone)
 	pool.simulation.after(delay, func() {
 		if _, running := pool.calls[call.key]; !running || call.engine.lost {
 			return
 		}
 		call.engine.cancel(call)
-		pool.forget(call)
-		run.tell(keeper.CallFinished{Call: call.key, Failed: true})
-		run.offer()
+		pool.remove(call)
+		run.notifyKeeper(keeper.CallFinished{Call: call.key, Failed: true})
+		run.submitCall()
 	})
 }
 
-// release frees a program's cache on an engine.
-func (pool *pool) release(engineName, program string) {
+// releaseCache frees the program's idle cache blocks on an engine.
+func (pool *pool) releaseCache(engineName, program string) {
 	engine := pool.engines[engineName]
 	delay := pool.simulation.delay(pool.zone, engine.zone)
 	pool.simulation.after(delay, func() {
@@ -173,7 +172,7 @@
 	})
 }
 
-// keeperConfig is the configuration of a keeper in a run: the defaults.
+// keeperConfig returns the default keeper configuration.
 func (config runConfig) keeperConfig() keeper.Config {
 	return keeper.Config{}
 }
--- a/rehearsal/experiment/program.go
+++ b/rehearsal/experiment/program.go
@@ -10,7 +10,7 @@
 	"github.com/magpielug/magpielug/rehearsal/workload"
 )
 
-// outcome is how a program ended.
+// outcome is the result of a program.
 type outcome int
 
 // Outcomes of a program.
@@ -24,65 +24,67 @@
 
 // Client behaviour.
 const (
-	// refusalAttempts is how often a caller offers one call before it gives the
-	// program up.
-	refusalAttempts = 4
-	// minimumRetry is the least wait of a caller that was told none.
-	minimumRetry = 500 * time.Millisecond
-	// retryJitter is the share by which callers spread their return.
+	// maxSubmissions is the number of refused submissions of a call after which
+	// the caller abandons the program.
+	maxSubmissions = 4
+	// minRetryDelay is the minimum delay before a refused call is submitted
+	// again.
+	minRetryDelay = 500 * time.Millisecond
+	// retryJitter is the maximum random fraction added to the retry delay.
 	retryJitter = 0.2
-	// promptFactor weighs an uncached prompt token against a generated one.
-	promptFactor = 0.02
+	// uncachedPromptWeight is the service cost of an uncached prompt token relative
+	// to a generated token.
+	uncachedPromptWeight = 0.02
 )
 
-// programRun is a program under way: the caller's loop and the leader's view of
-// it.
+// programRun is a running program: the caller's loop and the leader's state.
 type programRun struct {
 	simulation *simulation
 	program    *workload.Program
 	tier       workload.Tier
 	pool       *pool
-	// root is the outermost program; it accounts for all its sub-agents.
+	// root is the outermost program, which accounts for all its sub-agents.
 	root   *programRun
 	parent *programRun
-	// attained is the service the program has used, and tokens all its prompt
-	// and output tokens, for its cap; both are kept at the root.
-	attained float64
-	tokens   int
+	// attainedService is the service, and usedTokens the number of prompt and
+	// output tokens, that the program and its sub-agents have used. Both are set
+	// on the root only.
+	attainedService float64
+	usedTokens      int
 
 	history *workload.History
-	// turn is the number of the turn that is under way or comes next.
+	// turn is the index of the current turn, or of the next one between turns.
 	turn    int
 	current *call
-	// attempt numbers the offers of calls; refusals counts those of the current
-	// turn that were refused.
+	// attempt is the number of the latest submission of a call; refusals is the
+	// number of refused submissions in the current turn.
 	attempt  uint32
 	refusals int
 	startsAt time.Duration
-	// paused sums the time that the caller's tools took, sub-agents excluded.
-	paused time.Duration
-	// children and toolDone are what the program waits for between two turns.
-	children int
-	toolDone bool
-	outcome  outcome
-	// childOutcome is how a sub-agent ended that did not complete; the program
-	// ends the same way.
-	childOutcome outcome
+	// toolTime is the total time in the caller's tools, sub-agents excluded.
+	toolTime time.Duration
+	// openSubAgents and toolsDone are what the program waits for between turns.
+	openSubAgents int
+	toolsDone     bool
+	outcome       outcome
+	// subAgentOutcome is the outcome of a sub-agent that did not complete. The
+	// program ends with the same outcome.
+	subAgentOutcome outcome
 }
 
-// startRoot starts a program that arrives from outside.
+// startRoot starts a root program.
 func (simulation *simulation) startRoot(program *workload.Program) {
-	run := simulation.newProgram(program)
+	run := simulation.newProgramRun(program)
 	run.root = run
-	run.send()
+	run.sendTurn()
 }
 
-func (simulation *simulation) newProgram(program *workload.Program) *programRun {
+func (simulation *simulation) newProgramRun(program *workload.Program) *programRun {
 	run := &programRun{
 		simulation: simulation,
 		program:    program,
 		tier:       simulation.config.Deployment.TierByName(program.Tier),
-		pool:       simulation.choosePool(program.ID),
+		pool:       simulation.assignPool(program.ID),
 		history:    workload.NewHistory(simulation.config.Engine.BlockTokens),
 		startsAt:   simulation.now,
 	}
@@ -91,14 +93,15 @@
 	return run
 }
 
-// send makes the caller send its next turn, or ends the program.
-func (run *programRun) send() {
+// sendTurn sends the caller's next turn, or ends the program if no turn is left
+// or the turn could exceed the token cap.
+func (run *programRun) sendTurn() {
 	turn, more := run.program.TurnAt(run.turn)
 	if !more {
 		run.end(outcomeCompleted)
 		return
 	}
-	if run.overCap(turn) {
+	if run.exceedsTokenCap(turn) {
 		run.end(outcomeCapped)
 		return
 	}
@@ -118,21 +121,21 @@
 			OutputBlocks: run.history.Blocks()[len(prefix):],
 		},
 	}
-	run.simulation.after(run.simulation.config.Deployment.ClientDelay, run.offer)
+	run.simulation.after(run.simulation.config.Deployment.ClientDelay, run.submitCall)
 }
 
-// overCap tells whether the turn could pass the token cap of the program.
-func (run *programRun) overCap(turn workload.Turn) bool {
+// exceedsTokenCap reports whether the turn would exceed the program's token cap.
+func (run *programRun) exceedsTokenCap(turn workload.Turn) bool {
 	limit := run.root.program.TokenCap
 	if limit == 0 {
 		return false
 	}
 	need := run.history.Tokens() + turn.NewPrompt.Tokens + turn.Output.Tokens
-	return run.root.tokens+need > limit
+	return run.root.usedTokens+need > limit
 }
 
-// offer hands the current call to the keeper as a new attempt.
-func (run *programRun) offer() {
+// submitCall submits the current call to the keeper as a new attempt.
+func (run *programRun) submitCall() {
 	run.attempt++
 	current := *run.current
 	current.cancelled = false
@@ -144,13 +147,13 @@
 	}
 	current.request.ID = fmt.Sprintf("%s#%d", current.key.RequestID, run.attempt)
 	run.current = &current
-	run.simulation.after(run.toKeeper(), func() {
-		current.offeredAt = run.simulation.now
-		run.pool.offer(&current)
+	run.simulation.after(run.keeperDelay(), func() {
+		current.queuedAt = run.simulation.now
+		run.pool.enqueue(&current)
 	})
 }
 
-// keeperRequest describes the call to the keeper.
+// keeperRequest returns the keeper's description of the call.
 func (run *programRun) keeperRequest(call *call) keeper.Request {
 	return keeper.Request{
 		Call:             call.key,
@@ -165,27 +168,27 @@
 		Zone:             run.program.Zone,
 		PromptTokens:     call.request.PromptTokens,
 		MaxTokens:        run.simulation.config.Deployment.OutputBound(run.program.Kind),
-		AttainedService:  run.root.attained,
+		AttainedService:  run.root.attainedService,
 		ProgramAge:       run.simulation.now - run.root.startsAt,
 		WaitBound:        run.tier.WaitBound,
 		RemainingService: run.remainingService(),
 	}
 }
 
-// remainingService is what the whole program still needs. Only the oracle
-// baseline gets it.
+// remainingService returns the service that the program and its ancestors still
+// need, and 0 under all queue policies except the oracle.
 func (run *programRun) remainingService() float64 {
 	if run.simulation.config.Policy.Queue != queue.Oracle {
 		return 0
 	}
 	total := 0.0
 	for current := run; current != nil; current = current.parent {
-		total += current.program.RemainingService(current.turn, promptFactor)
+		total += current.program.RemainingService(current.turn, uncachedPromptWeight)
 	}
 	return total
 }
 
-// parentID is the spawning program's id, empty for a root.
+// parentID returns the ID of the parent program, empty for a root.
 func (run *programRun) parentID() string {
 	if run.parent == nil {
 		return ""
@@ -193,24 +196,26 @@
 	return run.parent.program.ID
 }
 
-// refused makes the caller come back later, or give the program up.
-func (run *programRun) refused(retryAfter time.Duration) {
-	run.simulation.metrics.callRefused(run.tier.Name, run.simulation.measuring(run.root.startsAt))
+// onRefused submits the call again after a delay, or ends the program after
+// maxSubmissions refusals.
+func (run *programRun) onRefused(retryAfter time.Duration) {
+	run.simulation.metrics.countCallRefusal(run.tier.Name, run.simulation.inMeasuredPeriod(run.root.startsAt))
 	run.refusals++
-	if run.refusals >= refusalAttempts {
+	if run.refusals >= maxSubmissions {
 		run.end(outcomeRefused)
 		return
 	}
-	wait := max(retryAfter, minimumRetry)
+	wait := max(retryAfter, minRetryDelay)
 	wait += time.Duration(run.simulation.random.Float64() * retryJitter * float64(wait))
-	run.simulation.after(wait+2*run.simulation.config.Deployment.ClientDelay, run.offer)
+	run.simulation.after(wait+2*run.simulation.config.Deployment.ClientDelay, run.submitCall)
 }
 
-// finished takes the whole answer of a call in.
-func (run *programRun) finished(call *call, output enginemodel.Output) {
-	run.root.attained += promptFactor*float64(output.PromptTokens-output.CachedTokens) + float64(output.OutputTokens)
-	run.root.tokens += output.PromptTokens + output.OutputTokens
-	run.tell(keeper.CallFinished{
+// onFinished accounts for a finished call, notifies the keeper and starts the
+// turn's tools.
+func (run *programRun) onFinished(call *call, output enginemodel.Output) {
+	run.root.attainedService += uncachedPromptWeight*float64(output.PromptTokens-output.CachedTokens) + float64(output.OutputTokens)
+	run.root.usedTokens += output.PromptTokens + output.OutputTokens
+	run.notifyKeeper(keeper.CallFinished{
 		Call:         call.key,
 		PromptTokens: output.PromptTokens,
 		CachedTokens: output.CachedTokens,
@@ -220,81 +225,83 @@
 	turn, _ := run.program.TurnAt(run.turn)
 	run.turn++
 	if _, more := run.program.TurnAt(run.turn); more {
-		run.tell(keeper.ProgramPaused{Program: run.program.ID})
+		run.notifyKeeper(keeper.ProgramPaused{Program: run.program.ID})
 	}
-	run.simulation.after(run.simulation.config.Deployment.ClientDelay, func() { run.pause(turn) })
+	run.simulation.after(run.simulation.config.Deployment.ClientDelay, func() { run.runTools(turn) })
 }
 
-// pause runs the caller's tool and the sub-agents that the turn spawned.
-func (run *programRun) pause(turn workload.Turn) {
+// runTools runs the turn's tool and sub-agents, or ends the program after its
+// last turn.
+func (run *programRun) runTools(turn workload.Turn) {
 	if _, more := run.program.TurnAt(run.turn); !more && len(turn.SubAgents) == 0 {
 		run.end(outcomeCompleted)
 		return
 	}
-	run.toolDone = false
-	run.children = len(turn.SubAgents)
+	run.toolsDone = false
+	run.openSubAgents = len(turn.SubAgents)
 	for _, subAgent := range turn.SubAgents {
-		child := run.simulation.newProgram(subAgent)
+		child := run.simulation.newProgramRun(subAgent)
 		child.root = run.root
 		child.parent = run
-		child.send()
+		child.sendTurn()
 	}
-	ends := run.simulation.tools.call(run.simulation.now, turn.Pause)
-	run.paused += ends - run.simulation.now
+	ends := run.simulation.tools.schedule(run.simulation.now, turn.Pause)
+	run.toolTime += ends - run.simulation.now
 	run.simulation.at(ends, func() {
-		run.toolDone = true
-		run.resume()
+		run.toolsDone = true
+		run.continueIfReady()
 	})
 }
 
-// resume goes on once the tool and all sub-agents are done.
-func (run *programRun) resume() {
-	if !run.toolDone || run.children > 0 {
+// continueIfReady sends the next turn once the tool and all sub-agents are done.
+func (run *programRun) continueIfReady() {
+	if !run.toolsDone || run.openSubAgents > 0 {
 		return
 	}
-	if run.childOutcome != outcomeOpen {
-		run.end(run.childOutcome)
+	if run.subAgentOutcome != outcomeOpen {
+		run.end(run.subAgentOutcome)
 		return
 	}
-	run.send()
+	run.sendTurn()
 }
 
-// end closes the program and tells the keeper.
+// end ends the program and notifies the keeper and the parent program.
 func (run *programRun) end(result outcome) {
 	run.outcome = result
 	run.pool.programs--
-	run.tell(keeper.ProgramEnded{Program: run.program.ID})
+	run.notifyKeeper(keeper.ProgramEnded{Program: run.program.ID})
 	if run.parent == nil {
-		run.simulation.rootEnded(run)
+		run.simulation.onRootEnd(run)
 		return
 	}
 	if result != outcomeCompleted {
-		run.parent.childOutcome = result
+		run.parent.subAgentOutcome = result
 	}
-	run.parent.children--
-	run.parent.resume()
+	run.parent.openSubAgents--
+	run.parent.continueIfReady()
 }
 
-// failed ends a program whose call no engine can run.
-func (run *programRun) failed(call *call) {
-	run.tell(keeper.CallFinished{Call: call.key, Failed: true})
-	run.pool.forget(call)
+// onRejected ends the program after an engine rejected its call as invalid or
+// too large.
+func (run *programRun) onRejected(call *call) {
+	run.notifyKeeper(keeper.CallFinished{Call: call.key, Failed: true})
+	run.pool.remove(call)
 	run.end(outcomeFailed)
 }
 
-// lostEngine offers a call again whose engine is gone.
-func (run *programRun) lostEngine(call *call) {
+// onEngineLost submits a call again whose engine was lost.
+func (run *programRun) onEngineLost(call *call) {
 	call.cancelled = true
-	run.pool.forget(call)
-	run.tell(keeper.CallFinished{Call: call.key, Failed: true})
-	run.offer()
+	run.pool.remove(call)
+	run.notifyKeeper(keeper.CallFinished{Call: call.key, Failed: true})
+	run.submitCall()
 }
 
-// tell sends an event to the program's keeper.
-func (run *programRun) tell(event keeper.Event) {
-	run.simulation.after(run.toKeeper(), func() { run.pool.handle(event) })
+// notifyKeeper sends an event to the program's keeper, after the zone delay.
+func (run *programRun) notifyKeeper(event keeper.Event) {
+	run.simulation.after(run.keeperDelay(), func() { run.pool.handle(event) })
 }
 
-func (run *programRun) toKeeper() time.Duration {
+func (run *programRun) keeperDelay() time.Duration {
 	return run.simulation.delay(run.program.Zone, run.pool.zone)
 }
--- a/rehearsal/experiment/result.go
+++ b/rehearsal/experiment/result.go
@@ -6,14 +6,14 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Result is the outcome of an experiment file.
+// Result is the result of an experiment.
 type Result struct {
 	Name     string `json:"name"`
 	Workload string `json:"workload"`
-	// CapacityRate is the load 1.0 in programs a second.
+	// CapacityRate is the arrival rate at load 1.0 in programs per second.
 	CapacityRate float64 `json:"capacity_rate"`
-	// CapacityPolicy is the policy whose saturation gave the rate; empty when
-	// the file gave it.
+	// CapacityPolicy is the policy under which CapacityRate was measured; empty
+	// if the file sets the rate.
 	CapacityPolicy string    `json:"capacity_policy,omitempty"`
 	Seeds          []uint64  `json:"seeds"`
 	Loads          []float64 `json:"loads"`
@@ -21,51 +21,51 @@
 	Baseline       string    `json:"baseline"`
 	Oracle         string    `json:"oracle,omitempty"`
 	Candidate      string    `json:"candidate,omitempty"`
-	// Cells hold the seeds of a policy and load pooled; Runs hold each seed.
+	// Cells has a merged cell per policy and load; Runs has a cell per seed.
 	Cells []Cell `json:"cells"`
 	Runs  []Cell `json:"runs"`
 }
 
-// Cell is what one policy did at one load.
+// Cell is the result of one policy at one load.
 type Cell struct {
 	Policy string  `json:"policy"`
 	Load   float64 `json:"load"`
-	// Seed is 0 where several seeds are pooled.
+	// Seed is 0 for a cell merged over all seeds.
 	Seed  uint64 `json:"seed,omitempty"`
 	Tiers []Tier `json:"tiers"`
-	// All pools the tiers.
+	// All merges the tiers.
 	All   Tier  `json:"all"`
 	Cache Cache `json:"cache"`
 }
 
-// Tier is the summary of one tier's programs that arrived in the measured time.
+// Tier summarizes one tier's programs that arrived in the measured period.
 type Tier struct {
 	Tier string `json:"tier"`
-	// Latency is of whole completed programs; Delay is without their own tool
-	// pauses.
+	// Latency is the end-to-end latency of completed programs.
 	Latency Summary `json:"latency"`
-	// Unloaded is the latency that the same programs would have alone with
-	// their history cached: the floor under any policy.
-	Unloaded   Summary `json:"unloaded"`
+	// Unloaded is the latency of the same programs on an unloaded deployment
+	// with their history cached.
+	Unloaded Summary `json:"unloaded"`
+	// Delay is Latency without the time in the programs' own tools.
 	Delay      Summary `json:"delay"`
 	FirstToken Summary `json:"first_token"`
 	TokenGap   Summary `json:"token_gap"`
-	// QueueWait is from a call's offer to its grant; its maximum shows
-	// starvation.
+	// QueueWait is the time from a call's submission to its grant. A high
+	// maximum indicates starvation.
 	QueueWait Summary `json:"queue_wait"`
-	// Fairness is Jain's index over the programs' ratio of unloaded latency to
-	// measured latency: 1 when all are slowed alike.
+	// Fairness is Jain's index over the programs' ratios of unloaded to measured
+	// latency; 1 means that all programs are slowed equally.
 	Fairness  float64 `json:"fairness"`
 	Arrived   int     `json:"arrived"`
 	Completed int     `json:"completed"`
 	Refused   int     `json:"refused"`
 	Capped    int     `json:"capped"`
 	Failed    int     `json:"failed"`
-	// CallRefusals counts refused offers of calls, retries included.
+	// CallRefusals counts refused submissions of calls, retries included.
 	CallRefusals int `json:"call_refusals"`
 }
 
-// Summary is a distribution, in milliseconds.
+// Summary summarizes a distribution of durations in milliseconds.
 type Summary struct {
 	Count int64   `json:"count"`
 	Mean  float64 `json:"mean_ms"`
@@ -75,16 +75,17 @@
 	Max   float64 `json:"max_ms"`
 }
 
-// Cache is what the engines' caches did until the last arrival.
+// Cache summarizes the engines' caches from the start of a run to the end of the
+// arrival period.
 type Cache struct {
 	// WastedShare is the share of held block-seconds in blocks never reused.
 	WastedShare float64 `json:"wasted_share"`
-	// WastedBlockSeconds is the same, absolute, a run.
+	// WastedBlockSeconds is the absolute value per run.
 	WastedBlockSeconds float64 `json:"wasted_block_seconds"`
-	// IdleShare is the share of held block-seconds in which a block lay unused
-	// before it was freed: what an earlier release would have saved.
+	// IdleShare is the share of held block-seconds after a block's last use,
+	// which an earlier release would have saved.
 	IdleShare float64 `json:"idle_share"`
-	// IdleBlockSeconds is the same, absolute, a run.
+	// IdleBlockSeconds is the absolute value per run.
 	IdleBlockSeconds float64 `json:"idle_block_seconds"`
 	// HitShare is the share of prompt tokens found in the cache.
 	HitShare    float64 `json:"hit_share"`
@@ -92,7 +93,7 @@
 	Preemptions uint64  `json:"preemptions"`
 }
 
-// Cell returns the pooled cell of a policy at a load; false if there is none.
+// Cell returns the merged cell of a policy at a load; false if there is none.
 func (result Result) Cell(policy string, load float64) (Cell, bool) {
 	for _, cell := range result.Cells {
 		if cell.Policy == policy && cell.Load == load {
@@ -102,7 +103,7 @@
 	return Cell{}, false
 }
 
-// summarize turns a collector into a cell.
+// summarize returns the collector's measurements as a cell.
 func (metrics *collector) summarize(policy string, load float64, seed uint64) Cell {
 	cell := Cell{Policy: policy, Load: load, Seed: seed, Cache: metrics.cache.summarize(metrics.runs)}
 	all := &tierCollector{
@@ -134,7 +135,7 @@
 		FirstToken:   summarize(tier.firstToken),
 		TokenGap:     summarize(tier.tokenGap),
 		QueueWait:    summarize(tier.queueWait),
-		Fairness:     jain(tier.completed, tier.speedSum, tier.speedSquares),
+		Fairness:     jainIndex(tier.completed, tier.speedSum, tier.speedSquareSum),
 		Arrived:      tier.arrived,
 		Completed:    tier.completed,
 		Refused:      tier.refused,
@@ -144,9 +145,9 @@
 	}
 }
 
-// jain is Jain's fairness index of count values with the given sums; 1 for
-// none.
-func jain(count int, sum, squares float64) float64 {
+// jainIndex returns Jain's fairness index of count values from their sum and
+// their sum of squares; 1 if there are none.
+func jainIndex(count int, sum, squares float64) float64 {
 	if count == 0 || squares == 0 {
 		return 1
 	}
--- a/rehearsal/experiment/run_test.go
+++ b/rehearsal/experiment/run_test.go
@@ -17,7 +17,7 @@
 		return file
 	}
 
-	It("gives the same result from the same seeds, whatever the workers", func() {
+	It("gives the same result for the same seeds with any number of workers", func() {
 		first, err := Run(context.Background(), tiny(), 1, nil)
 		Expect(err).NotTo(HaveOccurred())
 		second, err := Run(context.Background(), tiny(), DefaultWorkers, nil)
@@ -27,7 +27,7 @@
 		Expect(first.Runs).To(HaveLen(16))
 	})
 
-	It("accounts for every program: completed, refused or capped", func() {
+	It("counts every program as completed, refused or capped", func() {
 		file := tiny()
 		for _, policy := range file.Policies {
 			config := file.runConfig(policy, 1, 8)
@@ -47,7 +47,7 @@
 		}
 	})
 
-	It("ends an endless program at its cap", func() {
+	It("ends an endless program at its token cap", func() {
 		file := tiny()
 		config := file.runConfig(file.policy("attained"), 1, 0.001)
 		config.LoseEngineAt = 0
@@ -57,7 +57,7 @@
 		Expect(metrics.tier("back-office").capped).To(Equal(1))
 	})
 
-	It("gives every token of a completed call to the caller once", func() {
+	It("delivers every token of a completed call to the caller once", func() {
 		file := tiny()
 		config := file.runConfig(file.policy("first-come"), 3, 4)
 		config.WarmUp = 0
@@ -74,7 +74,7 @@
 		Expect(all.FirstToken.Count + all.TokenGap.Count).To(Equal(expected))
 	})
 
-	It("measures capacity as the rate of a saturated closed population", func() {
+	It("measures capacity as the completion rate of a saturated closed loop", func() {
 		file := tiny()
 		file.LoseEngineAt = 0
 		rate, err := MeasureCapacity(context.Background(), file, DefaultWorkers)
@@ -94,16 +94,16 @@
 	return total
 }
 
-var _ = Describe("Measures of a hand-made case", func() {
-	It("summarizes latencies, fairness and cache", func() {
+var _ = Describe("Measurements", func() {
+	It("summarizes latencies, fairness and cache usage", func() {
 		metrics := newCollector(workload.Namibia())
 		kiosk := metrics.tier("kiosk")
 		for _, latency := range []time.Duration{100, 200, 300, 400} {
 			record(kiosk.latency, latency*time.Millisecond)
 		}
 		kiosk.arrived, kiosk.completed, kiosk.refused = 5, 4, 1
-		// Speeds 1, 1, 1 and 0: Jain's index is 9 / (4 * 3).
-		kiosk.speedSum, kiosk.speedSquares = 3, 3
+		// For speeds 1, 1, 1 and 0, Jain's index is 9 / (4 * 3).
+		kiosk.speedSum, kiosk.speedSquareSum = 3, 3
 		metrics.cache = cacheTotals{heldSeconds: 200, wastedSeconds: 50, idleSeconds: 20, promptTokens: 10, cachedTokens: 4}
 		cell := metrics.summarize("any", 1, 1)
 		Expect(cell.Tiers).To(HaveLen(1))
@@ -117,7 +117,7 @@
 		Expect(cell.Cache.HitShare).To(BeNumerically("~", 0.4, 1e-9))
 	})
 
-	It("knows the latency of a program that is alone", func() {
+	It("computes the latency of a program on an unloaded deployment", func() {
 		file, err := ParseFile([]byte(tinyFile))
 		Expect(err).NotTo(HaveOccurred())
 		config := file.runConfig(file.policy("first-come"), 1, 1)
@@ -128,26 +128,26 @@
 		clients := 4 * config.Deployment.ClientDelay
 		prefill := 3*time.Millisecond + 100*20*time.Microsecond + 2*3*time.Millisecond + 600*20*time.Microsecond
 		decode := 11 * (3*time.Millisecond + 20*time.Microsecond)
-		Expect(idealLatency(program, config)).To(Equal(clients + prefill + decode + 50*time.Millisecond))
+		Expect(unloadedLatency(program, config)).To(Equal(clients + prefill + decode + 50*time.Millisecond))
 	})
 
-	It("serves tool calls in order, as many at a time as there are slots", func() {
-		servers := newToolServers(2)
-		Expect(servers.call(0, 5*time.Second)).To(Equal(5 * time.Second))
-		Expect(servers.call(0, 2*time.Second)).To(Equal(2 * time.Second))
-		Expect(servers.call(time.Second, time.Second)).To(Equal(3 * time.Second))
+	It("serves tool calls in order with one call per slot at a time", func() {
+		backends := newToolBackends(2)
+		Expect(backends.schedule(0, 5*time.Second)).To(Equal(5 * time.Second))
+		Expect(backends.schedule(0, 2*time.Second)).To(Equal(2 * time.Second))
+		Expect(backends.schedule(time.Second, time.Second)).To(Equal(3 * time.Second))
 	})
 
-	It("runs actions in the order of time, then of their making", func() {
-		var line timeline
+	It("runs actions in order of time, then of scheduling", func() {
+		var clock virtualClock
 		var order []int
-		line.after(2*time.Second, func() { order = append(order, 3) })
-		line.after(time.Second, func() { order = append(order, 1) })
-		line.after(time.Second, func() { order = append(order, 2) })
-		for line.step() {
+		clock.after(2*time.Second, func() { order = append(order, 3) })
+		clock.after(time.Second, func() { order = append(order, 1) })
+		clock.after(time.Second, func() { order = append(order, 2) })
+		for clock.step() {
 			continue
 		}
 		Expect(order).To(Equal([]int{1, 2, 3}))
-		Expect(line.now).To(Equal(2 * time.Second))
+		Expect(clock.now).To(Equal(2 * time.Second))
 	})
 })
--- a/rehearsal/experiment/runner.go
+++ b/rehearsal/experiment/runner.go
@@ -9,14 +9,15 @@
 	"github.com/magpielug/magpielug/rehearsal/workload"
 )
 
-// DefaultWorkers is how many runs go on at a time.
+// DefaultWorkers is the default number of concurrent runs.
 const DefaultWorkers = 4
 
-// Progress is told of each run that ended.
+// Progress is called after each run.
 type Progress func(done, total int, policy string, load float64, seed uint64, took time.Duration)
 
-// Run carries out every policy at every load with every seed, workers at a
-// time.
+// Run runs every policy at every load with every seed, with up to workers
+// concurrent runs. It measures the capacity first if the file doesn't set it.
+// progress may be nil.
 func Run(ctx context.Context, file File, workers int, progress Progress) (Result, error) {
 	result := Result{
 		Name: file.Name, Workload: file.Workload, CapacityRate: file.CapacityRate,
@@ -51,9 +52,9 @@
 	return Policy{}
 }
 
-// runConfig is the configuration of one run at a rate.
+// runConfig returns the configuration of one run at an arrival rate.
 func (file File) runConfig(policy Policy, seed uint64, rate float64) runConfig {
-	// check has made sure that the name is known.
+	// check has validated the name.
 	deployment, _ := workload.DeploymentByName(file.Workload)
 	if file.Engines > 0 {
 		deployment.ModelEngines = file.Engines
@@ -74,17 +75,17 @@
 	}
 }
 
-// matrix is all runs of a file.
+// matrix is the set of all runs of a file.
 type matrix struct {
 	file File
 	runs []*matrixRun
 }
 
 type matrixRun struct {
-	load    float64
-	config  runConfig
-	metrics *collector
-	took    time.Duration
+	load     float64
+	config   runConfig
+	metrics  *collector
+	duration time.Duration
 }
 
 func newMatrix(file File, capacity float64) *matrix {
@@ -109,10 +110,10 @@
 			if ctx.Err() != nil {
 				return ctx.Err()
 			}
-			began := time.Now()
+			start := time.Now()
 			metrics, err := run(entry.config)
 			entry.metrics = metrics
-			entry.took = time.Since(began)
+			entry.duration = time.Since(start)
 			done <- entry
 			return err
 		})
@@ -124,7 +125,7 @@
 		for entry := range done {
 			count++
 			if progress != nil {
-				progress(count, len(matrix.runs), entry.config.Policy.Name, entry.load, entry.config.Seed, entry.took)
+				progress(count, len(matrix.runs), entry.config.Policy.Name, entry.load, entry.config.Seed, entry.duration)
 			}
 		}
 	}()
@@ -134,20 +135,20 @@
 	return err
 }
 
-// summarize adds a cell for each run, and one for each policy and load.
+// summarize adds a cell for each run and a merged cell for each policy and load.
 func (matrix *matrix) summarize(result *Result) {
-	var pooled *collector
+	var merged *collector
 	seeds := len(matrix.file.Seeds)
 	for index, entry := range matrix.runs {
 		policy := entry.config.Policy.Name
 		result.Runs = append(result.Runs, entry.metrics.summarize(policy, entry.load, entry.config.Seed))
 		if index%seeds == 0 {
-			pooled = entry.metrics
+			merged = entry.metrics
 		} else {
-			pooled.merge(entry.metrics)
+			merged.merge(entry.metrics)
 		}
 		if index%seeds == seeds-1 {
-			result.Cells = append(result.Cells, pooled.summarize(policy, entry.load, 0))
+			result.Cells = append(result.Cells, merged.summarize(policy, entry.load, 0))
 		}
 		entry.metrics = nil
 	}
--- a/rehearsal/experiment/simulation.go
+++ b/rehearsal/experiment/simulation.go
@@ -8,81 +8,82 @@
 	"github.com/magpielug/magpielug/rehearsal/workload"
 )
 
-// runConfig is one run: one policy, one load, one seed.
+// runConfig is the configuration of one run: one policy, load and seed.
 type runConfig struct {
 	Deployment workload.Deployment
 	Engine     Engine
 	Policy     Policy
 	Seed       uint64
-	// Rate of arrivals in programs a second.
+	// Rate is the arrival rate in programs per second.
 	Rate            float64
 	Duration        time.Duration
 	WarmUp          time.Duration
 	EndlessPrograms int
 	LoseEngineAt    float64
-	// Population, where above 0, replaces arrivals by that many programs that
-	// are always under way: each that ends is followed by the next at once.
+	// Population, if above 0, replaces arrivals by a closed loop of that many
+	// concurrent programs: each one that ends is replaced at once.
 	Population int
 }
 
 // Delays and intervals of the simulated platform.
 const (
-	// sameZoneDelay is one way between processes of one zone.
+	// sameZoneDelay is the one-way delay between processes in the same zone.
 	sameZoneDelay = 100 * time.Microsecond
-	// reportInterval is how often an engine publishes its load; it reaches the
-	// keeper reportLag later.
+	// reportInterval is the interval of an engine's load reports; each reaches
+	// the keeper reportLag later.
 	reportInterval = 500 * time.Millisecond
 	reportLag      = 250 * time.Millisecond
-	// tickInterval is how often a keeper is ticked.
+	// tickInterval is the interval of a keeper's ticks.
 	tickInterval = 100 * time.Millisecond
-	// lossDetection is how long it takes to see that an engine is gone.
+	// lossDetection is the time from an engine's loss to its detection.
 	lossDetection = time.Second
-	// cacheEventLag bounds the random lag of cache events; one in
-	// cacheEventLossOneIn is lost.
-	cacheEventLag       = 500 * time.Millisecond
+	// maxCacheEventLag is the upper bound of the random lag of cache events; one
+	// in cacheEventLossOneIn events is lost.
+	maxCacheEventLag    = 500 * time.Millisecond
 	cacheEventLossOneIn = 20
-	// drainLimit bounds the time after the last arrival.
+	// drainLimit is the maximum time from the end of the arrival period to the
+	// end of the last program.
 	drainLimit = 30 * time.Minute
 )
 
-// simulation is one run on the virtual clock.
+// simulation is the state of one run.
 type simulation struct {
-	timeline
-	config    runConfig
-	generator *workload.Generator
-	random    *rand.Rand
-	pools     []*pool
-	engines   []*engine
-	tools     *toolServers
-	metrics   *collector
-	open      int
-	started   int
+	virtualClock
+	config          runConfig
+	generator       *workload.Generator
+	random          *rand.Rand
+	pools           []*pool
+	engines         []*engine
+	tools           *toolBackends
+	metrics         *collector
+	openPrograms    int
+	startedPrograms int
 }
 
-// streamSimulation keeps the simulation's random draws apart from the
+// randomStream makes the simulation's random numbers independent of the
 // workload's.
-const streamSimulation = 77
+const randomStream = 77
 
-// run carries out one run and returns what it measured.
+// run simulates one run and returns its measurements.
 func run(config runConfig) (*collector, error) {
 	simulation, err := newSimulation(config)
 	if err != nil {
 		return nil, err
 	}
 	simulation.scheduleArrivals()
-	simulation.at(config.Duration, simulation.measureCache)
+	simulation.at(config.Duration, simulation.collectCacheStats)
 	end := config.Duration + drainLimit
 	if config.Population > 0 {
 		end = config.Duration
 	}
-	for simulation.now <= end && (simulation.open > 0 || simulation.now < config.Duration) {
+	for simulation.now <= end && (simulation.openPrograms > 0 || simulation.now < config.Duration) {
 		if !simulation.step() {
 			break
 		}
 	}
-	if config.Population == 0 && simulation.open > 0 {
-		return nil, fmt.Errorf("policy %s: %d programs had not ended %s after the last arrival",
-			config.Policy.Name, simulation.open, drainLimit)
+	if config.Population == 0 && simulation.openPrograms > 0 {
+		return nil, fmt.Errorf("policy %s: %d programs had not ended %s after the arrival period",
+			config.Policy.Name, simulation.openPrograms, drainLimit)
 	}
 	return simulation.metrics, nil
 }
@@ -91,8 +92,8 @@
 	simulation := &simulation{
 		config:    config,
 		generator: workload.NewGenerator(config.Deployment, config.Seed),
-		random:    rand.New(rand.NewPCG(config.Seed, streamSimulation)),
-		tools:     newToolServers(config.Deployment.ApplicationBackEnds * config.Deployment.ToolSlots),
+		random:    rand.New(rand.NewPCG(config.Seed, randomStream)),
+		tools:     newToolBackends(config.Deployment.ApplicationBackEnds * config.Deployment.ToolSlots),
 		metrics:   newCollector(config.Deployment),
 	}
 	simulation.makeEngines()
@@ -111,37 +112,38 @@
 func (simulation *simulation) scheduleArrivals() {
 	if simulation.config.Population > 0 {
 		for range simulation.config.Population {
-			simulation.startNext()
+			simulation.startNextProgram()
 		}
 		return
 	}
 	programs := simulation.generator.Arrivals(
 		simulation.config.Rate, simulation.config.Duration, simulation.config.EndlessPrograms)
-	simulation.open = len(programs)
+	simulation.openPrograms = len(programs)
 	for _, program := range programs {
 		simulation.at(program.Arrival, func() { simulation.startRoot(program) })
 	}
 }
 
-// startNext starts the next program of a closed population.
-func (simulation *simulation) startNext() {
-	program := simulation.generator.Program(simulation.started)
+// startNextProgram starts the next program of a closed-loop population.
+func (simulation *simulation) startNextProgram() {
+	program := simulation.generator.Program(simulation.startedPrograms)
 	program.Arrival = simulation.now
-	simulation.started++
-	simulation.open++
+	simulation.startedPrograms++
+	simulation.openPrograms++
 	simulation.startRoot(program)
 }
 
-// rootEnded counts a program that arrived from outside and is over.
-func (simulation *simulation) rootEnded(program *programRun) {
-	simulation.open--
-	simulation.metrics.programEnded(program, simulation.now, simulation.config.WarmUp)
+// onRootEnd records the end of a root program and, in a closed loop, starts the
+// next one.
+func (simulation *simulation) onRootEnd(program *programRun) {
+	simulation.openPrograms--
+	simulation.metrics.recordProgram(program, simulation.now, simulation.config.WarmUp)
 	if simulation.config.Population > 0 && simulation.now < simulation.config.Duration {
-		simulation.startNext()
+		simulation.startNextProgram()
 	}
 }
 
-// delay is the time one way between two zones.
+// delay returns the one-way delay between two zones.
 func (simulation *simulation) delay(from, to string) time.Duration {
 	if from == to {
 		return sameZoneDelay
@@ -149,7 +151,8 @@
 	return simulation.config.Deployment.ZoneDelay
 }
 
-// measuring tells whether an instant lies in the measured time.
-func (simulation *simulation) measuring(at time.Duration) bool {
+// inMeasuredPeriod reports whether an instant is in the measured period, from
+// WarmUp to Duration.
+func (simulation *simulation) inMeasuredPeriod(at time.Duration) bool {
 	return at >= simulation.config.WarmUp && at < simulation.config.Duration
 }
--- a/rehearsal/experiment/standin_benchmark_test.go
+++ b/rehearsal/experiment/standin_benchmark_test.go
@@ -18,32 +18,32 @@
 	"github.com/magpielug/magpielug/rehearsal/workload"
 )
 
-// The schedule that is played to the model and to the stand-in engine: requests
-// at a fixed interval, a shared beginning and a part of their own each. One
-// engine is busy to about two thirds of its slots.
+// Parameters of the request trace: requests at a fixed interval whose prompts
+// have a shared prefix and a unique part. They occupy about two thirds of the
+// engine's batch slots.
 const (
-	playedRequests  = 400
-	playedInterval  = 20 * time.Millisecond
-	sharedTokens    = 104
-	ownTokens       = 200
-	generatedTokens = 60
-	tokenText       = "word"
+	traceRequests          = 400
+	traceInterval          = 20 * time.Millisecond
+	sharedTokens           = 104
+	uniqueTokens           = 200
+	outputTokensPerRequest = 60
+	tokenText              = "word"
 )
 
-func playedEngine() enginemodel.Config {
+func traceEngineConfig() enginemodel.Config {
 	return enginemodel.Config{
 		BlockTokens: 16, Blocks: 6144, RunningLimit: 16, PrefillTokensPerStep: 512,
 		StepBase: 3 * time.Millisecond, StepPerSequence: 20 * time.Microsecond, StepPerPrefillToken: 20 * time.Microsecond,
 	}
 }
 
-// BenchmarkModelAgainstStandIn plays one schedule of requests to the engine
-// model on the virtual clock and to the stand-in engine over HTTP in real time,
-// and reports the latencies of both.
+// BenchmarkModelAgainstStandIn replays one request trace on the engine model in
+// virtual time and on the stand-in engine over HTTP in real time, and reports
+// the latencies of both.
 func BenchmarkModelAgainstStandIn(b *testing.B) {
 	for b.Loop() {
-		model, modelFirst := playModel()
-		overHTTP, overHTTPFirst := playStandIn(b)
+		model, modelFirst := replayOnModel()
+		overHTTP, overHTTPFirst := replayOnStandIn(b)
 		for _, entry := range []struct {
 			name      string
 			histogram *hdrhistogram.Histogram
@@ -57,65 +57,67 @@
 	}
 }
 
-// playModel returns the latencies of whole requests and of first tokens.
-func playModel() (whole, first *hdrhistogram.Histogram) {
-	whole, first = newHistogram(), newHistogram()
-	var line timeline
-	model := enginemodel.New(playedEngine())
+// replayOnModel returns the end-to-end and first-token latencies of the trace on
+// the engine model.
+func replayOnModel() (total, first *hdrhistogram.Histogram) {
+	total, first = newHistogram(), newHistogram()
+	var clock virtualClock
+	model := enginemodel.New(traceEngineConfig())
 	sent := map[string]time.Duration{}
-	awake := false
+	stepScheduled := false
 	var step func()
-	wake := func() {
-		if at, busy := model.NextStep(line.now); busy && !awake {
-			awake = true
-			line.at(at, step)
+	scheduleStep := func() {
+		if at, busy := model.NextStep(clock.now); busy && !stepScheduled {
+			stepScheduled = true
+			clock.at(at, step)
 		}
 	}
 	step = func() {
-		awake = false
-		for _, output := range model.Step(line.now) {
+		stepScheduled = false
+		for _, output := range model.Step(clock.now) {
 			if output.First {
-				record(first, line.now-sent[output.RequestID])
+				record(first, clock.now-sent[output.RequestID])
 			}
 			if output.Finished {
-				record(whole, line.now-sent[output.RequestID])
+				record(total, clock.now-sent[output.RequestID])
 			}
 		}
-		wake()
+		scheduleStep()
 	}
-	for index := range playedRequests {
-		line.at(time.Duration(index)*playedInterval, func() {
+	for index := range traceRequests {
+		clock.at(time.Duration(index)*traceInterval, func() {
 			request := modelRequest(index)
-			sent[request.ID] = line.now
-			if err := model.Submit(line.now, request); err != nil {
+			sent[request.ID] = clock.now
+			if err := model.Submit(clock.now, request); err != nil {
 				panic(err)
 			}
-			wake()
+			scheduleStep()
 		})
 	}
-	for line.step() {
+	for clock.step() {
 		continue
 	}
-	return whole, first
+	return total, first
 }
 
 func modelRequest(index int) enginemodel.Request {
-	history := workload.NewHistory(playedEngine().BlockTokens)
+	history := workload.NewHistory(traceEngineConfig().BlockTokens)
 	history.Append(workload.Segment{Seed: 1, Tokens: sharedTokens})
-	history.Append(workload.Segment{Seed: uint64(index) + 2, Tokens: ownTokens})
+	history.Append(workload.Segment{Seed: uint64(index) + 2, Tokens: uniqueTokens})
 	name := fmt.Sprintf("request-%03d", index)
 	return enginemodel.Request{
 		ID: name, Program: name, Prefix: history.Blocks(),
-		PromptTokens: history.Tokens(), OutputTokens: generatedTokens, OutputSeed: uint64(index),
+		PromptTokens: history.Tokens(), OutputTokens: outputTokensPerRequest, OutputSeed: uint64(index),
 	}
 }
 
-// playStandIn plays the same schedule over HTTP.
-func playStandIn(b *testing.B) (whole, first *hdrhistogram.Histogram) {
-	whole, first = newHistogram(), newHistogram()
-	played := standin.New(standin.Config{Name: "played", Model: modelName, Batching: playedEngine()})
-	defer played.Close()
-	server, err := httpserver.Start("127.0.0.1:0", played.Handler(), httpserver.Limits{})
+// replayOnStandIn returns the end-to-end and first-token latencies of the trace
+// on the stand-in engine over HTTP.
+func replayOnStandIn(b *testing.B) (total, first *hdrhistogram.Histogram) {
+	total, first = newHistogram(), newHistogram()
+	standIn := standin.New(standin.Config{Name: "played", Model: modelName, Batching: traceEngineConfig()})
+	defer standIn.Close()
+	server, err := httpserver.Start("127.0.0.1:0", standIn.Handler(), httpserver.Limits{})
 	if err != nil {
 		b.Fatal(err)
 	}
@@ -128,9 +130,9 @@
 	client := httpadapter.NewEngine(pool)
 	var lock sync.Mutex
 	var group sync.WaitGroup
-	began := time.Now()
-	for index := range playedRequests {
-		time.Sleep(time.Until(began.Add(time.Duration(index) * playedInterval)))
+	start := time.Now()
+	for index := range traceRequests {
+		time.Sleep(time.Until(start.Add(time.Duration(index) * traceInterval)))
 		group.Go(func() {
 			sent := time.Now()
 			var firstAfter time.Duration
@@ -146,21 +148,21 @@
 			}
 			lock.Lock()
 			defer lock.Unlock()
-			record(whole, time.Since(sent))
+			record(total, time.Since(sent))
 			record(first, firstAfter)
 		})
 	}
 	group.Wait()
-	return whole, first
+	return total, first
 }
 
 func standInRequest(index int) outside.GenerateRequest {
 	name := fmt.Sprintf("request-%03d", index)
-	marker := fmt.Sprintf("%s [[tokens=%d]]", name, generatedTokens)
-	own := strings.Repeat(tokenText, ownTokens)[:ownTokens*len(tokenText)-len(marker)]
+	marker := fmt.Sprintf("%s [[tokens=%d]]", name, outputTokensPerRequest)
+	own := strings.Repeat(tokenText, uniqueTokens)[:uniqueTokens*len(tokenText)-len(marker)]
 	return outside.GenerateRequest{
 		RequestID: name, Program: name, Model: modelName,
 		Prompt:    []string{strings.Repeat(tokenText, sharedTokens), name + own + marker[len(name):]},
-		MaxTokens: generatedTokens,
+		MaxTokens: outputTokensPerRequest,
 	}
 }
--- a/rehearsal/experiment/tools.go
+++ b/rehearsal/experiment/tools.go
@@ -5,25 +5,26 @@
 	"time"
 )
 
-// toolServers models the application back ends: a number of slots that serve
-// tool calls in order of arrival.
-type toolServers struct {
-	freeAt slotHeap
+// toolBackends models the application back ends as a fixed number of slots that
+// serve tool calls in order of arrival.
+type toolBackends struct {
+	slots slotHeap
 }
 
-func newToolServers(slots int) *toolServers {
-	return &toolServers{freeAt: make(slotHeap, max(slots, 1))}
+func newToolBackends(slots int) *toolBackends {
+	return &toolBackends{slots: make(slotHeap, max(slots, 1))}
 }
 
-// call returns when a tool call that arrives now and takes duration ends.
-func (servers *toolServers) call(now, duration time.Duration) time.Duration {
-	end := max(now, servers.freeAt[0]) + duration
-	servers.freeAt[0] = end
-	heap.Fix(&servers.freeAt, 0)
+// schedule adds a tool call that arrives at now and takes duration, and returns
+// when it ends.
+func (backends *toolBackends) schedule(now, duration time.Duration) time.Duration {
+	end := max(now, backends.slots[0]) + duration
+	backends.slots[0] = end
+	heap.Fix(&backends.slots, 0)
 	return end
 }
 
-// slotHeap holds when each slot becomes free, the earliest first.
+// slotHeap is a heap of the times at which the slots become free.
 type slotHeap []time.Duration
 
 func (slots slotHeap) Len() int                  { return len(slots) }
--- a/rehearsal/experiment/ideal.go
+++ b/rehearsal/experiment/unloaded.go
@@ -6,10 +6,9 @@
 	"github.com/magpielug/magpielug/rehearsal/workload"
 )
 
-// idealLatency is the latency of a program that is alone on the deployment and
-// finds its history cached: what a program's measured latency is held against
-// for fairness.
-func idealLatency(program *workload.Program, config runConfig) time.Duration {
+// unloadedLatency returns the latency of a program that runs alone on the
+// deployment and finds its history cached.
+func unloadedLatency(program *workload.Program, config runConfig) time.Duration {
 	total := time.Duration(0)
 	for index, turn := range program.Turns {
 		total += 2 * config.Deployment.ClientDelay
@@ -20,7 +19,7 @@
 			pause = 0
 		}
 		for _, subAgent := range turn.SubAgents {
-			pause = max(pause, idealLatency(subAgent, config))
+			pause = max(pause, unloadedLatency(subAgent, config))
 		}
 		total += pause
 	}
