--- a/api/node/v1/node.twirp.go
+++ b/api/node/v1/node.twirp.go
@@ -31,39 +31,41 @@
 // Node Interface
 // ==============
 
-// Node is served by every node for the others. A message may be lost, repeated
-// or arrive late: every call bears that.
+// Node is the service that nodes provide to each other. Messages may be lost, repeated or
+// delayed, and every method tolerates that.
 type Node interface {
-	// Reserve asks the owner of a program's shard for a turn's most tokens and for
-	// the turns before it.
+	// Reserve reserves a turn's maximum tokens with the owner of the program's shard, and
+	// returns the turns before it if requested.
 	Reserve(context.Context, *ReserveRequest) (*ReserveReply, error)
 
-	// Settle tells the owner what turns have spent, and hands over their records.
+	// Settle reports the tokens that turns have used to the shard's owner, with the turns'
+	// records.
 	Settle(context.Context, *SettleRequest) (*SettleReply, error)
 
-	// Yield asks the owner that a claim names whether it keeps the shard. One that
-	// can't write to the log hands over its accounts, and grants nothing any more.
+	// Yield asks the node that made a claim whether it keeps the shard. A node that cannot
+	// write to the log hands over its accounts and stops granting.
 	Yield(context.Context, *YieldRequest) (*YieldReply, error)
 
-	// Line returns turns of a shard's partition of the log, for a node that does
-	// not read that partition itself.
+	// Line returns the part of a chain that is stored in a shard's partition of the log, for
+	// a node that does not read that partition itself.
 	Line(context.Context, *LineRequest) (*LineReply, error)
 
-	// Record writes a turn to the log for a node that the log does not answer. An
-	// answer without an error says that the log has acknowledged it.
+	// Record writes a turn to the log for a node that gets no response from the log. A reply
+	// without an error means that the log has acknowledged the turn.
 	Record(context.Context, *RecordRequest) (*RecordReply, error)
 
-	// Learn returns what a node knows of configuration, engines and nodes, for one
-	// that the store does not answer, or that another one reads the store for.
+	// Learn returns configuration, engine and node records to a node that gets no response
+	// from the log, or that leaves reading the log to the responding node.
 	Learn(context.Context, *LearnRequest) (*LearnReply, error)
 
-	// Admit asks the keeper of a group of tenants whether a request fits into its
-	// tenant's limit, and lends the keeper the asker's share of the group's limits.
+	// Admit asks the coordinator of a group of tenants whether a request is within its
+	// tenant's limit, and leases the requester's share of the group's limits to the
+	// coordinator.
 	Admit(context.Context, *AdmitRequest) (*AdmitReply, error)
 
-	// ShareLoad tells the node that gathers load for a zone what the asker has under way,
-	// and returns what all nodes have. All figures are states and not changes, so that a
-	// lost or repeated message does no harm.
+	// ShareLoad reports load to an aggregator, whose reply to a node's report is the total
+	// over all nodes. All figures are absolute, so that a lost or repeated message does no
+	// harm.
 	ShareLoad(context.Context, *ShareLoadRequest) (*ShareLoadReply, error)
 }
 
