--- a/api/configuration/v1/exchange.twirp.go
+++ b/api/configuration/v1/exchange.twirp.go
@@ -31,10 +31,10 @@
 // Exchange Interface
 // ==================
 
-// Exchange is served by every process under /twirp for all others.
+// Exchange is served by every process under /twirp for all other processes.
 type Exchange interface {
-	// Compare tells the versions of both sides. The answer holds the round where
-	// the asker has read less of the stream.
+	// Compare exchanges the versions of two processes. The reply contains the round if the
+	// requester has read less of the stream.
 	Compare(context.Context, *CompareRequest) (*CompareReply, error)
 }
 
