--- a/api/scheduler/v1/peer.twirp.go
+++ b/api/scheduler/v1/peer.twirp.go
@@ -33,9 +33,9 @@
 
 // Peer is served by every scheduler under /twirp for the other schedulers.
 type Peer interface {
-	// Exchange hands over everything queued for a peer process at once, and
-	// brings back what the peer has queued for the caller by then. A batch may be
-	// lost, repeated or arrive out of order: every message bears that.
+	// Exchange delivers all messages queued for a peer process, and returns those that the
+	// peer has queued for the sender. Batches may be lost, repeated or reordered, and every
+	// message tolerates that.
 	Exchange(context.Context, *PeerBatch) (*PeerBatch, error)
 }
 
