--- a/charts/call_test.go
+++ b/charts/call_test.go
@@ -13,7 +13,7 @@
 	callEvents = int(charts.CallEventCancel) + 1
 )
 
-// edge is one transition of the call chart between two different states.
+// edge is a transition between two different states of the call chart.
 type edge struct {
 	from  charts.CallState
 	event charts.CallEvent
@@ -53,12 +53,12 @@
 		}
 	})
 
-	It("queues again after dispatch only what is repeatable or truly did not run", func() {
+	It("requeues a dispatched call only if it is repeatable or did not run", func() {
 		for _, edge := range callEdges() {
 			if !beforeDispatch(edge.from) && beforeDispatch(edge.to) {
 				Expect(edge.to).To(Equal(charts.CallStateQueued))
 				if edge.event == charts.CallEventNotRun {
-					Expect(edge.from).To(Equal(charts.CallStateDispatched), "a call that has sent a chunk has run")
+					Expect(edge.from).To(Equal(charts.CallStateDispatched), "a streaming call has run")
 					continue
 				}
 				Expect(edge.event).To(Equal(charts.CallEventOutcomeLostRepeatable))
@@ -66,7 +66,7 @@
 		}
 	})
 
-	It("keeps an unknown outcome unknown", func() {
+	It("never leaves the unknown state", func() {
 		for event := charts.CallEvent(0); int(event) < callEvents; event++ {
 			state, _ := charts.Call.Next(charts.CallStateUnknown, event)
 			Expect(state).To(Equal(charts.CallStateUnknown))
@@ -75,12 +75,12 @@
 		Expect(refusal.Code).To(Equal(resultcode.OutcomeUnknown))
 	})
 
-	It("does not send a call whose cancellation was committed first", func() {
+	It("does not dispatch a cancelled call", func() {
 		_, refusal := charts.Call.Next(charts.CallStateCancelled, charts.CallEventIntentCommitted)
 		Expect(refusal.Code).To(Equal(resultcode.CallStopped))
 	})
 
-	It("refuses numbers that the chart does not have", func() {
+	It("refuses undefined states and events", func() {
 		state, refusal := charts.Call.Next(charts.CallState(callStates), charts.CallEventAdmit)
 		Expect(state).To(Equal(charts.CallState(callStates)))
 		Expect(refusal.Code).To(Equal(resultcode.Internal))
--- a/charts/charts.go
+++ b/charts/charts.go
@@ -1,7 +1,7 @@
-// Package charts embeds the state charts of programs, calls, shard replicas,
-// engines and the ownership of shards, and gives their states and events as typed
-// constants. The .yaml files are the only source of the transitions; the
-// *_generated.go files follow from them by `go test ./charts -update`, and a test compares.
+// Package charts embeds the state charts of programs, calls, shard replicas, engines and
+// shard ownership, and defines their states and events as typed constants. The .yaml files
+// are the only source of the transitions. `go test ./charts -update` generates the
+// *_generated.go files from them, and a test verifies that they are current.
 package charts
 
 import "embed"
@@ -9,5 +9,5 @@
 //go:embed *.yaml
 var files embed.FS
 
-// Names lists the charts, each in the file of that name.
+// Names lists the charts; each is defined in the .yaml file of its name.
 var Names = []string{"program", "call", "replica", "engine", "ownership"}
--- a/charts/generated_test.go
+++ b/charts/generated_test.go
@@ -12,7 +12,7 @@
 	"github.com/magpielug/magpielug/internal/statechart"
 )
 
-var update = flag.Bool("update", false, "write the files that are generated from the charts")
+var update = flag.Bool("update", false, "rewrite the files generated from the charts")
 
 const (
 	pagePath    = "../docs/CHARTS.md"
@@ -28,7 +28,8 @@
 	return definition
 }
 
-// expectFile compares a generated file, or writes it with -update.
+// expectFile compares a generated file with its expected content. With -update it writes the
+// content first.
 func expectFile(path, want string) {
 	GinkgoHelper()
 	if *update {
@@ -36,7 +37,7 @@
 	}
 	got, err := os.ReadFile(path)
 	Expect(err).NotTo(HaveOccurred())
-	Expect(string(got) == want).To(BeTrue(), "%s differs from the charts: go test ./charts -update", path)
+	Expect(string(got) == want).To(BeTrue(), "%s is out of date; run go test ./charts -update", path)
 }
 
 var _ = Describe("files generated from the charts", func() {
