--- a/internal/cache/cache.go
+++ b/internal/cache/cache.go
@@ -1,5 +1,6 @@
-// Package cache decides what becomes of a program's cached prefix while the
-// program waits for a tool. It is pure.
+// Package cache decides whether an engine keeps, exports or releases a
+// program's cached prefix while the program waits for a tool result. The
+// policies have no state.
 package cache
 
 import (
@@ -7,7 +8,7 @@
 	"time"
 )
 
-// Names of the policies, as operators write them in the configuration.
+// Policy names accepted by ByName and in the configuration.
 const (
 	Keep       = "keep"
 	Predictive = "predictive"
@@ -18,8 +19,8 @@
 // Action is what to do with a cached prefix.
 type Action int
 
-// Actions at a pause. ActionNone leaves the prefix to the engine's own eviction
-// and gives no orders at all, not even at the program's end.
+// ActionNone leaves the prefix to the engine's own eviction; no cache commands
+// are sent, not even when the program ends.
 const (
 	ActionNone Action = iota
 	ActionKeep
@@ -27,36 +28,37 @@
 	ActionRelease
 )
 
-// Pause describes a program that begins to wait.
+// Pause describes one cached prefix of a program that starts to wait.
 type Pause struct {
 	// Tokens is the size of the cached prefix.
 	Tokens int
 	// ExpectedPause is how long the pause is predicted to last.
 	ExpectedPause time.Duration
-	// ReuseProbability is the chance, 0 to 1, that the program goes on.
+	// ReuseProbability is the probability, 0 to 1, that the program makes another call.
 	ReuseProbability float64
-	// Pressure is how much of the engine's KV memory is in use, 0 to 1.
+	// Pressure is the fraction of the engine's KV memory in use, 0 to 1.
 	Pressure float64
-	// RecomputeCost is the time to compute the prefix again.
+	// RecomputeCost is the time to recompute the prefix.
 	RecomputeCost time.Duration
-	// ExportCost is the time to export and import it; 0 when not possible.
+	// ExportCost is the time to export and import the prefix; 0 if the engine
+	// cannot export.
 	ExportCost time.Duration
 }
 
-// Decision is an action, and for ActionKeep how long it holds; 0 is without
-// end.
+// Decision is the action for a prefix. KeepFor is how long ActionKeep holds the
+// prefix; 0 means no limit.
 type Decision struct {
 	Action  Action
 	KeepFor time.Duration
 }
 
-// Policy decides at a pause.
+// Policy chooses the action for a prefix when its program pauses.
 type Policy interface {
 	AtPause(pause Pause) Decision
 }
 
-// ByName returns the policy that name stands for. An empty name stands for
-// Predictive.
+// ByName returns the named policy; an empty name selects Predictive. An unknown
+// name is an error.
 func ByName(name string) (Policy, error) {
 	switch name {
 	case Predictive, "":
--- a/internal/cache/cache_test.go
+++ b/internal/cache/cache_test.go
@@ -15,13 +15,13 @@
 		RecomputeCost: 100 * time.Millisecond,
 	}
 
-	It("keeps over a short pause, for a bounded time", func() {
+	It("keeps a prefix for a limited time over a short pause", func() {
 		decision := cache.PredictivePolicy{}.AtPause(pause)
 		Expect(decision.Action).To(Equal(cache.ActionKeep))
 		Expect(decision.KeepFor).To(Equal(3 * time.Second))
 	})
 
-	It("releases over a long pause under pressure, or exports where that is cheaper", func() {
+	It("releases a prefix over a long pause under memory pressure, or exports it when cheaper", func() {
 		long := pause
 		long.ExpectedPause = time.Minute
 		Expect(cache.PredictivePolicy{}.AtPause(long).Action).To(Equal(cache.ActionRelease))
@@ -31,13 +31,13 @@
 		Expect(cache.PredictivePolicy{}.AtPause(long).Action).To(Equal(cache.ActionKeep))
 	})
 
-	It("releases what is hardly ever used again", func() {
-		last := pause
-		last.ReuseProbability = 0.01
-		Expect(cache.PredictivePolicy{}.AtPause(last).Action).To(Equal(cache.ActionRelease))
+	It("releases a prefix with a low reuse probability", func() {
+		unlikely := pause
+		unlikely.ReuseProbability = 0.01
+		Expect(cache.PredictivePolicy{}.AtPause(unlikely).Action).To(Equal(cache.ActionRelease))
 	})
 
-	It("refuses an unknown name", func() {
+	It("rejects an unknown policy name", func() {
 		_, err := cache.ByName("forget")
 		Expect(err).To(HaveOccurred())
 	})
--- a/internal/cache/fixed.go
+++ b/internal/cache/fixed.go
@@ -3,5 +3,5 @@
 // FixedPolicy takes the same action at every pause.
 type FixedPolicy struct{ Action Action }
 
-// AtPause returns the fixed action.
+// AtPause returns policy.Action without a time limit.
 func (policy FixedPolicy) AtPause(Pause) Decision { return Decision{Action: policy.Action} }
--- a/internal/cache/predictive.go
+++ b/internal/cache/predictive.go
@@ -3,30 +3,31 @@
 import "time"
 
 const (
-	// freePressure is the memory use below which keeping costs nothing.
-	freePressure = 0.5
-	// fullMemoryPrice is the cost of holding one recompute's worth of prefix
-	// for one second at full pressure, as a part of that recompute.
-	fullMemoryPrice = 0.05
-	// keepMargin is how many expected pauses a kept prefix may outlast.
-	keepMargin = 3
-	// leastKeep keeps a prefix over short hiccups whatever was predicted.
-	leastKeep = 2 * time.Second
+	// minChargedPressure is the memory pressure below which keeping a prefix is free.
+	minChargedPressure = 0.5
+	// fullPressureCostRate is the cost of holding a prefix for one second at full
+	// pressure, as a fraction of its recompute cost.
+	fullPressureCostRate = 0.05
+	// keepDurationFactor multiplies the expected pause to get the keep duration.
+	keepDurationFactor = 3
+	// minKeepDuration is the lower bound of the keep duration.
+	minKeepDuration = 2 * time.Second
 )
 
-// PredictivePolicy compares what a prefix would save with what it costs to
-// hold. Saving: reuse probability × recompute cost. Holding: expected pause ×
-// the price of memory, which rises with pressure.
+// PredictivePolicy compares the expected saving of a prefix with the cost of
+// holding it. The saving is reuse probability × recompute cost; the holding cost
+// is recompute cost × expected pause × a rate that rises with memory pressure.
 type PredictivePolicy struct{}
 
-// AtPause keeps the prefix for a bounded time, exports it if that is the
-// cheaper way to have it back, or releases it.
+// AtPause keeps the prefix for a limited time if holding costs no more than it
+// saves. Otherwise it exports the prefix if that costs less than the saving, or
+// releases it.
 func (PredictivePolicy) AtPause(pause Pause) Decision {
 	recompute := pause.RecomputeCost.Seconds()
 	saving := pause.ReuseProbability * recompute
-	holding := recompute * memoryPrice(pause.Pressure) * pause.ExpectedPause.Seconds()
+	holding := recompute * memoryCostRate(pause.Pressure) * pause.ExpectedPause.Seconds()
 	if holding <= saving {
-		return Decision{Action: ActionKeep, KeepFor: max(keepMargin*pause.ExpectedPause, leastKeep)}
+		return Decision{Action: ActionKeep, KeepFor: max(keepDurationFactor*pause.ExpectedPause, minKeepDuration)}
 	}
 	transfer := pause.ExportCost.Seconds()
 	if transfer > 0 && transfer < saving {
@@ -35,8 +36,9 @@
 	return Decision{Action: ActionRelease}
 }
 
-// memoryPrice rises from 0 at freePressure to fullMemoryPrice at 1.
-func memoryPrice(pressure float64) float64 {
-	over := max(pressure-freePressure, 0) / (1 - freePressure)
-	return fullMemoryPrice * over
+// memoryCostRate returns the holding cost per second as a fraction of the
+// recompute cost: linear from 0 at minChargedPressure to fullPressureCostRate at 1.
+func memoryCostRate(pressure float64) float64 {
+	excess := max(pressure-minChargedPressure, 0) / (1 - minChargedPressure)
+	return fullPressureCostRate * excess
 }
