--- a/internal/keeper/adapter.go
+++ b/internal/keeper/adapter.go
@@ -82,7 +82,7 @@
 // parks those before it.
 func (keeper *Keeper) takeServed() *queue.Item[*waitingCall] {
 	for {
-		item := keeper.pool.Take()
+		item := keeper.pool.Pop()
 		if item == nil || keeper.served(item.Value.request.Adapter) {
 			return item
 		}
@@ -109,7 +109,7 @@
 // their ranks give them their place.
 func (keeper *Keeper) unpark(adapter *adapterState) {
 	for adapter.waiting.Len() > 0 {
-		call := adapter.waiting.Take().Value
+		call := adapter.waiting.Pop().Value
 		keeper.timers.stop(call.patience)
 		call.adapter = nil
 		call.patience = nil
--- a/internal/keeper/admission.go
+++ b/internal/keeper/admission.go
@@ -59,7 +59,7 @@
 func (keeper *Keeper) lightestWaiting() *waitingCall {
 	var victim *waitingCall
 	consider := func(waiting *queue.Queue[*waitingCall]) {
-		last := waiting.Last()
+		last := waiting.PeekLast()
 		if last != nil && (victim == nil || servedLater(last.Value, victim)) {
 			victim = last.Value
 		}
@@ -106,7 +106,7 @@
 	rate := max(float64(slots)/keeper.estimates.hold(), leastRate)
 	left := max(rate-keeper.tiers.rateAbove(band, keeper.now), leastRate)
 	inTurn := float64(atOrAbove+1) / left
-	byShare := float64(inBand+1) / max(rate*keeper.pool.ShareOf(band), leastRate)
+	byShare := float64(inBand+1) / max(rate*keeper.pool.ReservedShare(band), leastRate)
 	return seconds(min(inTurn, byShare))
 }
 
@@ -121,9 +121,9 @@
 
 // ahead counts waiting calls at or above a band, and in it.
 func (keeper *Keeper) ahead(band uint32) (atOrAbove, inBand int) {
-	atOrAbove, inBand = keeper.pool.Ahead(band)
+	atOrAbove, inBand = keeper.pool.CountAtOrAbove(band)
 	for _, engine := range keeper.engines {
-		higher, same := engine.bound.Ahead(band)
+		higher, same := engine.bound.CountAtOrAbove(band)
 		atOrAbove += higher
 		inBand += same
 	}
@@ -163,7 +163,7 @@
 	}
 	keeper.unparkAll()
 	for keeper.pool.Len() > 0 {
-		call := keeper.pool.Take().Value
+		call := keeper.pool.Pop().Value
 		keeper.refuseWaiting(call, resultcode.NoBackEnd, keeper.config.NoEngineGrace, "no engine is ready")
 	}
 }
--- a/internal/keeper/dispatch.go
+++ b/internal/keeper/dispatch.go
@@ -38,7 +38,7 @@
 func (keeper *Keeper) dispatchBound() {
 	for _, engine := range keeper.engines {
 		for engine.bound.Len() > 0 && keeper.freeSlots(engine) > 0 {
-			item := engine.bound.Take()
+			item := engine.bound.Pop()
 			engine.bound.Restore(item)
 			if !engine.fits(item.Value.need) {
 				break
@@ -128,7 +128,7 @@
 		keeper.onlyFreeCandidates()
 	}
 	placed := call.placed()
-	placed.Due = keeper.pool.Due(call.item) && call.skips >= keeper.maxSkips()
+	placed.Due = keeper.pool.HasFullCredit(call.item) && call.skips >= keeper.maxSkips()
 	index := keeper.policies.Placement.Place(&placed, keeper.candidates)
 	if index == placement.None {
 		if call.skips >= keeper.maxSkips() && !keeper.fitsSomewhere() {
--- a/internal/keeper/engine.go
+++ b/internal/keeper/engine.go
@@ -155,7 +155,7 @@
 // they are bound anew. Their ranks keep their place.
 func (keeper *Keeper) unbind(engine *engineState) {
 	for engine.bound.Len() > 0 {
-		call := engine.bound.Take().Value
+		call := engine.bound.Pop().Value
 		call.engine = nil
 		call.item = keeper.pool.Push(call, call.rank)
 	}
--- a/internal/keeper/preempt.go
+++ b/internal/keeper/preempt.go
@@ -9,7 +9,7 @@
 	if !keeper.config.Preempt || keeper.pool.Len() == 0 {
 		return
 	}
-	head := keeper.pool.Highest().Value
+	head := keeper.pool.PeekHighestBand().Value
 	if !keeper.worthPreempting(head) {
 		return
 	}
@@ -35,7 +35,7 @@
 		running += len(engine.running)
 		pending += engine.preempting()
 	}
-	_, waiting := keeper.pool.Ahead(head.rank.Band)
+	_, waiting := keeper.pool.CountAtOrAbove(head.rank.Band)
 	if running == 0 || pending >= waiting {
 		return false
 	}
--- a/internal/keeper/running.go
+++ b/internal/keeper/running.go
@@ -35,7 +35,7 @@
 	call := item.Value
 	cached := keeper.expectedCached(call, engine)
 	keeper.leaveQueue(call)
-	from.Granted(item)
+	from.RecordGrant(item)
 	keeper.tiers.countGrant(call.rank.Band, keeper.now)
 	running := &runningCall{request: call.request, program: call.program, tier: call.tier, need: call.need, expectedCached: cached}
 	keeper.importPrefix(running, engine)
--- a/internal/queue/band.go
+++ b/internal/queue/band.go
@@ -2,13 +2,13 @@
 
 import "container/heap"
 
-// Item is one waiting call in a queue, with the value its owner tracks it by.
+// Item is one queued value with its rank.
 type Item[V any] struct {
 	Value V
 
 	rank     Rank
 	sequence uint64
-	// position is the item's place in its band's heap, or notQueued.
+	// position is the item's index in its band's heap, or notQueued.
 	position int
 }
 
@@ -17,11 +17,11 @@
 // Rank returns the rank the item was pushed with.
 func (item *Item[V]) Rank() Rank { return item.rank }
 
-// Queued tells whether the item stands in a queue.
+// Queued reports whether the item is in a queue.
 func (item *Item[V]) Queued() bool { return item.position != notQueued }
 
 // itemHeap orders items by rank value, then by arrival. The order is total, so
-// what comes out never depends on the heap's inner layout.
+// the pop order is deterministic.
 type itemHeap[V any] []*Item[V]
 
 func (items itemHeap[V]) Len() int { return len(items) }
@@ -39,14 +39,14 @@
 	items[j].position = j
 }
 
-// Push appends an item; container/heap calls it.
+// Push implements heap.Interface.
 func (items *itemHeap[V]) Push(element any) {
 	item := element.(*Item[V])
 	item.position = len(*items)
 	*items = append(*items, item)
 }
 
-// Pop removes the last item; container/heap calls it.
+// Pop implements heap.Interface.
 func (items *itemHeap[V]) Pop() any {
 	last := len(*items) - 1
 	item := (*items)[last]
@@ -56,8 +56,9 @@
 	return item
 }
 
-// last returns the item that sorts last; the heap must not be empty.
-func (items itemHeap[V]) last() *Item[V] {
+// lastItem returns the item that sorts last, in linear time. The heap must not
+// be empty.
+func (items itemHeap[V]) lastItem() *Item[V] {
 	found := 0
 	for index := range items {
 		if items.Less(found, index) {
@@ -67,12 +68,12 @@
 	return items[found]
 }
 
-// band holds the waiting calls of one rank band.
+// band holds the items of one rank band.
 type band[V any] struct {
 	number uint32
 	items  itemHeap[V]
-	// credit is the part of a grant that the band's reserved share has earned
-	// since it was last served. It stays 0 while the band is empty.
+	// credit counts the grants, in fractions, that the band has earned from the
+	// reserved share and not used. It is 0 while the band is empty.
 	credit float64
 }
 
--- a/internal/queue/callpriority.go
+++ b/internal/queue/callpriority.go
@@ -1,10 +1,9 @@
 package queue
 
-// CallPriorityOrder serves the call of the higher tier first and knows nothing
-// of the program behind a call.
+// CallPriorityOrder serves higher tiers first and ignores program state.
 type CallPriorityOrder struct{}
 
-// Rank makes one band a tier weight, first come first served inside it.
+// Rank puts each tier weight in its own band, ordered by queueing time.
 func (CallPriorityOrder) Rank(call Call) Rank {
 	return Rank{Band: call.Weight, Value: call.QueuedAt.Seconds()}
 }
--- a/internal/queue/leastattained.go
+++ b/internal/queue/leastattained.go
@@ -2,43 +2,41 @@
 
 import "math"
 
-// AttainedOrder serves the higher tier first and, inside a tier, the program
-// that has used the least service so far. A program's age counts for it, so no
-// program waits without end: the rank is a virtual start time,
+// LeastAttainedOrder serves higher tiers first and, inside a tier, the program
+// with the least attained service. The rank is a virtual start time,
 //
-//	program start + AgePerToken × attained service, rounded to a level
+//	program start + SecondsPerToken × attained service, rounded down to a level
 //
-// and every program that starts later than that comes after it.
-type AttainedOrder struct {
-	// LevelTokens is the width of the first level, service tokens. Each level
-	// is twice as wide as the one before. Programs of one level are served
-	// oldest first, which avoids taking turns between equal programs.
+// so programs that start after it rank behind and no program starves.
+type LeastAttainedOrder struct {
+	// LevelTokens is the width of the first level in service tokens; the levels
+	// after it start at 1, 2, 4... times LevelTokens. Programs on one level are
+	// served oldest first, which avoids round-robin between equal programs.
 	LevelTokens float64
-	// AgePerToken is how many seconds of age one service token costs.
-	AgePerToken float64
+	// SecondsPerToken is added to the virtual start time per service token.
+	SecondsPerToken float64
 }
 
-// A program is served by its age until it has used what nine in ten programs
-// need in all; then it goes behind those that have not.
+// defaultLevelTokens is about the total service of the 90th percentile program.
 const (
-	defaultLevelTokens = 4000
-	defaultAgePerToken = 1
+	defaultLevelTokens     = 4000
+	defaultSecondsPerToken = 1
 )
 
-// DefaultAttainedOrder returns the order with its default tuning.
-func DefaultAttainedOrder() AttainedOrder {
-	return AttainedOrder{LevelTokens: defaultLevelTokens, AgePerToken: defaultAgePerToken}
+// DefaultLeastAttainedOrder returns the order with default parameters.
+func DefaultLeastAttainedOrder() LeastAttainedOrder {
+	return LeastAttainedOrder{LevelTokens: defaultLevelTokens, SecondsPerToken: defaultSecondsPerToken}
 }
 
-// Rank makes one band a tier weight and ranks by virtual start time inside it.
-func (order AttainedOrder) Rank(call Call) Rank {
+// Rank puts each tier weight in its own band, ordered by virtual start time.
+func (order LeastAttainedOrder) Rank(call Call) Rank {
 	started := (call.QueuedAt - call.ProgramAge).Seconds()
-	return Rank{Band: call.Weight, Value: started + order.AgePerToken*order.levelFloor(call.AttainedService)}
+	return Rank{Band: call.Weight, Value: started + order.SecondsPerToken*order.levelFloor(call.AttainedService)}
 }
 
 // levelFloor rounds attained service down to the start of its level: 0, then
-// LevelTokens times 1, 2, 4 and so on.
-func (order AttainedOrder) levelFloor(attained float64) float64 {
+// LevelTokens × 1, 2, 4...
+func (order LeastAttainedOrder) levelFloor(attained float64) float64 {
 	if attained < order.LevelTokens {
 		return 0
 	}
--- a/internal/queue/order.go
+++ b/internal/queue/order.go
@@ -1,7 +1,7 @@
-// Package queue holds the calls that wait for an engine slot and decides whose
-// turn is next. An Order ranks one call; Queue keeps ranked calls in bands, one
-// heap a band, and shares grants between bands. It is pure: time comes in with
-// each call.
+// Package queue orders the calls that wait for an engine slot. An Order ranks
+// one call; a Queue keeps ranked calls in priority bands, one heap per band, and
+// divides grants among the bands. The package reads no clock: times are passed
+// in with each call.
 package queue
 
 import (
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// Names of the orders, as operators write them in the configuration.
+// Order names accepted by ByName and in the configuration.
 const (
 	LeastAttained = "least-attained"
 	FirstCome     = "fcfs"
@@ -17,33 +17,32 @@
 	Oracle        = "oracle"
 )
 
-// Call is what an order may know of a waiting call.
+// Call holds the properties of a waiting call that an Order may use.
 type Call struct {
-	// Weight is the tier's share under contention.
+	// Weight is the tier weight.
 	Weight uint32
-	// QueuedAt is when the call was offered, on the keeper's clock.
+	// QueuedAt is when the call was queued, on the keeper's clock.
 	QueuedAt time.Duration
-	// ProgramAge is how old the program was at QueuedAt.
+	// ProgramAge is the program's age at QueuedAt.
 	ProgramAge time.Duration
-	// AttainedService is what the program has used so far, service tokens.
+	// AttainedService is the service the program has used, in service tokens.
 	AttainedService float64
-	// RemainingService is what the program still needs, service tokens. Only
-	// the oracle may look at it.
+	// RemainingService is the service the program still needs, in service
+	// tokens. Only OracleOrder uses it.
 	RemainingService float64
 }
 
-// Rank places a call in the queue. It never changes while the call waits, so a
-// heap can hold it.
+// Rank is a call's position in the service order. It is fixed while the call
+// waits, as heap order requires.
 type Rank struct {
-	// Band groups calls; a higher band goes first, but each band with waiting
-	// calls has a reserved share of the grants.
+	// Band is the priority band. Higher bands are served first, except for the
+	// reserved share of each waiting band.
 	Band uint32
-	// Value orders calls inside a band, the lowest first.
+	// Value orders calls inside a band, lowest first.
 	Value float64
 }
 
-// Before tells whether a call of this rank goes before one of the other, shares
-// apart.
+// Before reports whether rank is served before other, ignoring reserved shares.
 func (rank Rank) Before(other Rank) bool {
 	if rank.Band != other.Band {
 		return rank.Band > other.Band
@@ -56,14 +55,14 @@
 	Rank(call Call) Rank
 }
 
-// ByName returns the order that name stands for. An empty name stands for
-// LeastAttained.
+// ByName returns the named order; an empty name selects LeastAttained. An
+// unknown name is an error.
 func ByName(name string) (Order, error) {
 	switch name {
 	case LeastAttained, "":
-		return DefaultAttainedOrder(), nil
+		return DefaultLeastAttainedOrder(), nil
 	case FirstCome:
-		return FirstComeOrder{}, nil
+		return FCFSOrder{}, nil
 	case CallPriority:
 		return CallPriorityOrder{}, nil
 	case Oracle:
--- a/internal/queue/queue.go
+++ b/internal/queue/queue.go
@@ -2,31 +2,32 @@
 
 import "slices"
 
-// DefaultReservedShare is the part of all grants that is reserved for bands in
-// proportion to their number, so that the lowest band is never starved.
+// DefaultReservedShare is the fraction of grants divided among the waiting bands
+// in proportion to their number, so that low bands do not starve.
 const DefaultReservedShare = 0.5
 
-// Queue holds ranked items. Grants go to the highest band with waiting items,
-// save for the reserved share: each waiting band earns its part of it with
-// every grant and is served as soon as it has earned a whole one. A band with
-// share s is thus served at least once in about 1/s grants.
+// Queue holds ranked items in bands. The highest waiting band is served first,
+// except for the reserved share: with every grant each waiting band earns credit
+// in proportion to its number, and a band with credit of at least 1 goes first.
+// A band with share s is served at least once in about 1/s grants.
 type Queue[V any] struct {
 	reservedShare float64
-	// bands are sorted by number, the highest first.
+	// bands is sorted by number, highest first.
 	bands    []*band[V]
 	length   int
 	sequence uint64
 }
 
-// New makes an empty queue. reservedShare lies in 0 to 1; 0 is strict priority.
+// New returns an empty queue. reservedShare is between 0 and 1; 0 selects strict
+// priority.
 func New[V any](reservedShare float64) *Queue[V] {
 	return &Queue[V]{reservedShare: reservedShare}
 }
 
-// Len returns the number of waiting items.
+// Len returns the number of queued items.
 func (queue *Queue[V]) Len() int { return queue.length }
 
-// Push adds a value and returns its item.
+// Push queues a value and returns its item.
 func (queue *Queue[V]) Push(value V, rank Rank) *Item[V] {
 	queue.sequence++
 	item := &Item[V]{Value: value, rank: rank, sequence: queue.sequence}
@@ -34,25 +35,24 @@
 	return item
 }
 
-// Restore puts back an item that Take returned, at its old place.
+// Restore queues an item that Pop returned again, at its previous position.
 func (queue *Queue[V]) Restore(item *Item[V]) {
-	queue.bandOf(item.rank.Band).push(item)
+	queue.ensureBand(item.rank.Band).push(item)
 	queue.length++
 }
 
-// Remove takes an item out wherever it stands. An item that is not queued is
-// left alone.
+// Remove removes an item. It does nothing if the item is not queued.
 func (queue *Queue[V]) Remove(item *Item[V]) {
 	if !item.Queued() {
 		return
 	}
-	queue.bandOf(item.rank.Band).remove(item)
+	queue.ensureBand(item.rank.Band).remove(item)
 	queue.length--
 }
 
-// Take removes and returns the item whose turn it is, nil when none waits. The
-// caller settles it with Granted or puts it back with Restore.
-func (queue *Queue[V]) Take() *Item[V] {
+// Pop removes and returns the next item, or nil if the queue is empty. The
+// caller then calls RecordGrant, or Restore to queue the item again.
+func (queue *Queue[V]) Pop() *Item[V] {
 	chosen := queue.nextBand()
 	if chosen == nil {
 		return nil
@@ -61,10 +61,11 @@
 	return chosen.pop()
 }
 
-// Granted settles the reserved shares after an item got its slot. Items that
-// were set aside must be restored first, so that their bands count as waiting.
-func (queue *Queue[V]) Granted(item *Item[V]) {
-	served := queue.bandOf(item.rank.Band)
+// RecordGrant updates the band credits after an item was granted. Items that the
+// caller popped and did not grant must be restored first, so that their bands
+// count as waiting.
+func (queue *Queue[V]) RecordGrant(item *Item[V]) {
+	served := queue.ensureBand(item.rank.Band)
 	total := queue.waitingWeight(served)
 	for _, candidate := range queue.bands {
 		if candidate != served && candidate.items.Len() == 0 {
@@ -79,15 +80,15 @@
 	}
 }
 
-// Due tells whether an item's band has earned its reserved grant: the item must
-// not be put off for the sake of other bands.
-func (queue *Queue[V]) Due(item *Item[V]) bool {
-	return queue.bandOf(item.rank.Band).credit >= 1
+// HasFullCredit reports whether the item's band has earned a grant from the
+// reserved share.
+func (queue *Queue[V]) HasFullCredit(item *Item[V]) bool {
+	return queue.ensureBand(item.rank.Band).credit >= 1
 }
 
-// Ahead returns how many items wait in bands at or above number, and how many
-// of them in that very band.
-func (queue *Queue[V]) Ahead(number uint32) (atOrAbove, inBand int) {
+// CountAtOrAbove returns the number of items in band number and all higher bands,
+// and the number in that band alone.
+func (queue *Queue[V]) CountAtOrAbove(number uint32) (atOrAbove, inBand int) {
 	for _, candidate := range queue.bands {
 		if candidate.number < number {
 			break
@@ -100,15 +101,15 @@
 	return atOrAbove, inBand
 }
 
-// ShareOf returns the part of all grants that is reserved for a band while it
-// and the bands that wait now have items.
-func (queue *Queue[V]) ShareOf(number uint32) float64 {
-	target := queue.bandOf(number)
+// ReservedShare returns the fraction of all grants reserved for a band, given
+// the bands that have items now. The band itself is counted even if empty.
+func (queue *Queue[V]) ReservedShare(number uint32) float64 {
+	target := queue.ensureBand(number)
 	return queue.reservedShare * bandWeight(target) / queue.waitingWeight(target)
 }
 
-// nextBand returns the waiting band that has earned a whole grant, the most
-// credited first, else the highest waiting band.
+// nextBand returns the waiting band with the most credit of at least 1, or the
+// highest waiting band if there is none.
 func (queue *Queue[V]) nextBand() *band[V] {
 	var highest, credited *band[V]
 	for _, candidate := range queue.bands {
@@ -131,7 +132,7 @@
 	return highest
 }
 
-// waitingWeight sums the weights of the bands with items, and of included.
+// waitingWeight returns the total weight of included and the bands with items.
 func (queue *Queue[V]) waitingWeight(included *band[V]) float64 {
 	total := 0.0
 	for _, candidate := range queue.bands {
@@ -142,11 +143,12 @@
 	return total
 }
 
-// bandWeight is a band's weight in the reserved share; band 0 counts as 1.
+// bandWeight returns a band's weight in the reserved share; band 0 counts as 1.
 func bandWeight[V any](b *band[V]) float64 { return float64(max(b.number, 1)) }
 
-// bandOf finds a band or makes it. Bands are one for each tier weight, few.
-func (queue *Queue[V]) bandOf(number uint32) *band[V] {
+// ensureBand returns the band, creating it if needed. There are few bands: one
+// for each tier weight. Bands are never removed.
+func (queue *Queue[V]) ensureBand(number uint32) *band[V] {
 	index, found := slices.BinarySearchFunc(queue.bands, number, compareBand[V])
 	if !found {
 		queue.bands = slices.Insert(queue.bands, index, &band[V]{number: number})
@@ -154,7 +156,7 @@
 	return queue.bands[index]
 }
 
-// compareBand sorts bands by falling number.
+// compareBand compares by descending band number.
 func compareBand[V any](candidate *band[V], number uint32) int {
 	switch {
 	case candidate.number > number:
@@ -166,9 +168,9 @@
 	}
 }
 
-// Highest returns the first item of the highest waiting band without taking it,
-// nil when none waits.
-func (queue *Queue[V]) Highest() *Item[V] {
+// PeekHighestBand returns the first item of the highest waiting band without
+// removing it, or nil if the queue is empty.
+func (queue *Queue[V]) PeekHighestBand() *Item[V] {
 	for _, candidate := range queue.bands {
 		if candidate.items.Len() > 0 {
 			return candidate.items[0]
@@ -177,12 +179,12 @@
 	return nil
 }
 
-// Last returns the item that would be served last, nil when none waits. It
-// looks at every item of the lowest waiting band.
-func (queue *Queue[V]) Last() *Item[V] {
+// PeekLast returns the last item of the lowest waiting band without removing it,
+// or nil if the queue is empty. It is linear in the size of that band.
+func (queue *Queue[V]) PeekLast() *Item[V] {
 	for _, candidate := range slices.Backward(queue.bands) {
 		if candidate.items.Len() > 0 {
-			return candidate.items.last()
+			return candidate.items.lastItem()
 		}
 	}
 	return nil
--- a/internal/queue/queue_test.go
+++ b/internal/queue/queue_test.go
@@ -9,18 +9,18 @@
 	"github.com/magpielug/magpielug/internal/queue"
 )
 
-// drain takes and grants every item and returns the values in order.
+// drain pops and grants every item and returns the concatenated values.
 func drain(waiting *queue.Queue[string]) string {
 	order := ""
-	for item := waiting.Take(); item != nil; item = waiting.Take() {
-		waiting.Granted(item)
+	for item := waiting.Pop(); item != nil; item = waiting.Pop() {
+		waiting.RecordGrant(item)
 		order += item.Value
 	}
 	return order
 }
 
 var _ = Describe("a queue", func() {
-	It("serves the highest band first and equals in order of arrival", func() {
+	It("serves the highest band first and equal ranks in arrival order", func() {
 		waiting := queue.New[string](0)
 		waiting.Push("c", queue.Rank{Band: 1, Value: 0})
 		waiting.Push("a", queue.Rank{Band: 8, Value: 1})
@@ -28,7 +28,7 @@
 		Expect(drain(waiting)).To(Equal("abc"))
 	})
 
-	It("gives a waiting band its reserved share", func() {
+	It("grants each waiting band its reserved share", func() {
 		waiting := queue.New[string](1)
 		for range 12 {
 			waiting.Push("h", queue.Rank{Band: 3})
@@ -37,17 +37,17 @@
 		Expect(drain(waiting)[:12]).To(Equal("hhhhlhhhlhhh"))
 	})
 
-	It("restores an item at its old place and removes one anywhere", func() {
+	It("restores an item at its previous position and removes an item at any position", func() {
 		waiting := queue.New[string](0)
 		first := waiting.Push("a", queue.Rank{Value: 1})
 		removed := waiting.Push("b", queue.Rank{Value: 1})
 		waiting.Push("c", queue.Rank{Value: 1})
-		waiting.Restore(waiting.Take())
+		waiting.Restore(waiting.Pop())
 		waiting.Remove(removed)
 		waiting.Remove(removed)
 		Expect(waiting.Len()).To(Equal(2))
 		Expect(first.Queued()).To(BeTrue())
-		Expect(waiting.Last().Value).To(Equal("c"))
+		Expect(waiting.PeekLast().Value).To(Equal("c"))
 		Expect(drain(waiting)).To(Equal("ac"))
 	})
 })
@@ -59,7 +59,7 @@
 		return order.Rank(call)
 	}
 
-	It("least-attained puts used service behind and age in front", func() {
+	It("least-attained ranks programs with less attained service and older programs first", func() {
 		fresh := rank("", queue.Call{Weight: 1, QueuedAt: time.Minute})
 		used := rank("", queue.Call{Weight: 1, QueuedAt: time.Minute, AttainedService: 100000})
 		old := rank("", queue.Call{Weight: 1, QueuedAt: time.Minute, ProgramAge: time.Second})
@@ -69,14 +69,14 @@
 		Expect(higher.Before(old)).To(BeTrue())
 	})
 
-	It("fcfs looks at nothing but the offer, oracle at nothing but what remains", func() {
+	It("fcfs ranks by queueing time only, oracle by remaining service only", func() {
 		early := rank("fcfs", queue.Call{Weight: 1, QueuedAt: 1})
 		Expect(early.Before(rank("fcfs", queue.Call{Weight: 9, QueuedAt: 2}))).To(BeTrue())
 		short := rank("oracle", queue.Call{QueuedAt: 2, RemainingService: 1})
 		Expect(short.Before(rank("oracle", queue.Call{Weight: 9, RemainingService: 2}))).To(BeTrue())
 	})
 
-	It("refuses an unknown name", func() {
+	It("rejects an unknown order name", func() {
 		_, err := queue.ByName("lifo")
 		Expect(err).To(MatchError(ContainSubstring("lifo")))
 	})
