--- a/internal/keeper/dispatch.go
+++ b/internal/keeper/dispatch.go
@@ -12,7 +12,7 @@
 	if len(keeper.waiting) == 0 {
 		return
 	}
-	if keeper.policies.Placement.BindsOnArrival {
+	if keeper.policies.Placement.BindOnArrival {
 		keeper.bindArrivals()
 		keeper.dispatchBound()
 		return
@@ -128,7 +128,7 @@
 		keeper.onlyFreeCandidates()
 	}
 	placed := call.placed()
-	placed.Due = keeper.pool.HasFullCredit(call.item) && call.skips >= keeper.maxSkips()
+	placed.MayEvict = keeper.pool.HasFullCredit(call.item) && call.skips >= keeper.maxSkips()
 	index := keeper.policies.Placement.Place(&placed, keeper.candidates)
 	if index == placement.None {
 		if call.skips >= keeper.maxSkips() && !keeper.fitsSomewhere() {
@@ -207,10 +207,10 @@
 		if !engine.fits(call.need) {
 			candidate.FreeSlots = 0
 		}
-		candidate.Crowded = candidate.FreeSlots > 0 && keeper.judgeCrowded(slot, engine, call)
-		candidate.Wait = 0
+		candidate.EvictsHigherRanked = candidate.FreeSlots > 0 && keeper.judgeCrowded(slot, engine, call)
+		candidate.PredictedWait = 0
 		if candidate.FreeSlots == 0 {
-			candidate.Wait = keeper.slotWait(engine, slot.claimed)
+			candidate.PredictedWait = keeper.slotWait(engine, slot.claimed)
 		}
 	}
 }
--- a/internal/keeper/waiting.go
+++ b/internal/keeper/waiting.go
@@ -191,6 +191,6 @@
 		Adapter:      call.request.Adapter,
 		Zone:         call.request.Zone,
 		PromptTokens: call.request.PromptTokens,
-		NeedTokens:   call.need,
+		KVTokens:     call.need,
 	}
 }
--- a/internal/placement/pick.go
+++ b/internal/placement/pick.go
@@ -1,11 +1,11 @@
 package placement
 
-// LowestPicker takes the admitted candidate with the lowest cost, the first of
-// equals.
-type LowestPicker struct{}
+// LowestCostPicker picks the admitted candidate with the lowest cost, the first
+// one on a tie.
+type LowestCostPicker struct{}
 
-// Pick returns its index.
-func (LowestPicker) Pick(_ []Candidate, admitted []bool, costs []float64) int {
+// Pick returns the index of the cheapest admitted candidate, or None.
+func (LowestCostPicker) Pick(_ []Candidate, admitted []bool, costs []float64) int {
 	chosen := None
 	for index, allowed := range admitted {
 		if !allowed {
@@ -18,11 +18,11 @@
 	return chosen
 }
 
-// RotatingPicker takes the admitted candidates in turn.
-type RotatingPicker struct{ next int }
+// RoundRobinPicker picks the admitted candidates in turn.
+type RoundRobinPicker struct{ next int }
 
-// Pick returns the index after the last one picked.
-func (picker *RotatingPicker) Pick(_ []Candidate, admitted []bool, _ []float64) int {
+// Pick returns the next admitted index after the previous pick, or None.
+func (picker *RoundRobinPicker) Pick(_ []Candidate, admitted []bool, _ []float64) int {
 	for step := range admitted {
 		index := (picker.next + step) % len(admitted)
 		if admitted[index] {
--- a/internal/placement/placement.go
+++ b/internal/placement/placement.go
@@ -1,6 +1,6 @@
 // Package placement decides which engine a call runs on. A Policy filters the
-// candidates, adds up the costs its scorers give, and picks one. Each part is
-// pure but for a picker's own rotation.
+// candidates, sums the weighted costs of its scorers and picks one candidate.
+// Filters and scorers are stateless; a picker may keep state.
 package placement
 
 import (
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// Names of the placements, as operators write them in the configuration.
+// Policy names accepted by ByName and in the configuration.
 const (
 	AffinityBalanced = "affinity-balanced"
 	RoundRobin       = "round-robin"
@@ -16,93 +16,92 @@
 	Affinity         = "affinity"
 )
 
-// None is the index of no candidate.
+// None is the index returned when no candidate is picked.
 const None = -1
 
-// Call is what placement knows of a call.
+// Call holds the properties of a call that placement uses.
 type Call struct {
 	Model   string
 	Adapter string
 	Zone    string
-	// PromptTokens is the whole prompt.
+	// PromptTokens is the length of the whole prompt.
 	PromptTokens int
-	// NeedTokens is the KV memory the call is expected to hold at its end.
-	NeedTokens int
-	// Due is true when the call's tier has earned its reserved share and the call
-	// has been passed over often enough: it may push out prefixes of programs
-	// ranked before it.
-	Due bool
+	// KVTokens is the predicted KV memory of the call at its end, in tokens.
+	KVTokens int
+	// MayEvict is true when the call may evict prefixes of higher-ranked
+	// programs, so that EvictionFilter does not starve it.
+	MayEvict bool
 }
 
-// Candidate is one engine of the pool as the keeper sees it.
+// Candidate is the state of one engine of the pool as known to the keeper.
 type Candidate struct {
 	Engine   string
 	Model    string
 	Zone     string
 	Adapters []string
-	// Ready is false for an engine that drains, is leaving or is silent.
+	// Ready is true when the engine accepts new calls.
 	Ready bool
-	// FreeSlots is how many more calls may run now.
+	// FreeSlots is the number of calls that can start now.
 	FreeSlots int
-	// Running and Waiting count calls on the engine and bound to it.
+	// Running counts the calls on the engine, Waiting the calls bound to it.
 	Running int
 	Waiting int
-	// Limit is how many calls may run together.
+	// Limit is the maximum number of concurrent calls.
 	Limit int
-	// CachedTokens is how much of the call's prompt is cached there, estimated.
+	// CachedTokens is the estimated part of the call's prompt that is cached.
 	CachedTokens int
-	// FreeTokens is the KV memory that neither running calls nor cached
-	// prefixes hold.
+	// FreeTokens is the KV memory held neither by running calls nor by cached
+	// prefixes, in tokens.
 	FreeTokens int
-	// Crowded is true when the call would push out prefixes that programs ranked
-	// before it are about to use again.
-	Crowded bool
-	// Wait is the predicted wait for a slot.
-	Wait time.Duration
-	// PrefillPerToken is the measured time to compute one prompt token.
+	// EvictsHigherRanked is true when the call would evict prefixes that
+	// higher-ranked programs are expected to reuse.
+	EvictsHigherRanked bool
+	// PredictedWait is the predicted wait for a slot.
+	PredictedWait time.Duration
+	// PrefillPerToken is the estimated prefill time of one prompt token.
 	PrefillPerToken time.Duration
 }
 
-// Filter keeps candidates that may take the call at all.
+// Filter decides which candidates are eligible for a call.
 type Filter interface {
 	Admits(call *Call, candidate *Candidate) bool
 }
 
-// Scorer gives the cost of a candidate in seconds; the lowest total wins.
+// Scorer returns the cost of a candidate. Scorers that are combined use seconds.
 type Scorer interface {
 	Cost(call *Call, candidate *Candidate) float64
 }
 
-// Picker chooses among the admitted candidates, None for none of them. Costs
-// has one entry a candidate; admitted tells which may be chosen.
+// Picker picks an admitted candidate and returns its index, or None. admitted
+// and costs have one entry per candidate.
 type Picker interface {
 	Pick(candidates []Candidate, admitted []bool, costs []float64) int
 }
 
-// Weighted is a scorer with its weight in the sum.
-type Weighted struct {
+// WeightedScorer is a scorer and its weight in the total cost.
+type WeightedScorer struct {
 	Scorer Scorer
 	Weight float64
 }
 
-// Policy places calls by filter, score and pick.
+// Policy places calls in three steps: filter, score, pick. It reuses internal
+// buffers and is not safe for concurrent use.
 type Policy struct {
-	// BindsOnArrival is true for placements that choose the engine when a call
-	// arrives, as a load balancer in front of the engines does. The others
-	// choose when a slot frees.
-	BindsOnArrival bool
+	// BindOnArrival is true for policies that choose the engine when a call
+	// arrives, like a load balancer. Other policies choose when a slot is free.
+	BindOnArrival bool
 
 	filters []Filter
-	scorers []Weighted
+	scorers []WeightedScorer
 	picker  Picker
 
 	admitted []bool
 	costs    []float64
 }
 
-// Place returns the index of the engine the call should run on, None if no
-// candidate admits it. The engine may have no free slot now: then waiting for
-// it costs less than any other engine would.
+// Place returns the index of the engine the call should run on, or None if no
+// candidate is eligible. If the engine has no free slot, waiting for it is
+// cheaper than any other candidate.
 func (policy *Policy) Place(call *Call, candidates []Candidate) int {
 	policy.admitted = policy.admitted[:0]
 	policy.costs = policy.costs[:0]
@@ -133,54 +132,56 @@
 
 const (
 	defaultAffinityPercent = 50
-	wholePercent           = 100
+	maxPercent             = 100
 )
 
-// ByName returns a fresh policy. An empty name stands for AffinityBalanced;
-// affinityPercent, 0 to 100, is the weight of cached prefix against queue wait
-// there, and 0 takes the default.
+// ByName returns a new policy; an empty name selects AffinityBalanced.
+// affinityPercent, 0 to 100, is the weight of prefix affinity against queueing
+// time in AffinityBalanced; 0 selects the default. An unknown name or a percent
+// over 100 is an error.
 func ByName(name string, affinityPercent uint32) (*Policy, error) {
-	if affinityPercent > wholePercent {
-		return nil, fmt.Errorf("affinity percent %d is over %d", affinityPercent, wholePercent)
+	if affinityPercent > maxPercent {
+		return nil, fmt.Errorf("affinity percent %d out of range 0 to %d", affinityPercent, maxPercent)
 	}
 	if affinityPercent == 0 {
 		affinityPercent = defaultAffinityPercent
 	}
 	switch name {
 	case AffinityBalanced, "":
-		return balanced(float64(affinityPercent) / wholePercent), nil
+		return affinityBalanced(float64(affinityPercent) / maxPercent), nil
 	case RoundRobin:
-		return &Policy{BindsOnArrival: true, filters: commonFilters(), picker: &RotatingPicker{}}, nil
+		return &Policy{BindOnArrival: true, filters: commonFilters(), picker: &RoundRobinPicker{}}, nil
 	case LeastLoaded:
-		return bound(LoadScorer{}), nil
+		return onArrival(LoadScorer{}), nil
 	case Affinity:
-		return bound(UncachedScorer{}), nil
+		return onArrival(UncachedScorer{}), nil
 	default:
-		return nil, fmt.Errorf("unknown placement %q", name)
+		return nil, fmt.Errorf("unknown placement policy %q", name)
 	}
 }
 
-// bound is a placement on arrival by one cost alone.
-func bound(scorer Scorer) *Policy {
+// onArrival returns a policy that binds on arrival and uses a single scorer.
+func onArrival(scorer Scorer) *Policy {
 	return &Policy{
-		BindsOnArrival: true,
-		filters:        commonFilters(),
-		scorers:        []Weighted{{scorer, 1}},
-		picker:         LowestPicker{},
+		BindOnArrival: true,
+		filters:       commonFilters(),
+		scorers:       []WeightedScorer{{scorer, 1}},
+		picker:        LowestCostPicker{},
 	}
 }
 
-// balanced weighs prompt computation against waiting; affinity lies in 0 to 1.
-func balanced(affinity float64) *Policy {
+// affinityBalanced weighs prefill time against queueing time; affinity is
+// between 0 and 1.
+func affinityBalanced(affinity float64) *Policy {
 	return &Policy{
-		filters: append(commonFilters(), RoomFilter{}),
-		scorers: []Weighted{
+		filters: append(commonFilters(), EvictionFilter{}),
+		scorers: []WeightedScorer{
 			{PrefillScorer{}, 2 * affinity},
 			{WaitScorer{}, 2 * (1 - affinity)},
 			{EvictionScorer{}, evictionWeight},
 			{BatchScorer{}, 1},
 			{ZoneScorer{}, 1},
 		},
-		picker: LowestPicker{},
+		picker: LowestCostPicker{},
 	}
 }
--- a/internal/placement/placement_test.go
+++ b/internal/placement/placement_test.go
@@ -23,33 +23,33 @@
 }
 
 var _ = Describe("affinity-balanced", func() {
-	call := placement.Call{Model: "m", PromptTokens: 4000, NeedTokens: 4200}
+	call := placement.Call{Model: "m", PromptTokens: 4000, KVTokens: 4200}
 
-	It("waits a moment for the engine with the prefix, but not long", func() {
+	It("waits for the engine with the cached prefix only if the wait is short", func() {
 		other, cached := engine("e1"), engine("e2")
 		other.Running = 10
 		cached.CachedTokens = 4000
 		cached.FreeSlots = 0
-		cached.Wait = 50 * time.Millisecond
+		cached.PredictedWait = 50 * time.Millisecond
 		Expect(place("", call, other, cached)).To(Equal(1))
-		cached.Wait = 30 * time.Second
+		cached.PredictedWait = 30 * time.Second
 		Expect(place("", call, other, cached)).To(Equal(0))
 	})
 
-	It("keeps off engines that are not ready, of another model, or crowded", func() {
-		unready, foreign, crowded := engine("e1"), engine("e2"), engine("e3")
+	It("rejects engines that are not ready, serve another model or would evict higher-ranked prefixes", func() {
+		unready, otherModel, evicting := engine("e1"), engine("e2"), engine("e3")
 		unready.Ready = false
-		foreign.Model = "other"
-		crowded.Crowded = true
-		Expect(place("", call, unready, foreign, crowded)).To(Equal(placement.None))
-		due := call
-		due.Due = true
-		Expect(place("", due, unready, foreign, crowded)).To(Equal(2))
+		otherModel.Model = "other"
+		evicting.EvictsHigherRanked = true
+		Expect(place("", call, unready, otherModel, evicting)).To(Equal(placement.None))
+		mayEvict := call
+		mayEvict.MayEvict = true
+		Expect(place("", mayEvict, unready, otherModel, evicting)).To(Equal(2))
 	})
 })
 
-var _ = Describe("baselines", func() {
-	It("take engines in turn, the least loaded, or the most cached", func() {
+var _ = Describe("bind-on-arrival policies", func() {
+	It("pick the least loaded, the most cached or the next engine", func() {
 		busy, cached := engine("e1"), engine("e2")
 		busy.Running = 3
 		cached.Waiting = 5
@@ -65,7 +65,7 @@
 		Expect(turns).To(Equal([]int{0, 1, 0}))
 	})
 
-	It("refuse an unknown name and a weight over 100", func() {
+	It("reject an unknown name and an affinity over 100 percent", func() {
 		_, err := placement.ByName("random", 0)
 		Expect(err).To(HaveOccurred())
 		_, err = placement.ByName("", 101)
