--- a/internal/keeper/adapter.go
+++ b/internal/keeper/adapter.go
@@ -9,32 +9,36 @@
 	"github.com/magpielug/magpielug/internal/resultcode"
 )
 
-// adapterState is one adapter that calls wait for or have waited for lately.
+// adapterState tracks an adapter that calls wait for, or that recently failed
+// to load.
 type adapterState struct {
 	name  string
 	model string
-	// waiting are the calls that no ready engine can take, since none has the
-	// adapter. They stand outside the pool's queue, so that they hold up nothing.
+	// waiting holds the calls for which no ready engine has the adapter. They
+	// are kept out of the pool's queue so that they do not block other calls.
 	waiting *queue.Queue[*waitingCall]
-	// since is when the first of them came.
-	since time.Duration
-	// scarce is true when, in this step, a call has waited long for the engines
-	// that have the adapter while another has a free slot.
-	scarce bool
-	// orderedAt is when a load was last ordered, so that adapters take turns.
-	orderedAt time.Duration
-	// failedAt tells when a load last failed, by engine.
+	// waitingSince is when waiting last became non-empty.
+	waitingSince time.Duration
+	// underReplicated is true when, in the current step, a call has waited
+	// longer than AdapterWaitTimeout for the engines that have the adapter
+	// while another engine has a free slot.
+	underReplicated bool
+	// lastRequestedAt is when a load was last requested. The least recently
+	// requested adapter is loaded first.
+	lastRequestedAt time.Duration
+	// failedAt is the time of the last failed load by engine name.
 	failedAt map[string]time.Duration
 }
 
-// findAdapter returns the adapter's place in the sorted list.
+// findAdapter returns the adapter's index in the sorted list and whether it is
+// present.
 func (keeper *Keeper) findAdapter(name string) (int, bool) {
 	return slices.BinarySearchFunc(keeper.adapters, name, func(adapter *adapterState, name string) int {
 		return cmp.Compare(adapter.name, name)
 	})
 }
 
-// ensureAdapter returns the adapter that a request names.
+// ensureAdapter returns the request's adapter, adding it if needed.
 func (keeper *Keeper) ensureAdapter(request *Request) *adapterState {
 	index, found := keeper.findAdapter(request.Adapter)
 	if !found {
@@ -50,9 +54,9 @@
 	return adapter
 }
 
-// forgetAdapters drops adapters that nothing waits for and no load of which has
-// failed lately.
-func (keeper *Keeper) forgetAdapters() {
+// removeIdleAdapters drops adapters without waiting calls and without a failed
+// load within LoadRetry.
+func (keeper *Keeper) removeIdleAdapters() {
 	keeper.adapters = slices.DeleteFunc(keeper.adapters, func(adapter *adapterState) bool {
 		for engine, failedAt := range adapter.failedAt {
 			if keeper.now-failedAt > keeper.config.LoadRetry {
@@ -63,97 +67,99 @@
 	})
 }
 
-// has tells whether the engine has the adapter loaded; each has the empty one.
-func (engine *engineState) has(adapter string) bool {
+// hasAdapter reports whether the engine has the adapter loaded; every engine
+// has the empty adapter.
+func (engine *engineState) hasAdapter(adapter string) bool {
 	return adapter == "" || slices.Contains(engine.adapters, adapter)
 }
 
-// served tells whether a ready engine has the adapter.
-func (keeper *Keeper) served(adapter string) bool {
+// adapterAvailable reports whether a ready engine has the adapter.
+func (keeper *Keeper) adapterAvailable(adapter string) bool {
 	if adapter == "" {
 		return true
 	}
 	return slices.ContainsFunc(keeper.engines, func(engine *engineState) bool {
-		return engine.ready() && engine.has(adapter)
+		return engine.ready() && engine.hasAdapter(adapter)
 	})
 }
 
-// takeServed takes the next waiting call whose adapter a ready engine has, and
-// parks those before it.
-func (keeper *Keeper) takeServed() *queue.Item[*waitingCall] {
+// popAvailable pops the next call whose adapter a ready engine has, and parks
+// the calls it skips. It returns nil if there is none.
+func (keeper *Keeper) popAvailable() *queue.Item[*waitingCall] {
 	for {
 		item := keeper.pool.Pop()
-		if item == nil || keeper.served(item.Value.request.Adapter) {
+		if item == nil || keeper.adapterAvailable(item.Value.request.Adapter) {
 			return item
 		}
 		keeper.park(item.Value)
 	}
 }
 
-// park puts a call that stands in no queue to those that wait for its adapter.
+// park queues a call that is in no queue until a ready engine has its adapter.
 func (keeper *Keeper) park(call *waitingCall) {
 	adapter := keeper.ensureAdapter(&call.request)
 	if adapter.waiting.Len() == 0 {
-		adapter.since = keeper.now
+		adapter.waitingSince = keeper.now
 	}
 	call.adapter = adapter
 	call.item = adapter.waiting.Push(call, call.rank)
-	keeper.decide(call.request.Call, "wait", "no ready engine has adapter "+adapter.name)
+	keeper.recordDecision(call.request.Call, "wait", "no ready engine has adapter "+adapter.name)
 	if bound := keeper.waitBound(&call.request); bound > 0 {
-		call.patience = &timer{call: call, position: notSet}
-		keeper.timers.set(call.patience, call.queuedAt+bound)
+		call.adapterTimer = &timer{call: call, position: notScheduled}
+		keeper.timers.set(call.adapterTimer, call.queuedAt+bound)
 	}
 }
 
-// unpark moves the calls that wait for an adapter to the pool's queue, where
-// their ranks give them their place.
+// unpark moves the calls that wait for an adapter to the pool's queue. They
+// keep their ranks.
 func (keeper *Keeper) unpark(adapter *adapterState) {
 	for adapter.waiting.Len() > 0 {
 		call := adapter.waiting.Pop().Value
-		keeper.timers.stop(call.patience)
+		keeper.timers.stop(call.adapterTimer)
 		call.adapter = nil
-		call.patience = nil
+		call.adapterTimer = nil
 		call.item = keeper.pool.Push(call, call.rank)
 	}
 }
 
-// unparkServed moves calls on whose adapter a ready engine has by now.
-func (keeper *Keeper) unparkServed() {
+// unparkAvailable unparks the calls whose adapter a ready engine now has.
+func (keeper *Keeper) unparkAvailable() {
 	for _, adapter := range keeper.adapters {
-		if adapter.waiting.Len() > 0 && keeper.served(adapter.name) {
+		if adapter.waiting.Len() > 0 && keeper.adapterAvailable(adapter.name) {
 			keeper.unpark(adapter)
 		}
 	}
 }
 
-// unparkAll moves all calls to the pool's queue.
+// unparkAll moves all parked calls to the pool's queue.
 func (keeper *Keeper) unparkAll() {
 	for _, adapter := range keeper.adapters {
 		keeper.unpark(adapter)
 	}
 }
 
-// refuseUnserved refuses a call that has waited for its adapter as long as its
-// tier allows.
-func (keeper *Keeper) refuseUnserved(call *waitingCall) {
-	after := retryAfter(keeper.predictLoad(call.request.Adapter))
+// refuseAdapterTimeout refuses a call that has waited for its adapter for the
+// tier's wait bound.
+func (keeper *Keeper) refuseAdapterTimeout(call *waitingCall) {
+	after := retryAfter(keeper.predictLoadWait(call.request.Adapter))
 	keeper.refuseWaiting(call, resultcode.NoBackEnd, after, "no ready engine has adapter "+call.request.Adapter)
 }
 
-// adapterHasSlot tells whether an engine with the adapter has a free slot.
-func (keeper *Keeper) adapterHasSlot(adapter string) bool {
+// adapterHasFreeSlot reports whether an engine with the adapter has a free
+// slot.
+func (keeper *Keeper) adapterHasFreeSlot(adapter string) bool {
 	if adapter == "" {
 		return true
 	}
 	return slices.ContainsFunc(keeper.engines, func(engine *engineState) bool {
-		return engine.has(adapter) && keeper.freeSlots(engine) > 0
+		return engine.hasAdapter(adapter) && keeper.freeSlots(engine) > 0
 	})
 }
 
-// noteScarce marks the adapter of a call as scarce, if the call has waited long
-// for the engines that have it while another has a free slot.
-func (keeper *Keeper) noteScarce(call *waitingCall) {
-	if keeper.now-call.queuedAt > keeper.config.AdapterPatience {
-		keeper.ensureAdapter(&call.request).scarce = true
+// markUnderReplicated marks the call's adapter as under-replicated if the call
+// has waited longer than AdapterWaitTimeout.
+func (keeper *Keeper) markUnderReplicated(call *waitingCall) {
+	if keeper.now-call.queuedAt > keeper.config.AdapterWaitTimeout {
+		keeper.ensureAdapter(&call.request).underReplicated = true
 	}
 }
--- a/internal/keeper/adapter_load.go
+++ b/internal/keeper/adapter_load.go
@@ -5,65 +5,64 @@
 	"time"
 )
 
-// adapterLoad is an order to load an adapter, as far as it is known to be under
-// way on an engine.
+// adapterLoad is an adapter load in progress on an engine.
 type adapterLoad struct {
-	// adapter is empty where an earlier keeper gave the order.
-	adapter   string
-	orderedAt time.Duration
-	// seen is true once a report has shown the engine loading.
-	seen bool
+	// adapter is empty for a load that an earlier keeper requested.
+	adapter     string
+	requestedAt time.Duration
+	// confirmed is true once a report has shown the engine loading.
+	confirmed bool
 }
 
-// followLoad takes what an engine's report says about loading in. The report is
-// the truth, a lag behind.
-func (keeper *Keeper) followLoad(engine *engineState, event EngineReported) {
-	begun := event.Loading && !engine.loading
+// updateLoad updates the load state from an engine report: the load succeeded
+// if the report lists the adapter, and failed if the engine stopped loading or
+// has not started within LoadConfirmTimeout.
+func (keeper *Keeper) updateLoad(engine *engineState, event EngineReported) {
+	started := event.Loading && !engine.loading
 	engine.loading = event.Loading
 	load := engine.load
 	switch {
-	case load == nil && begun:
-		engine.load = &adapterLoad{orderedAt: keeper.now, seen: true}
+	case load == nil && started:
+		engine.load = &adapterLoad{requestedAt: keeper.now, confirmed: true}
 	case load == nil:
-	case load.adapter != "" && engine.has(load.adapter):
-		keeper.estimates.loadSeconds.add((keeper.now - load.orderedAt).Seconds(), 1)
+	case load.adapter != "" && engine.hasAdapter(load.adapter):
+		keeper.estimates.loadSeconds.add((keeper.now - load.requestedAt).Seconds(), 1)
 		engine.load = nil
 	case event.Loading:
-		load.seen = true
-	case load.seen || keeper.now-load.orderedAt > keeper.config.LoadConfirm:
-		keeper.failLoad(engine)
+		load.confirmed = true
+	case load.confirmed || keeper.now-load.requestedAt > keeper.config.LoadConfirmTimeout:
+		keeper.abandonLoad(engine)
 	}
 }
 
-// loadFailed takes an order back that the engine has refused.
-func (keeper *Keeper) loadFailed(event LoadFailed) {
+// handleLoadFailed abandons a load that the engine has rejected.
+func (keeper *Keeper) handleLoadFailed(event LoadFailed) {
 	engine := keeper.engineNamed(event.Engine)
 	if engine != nil && engine.load != nil && engine.load.adapter == event.Adapter {
-		keeper.failLoad(engine)
+		keeper.abandonLoad(engine)
 	}
 }
 
-// failLoad gives a load up. The adapter is not ordered on the engine again for a
-// while.
-func (keeper *Keeper) failLoad(engine *engineState) {
+// abandonLoad ends an engine's load as failed. The load is not requested there
+// again within LoadRetry.
+func (keeper *Keeper) abandonLoad(engine *engineState) {
 	if index, found := keeper.findAdapter(engine.load.adapter); found {
 		keeper.adapters[index].failedAt[engine.name] = keeper.now
 	}
 	engine.load = nil
 }
 
-// expireLoads gives up loads that take too long.
+// expireLoads abandons loads that exceed LoadTimeout.
 func (keeper *Keeper) expireLoads() {
 	for _, engine := range keeper.engines {
-		if engine.load != nil && keeper.now-engine.load.orderedAt > keeper.config.LoadTimeout {
-			keeper.failLoad(engine)
+		if engine.load != nil && keeper.now-engine.load.requestedAt > keeper.config.LoadTimeout {
+			keeper.abandonLoad(engine)
 		}
 	}
 }
 
-// loadsUnderWay counts the engines that load, by order of this or an earlier
-// keeper.
-func (keeper *Keeper) loadsUnderWay() int {
+// pendingLoads counts the engines with a load in progress.
+func (keeper *Keeper) pendingLoads() int {
 	count := 0
 	for _, engine := range keeper.engines {
 		if engine.load != nil {
@@ -73,30 +72,31 @@
 	return count
 }
 
-// orderLoads orders what calls wait for, as far as the bound on loads allows.
-func (keeper *Keeper) orderLoads() {
-	for keeper.loadsUnderWay() < keeper.config.MaxLoads {
+// requestLoads requests loads of the adapters that calls wait for, up to
+// MaxLoads at a time.
+func (keeper *Keeper) requestLoads() {
+	for keeper.pendingLoads() < keeper.config.MaxLoads {
 		adapter, engine := keeper.nextLoad()
 		if adapter == nil {
 			break
 		}
-		keeper.orderLoad(adapter, engine)
+		keeper.requestLoad(adapter, engine)
 	}
 	for _, adapter := range keeper.adapters {
-		adapter.scarce = false
+		adapter.underReplicated = false
 	}
 }
 
-// nextLoad chooses the wanted adapter whose last order is the longest ago, and
-// the engine to load it on; nil if there is none.
+// nextLoad returns the least recently requested adapter that needs a load and
+// the engine to load it on, or nil if there is none.
 func (keeper *Keeper) nextLoad() (*adapterState, *engineState) {
 	var chosen *adapterState
 	var target *engineState
 	for _, adapter := range keeper.adapters {
-		if !keeper.wanted(adapter) || chosen != nil && chosen.orderedAt <= adapter.orderedAt {
+		if !keeper.needsLoad(adapter) || chosen != nil && chosen.lastRequestedAt <= adapter.lastRequestedAt {
 			continue
 		}
-		if engine := keeper.engineToLoad(adapter); engine != nil {
+		if engine := keeper.selectLoadEngine(adapter); engine != nil {
 			chosen = adapter
 			target = engine
 		}
@@ -104,28 +104,28 @@
 	return chosen, target
 }
 
-// wanted tells whether an adapter should be loaded on one more engine.
-func (keeper *Keeper) wanted(adapter *adapterState) bool {
-	if adapter.waiting.Len() == 0 && !adapter.scarce {
+// needsLoad reports whether the adapter should be loaded on another engine.
+func (keeper *Keeper) needsLoad(adapter *adapterState) bool {
+	if adapter.waiting.Len() == 0 && !adapter.underReplicated {
 		return false
 	}
-	expected := false
+	schedulable := false
 	for _, engine := range keeper.engines {
 		if engine.load != nil && engine.load.adapter == adapter.name {
 			return false
 		}
-		expected = expected || engine.allowed() && engine.has(adapter.name)
+		schedulable = schedulable || engine.schedulable() && engine.hasAdapter(adapter.name)
 	}
-	// An engine that has it and is not ready may be so again in a moment.
-	return !expected || adapter.scarce || keeper.now-adapter.since > keeper.config.AdapterPatience
+	// An engine that has the adapter but is not ready may recover shortly.
+	return !schedulable || adapter.underReplicated || keeper.now-adapter.waitingSince > keeper.config.AdapterWaitTimeout
 }
 
-// engineToLoad returns the ready engine with the most free slots that may load
-// the adapter; nil if none may.
-func (keeper *Keeper) engineToLoad(adapter *adapterState) *engineState {
+// selectLoadEngine returns the eligible engine with the most free slots, or nil
+// if there is none.
+func (keeper *Keeper) selectLoadEngine(adapter *adapterState) *engineState {
 	var chosen *engineState
 	for _, engine := range keeper.engines {
-		if !keeper.mayLoad(engine, adapter) {
+		if !keeper.canLoad(engine, adapter) {
 			continue
 		}
 		if chosen == nil || keeper.freeSlots(engine) > keeper.freeSlots(chosen) {
@@ -135,13 +135,13 @@
 	return chosen
 }
 
-// mayLoad tells whether the engine can be ordered to load the adapter now.
-func (keeper *Keeper) mayLoad(engine *engineState, adapter *adapterState) bool {
+// canLoad reports whether the engine can load the adapter now.
+func (keeper *Keeper) canLoad(engine *engineState, adapter *adapterState) bool {
 	busy := engine.loading || engine.load != nil
-	if !engine.ready() || busy || engine.has(adapter.name) {
+	if !engine.ready() || busy || engine.hasAdapter(adapter.name) {
 		return false
 	}
-	if adapter.scarce && keeper.freeSlots(engine) == 0 {
+	if adapter.underReplicated && keeper.freeSlots(engine) == 0 {
 		return false
 	}
 	if adapter.model != "" && engine.model != "" && engine.model != adapter.model {
@@ -151,21 +151,22 @@
 	return !failed || keeper.now-failedAt > keeper.config.LoadRetry
 }
 
-func (keeper *Keeper) orderLoad(adapter *adapterState, engine *engineState) {
-	adapter.orderedAt = keeper.now
-	engine.load = &adapterLoad{adapter: adapter.name, orderedAt: keeper.now}
+func (keeper *Keeper) requestLoad(adapter *adapterState, engine *engineState) {
+	adapter.lastRequestedAt = keeper.now
+	engine.load = &adapterLoad{adapter: adapter.name, requestedAt: keeper.now}
 	why := "calls wait for it and no ready engine has it"
-	if adapter.scarce {
-		why = "calls wait long for the engines that have it"
+	if adapter.underReplicated {
+		why = "calls have waited too long for the engines that have it"
 	}
 	keeper.emit(LoadAdapter{
 		Engine: engine.name, Model: engine.model, Version: engine.version, Adapter: adapter.name, Why: why,
 	})
 }
 
-// predictLoad is how long a call that arrives now will wait for its adapter.
-func (keeper *Keeper) predictLoad(adapter string) time.Duration {
-	if keeper.served(adapter) {
+// predictLoadWait predicts how long a call that arrives now waits for its
+// adapter to load.
+func (keeper *Keeper) predictLoadWait(adapter string) time.Duration {
+	if keeper.adapterAvailable(adapter) {
 		return 0
 	}
 	ahead := 0
@@ -174,13 +175,13 @@
 			ahead++
 		}
 	}
-	turns := 1 + ahead/keeper.config.MaxLoads
-	return time.Duration(turns) * seconds(keeper.estimates.load())
+	rounds := 1 + ahead/keeper.config.MaxLoads
+	return time.Duration(rounds) * seconds(keeper.estimates.load())
 }
 
-// changedAdapters takes the reported adapters in. Calls bound to the engine are
-// bound anew when it has lost any.
-func (keeper *Keeper) changedAdapters(engine *engineState, reported []string) {
+// updateAdapters replaces an engine's adapters with the reported ones. If the
+// engine has lost one, the calls bound to it are unbound.
+func (keeper *Keeper) updateAdapters(engine *engineState, reported []string) {
 	lost := slices.ContainsFunc(engine.adapters, func(adapter string) bool {
 		return !slices.Contains(reported, adapter)
 	})
--- a/internal/keeper/admission.go
+++ b/internal/keeper/admission.go
@@ -8,20 +8,20 @@
 )
 
 const (
-	// leastRetryAfter and mostRetryAfter bound what a refused caller is told.
-	leastRetryAfter = time.Second
-	mostRetryAfter  = time.Minute
-	// leastRate keeps predictions finite, grants a second.
-	leastRate = 0.001
+	// minRetryAfter and maxRetryAfter bound the retry delay in a refusal.
+	minRetryAfter = time.Second
+	maxRetryAfter = time.Minute
+	// minGrantRate, in grants per second, keeps predicted waits finite.
+	minGrantRate = 0.001
 )
 
-// admit decides whether an offered call may wait, and refuses it if not.
+// admit reports whether an offered call may be queued, and refuses it if not.
 func (keeper *Keeper) admit(request *Request, rank queue.Rank) bool {
-	if keeper.withoutEngine() {
+	if keeper.engineGraceExpired() {
 		keeper.refuse(request, resultcode.NoBackEnd, keeper.config.NoEngineGrace, "no engine is ready")
 		return false
 	}
-	predicted := keeper.predictWait(rank.Band) + keeper.predictLoad(request.Adapter)
+	predicted := keeper.predictWait(rank.Band) + keeper.predictLoadWait(request.Adapter)
 	if bound := keeper.waitBound(request); bound > 0 && predicted > bound {
 		keeper.refuse(request, resultcode.Overloaded, retryAfter(predicted), "predicted wait over the tier's bound")
 		return false
@@ -29,14 +29,15 @@
 	if len(keeper.waiting) < keeper.config.MaxWaiting {
 		return true
 	}
-	if keeper.pushOut(request.Weight, predicted) {
+	if keeper.displaceLowerTier(request.Weight, predicted) {
 		return true
 	}
 	keeper.refuse(request, resultcode.Overloaded, retryAfter(predicted), "queue full")
 	return false
 }
 
-// waitBound is the bound for a request, wider for a program that has begun.
+// waitBound returns the longest predicted wait allowed for a request. It is
+// longer for programs already in progress; 0 means no bound.
 func (keeper *Keeper) waitBound(request *Request) time.Duration {
 	if request.AttainedService == 0 {
 		return request.WaitBound
@@ -44,19 +45,20 @@
 	return time.Duration(float64(request.WaitBound) * keeper.config.InProgressFactor)
 }
 
-// pushOut refuses the last waiting call of the lightest tier, if that tier is
-// lighter than weight. The call has not run, so the refusal is true.
-func (keeper *Keeper) pushOut(weight uint32, predicted time.Duration) bool {
-	victim := keeper.lightestWaiting()
+// displaceLowerTier makes room in a full queue: it refuses the lowest-priority
+// waiting call if its tier weight is below weight, and reports whether it did.
+func (keeper *Keeper) displaceLowerTier(weight uint32, predicted time.Duration) bool {
+	victim := keeper.lowestPriorityWaiting()
 	if victim == nil || victim.request.Weight >= weight {
 		return false
 	}
-	keeper.refuseWaiting(victim, resultcode.Overloaded, retryAfter(predicted), "pushed out by a higher tier")
+	keeper.refuseWaiting(victim, resultcode.Overloaded, retryAfter(predicted), "displaced from the full queue by a higher tier")
 	return true
 }
 
-// lightestWaiting returns the waiting call that would be served last.
-func (keeper *Keeper) lightestWaiting() *waitingCall {
+// lowestPriorityWaiting returns the waiting call that would be served last, or
+// nil if none waits.
+func (keeper *Keeper) lowestPriorityWaiting() *waitingCall {
 	var victim *waitingCall
 	consider := func(waiting *queue.Queue[*waitingCall]) {
 		last := waiting.PeekLast()
@@ -74,7 +76,7 @@
 	return victim
 }
 
-// servedLater orders calls of different queues by weight, then rank.
+// servedLater orders calls from different queues by weight, then rank.
 func servedLater(call, other *waitingCall) bool {
 	if call.request.Weight != other.request.Weight {
 		return call.request.Weight < other.request.Weight
@@ -82,14 +84,15 @@
 	return call.rank.Value > other.rank.Value
 }
 
-// predictWait is the wait a call entering a band now can expect. In a band with
-// a backlog it is the calls that wait over the rate at which they are granted,
-// which also knows how far memory and not slots bound the pool. Without one, a
-// band is served either after all calls above it, at the rate that higher bands
-// leave, or by its reserved share, whichever comes first. While no engine is
-// ready there is nothing to predict from: calls wait for NoEngineGrace.
+// predictWait predicts the wait of a call that enters a band now. A band with a
+// backlog uses its measured grant rate, which also reflects limits other than
+// slots, such as memory. Otherwise the prediction is the shorter of two waits:
+// for all calls at or above the band at the rate that higher bands leave, or
+// for the calls of the band at its reserved share. Without a backlog it is 0 if
+// there are more free slots than waiting calls, and if no engine is ready:
+// NoEngineGrace limits the wait then.
 func (keeper *Keeper) predictWait(band uint32) time.Duration {
-	atOrAbove, inBand := keeper.ahead(band)
+	atOrAbove, inBand := keeper.countAtOrAbove(band)
 	if rate := keeper.tiers.backlogRate(band, keeper.now); rate > 0 {
 		return seconds(float64(inBand+1) / rate)
 	}
@@ -103,59 +106,60 @@
 	if slots == 0 || free > len(keeper.waiting) {
 		return 0
 	}
-	rate := max(float64(slots)/keeper.estimates.hold(), leastRate)
-	left := max(rate-keeper.tiers.rateAbove(band, keeper.now), leastRate)
-	inTurn := float64(atOrAbove+1) / left
-	byShare := float64(inBand+1) / max(rate*keeper.pool.ReservedShare(band), leastRate)
-	return seconds(min(inTurn, byShare))
+	rate := max(float64(slots)/keeper.estimates.hold(), minGrantRate)
+	remaining := max(rate-keeper.tiers.rateAbove(band, keeper.now), minGrantRate)
+	inOrder := float64(atOrAbove+1) / remaining
+	byShare := float64(inBand+1) / max(rate*keeper.pool.ReservedShare(band), minGrantRate)
+	return seconds(min(inOrder, byShare))
 }
 
-// noteIdleBands records which bands have no waiting call.
-func (keeper *Keeper) noteIdleBands() {
+// recordIdleBands records which bands have no waiting call.
+func (keeper *Keeper) recordIdleBands() {
 	for _, rate := range keeper.tiers.bands {
-		if _, inBand := keeper.ahead(rate.number); inBand == 0 {
+		if _, inBand := keeper.countAtOrAbove(rate.number); inBand == 0 {
 			rate.idleAt = keeper.now
 		}
 	}
 }
 
-// ahead counts waiting calls at or above a band, and in it.
-func (keeper *Keeper) ahead(band uint32) (atOrAbove, inBand int) {
+// countAtOrAbove counts the waiting calls at or above a band and in it, without
+// parked calls.
+func (keeper *Keeper) countAtOrAbove(band uint32) (atOrAbove, inBand int) {
 	atOrAbove, inBand = keeper.pool.CountAtOrAbove(band)
 	for _, engine := range keeper.engines {
-		higher, same := engine.bound.CountAtOrAbove(band)
-		atOrAbove += higher
-		inBand += same
+		boundAtOrAbove, boundInBand := engine.bound.CountAtOrAbove(band)
+		atOrAbove += boundAtOrAbove
+		inBand += boundInBand
 	}
 	return atOrAbove, inBand
 }
 
-// retryAfter bounds a predicted wait for the caller, in whole seconds.
+// retryAfter rounds a predicted wait up to whole seconds and clamps it to the
+// allowed range.
 func retryAfter(predicted time.Duration) time.Duration {
 	rounded := (predicted + time.Second - 1).Truncate(time.Second)
-	return min(max(rounded, leastRetryAfter), mostRetryAfter)
+	return min(max(rounded, minRetryAfter), maxRetryAfter)
 }
 
-// withoutEngine tells whether no engine has been ready for longer than the
-// grace.
-func (keeper *Keeper) withoutEngine() bool {
+// engineGraceExpired reports whether no engine has been ready for longer than
+// NoEngineGrace. It updates lastReadyAt.
+func (keeper *Keeper) engineGraceExpired() bool {
 	for _, engine := range keeper.engines {
 		if engine.ready() {
-			keeper.lastReady = keeper.now
+			keeper.lastReadyAt = keeper.now
 			return false
 		}
-		if engine.allowed() {
-			// It was ready until its silence grew too long.
-			keeper.lastReady = max(keeper.lastReady, engine.reportedAt+keeper.config.ReportTimeout)
+		if engine.schedulable() {
+			// The engine was ready until its report became overdue.
+			keeper.lastReadyAt = max(keeper.lastReadyAt, engine.reportedAt+keeper.config.ReportTimeout)
 		}
 	}
-	return keeper.now-keeper.lastReady > keeper.config.NoEngineGrace
+	return keeper.now-keeper.lastReadyAt > keeper.config.NoEngineGrace
 }
 
-// refuseWithoutEngine refuses every waiting call once no engine has been ready
-// for longer than the grace.
-func (keeper *Keeper) refuseWithoutEngine() {
-	if len(keeper.waiting) == 0 || !keeper.withoutEngine() {
+// refuseIfNoEngine refuses all waiting calls once NoEngineGrace has expired.
+func (keeper *Keeper) refuseIfNoEngine() {
+	if len(keeper.waiting) == 0 || !keeper.engineGraceExpired() {
 		return
 	}
 	for _, engine := range keeper.engines {
@@ -168,12 +172,12 @@
 	}
 }
 
-// refuse gives a call its final answer.
+// refuse records a refusal and emits it.
 func (keeper *Keeper) refuse(request *Request, code resultcode.Code, after time.Duration, why string) {
-	keeper.decide(request.Call, "refuse", why)
+	keeper.recordDecision(request.Call, "refuse", why)
 	predicted := time.Duration(0)
 	if code == resultcode.Overloaded {
-		predicted = keeper.predictWait(keeper.policies.Order.Rank(keeper.describe(request)).Band)
+		predicted = keeper.predictWait(keeper.policies.Order.Rank(keeper.orderCall(request)).Band)
 	}
-	keeper.emit(Refuse{Request: *request, Code: code, RetryAfter: after, Why: why, Grounds: keeper.grounds(predicted)})
+	keeper.emit(Refuse{Request: *request, Code: code, RetryAfter: after, Why: why, Grounds: keeper.refusalContext(predicted)})
 }
--- a/internal/keeper/config.go
+++ b/internal/keeper/config.go
@@ -6,116 +6,125 @@
 	"github.com/magpielug/magpielug/internal/queue"
 )
 
-// Config bounds and tunes a keeper. A zero field takes its default, but where
-// the field says otherwise.
+// Config holds the parameters of a keeper. A zero field selects its default
+// unless the field says otherwise.
 type Config struct {
-	// TargetRunning is the most calls granted together on one engine, so that
-	// steps stay short. The engine's own RunningLimit bounds it; 0 leaves that
-	// limit alone.
+	// TargetRunning is the maximum number of concurrent calls on one engine, to
+	// keep batches small and steps short. The engine's own RunningLimit also
+	// applies; 0 leaves only that limit.
 	TargetRunning int
-	// MaxWaiting bounds the calls that wait.
+	// MaxWaiting is the maximum number of waiting calls.
 	MaxWaiting int
 	// LookAhead is how many waiting calls are tried for a free slot.
 	LookAhead int
-	// MaxSkips is how many grants may pass a waiting call for the sake of cache
-	// affinity or memory before it takes the next slot it can. 0 takes the pool's
-	// number of slots, one turnover, and leastSkips at least.
+	// MaxSkips is how many later calls may be granted before a call that waits
+	// for cache affinity or memory takes the next slot it can. 0 selects the
+	// number of slots in the pool, but at least minSkipLimit.
 	MaxSkips int
-	// MaxHold is how long a call may wait for the engine with its prefix while
-	// another has a free slot.
-	MaxHold time.Duration
-	// ReturnWithin is how long after a call its program is expected to make the
-	// next one, until a pause is told.
-	ReturnWithin time.Duration
-	// ReservedShare is the part of grants shared by tier weight, 0 to 1; the
-	// rest goes to the highest tier that waits. Below 0 is strict priority.
+	// MaxAffinityWait is how long a call may wait for the engine with its
+	// prefix while another has a free slot.
+	MaxAffinityWait time.Duration
+	// ReturnTimeout is how long after a call the program's next call is
+	// expected, unless a pause is announced.
+	ReturnTimeout time.Duration
+	// ReservedShare is the fraction of grants, 0 to 1, divided in proportion to
+	// tier weight; the rest goes to the highest waiting tier. A negative value
+	// selects strict priority.
 	ReservedShare float64
-	// InProgressFactor multiplies the wait bound of a program that has begun, so
-	// that at overload new programs are refused before half-done ones.
+	// InProgressFactor multiplies the wait bound of programs in progress, so
+	// that under overload new programs are refused first.
 	InProgressFactor float64
-	// Preempt allows to cancel running repeatable calls for higher tiers.
+	// Preempt allows the cancellation of running repeatable calls for higher
+	// tiers.
 	Preempt bool
-	// PreemptWait is the expected wait for a slot above which Preempt acts.
+	// PreemptWait is the expected wait for a slot above which calls are
+	// preempted.
 	PreemptWait time.Duration
-	// PreemptRatio is how many times heavier the waiting tier must be.
+	// PreemptRatio is the minimum ratio of the waiting tier's weight to the
+	// running tier's.
 	PreemptRatio uint32
-	// ReportTimeout is how long an engine may be silent and get grants.
+	// ReportTimeout is how long after its last report an engine still gets
+	// grants.
 	ReportTimeout time.Duration
 	// NoEngineGrace is how long calls wait while no engine is ready.
 	NoEngineGrace time.Duration
-	// CacheLag is how late cache events and reports may be: an estimate touched
-	// more recently is not corrected by them.
+	// CacheLag is the maximum delay of cache events and reports. They do not
+	// correct estimates updated more recently than this.
 	CacheLag time.Duration
-	// EndedMemory is how long ended programs are remembered for the sweep.
-	EndedMemory time.Duration
-	// ReleaseRetry is the least time between two release orders for the same
-	// program on the same engine.
+	// EndedRetention is how long ended programs are remembered, so that cache
+	// still reported for them is released.
+	EndedRetention time.Duration
+	// ReleaseRetry is the minimum time between two release commands for the
+	// same program and engine.
 	ReleaseRetry time.Duration
-	// LiveMargin is how long a program seen by the keeper is safe from a live
-	// list that leaves it out: the list may be older than the program.
-	LiveMargin time.Duration
-	// GrantConfirm is how long a grant may be missing from its leader's list.
-	GrantConfirm time.Duration
-	// MaxPrograms bounds the programs tracked.
+	// LiveListGrace is how long after its last call a program counts as live
+	// although a live list omits it: the list may be older than the call.
+	LiveListGrace time.Duration
+	// GrantConfirmTimeout is the age up to which a grant may be missing from
+	// its leader's list.
+	GrantConfirmTimeout time.Duration
+	// MaxPrograms is the maximum number of tracked programs.
 	MaxPrograms int
-	// MaxLoads bounds the loads of adapters under way in the pool.
+	// MaxLoads is the maximum number of concurrent adapter loads in the pool.
 	MaxLoads int
-	// LoadTimeout is how long a load may take before it is ordered elsewhere.
+	// LoadTimeout is how long a load may take before it is abandoned.
 	LoadTimeout time.Duration
-	// LoadConfirm is how late a report may first show an order to load.
-	LoadConfirm time.Duration
-	// LoadRetry is how long an adapter is not ordered again on an engine that
+	// LoadConfirmTimeout is how long a load request may go without a report that
+	// shows the engine loading.
+	LoadConfirmTimeout time.Duration
+	// LoadRetry is how long an adapter is not loaded again on an engine that
 	// failed to load it.
 	LoadRetry time.Duration
-	// AdapterPatience is how long calls wait for the engines that have their
-	// adapter before it is loaded on one more.
-	AdapterPatience time.Duration
-	// RoleRetry is the least time between two orders to change an engine's role.
+	// AdapterWaitTimeout is how long calls wait for the engines that have their
+	// adapter before it is loaded on another one.
+	AdapterWaitTimeout time.Duration
+	// RoleRetry is the minimum time between two role commands to an engine.
 	RoleRetry time.Duration
-	// DecisionMemory is how many decisions are kept for Explain.
-	DecisionMemory int
+	// DecisionHistory is how many decisions are kept for Explain.
+	DecisionHistory int
 	// ExportPerToken is the time to export and import one cached token; 0 means
-	// that engines can't export.
+	// that engines cannot export.
 	ExportPerToken time.Duration
-	// ShardOf tells a program's shard, so that a program known only from an
-	// engine's report can be found gone. Nil leaves such programs alone.
+	// ShardOf returns the shard of a program, so that a program known only from
+	// engine reports can be looked up in its shard's live list. If nil, such
+	// programs count as live.
 	ShardOf func(program string) uint32
 }
 
 const (
-	defaultMaxWaiting       = 4096
-	defaultLookAhead        = 16
-	defaultMaxHold          = 5 * time.Second
-	defaultReturnWithin     = 5 * time.Second
-	defaultInProgressFactor = 2
-	defaultPreemptWait      = 500 * time.Millisecond
-	defaultPreemptRatio     = 4
-	defaultReportTimeout    = 5 * time.Second
-	defaultNoEngineGrace    = 5 * time.Second
-	defaultCacheLag         = 2 * time.Second
-	defaultEndedMemory      = 5 * time.Minute
-	defaultReleaseRetry     = 2 * time.Second
-	defaultLiveMargin       = 10 * time.Second
-	defaultGrantConfirm     = 5 * time.Second
-	defaultMaxPrograms      = 20000
-	defaultDecisionMemory   = 2048
-	defaultMaxLoads         = 1
-	defaultRoleRetry        = 3 * time.Second
-	defaultLoadTimeout      = 30 * time.Second
-	defaultLoadConfirm      = 4 * time.Second
-	defaultLoadRetry        = 15 * time.Second
-	defaultAdapterPatience  = 2 * time.Second
+	defaultMaxWaiting          = 4096
+	defaultLookAhead           = 16
+	defaultMaxAffinityWait     = 5 * time.Second
+	defaultReturnTimeout       = 5 * time.Second
+	defaultInProgressFactor    = 2
+	defaultPreemptWait         = 500 * time.Millisecond
+	defaultPreemptRatio        = 4
+	defaultReportTimeout       = 5 * time.Second
+	defaultNoEngineGrace       = 5 * time.Second
+	defaultCacheLag            = 2 * time.Second
+	defaultEndedRetention      = 5 * time.Minute
+	defaultReleaseRetry        = 2 * time.Second
+	defaultLiveListGrace       = 10 * time.Second
+	defaultGrantConfirmTimeout = 5 * time.Second
+	defaultMaxPrograms         = 20000
+	defaultDecisionHistory     = 2048
+	defaultMaxLoads            = 1
+	defaultRoleRetry           = 3 * time.Second
+	defaultLoadTimeout         = 30 * time.Second
+	defaultLoadConfirmTimeout  = 4 * time.Second
+	defaultLoadRetry           = 15 * time.Second
+	defaultAdapterWaitTimeout  = 2 * time.Second
 )
 
-// DefaultConfig returns the defaults.
+// DefaultConfig returns a Config with all defaults filled in.
 func DefaultConfig() Config { return Config{}.withDefaults() }
 
-// withDefaults fills the zero fields.
+// withDefaults replaces zero fields by their defaults.
 func (config Config) withDefaults() Config {
 	setDefault(&config.MaxWaiting, defaultMaxWaiting)
 	setDefault(&config.LookAhead, defaultLookAhead)
-	setDefault(&config.MaxHold, defaultMaxHold)
-	setDefault(&config.ReturnWithin, defaultReturnWithin)
+	setDefault(&config.MaxAffinityWait, defaultMaxAffinityWait)
+	setDefault(&config.ReturnTimeout, defaultReturnTimeout)
 	setDefault(&config.ReservedShare, queue.DefaultReservedShare)
 	setDefault(&config.InProgressFactor, defaultInProgressFactor)
 	setDefault(&config.PreemptWait, defaultPreemptWait)
@@ -123,22 +132,22 @@
 	setDefault(&config.ReportTimeout, defaultReportTimeout)
 	setDefault(&config.NoEngineGrace, defaultNoEngineGrace)
 	setDefault(&config.CacheLag, defaultCacheLag)
-	setDefault(&config.EndedMemory, defaultEndedMemory)
+	setDefault(&config.EndedRetention, defaultEndedRetention)
 	setDefault(&config.ReleaseRetry, defaultReleaseRetry)
-	setDefault(&config.LiveMargin, defaultLiveMargin)
-	setDefault(&config.GrantConfirm, defaultGrantConfirm)
+	setDefault(&config.LiveListGrace, defaultLiveListGrace)
+	setDefault(&config.GrantConfirmTimeout, defaultGrantConfirmTimeout)
 	setDefault(&config.MaxPrograms, defaultMaxPrograms)
-	setDefault(&config.DecisionMemory, defaultDecisionMemory)
+	setDefault(&config.DecisionHistory, defaultDecisionHistory)
 	setDefault(&config.MaxLoads, defaultMaxLoads)
 	setDefault(&config.RoleRetry, defaultRoleRetry)
 	setDefault(&config.LoadTimeout, defaultLoadTimeout)
-	setDefault(&config.LoadConfirm, defaultLoadConfirm)
+	setDefault(&config.LoadConfirmTimeout, defaultLoadConfirmTimeout)
 	setDefault(&config.LoadRetry, defaultLoadRetry)
-	setDefault(&config.AdapterPatience, defaultAdapterPatience)
+	setDefault(&config.AdapterWaitTimeout, defaultAdapterWaitTimeout)
 	return config
 }
 
-// setDefault sets a field that is zero.
+// setDefault sets a field to value if it is zero.
 func setDefault[T comparable](field *T, value T) {
 	var zero T
 	if *field == zero {
--- a/internal/keeper/decision.go
+++ b/internal/keeper/decision.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Decision is one decision taken for a call, for operators to read.
+// Decision is a recorded scheduling decision about a call, shown to operators.
 type Decision struct {
 	Call CallKey
 	At   time.Duration
@@ -10,7 +10,7 @@
 	Why  string
 }
 
-// decisionRing keeps the latest decisions.
+// decisionRing is a ring buffer of the latest decisions.
 type decisionRing struct {
 	decisions []Decision
 	next      int
@@ -20,7 +20,7 @@
 	return decisionRing{decisions: make([]Decision, 0, size)}
 }
 
-// add keeps a decision in place of the oldest one.
+// add appends a decision, overwriting the oldest one when the ring is full.
 func (ring *decisionRing) add(decision Decision) {
 	if len(ring.decisions) < cap(ring.decisions) {
 		ring.decisions = append(ring.decisions, decision)
@@ -30,13 +30,13 @@
 	ring.next = (ring.next + 1) % len(ring.decisions)
 }
 
-// decide records a decision for Explain.
-func (keeper *Keeper) decide(call CallKey, what, why string) {
+// recordDecision records a decision for Explain.
+func (keeper *Keeper) recordDecision(call CallKey, what, why string) {
 	keeper.decisions.add(Decision{Call: call, At: keeper.now, What: what, Why: why})
 }
 
-// Explain returns the decisions still remembered for a call, any attempt of it,
-// oldest first. A call that waits gets a last line that says so.
+// Explain returns the recorded decisions about all attempts of a call, oldest
+// first. For a waiting call it adds a decision with the predicted wait.
 func (keeper *Keeper) Explain(program, requestID string) []Decision {
 	var found []Decision
 	ring := &keeper.decisions
@@ -49,8 +49,7 @@
 	return append(found, keeper.explainWaiting(program, requestID)...)
 }
 
-// explainWaiting describes the waiting attempt of a call; there is at most one
-// that matters, the latest.
+// explainWaiting describes the latest waiting attempt of a call.
 func (keeper *Keeper) explainWaiting(program, requestID string) []Decision {
 	var latest *waitingCall
 	for key, call := range keeper.waiting {
--- a/internal/keeper/dispatch.go
+++ b/internal/keeper/dispatch.go
@@ -7,7 +7,7 @@
 	"github.com/magpielug/magpielug/internal/queue"
 )
 
-// dispatch grants free slots to waiting calls until no more can be granted.
+// dispatch grants free slots to waiting calls until none can be granted.
 func (keeper *Keeper) dispatch() {
 	if len(keeper.waiting) == 0 {
 		return
@@ -18,7 +18,7 @@
 		return
 	}
 	for keeper.pool.Len() > 0 && keeper.anyFreeSlot() {
-		if !keeper.dispatchOne() {
+		if !keeper.grantNext() {
 			return
 		}
 	}
@@ -34,13 +34,13 @@
 }
 
 // dispatchBound grants each engine's free slots to the calls bound to it. A
-// call that does not fit in memory yet holds up those behind it.
+// call that does not fit in memory blocks the calls behind it.
 func (keeper *Keeper) dispatchBound() {
 	for _, engine := range keeper.engines {
 		for engine.bound.Len() > 0 && keeper.freeSlots(engine) > 0 {
 			item := engine.bound.Pop()
 			engine.bound.Restore(item)
-			if !engine.fits(item.Value.need) {
+			if !engine.fits(item.Value.kvTokens) {
 				break
 			}
 			keeper.grantFrom(engine.bound, item, engine)
@@ -48,26 +48,27 @@
 	}
 }
 
-// mostPassed bounds the calls that are passed over for a full adapter without
-// being tried, in multiples of LookAhead.
-const mostPassed = 8
+// maxDeferredFactor limits the calls deferred in one pass, as a multiple of
+// LookAhead. Calls whose adapter has no free slot do not count against
+// LookAhead.
+const maxDeferredFactor = 8
 
-// dispatchOne tries waiting calls in turn and grants the first that has an
-// engine now. Those before it are passed over: they wait for the engine that
-// has their prefix, or for memory.
-func (keeper *Keeper) dispatchOne() bool {
+// grantNext tries waiting calls in order and grants the first one that can run
+// now. It defers those before it, which wait for an engine with their prefix,
+// for memory or for their adapter. It reports whether a call was granted.
+func (keeper *Keeper) grantNext() bool {
 	keeper.fillCandidates()
-	keeper.aside = keeper.aside[:0]
+	keeper.deferred = keeper.deferred[:0]
 	var chosen *queue.Item[*waitingCall]
 	var target *engineState
-	for tried := 0; tried < keeper.config.LookAhead && len(keeper.aside) < mostPassed*keeper.config.LookAhead; {
-		item := keeper.takeServed()
+	for tried := 0; tried < keeper.config.LookAhead && len(keeper.deferred) < maxDeferredFactor*keeper.config.LookAhead; {
+		item := keeper.popAvailable()
 		if item == nil {
 			break
 		}
-		keeper.aside = append(keeper.aside, item)
-		if !keeper.adapterHasSlot(item.Value.request.Adapter) {
-			keeper.noteScarce(item.Value)
+		keeper.deferred = append(keeper.deferred, item)
+		if !keeper.adapterHasFreeSlot(item.Value.request.Adapter) {
+			keeper.markUnderReplicated(item.Value)
 			continue
 		}
 		tried++
@@ -76,13 +77,13 @@
 			break
 		}
 	}
-	for _, item := range keeper.aside {
+	for _, item := range keeper.deferred {
 		keeper.pool.Restore(item)
 		if item != chosen {
-			keeper.passOver(item.Value, chosen != nil)
+			keeper.recordDeferral(item.Value, chosen != nil)
 		}
 	}
-	clear(keeper.aside)
+	clear(keeper.deferred)
 	if chosen == nil {
 		return false
 	}
@@ -90,87 +91,93 @@
 	return true
 }
 
-// passOver notes that a call could have been granted another engine than the
-// one it waits for; skipped tells that a later call was.
-func (keeper *Keeper) passOver(call *waitingCall, skipped bool) {
+// recordDeferral records that a call was deferred in a dispatch pass; skipped is
+// true if a later call was granted instead.
+func (keeper *Keeper) recordDeferral(call *waitingCall, skipped bool) {
 	if skipped {
-		call.skips++
+		call.skipped++
 	}
-	if !call.held {
-		call.held = true
-		call.heldSince = keeper.now
+	if !call.deferred {
+		call.deferred = true
+		call.deferredSince = keeper.now
 	}
 }
 
-// patient tells whether a call may still wait for the engine it prefers.
-func (keeper *Keeper) patient(call *waitingCall) bool {
-	if call.skips >= keeper.maxSkips() {
+// mayKeepWaiting reports whether a call may still wait for the engine it
+// prefers.
+func (keeper *Keeper) mayKeepWaiting(call *waitingCall) bool {
+	if call.skipped >= keeper.skipLimit() {
 		return false
 	}
-	return !call.held || keeper.now-call.heldSince < keeper.config.MaxHold
+	return !call.deferred || keeper.now-call.deferredSince < keeper.config.MaxAffinityWait
 }
 
-// leastSkips bounds the skips of a small pool from below.
-const leastSkips = 16
+// minSkipLimit is the lower bound of the default skip limit, for small pools.
+const minSkipLimit = 16
 
-// maxSkips is how many grants may pass a waiting call.
-func (keeper *Keeper) maxSkips() int {
+// skipLimit returns how many later calls may be granted before a waiting call.
+func (keeper *Keeper) skipLimit() int {
 	if keeper.config.MaxSkips > 0 {
 		return keeper.config.MaxSkips
 	}
-	return max(keeper.slotTotal, leastSkips)
+	return max(keeper.slotTotal, minSkipLimit)
 }
 
-// engineFor returns the engine to grant the call on now, nil if it should wait.
+// engineFor returns the engine to grant the call on now, or nil if it should
+// wait.
 func (keeper *Keeper) engineFor(call *waitingCall) *engineState {
-	keeper.fitCandidates(call)
-	if !keeper.patient(call) {
-		keeper.onlyFreeCandidates()
+	keeper.updateCandidates(call)
+	if !keeper.mayKeepWaiting(call) {
+		keeper.excludeBusyCandidates()
 	}
-	placed := call.placed()
-	placed.MayEvict = keeper.pool.HasFullCredit(call.item) && call.skips >= keeper.maxSkips()
-	index := keeper.policies.Placement.Place(&placed, keeper.candidates)
+	placementCall := call.placementCall()
+	placementCall.MayEvict = keeper.pool.HasFullCredit(call.item) && call.skipped >= keeper.skipLimit()
+	index := keeper.policies.Placement.Place(&placementCall, keeper.candidates)
 	if index == placement.None {
-		if call.skips >= keeper.maxSkips() && !keeper.fitsSomewhere() {
-			keeper.reserveFor(call)
+		if call.skipped >= keeper.skipLimit() && !keeper.anyCandidateFree() {
+			keeper.reserveEngine(call)
 		}
 		return nil
 	}
 	if keeper.candidates[index].FreeSlots == 0 {
-		keeper.slots[index].claimed++
+		keeper.slots[index].expectedCalls++
 		return nil
 	}
 	return keeper.engines[index]
 }
 
-// slotState is what one dispatch knows of an engine beside its candidate.
+// slotState is the state of an engine during one dispatch pass.
 type slotState struct {
 	ready bool
 	free  int
-	// claimed counts calls passed over in this dispatch that wait for the engine.
-	claimed int
-	// crowdedNeed and crowdedRank are of the smallest call found crowded out in
-	// this dispatch; crowdedNeed is 0 before any was.
-	crowdedNeed int
-	crowdedRank queue.Rank
+	// expectedCalls counts the calls deferred in this pass that wait for the
+	// engine.
+	expectedCalls int
+	// evictingTokens and evictingRank describe the smallest call found in this
+	// pass to evict higher-ranked prefixes; evictingTokens is 0 if there is
+	// none.
+	evictingTokens int
+	evictingRank   queue.Rank
 }
 
-// judgeCrowded is crowded, but saves the look at every claim for a call that
-// needs no less than one found crowded out and is ranked after it.
-func (keeper *Keeper) judgeCrowded(slot *slotState, engine *engineState, call *waitingCall) bool {
-	implied := slot.crowdedNeed > 0 && call.need >= slot.crowdedNeed && slot.crowdedRank.Before(call.rank)
+// checkEviction is evictsHigherRanked with a shortcut: a call that needs at
+// least as much memory as one found to evict, and ranks after it, evicts too,
+// unless its own program has a prefix on the engine.
+func (keeper *Keeper) checkEviction(slot *slotState, engine *engineState, call *waitingCall) bool {
+	implied := slot.evictingTokens > 0 && call.kvTokens >= slot.evictingTokens && slot.evictingRank.Before(call.rank)
 	if implied && call.program.prefixOn(engine) == nil {
 		return true
 	}
-	crowded := keeper.crowded(engine, call)
-	if crowded && (slot.crowdedNeed == 0 || call.need < slot.crowdedNeed) {
-		slot.crowdedNeed = call.need
-		slot.crowdedRank = call.rank
+	evicts := keeper.evictsHigherRanked(engine, call)
+	if evicts && (slot.evictingTokens == 0 || call.kvTokens < slot.evictingTokens) {
+		slot.evictingTokens = call.kvTokens
+		slot.evictingRank = call.rank
 	}
-	return crowded
+	return evicts
 }
 
-// fillCandidates describes the engines for one dispatch.
+// fillCandidates initializes the candidates and slot states for one dispatch
+// pass.
 func (keeper *Keeper) fillCandidates() {
 	keeper.candidates = keeper.candidates[:0]
 	keeper.slots = keeper.slots[:0]
@@ -196,43 +203,43 @@
 	}
 }
 
-// fitCandidates fills in what depends on the call.
-func (keeper *Keeper) fitCandidates(call *waitingCall) {
+// updateCandidates sets the candidate fields that depend on the call.
+func (keeper *Keeper) updateCandidates(call *waitingCall) {
 	for index, engine := range keeper.engines {
 		candidate := &keeper.candidates[index]
 		slot := &keeper.slots[index]
 		candidate.Ready = slot.ready
 		candidate.CachedTokens = keeper.expectedCached(call, engine)
 		candidate.FreeSlots = slot.free
-		if !engine.fits(call.need) {
+		if !engine.fits(call.kvTokens) {
 			candidate.FreeSlots = 0
 		}
-		candidate.EvictsHigherRanked = candidate.FreeSlots > 0 && keeper.judgeCrowded(slot, engine, call)
+		candidate.EvictsHigherRanked = candidate.FreeSlots > 0 && keeper.checkEviction(slot, engine, call)
 		candidate.PredictedWait = 0
 		if candidate.FreeSlots == 0 {
-			candidate.PredictedWait = keeper.slotWait(engine, slot.claimed)
+			candidate.PredictedWait = keeper.slotWait(engine, slot.expectedCalls)
 		}
 	}
 }
 
-// slotWait predicts when a slot of a full engine frees for one more call behind
-// those that claimed it.
-func (keeper *Keeper) slotWait(engine *engineState, claimed int) time.Duration {
+// slotWait predicts when a full engine has a free slot for one more call after
+// the expected ones.
+func (keeper *Keeper) slotWait(engine *engineState, expectedCalls int) time.Duration {
 	running := max(len(engine.running), 1)
-	return seconds(keeper.estimates.hold() * float64(1+claimed) / float64(running))
+	return seconds(keeper.estimates.hold() * float64(1+expectedCalls) / float64(running))
 }
 
-// onlyFreeCandidates leaves the engines that can take the call now.
-func (keeper *Keeper) onlyFreeCandidates() {
+// excludeBusyCandidates marks candidates without a free slot as not ready.
+func (keeper *Keeper) excludeBusyCandidates() {
 	for index := range keeper.candidates {
 		candidate := &keeper.candidates[index]
 		candidate.Ready = candidate.Ready && candidate.FreeSlots > 0
 	}
 }
 
-// fitsSomewhere tells whether an engine has a slot and memory for the call that
-// the candidates were filled in for.
-func (keeper *Keeper) fitsSomewhere() bool {
+// anyCandidateFree reports whether any candidate has a slot and memory for the
+// call of the last updateCandidates.
+func (keeper *Keeper) anyCandidateFree() bool {
 	for index := range keeper.candidates {
 		if keeper.candidates[index].FreeSlots > 0 {
 			return true
@@ -241,12 +248,12 @@
 	return false
 }
 
-// reserveFor keeps the engine that will fit the call soonest from calls ranked
-// after it, so that small calls can't starve a large one.
-func (keeper *Keeper) reserveFor(call *waitingCall) {
+// reserveEngine keeps later calls in this pass off the engine with the least
+// memory in use, so that small calls do not starve a large one.
+func (keeper *Keeper) reserveEngine(call *waitingCall) {
 	chosen := placement.None
 	for index, engine := range keeper.engines {
-		if !keeper.slots[index].ready || !engine.has(call.request.Adapter) {
+		if !keeper.slots[index].ready || !engine.hasAdapter(call.request.Adapter) {
 			continue
 		}
 		if chosen == placement.None || engine.usedTokens < keeper.engines[chosen].usedTokens {
@@ -258,16 +265,16 @@
 	}
 }
 
-// sharedPart is the part of a parent's prefix that a sub-agent is taken to
-// share, as a divisor.
-const sharedPart = 2
+// sharedPrefixDivisor is the assumed ratio of a parent's prefix to the part
+// that its sub-agents share.
+const sharedPrefixDivisor = 2
 
-// expectedCached is how much of the call's prompt is thought to be cached.
+// expectedCached estimates how many of the call's prompt tokens are cached.
 func (keeper *Keeper) expectedCached(call *waitingCall, engine *engineState) int {
 	cached := call.program.cachedOn(engine)
 	if cached == 0 && call.parent != nil {
-		cached = call.parent.cachedOn(engine) / sharedPart
+		cached = call.parent.cachedOn(engine) / sharedPrefixDivisor
 	}
-	cached = max(cached, call.program.kindRecord().sharedTokens())
+	cached = max(cached, call.program.kindStats().sharedTokens())
 	return min(cached, call.request.PromptTokens)
 }
--- a/internal/keeper/effect.go
+++ b/internal/keeper/effect.go
@@ -6,51 +6,52 @@
 	"github.com/magpielug/magpielug/internal/resultcode"
 )
 
-// Effect is one output of a keeper's step, carried out by its caller.
+// Effect is one output of Step, to be carried out by the caller.
 type Effect interface{ effect() }
 
-// Grant gives a call a slot on an engine.
+// Grant assigns a call a slot on an engine.
 type Grant struct {
 	Request Request
 	Engine  string
-	// Priority is the engine's own priority field for the call.
+	// Priority is the engine's priority field for the call.
 	Priority int
-	// ExpectedCached is the prefix the keeper believes to be cached, tokens.
+	// ExpectedCached is the estimated cached part of the prompt, in tokens.
 	ExpectedCached int
-	// Why explains the choice in one short line.
+	// Why is a one-line reason for the choice.
 	Why string
 }
 
-// Refuse gives a call its final answer: not run, and when to come back.
+// Refuse rejects a call that has not run. RetryAfter is the delay after which
+// the caller may retry.
 type Refuse struct {
 	Request    Request
 	Code       resultcode.Code
 	RetryAfter time.Duration
 	Why        string
-	// Grounds are what the keeper knew of its pool.
+	// Grounds is the state of the pool at the refusal.
 	Grounds Grounds
 }
 
-// Preempt orders the leader to cancel a running call and to offer it again.
+// Preempt tells the leader to cancel a running call and offer it again.
 type Preempt struct {
 	Request Request
 	Engine  string
 	Why     string
 }
 
-// ReleaseCache orders an engine to free a program's blocks.
+// ReleaseCache tells an engine to free a program's blocks.
 type ReleaseCache struct {
 	Engine  string
 	Program string
 	Why     string
 }
 
-// CheckEngine asks for an engine's load report without waiting for the next one
-// that is due: a call has failed there, and it gets no grant before it reports.
+// CheckEngine requests a load report from an engine that failed a call. The
+// engine gets no grants until it reports.
 type CheckEngine struct{ Engine string }
 
-// LoadAdapter orders an engine to load an adapter beside the model version that
-// it has. The engine's reports tell what becomes of the order.
+// LoadAdapter tells an engine to load an adapter for its current model version.
+// The result is seen in the engine's reports.
 type LoadAdapter struct {
 	Engine  string
 	Model   string
@@ -59,19 +60,19 @@
 	Why     string
 }
 
-// SetRole orders an engine to change its role.
+// SetRole tells an engine to change its role.
 type SetRole struct {
 	Engine string
 	Role   string
 }
 
-// ExportCache orders an engine to export a program's blocks, then free them.
+// ExportCache tells an engine to export a program's blocks and then free them.
 type ExportCache struct {
 	Engine  string
 	Program string
 }
 
-// ImportCache orders an engine to take exported blocks in.
+// ImportCache tells an engine to import a program's exported blocks.
 type ImportCache struct {
 	Engine  string
 	Program string
--- a/internal/keeper/engine.go
+++ b/internal/keeper/engine.go
@@ -9,54 +9,57 @@
 	"github.com/magpielug/magpielug/internal/queue"
 )
 
-// engineState is one engine of the pool.
+// engineState is the keeper's state of one engine.
 type engineState struct {
 	name  string
 	model string
 	zone  string
 
-	// state follows the engine chart; only a ready engine gets grants.
+	// state is the engine's state in charts.Engine. Only a ready engine gets
+	// grants.
 	state      charts.EngineState
 	reportedAt time.Duration
-	// failed is true from a failed call to the engine's next report: one that
-	// has died would fail all attempts of a call until it counts as silent.
-	failed bool
-	// role is what the engine reports; roleOrderedAt is when it was last ordered to
-	// change it, if roleOrdered.
-	role          string
-	roleOrdered   bool
-	roleOrderedAt time.Duration
-	// leaving is what the engine itself says.
+	// callFailed is true from a failed call until the engine's next report.
+	// Without it, a crashed engine would fail every attempt of a call until its
+	// report is overdue.
+	callFailed bool
+	// role is the reported role. roleRequestedAt is the time of the last role
+	// command, if roleRequested.
+	role            string
+	roleRequested   bool
+	roleRequestedAt time.Duration
+	// leaving is reported by the engine.
 	leaving  bool
 	version  string
 	adapters []string
-	// loading is what the last report says; load is the order under way, nil if
-	// none is known.
+	// loading is the flag of the last report. load is the load in progress, or
+	// nil if none is known.
 	loading      bool
 	load         *adapterLoad
 	runningLimit int
 	memoryTokens int
 
-	// running are the calls granted here, in no order that matters.
+	// running holds the granted calls, unordered.
 	running []*runningCall
-	// usedTokens is the KV memory the running calls are expected to need.
+	// usedTokens is the predicted KV memory of the running calls.
 	usedTokens int
 	prefixes   prefixList
-	// claims is valid unless claimsStale.
+	// claims is a cache, valid unless claimsStale.
 	claims      []claim
 	claimsStale bool
-	// bound holds the calls bound here on arrival.
+	// bound holds the calls bound to the engine on arrival.
 	bound *queue.Queue[*waitingCall]
 }
 
-// findEngine returns the engine's place in the sorted list.
+// findEngine returns the engine's index in the sorted list and whether it is
+// present.
 func (keeper *Keeper) findEngine(name string) (int, bool) {
 	return slices.BinarySearchFunc(keeper.engines, name, func(engine *engineState, name string) int {
 		return strings.Compare(engine.name, name)
 	})
 }
 
-// engineNamed returns the engine, nil if it is not known.
+// engineNamed returns the engine, or nil if it is unknown.
 func (keeper *Keeper) engineNamed(name string) *engineState {
 	index, found := keeper.findEngine(name)
 	if !found {
@@ -65,7 +68,7 @@
 	return keeper.engines[index]
 }
 
-// ensureEngine returns the engine and makes it if it is not known.
+// ensureEngine returns the engine, adding it if needed.
 func (keeper *Keeper) ensureEngine(name string) *engineState {
 	index, found := keeper.findEngine(name)
 	if !found {
@@ -75,12 +78,12 @@
 			bound: queue.New[*waitingCall](keeper.config.ReservedShare),
 		}
 		keeper.engines = slices.Insert(keeper.engines, index, engine)
-		keeper.followDrain(engine)
+		keeper.updateDrain(engine)
 	}
 	return keeper.engines[index]
 }
 
-// limit is how many calls may run on the engine together.
+// limit is the maximum number of concurrent calls on the engine.
 func (keeper *Keeper) limit(engine *engineState) int {
 	target := keeper.config.TargetRunning
 	if target == 0 {
@@ -89,7 +92,7 @@
 	return min(target, engine.runningLimit)
 }
 
-// freeSlots is how many more calls may be granted on the engine now.
+// freeSlots is the number of calls that can be granted on the engine now.
 func (keeper *Keeper) freeSlots(engine *engineState) int {
 	if !engine.ready() {
 		return 0
@@ -97,17 +100,17 @@
 	return max(keeper.limit(engine)-len(engine.running), 0)
 }
 
-// fits tells whether the engine has KV memory for a call. An engine that runs
-// nothing takes any call: the engine itself judges one larger than its memory.
-func (engine *engineState) fits(need int) bool {
+// fits reports whether the engine has KV memory for a call. An idle engine
+// takes any call: it rejects a call larger than its memory itself.
+func (engine *engineState) fits(kvTokens int) bool {
 	if len(engine.running) == 0 || engine.memoryTokens == 0 {
 		return true
 	}
-	return engine.usedTokens+need <= engine.memoryTokens
+	return engine.usedTokens+kvTokens <= engine.memoryTokens
 }
 
-// pressure is the part of KV memory in use by running calls and kept prefixes,
-// 0 to 1.
+// pressure is the fraction of KV memory, 0 to 1, held by running calls and idle
+// prefixes.
 func (engine *engineState) pressure() float64 {
 	if engine.memoryTokens == 0 {
 		return 0
@@ -116,8 +119,8 @@
 	return min(float64(held)/float64(engine.memoryTokens), 1)
 }
 
-// trimPrefixes forgets the least recently used idle prefixes that no longer fit
-// beside the running calls, as the engine's own eviction does.
+// trimPrefixes drops the least recently used idle prefixes that do not fit
+// beside the running calls, mirroring the engine's own eviction.
 func (engine *engineState) trimPrefixes() {
 	if engine.memoryTokens == 0 {
 		return
@@ -131,28 +134,28 @@
 	}
 }
 
-// loseEngine removes an engine. Its grants end; their leaders find the calls
-// failed on their own.
-func (keeper *Keeper) loseEngine(name string) {
+// removeEngine removes an engine and ends its grants without an effect: the
+// leaders detect the failed calls themselves.
+func (keeper *Keeper) removeEngine(name string) {
 	index, found := keeper.findEngine(name)
 	if !found {
 		return
 	}
 	engine := keeper.engines[index]
 	if engine.state == charts.EngineStateDraining && len(engine.running) == 0 {
-		engine.follow(charts.EngineEventEmptied)
+		engine.transition(charts.EngineEventEmptied)
 	}
 	for len(engine.running) > 0 {
 		keeper.endGrant(engine.running[len(engine.running)-1])
 	}
 	engine.prefixes.dropAll()
 	keeper.unbind(engine)
-	engine.follow(charts.EngineEventLost)
+	engine.transition(charts.EngineEventLost)
 	keeper.engines = slices.Delete(keeper.engines, index, index+1)
 }
 
 // unbind moves the calls bound to an engine back to the pool's queue, where
-// they are bound anew. Their ranks keep their place.
+// they are bound again. They keep their ranks.
 func (keeper *Keeper) unbind(engine *engineState) {
 	for engine.bound.Len() > 0 {
 		call := engine.bound.Pop().Value
--- a/internal/keeper/engine_chart.go
+++ b/internal/keeper/engine_chart.go
@@ -6,78 +6,81 @@
 	"github.com/magpielug/magpielug/charts"
 )
 
-// follow moves the engine along its chart. A refused event changes nothing.
-func (engine *engineState) follow(event charts.EngineEvent) {
+// transition applies an event of the engine chart. An event that the current
+// state does not accept has no effect.
+func (engine *engineState) transition(event charts.EngineEvent) {
 	engine.state, _ = charts.Engine.Next(engine.state, event)
 }
 
-// ready tells whether the engine may get new grants.
+// ready reports whether the engine gets new grants.
 func (engine *engineState) ready() bool { return engine.state == charts.EngineStateReady }
 
-// allowed tells whether an engine that shows slots is being taken out neither by
-// itself nor by an operator or the machine list.
-func (engine *engineState) allowed() bool {
-	return engine.state != charts.EngineStateDraining && engine.runningLimit > 0 && engine.wholeCalls()
+// schedulable reports whether an engine could get grants apart from missing
+// reports and failed calls: it is not draining, has slots and serves full
+// calls.
+func (engine *engineState) schedulable() bool {
+	return engine.state != charts.EngineStateDraining && engine.runningLimit > 0 && engine.servesFullCalls()
 }
 
-// silence is how long ago the engine has reported.
-func (keeper *Keeper) silence(engine *engineState) time.Duration {
+// reportAge is the time since the engine's last report.
+func (keeper *Keeper) reportAge(engine *engineState) time.Duration {
 	return keeper.now - engine.reportedAt
 }
 
-// followReport takes the newest report into the engine's state. A report counts
-// until it is overdue or a call has failed.
-func (keeper *Keeper) followReport(engine *engineState) {
-	current := keeper.silence(engine) <= keeper.config.ReportTimeout && !engine.failed
-	if current && engine.runningLimit > 0 && engine.wholeCalls() {
-		engine.follow(charts.EngineEventReported)
+// updateReadiness makes the engine ready if its last report is recent, shows
+// slots and a role that serves full calls, and no call has failed since.
+// Otherwise the report counts as overdue.
+func (keeper *Keeper) updateReadiness(engine *engineState) {
+	valid := keeper.reportAge(engine) <= keeper.config.ReportTimeout && !engine.callFailed
+	if valid && engine.runningLimit > 0 && engine.servesFullCalls() {
+		engine.transition(charts.EngineEventReported)
 		return
 	}
-	engine.follow(charts.EngineEventReportOverdue)
+	engine.transition(charts.EngineEventReportOverdue)
 }
 
-// followSilence takes engines out that have not reported for too long.
-func (keeper *Keeper) followSilence() {
+// detectSilentEngines stops grants on engines whose report is overdue.
+func (keeper *Keeper) detectSilentEngines() {
 	for _, engine := range keeper.engines {
-		if engine.ready() && keeper.silence(engine) > keeper.config.ReportTimeout {
-			engine.follow(charts.EngineEventReportOverdue)
+		if engine.ready() && keeper.reportAge(engine) > keeper.config.ReportTimeout {
+			engine.transition(charts.EngineEventReportOverdue)
 		}
 	}
 }
 
-// followDrain takes what the engine itself, an operator and the machine list say
-// about its leaving into its state.
-func (keeper *Keeper) followDrain(engine *engineState) {
+// updateDrain drains the engine if it is leaving or was drained through
+// EngineDraining, and ends the drain otherwise.
+func (keeper *Keeper) updateDrain(engine *engineState) {
 	if engine.leaving || keeper.drained[engine.name] {
-		engine.follow(charts.EngineEventDrain)
+		engine.transition(charts.EngineEventDrain)
 		return
 	}
-	engine.follow(charts.EngineEventDrainWithdrawn)
+	engine.transition(charts.EngineEventDrainWithdrawn)
 }
 
-// drainEngine stops new grants on an engine and sends calls bound there back.
+// drainEngine stops new grants on an engine and unbinds the calls bound to it.
 func (keeper *Keeper) drainEngine(name string) {
 	keeper.drained[name] = true
 	if engine := keeper.engineNamed(name); engine != nil {
-		keeper.followDrain(engine)
+		keeper.updateDrain(engine)
 		keeper.unbind(engine)
 	}
 }
 
-// resumeEngine ends a drain by an operator or the machine list. The engine's
-// last report counts again, if it is current.
+// resumeEngine ends a drain by EngineDraining. The engine is ready again at
+// once if its last report is recent.
 func (keeper *Keeper) resumeEngine(name string) {
 	delete(keeper.drained, name)
 	if engine := keeper.engineNamed(name); engine != nil {
-		keeper.followDrain(engine)
-		keeper.followReport(engine)
+		keeper.updateDrain(engine)
+		keeper.updateReadiness(engine)
 	}
 }
 
-// noteFailure takes an engine that failed a call out until its next report,
-// and asks for one.
-func (keeper *Keeper) noteFailure(engine *engineState) {
-	engine.failed = true
-	engine.follow(charts.EngineEventCallFailed)
+// recordCallFailure stops grants on an engine that failed a call until its next
+// report, and requests one.
+func (keeper *Keeper) recordCallFailure(engine *engineState) {
+	engine.callFailed = true
+	engine.transition(charts.EngineEventCallFailed)
 	keeper.emit(CheckEngine{Engine: engine.name})
 }
--- a/internal/keeper/estimate.go
+++ b/internal/keeper/estimate.go
@@ -2,67 +2,69 @@
 
 import "time"
 
-// decayKept is how much of the past an estimate keeps with each new sample: it
-// remembers about the last hundred.
-const decayKept = 0.99
+// decayFactor is applied to past samples on each new one, for a window of about
+// 100 samples.
+const decayFactor = 0.99
 
-// ratio estimates a quotient, such as seconds a token, from decayed sums, so
-// that large samples count more than small ones.
-type ratio struct {
-	above, below float64
+// decayedRatio estimates a quotient, such as seconds per token, from
+// exponentially decayed sums. Larger samples weigh more.
+type decayedRatio struct {
+	numerator, denominator float64
 }
 
-// add takes one sample in.
-func (estimate *ratio) add(above, below float64) {
-	estimate.above = estimate.above*decayKept + above
-	estimate.below = estimate.below*decayKept + below
+// add adds one sample.
+func (estimate *decayedRatio) add(numerator, denominator float64) {
+	estimate.numerator = estimate.numerator*decayFactor + numerator
+	estimate.denominator = estimate.denominator*decayFactor + denominator
 }
 
-// value returns the quotient, or fallback before the first sample.
-func (estimate *ratio) value(fallback float64) float64 {
-	if estimate.below == 0 {
+// value returns the quotient, or fallback if there are no samples.
+func (estimate *decayedRatio) value(fallback float64) float64 {
+	if estimate.denominator == 0 {
 		return fallback
 	}
-	return estimate.above / estimate.below
+	return estimate.numerator / estimate.denominator
 }
 
-// Values taken before anything was measured.
+// Estimates used before the first sample.
 const (
-	firstHoldSeconds    = 1.0
-	firstPrefillSeconds = 0.0001
-	firstOutputPart     = 1.0
-	firstLoadSeconds    = 2.0
+	initialHoldSeconds    = 1.0
+	initialPrefillSeconds = 0.0001
+	initialOutputRatio    = 1.0
+	initialLoadSeconds    = 2.0
 )
 
-// estimates are what the keeper has measured over its pool.
+// estimates holds the measurements of the pool.
 type estimates struct {
-	// holdSeconds is how long a call keeps its slot.
-	holdSeconds ratio
-	// prefillSeconds is the time to compute one prompt token.
-	prefillSeconds ratio
-	// outputPart is generated tokens over MaxTokens.
-	outputPart ratio
-	// loadSeconds is how long an adapter's load takes until a report shows it.
-	loadSeconds ratio
+	// holdSeconds is how long a call holds its slot.
+	holdSeconds decayedRatio
+	// prefillSeconds is the prefill time per prompt token.
+	prefillSeconds decayedRatio
+	// outputRatio is generated tokens per MaxTokens.
+	outputRatio decayedRatio
+	// loadSeconds is the time from an adapter load request to the report that
+	// confirms it.
+	loadSeconds decayedRatio
 }
 
-func (e *estimates) hold() float64 { return e.holdSeconds.value(firstHoldSeconds) }
+func (e *estimates) hold() float64 { return e.holdSeconds.value(initialHoldSeconds) }
 
-func (e *estimates) load() float64 { return e.loadSeconds.value(firstLoadSeconds) }
+func (e *estimates) load() float64 { return e.loadSeconds.value(initialLoadSeconds) }
 
 func (e *estimates) prefillPerToken() time.Duration {
-	return seconds(e.prefillSeconds.value(firstPrefillSeconds))
+	return seconds(e.prefillSeconds.value(initialPrefillSeconds))
 }
 
-// needTokens is the KV memory a call alone is expected to hold at its end: with
-// an answer of mean length, as many calls share the memory.
-func (keeper *Keeper) needTokens(request *Request, program *programState) int {
-	part := min(keeper.estimates.outputPart.value(firstOutputPart), 1)
-	own := max(request.PromptTokens-program.kindRecord().sharedTokens(), 0)
-	return own + int(part*float64(request.MaxTokens))
+// predictKVTokens predicts the KV memory that a call holds exclusively at its
+// end, in tokens. It assumes an output of mean length, because many calls share
+// the memory.
+func (keeper *Keeper) predictKVTokens(request *Request, program *programState) int {
+	outputRatio := min(keeper.estimates.outputRatio.value(initialOutputRatio), 1)
+	exclusive := max(request.PromptTokens-program.kindStats().sharedTokens(), 0)
+	return exclusive + int(outputRatio*float64(request.MaxTokens))
 }
 
-// seconds turns a float of seconds into a duration.
+// seconds converts seconds to a Duration.
 func seconds(value float64) time.Duration {
 	return time.Duration(value * float64(time.Second))
 }
--- a/internal/keeper/event.go
+++ b/internal/keeper/event.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// CallKey names one attempt of one call across all shards.
+// CallKey identifies one attempt of a call across all shards.
 type CallKey struct {
 	Program   string
 	RequestID string
@@ -17,80 +17,83 @@
 	Shard  uint32
 	Tenant string
 	Tier   string
-	// Kind is the program kind; pauses are predicted by tenant and kind.
+	// Kind is the program kind. Pauses are predicted by tenant and kind.
 	Kind string
 	// Parent is the program that spawned this one as a sub-agent; empty for a
-	// root. Its cached prefix is taken to be shared in part.
+	// root program. Part of its cached prefix is assumed to be shared.
 	Parent string
-	// Repeatable is true when the call may run again; only such calls are
-	// preempted.
+	// Repeatable is true when the call may be run again. Only repeatable calls
+	// are preempted.
 	Repeatable bool
-	// Weight is the tier's share under contention.
+	// Weight is the tier weight.
 	Weight  uint32
 	Model   string
 	Adapter string
 	Zone    string
-	// PromptTokens is the estimated whole prompt; MaxTokens bounds the output.
+	// PromptTokens is the estimated length of the whole prompt; MaxTokens
+	// bounds the output.
 	PromptTokens int
 	MaxTokens    int
-	// AttainedService is what the program (with its sub-agents) has used so
-	// far, in service tokens: uncached prompt tokens times a small factor plus
+	// AttainedService is what the program and its sub-agents have used so far,
+	// in service tokens: uncached prompt tokens times a small factor plus
 	// generated tokens.
 	AttainedService float64
-	// ProgramAge is how long ago the program began, as of the request.
+	// ProgramAge is the age of the program at the time of the request.
 	ProgramAge time.Duration
-	// WaitBound is the longest predicted wait the tier accepts.
+	// WaitBound is the longest predicted wait that the tier accepts; 0 means no
+	// bound.
 	WaitBound time.Duration
-	// Deadline is on the keeper's clock; 0 is none.
+	// Deadline is on the keeper's clock; 0 means none.
 	Deadline time.Duration
-	// RemainingService is known to the oracle baseline only; 0 otherwise.
+	// RemainingService is set only for the oracle baseline, and 0 otherwise.
 	RemainingService float64
 }
 
-// Event is one input to a keeper's step.
+// Event is one input to Step.
 type Event interface{ event() }
 
-// CallQueued offers a call for a slot. The same call offered again changes
-// nothing while it waits, and repeats its Grant while it runs.
+// CallQueued offers a call for a slot. Offering the same call again has no
+// effect while it waits, and repeats its Grant while it runs.
 type CallQueued struct{ Request Request }
 
-// CallCancelled withdraws a call that waits, or tells that a granted one is
-// being cancelled by its leader.
+// CallCancelled withdraws a waiting call, or announces that the leader is
+// cancelling a granted one.
 type CallCancelled struct{ Call CallKey }
 
-// CallFinished returns a grant with what the engine reported.
+// CallFinished ends a grant with the measurements of the engine.
 type CallFinished struct {
 	Call         CallKey
 	PromptTokens int
 	CachedTokens int
 	OutputTokens int
-	// Failed is true when the engine failed the call.
+	// Failed is true when the call failed on the engine.
 	Failed bool
 }
 
-// FirstToken tells that a granted call has finished its prompt phase.
+// FirstToken reports that a granted call has finished prefill.
 type FirstToken struct{ Call CallKey }
 
-// ProgramPaused tells that a program waits for its caller's tool.
+// ProgramPaused reports that a program waits for a tool result.
 type ProgramPaused struct {
 	Program string
-	// ExpectedPause is a prediction; 0 when unknown.
+	// ExpectedPause is the predicted duration; 0 if unknown.
 	ExpectedPause time.Duration
 }
 
-// ProgramEnded tells that a program is gone: its cache is to be released.
+// ProgramEnded reports that a program has ended. Its cache is released.
 type ProgramEnded struct{ Program string }
 
-// EngineReported brings an engine's lagging load report.
+// EngineReported is a load report of an engine. It lags behind the engine's
+// state.
 type EngineReported struct {
 	Engine  string
 	Model   string
 	Version string
 	Zone    string
-	// Role is what the engine does: RoleMixed, "prefill" or "decode"; empty where
-	// it does not tell.
+	// Role is the engine's role: RoleMixed, "prefill" or "decode"; empty if not
+	// reported.
 	Role string
-	// Loading is true while the engine carries an order to load out.
+	// Loading is true while the engine is loading an adapter.
 	Loading      bool
 	Adapters     []string
 	Leaving      bool
@@ -101,65 +104,68 @@
 	BlocksUsed   int
 	BlockTokens  int
 	StepDuration time.Duration
-	// ProgramBlocks has the blocks held for each program. It is taken as whole
-	// when it has entries or BlocksUsed is 0.
+	// ProgramBlocks is the number of blocks held per program. It is complete if
+	// it has entries or BlocksUsed is 0; otherwise it is ignored.
 	ProgramBlocks map[string]int
 }
 
-// EngineCacheChanged brings one late cache event.
+// EngineCacheChanged reports a change of a program's cache on an engine. It may
+// be delayed.
 type EngineCacheChanged struct {
 	Engine  string
 	Program string
-	// Tokens now cached for the program on the engine.
+	// Tokens is the number of tokens now cached.
 	Tokens int
 }
 
-// EngineLost removes an engine; its grants are returned as failed by leaders.
+// EngineLost removes an engine and ends its grants. The leaders detect the
+// failed calls themselves.
 type EngineLost struct{ Engine string }
 
-// EngineDraining stops new grants on an engine, known or not yet known, until
-// EngineResumed.
+// EngineDraining stops new grants on an engine, which need not be known yet,
+// until EngineResumed.
 type EngineDraining struct{ Engine string }
 
-// EngineResumed ends an EngineDraining.
+// EngineResumed ends the effect of EngineDraining.
 type EngineResumed struct{ Engine string }
 
-// LoadFailed tells that an engine has refused an order to load an adapter.
+// LoadFailed reports that an engine has rejected an adapter load.
 type LoadFailed struct {
 	Engine  string
 	Adapter string
 }
 
-// LeaderLost drops the waiting calls and ends the grants of a leader.
+// LeaderLost drops the waiting calls and ends the grants of a shard's leader.
 type LeaderLost struct {
 	Leader string
 	Shard  uint32
 }
 
-// ProgramsLive is a leader's whole list of live programs of one shard whose
-// model this pool serves. Cache of programs that a shard's list leaves out is
-// released. Leaders send it to a new keeper and then at intervals.
+// ProgramsLive is a leader's complete list of the live programs of one shard
+// that use the pool's model. The cache of programs that are not listed is
+// released. Leaders send it to a new keeper and then periodically.
 type ProgramsLive struct {
 	Leader   string
 	Shard    uint32
 	Programs []string
 }
 
-// HeldGrant is one grant that a leader holds.
+// HeldGrant is a grant held by a leader.
 type HeldGrant struct {
 	Request Request
 	Engine  string
 }
 
-// GrantsHeld is a leader's whole list of the grants it holds in this pool. A
-// new keeper takes over grants it does not know; a grant that is left out and
-// is older than Config.GrantConfirm has ended, its message was lost.
+// GrantsHeld is a leader's complete list of its grants in this pool. The keeper
+// restores grants it does not know, and ends grants that are not listed and
+// older than Config.GrantConfirmTimeout.
 type GrantsHeld struct {
 	Leader string
 	Grants []HeldGrant
 }
 
-// Tick lets time pass: waiting bounds, deadlines, ageing, sweeps.
+// Tick advances time without another event, for deadlines, timeouts and
+// cleanup.
 type Tick struct{}
 
 func (CallQueued) event()         {}
--- a/internal/keeper/export_test.go
+++ b/internal/keeper/export_test.go
@@ -2,9 +2,9 @@
 
 import "fmt"
 
-// CheckBooks adds up from scratch what the keeper counts as it goes, and tells
-// the first difference.
-func (keeper *Keeper) CheckBooks() error {
+// CheckInvariants recomputes the keeper's incremental counters and returns the
+// first mismatch as an error.
+func (keeper *Keeper) CheckInvariants() error {
 	calls := map[*programState]int{}
 	for _, call := range keeper.waiting {
 		calls[call.program]++
@@ -14,33 +14,33 @@
 	}
 	for name, program := range keeper.programs.byName {
 		if program.calls != calls[program] {
-			return fmt.Errorf("program %s counts %d calls, has %d", name, program.calls, calls[program])
+			return fmt.Errorf("program %s: calls counter is %d, want %d", name, program.calls, calls[program])
 		}
 	}
 	for _, engine := range keeper.engines {
-		if err := engine.checkBooks(); err != nil {
+		if err := engine.checkInvariants(); err != nil {
 			return err
 		}
 	}
 	return keeper.checkTiers()
 }
 
-func (engine *engineState) checkBooks() error {
+func (engine *engineState) checkInvariants() error {
 	used, idle, pins := 0, 0, 0
 	for _, call := range engine.running {
-		used += call.need
+		used += call.kvTokens
 	}
-	for held := engine.prefixes.oldest; held != nil; held = held.newer {
-		pins += held.pins
-		if held.pins == 0 {
-			idle += held.memory
+	for p := engine.prefixes.oldest; p != nil; p = p.newer {
+		pins += p.pins
+		if p.pins == 0 {
+			idle += p.memory
 		}
-		if held.program.prefixOn(engine) != held {
-			return fmt.Errorf("engine %s lists a prefix that program %s does not", engine.name, held.program.name)
+		if p.program.prefixOn(engine) != p {
+			return fmt.Errorf("engine %s: prefix of program %s is missing from the program", engine.name, p.program.name)
 		}
 	}
 	if used != engine.usedTokens || idle != engine.prefixes.idleTokens || pins != len(engine.running) {
-		return fmt.Errorf("engine %s counts %d used, %d idle; has %d and %d, %d pins for %d calls",
+		return fmt.Errorf("engine %s: counters are %d used and %d idle tokens, want %d and %d; %d pins for %d running calls",
 			engine.name, engine.usedTokens, engine.prefixes.idleTokens, used, idle, pins, len(engine.running))
 	}
 	return nil
@@ -53,7 +53,7 @@
 		running += tier.running
 	}
 	if waiting != len(keeper.waiting) || running != len(keeper.running) {
-		return fmt.Errorf("tiers count %d waiting and %d running calls, there are %d and %d",
+		return fmt.Errorf("tier counters are %d waiting and %d running calls, want %d and %d",
 			waiting, running, len(keeper.waiting), len(keeper.running))
 	}
 	return nil
--- a/internal/keeper/failure_test.go
+++ b/internal/keeper/failure_test.go
@@ -8,20 +8,20 @@
 )
 
 var _ = Describe("an engine that failed a call", func() {
-	It("gets no grant before it has reported again", func() {
-		b := newBench(keeper.Config{}, "", "", "")
-		b.step(report("e1", 4))
-		b.step(keeper.CallQueued{Request: request("a", 1, 1)})
+	It("gets no grant before its next report", func() {
+		h := newHarness(keeper.Config{}, "", "", "")
+		h.step(report("e1", 4))
+		h.step(keeper.CallQueued{Request: request("a", 1, 1)})
 		failed := finished("a", 1)
 		failed.Failed = true
-		b.step(failed)
-		again := request("a", 1, 1)
-		again.Call.Attempt = 2
-		Expect(b.step(keeper.CallQueued{Request: again})).To(BeEmpty())
-		Expect(granted(b.step(report("e2", 4)))).To(Equal([]string{"a"}))
-		b.step(keeper.CallQueued{Request: request("b", 1, 1)})
-		b.step(keeper.EngineLost{Engine: "e2"})
-		b.step(keeper.CallQueued{Request: request("c", 1, 1)})
-		Expect(granted(b.step(report("e1", 4)))).To(Equal([]string{"c"}))
+		h.step(failed)
+		retry := request("a", 1, 1)
+		retry.Call.Attempt = 2
+		Expect(h.step(keeper.CallQueued{Request: retry})).To(BeEmpty())
+		Expect(granted(h.step(report("e2", 4)))).To(Equal([]string{"a"}))
+		h.step(keeper.CallQueued{Request: request("b", 1, 1)})
+		h.step(keeper.EngineLost{Engine: "e2"})
+		h.step(keeper.CallQueued{Request: request("c", 1, 1)})
+		Expect(granted(h.step(report("e1", 4)))).To(Equal([]string{"c"}))
 	})
 })
--- a/internal/keeper/keeper.go
+++ b/internal/keeper/keeper.go
@@ -1,9 +1,9 @@
-// Package keeper grants slots on a pool of engines. A pool holds the engines
-// of one model that are near one another; one scheduler process at a time keeps
-// it, under a fenced lease. The keeper is a pure state: Step takes the time and
-// one event and returns effects. It has no clock, socket, lock or random source
-// of its own, so the same code runs in the scheduler process and, on a virtual
-// clock, in the experiment tool.
+// Package keeper grants slots on a pool of engines. A pool is a group of nearby
+// engines that serve one model; one scheduler process at a time runs its
+// keeper, under a fenced lease. A Keeper is a deterministic state machine: Step
+// takes the time and one event and returns effects. It has no clock, I/O, locks
+// or randomness, so the same code runs in the scheduler and in simulations on a
+// virtual clock.
 package keeper
 
 import (
@@ -13,12 +13,11 @@
 	"github.com/magpielug/magpielug/internal/queue"
 )
 
-// Keeper is the control state of one pool. It is not safe for concurrent use:
-// one goroutine owns it.
+// Keeper is the control state of one pool. It is not safe for concurrent use.
 //
 // Invariants: a call is in waiting or in running, never in both; an engine's
-// calls are exactly the running calls granted on it; no decision depends on the
-// iteration order of a map, so equal events give equal effects.
+// running list holds exactly the calls granted on it; no decision depends on map
+// iteration order, so equal events give equal effects.
 type Keeper struct {
 	config   Config
 	policies Policies
@@ -28,18 +27,19 @@
 
 	waiting map[CallKey]*waitingCall
 	running map[CallKey]*runningCall
-	// pool holds waiting calls not bound to an engine; with a placement that
-	// binds on arrival the rest stand in their engine's queue. Those whose adapter
-	// no ready engine has stand in the adapter's.
+	// pool holds the waiting calls that are not bound to an engine. Bound calls
+	// are in their engine's queue, and calls whose adapter no ready engine has
+	// are in the adapter's queue.
 	pool *queue.Queue[*waitingCall]
 
 	// engines and adapters are sorted by name.
 	engines  []*engineState
 	adapters []*adapterState
 	drained  map[string]bool
-	// lastReady is when an engine was last seen ready, at first the first step.
-	lastReady time.Duration
-	started   bool
+	// lastReadyAt is when an engine was last seen ready, initially the time of
+	// the first step.
+	lastReadyAt time.Duration
+	started     bool
 
 	programs  programTable
 	kinds     kindTable
@@ -54,13 +54,12 @@
 	// Buffers reused between steps.
 	candidates []placement.Candidate
 	slots      []slotState
-	// slotTotal is the number of slots of the ready engines, as of the last
-	// dispatch.
+	// slotTotal is the number of slots on ready engines at the last dispatch.
 	slotTotal int
-	aside     []*queue.Item[*waitingCall]
+	deferred  []*queue.Item[*waitingCall]
 }
 
-// New makes a keeper that knows no engines and no calls.
+// New returns a keeper without engines or calls.
 func New(config Config, policies Policies) *Keeper {
 	config = config.withDefaults()
 	return &Keeper{
@@ -73,37 +72,38 @@
 		programs:  newProgramTable(config.MaxPrograms),
 		kinds:     newKindTable(),
 		tiers:     newTierTable(),
-		decisions: newDecisionRing(config.DecisionMemory),
+		decisions: newDecisionRing(config.DecisionHistory),
 	}
 }
 
-// Step advances the keeper to now, which must not go back, by one event. The
-// returned slice is reused: it is valid until the next Step.
+// Step applies one event at time now and returns the effects. Time never goes
+// backwards: an earlier now is treated as the time of the last step. The
+// returned slice is reused by the next Step.
 func (keeper *Keeper) Step(now time.Duration, event Event) []Effect {
 	if !keeper.started {
 		keeper.started = true
-		keeper.lastReady = now
+		keeper.lastReadyAt = now
 		keeper.now = now
 	}
-	if gap := now - keeper.now; gap > frozenAfter {
-		keeper.passOverFreeze(gap)
+	if gap := now - keeper.now; gap > freezeThreshold {
+		keeper.excludeFreeze(gap)
 	}
 	keeper.now = max(keeper.now, now)
 	clear(keeper.effects)
 	keeper.effects = keeper.effects[:0]
-	keeper.followSilence()
+	keeper.detectSilentEngines()
 	keeper.handle(event)
 	keeper.runTimers()
-	keeper.refuseWithoutEngine()
-	keeper.unparkServed()
+	keeper.refuseIfNoEngine()
+	keeper.unparkAvailable()
 	keeper.dispatch()
 	keeper.expireLoads()
-	keeper.orderLoads()
+	keeper.requestLoads()
 	keeper.preempt()
 	return keeper.effects
 }
 
-// handle applies one event to the state.
+// handle applies one event.
 func (keeper *Keeper) handle(event Event) {
 	switch event := event.(type) {
 	case CallQueued:
@@ -113,7 +113,7 @@
 	case CallFinished:
 		keeper.finishCall(event)
 	case FirstToken:
-		keeper.noteFirstToken(event.Call)
+		keeper.recordFirstToken(event.Call)
 	case ProgramPaused:
 		keeper.pauseProgram(event)
 	case ProgramEnded:
@@ -123,27 +123,27 @@
 	case EngineCacheChanged:
 		keeper.applyCacheEvent(event)
 	case EngineLost:
-		keeper.loseEngine(event.Engine)
+		keeper.removeEngine(event.Engine)
 	case EngineDraining:
 		keeper.drainEngine(event.Engine)
 	case EngineResumed:
 		keeper.resumeEngine(event.Engine)
 	case LoadFailed:
-		keeper.loadFailed(event)
+		keeper.handleLoadFailed(event)
 	case LeaderLost:
-		keeper.loseLeader(event.Leader, event.Shard)
+		keeper.removeLeader(event.Leader, event.Shard)
 	case ProgramsLive:
 		keeper.applyLivePrograms(event)
 	case GrantsHeld:
 		keeper.applyHeldGrants(event)
 	case Tick:
-		keeper.noteIdleBands()
-		keeper.programs.forgetEnded(keeper.now - keeper.config.EndedMemory)
-		keeper.forgetAdapters()
+		keeper.recordIdleBands()
+		keeper.programs.removeEnded(keeper.now - keeper.config.EndedRetention)
+		keeper.removeIdleAdapters()
 	}
 }
 
-// emit adds an effect to the step's result.
+// emit adds an effect to the result of the step.
 func (keeper *Keeper) emit(effect Effect) {
 	keeper.effects = append(keeper.effects, effect)
 }
--- a/internal/keeper/keeper_benchmark_test.go
+++ b/internal/keeper/keeper_benchmark_test.go
@@ -18,7 +18,7 @@
 
 var benchmarkWeights = []uint32{8, 3, 1}
 
-// loadedPool is a pool with all slots taken and calls waiting.
+// loadedPool is a keeper whose slots are all taken, with calls waiting.
 type loadedPool struct {
 	keeper  *keeper.Keeper
 	now     time.Duration
@@ -27,8 +27,8 @@
 	names   []string
 }
 
-func newLoadedPool(b *testing.B, order, placed string) *loadedPool {
-	policies, err := keeper.PoliciesByName(order, placed, "", 0)
+func newLoadedPool(b *testing.B, order, placement string) *loadedPool {
+	policies, err := keeper.PoliciesByName(order, placement, "", 0)
 	if err != nil {
 		b.Fatal(err)
 	}
@@ -57,7 +57,7 @@
 	}
 }
 
-// offer queues the next call of the programs in turn.
+// offer queues the next call, cycling through the programs.
 func (pool *loadedPool) offer() {
 	weight := benchmarkWeights[pool.next%len(benchmarkWeights)]
 	program := pool.names[pool.next%len(pool.names)]
@@ -78,13 +78,13 @@
 	pool.step(keeper.CallFinished{Call: done, PromptTokens: 2000, CachedTokens: 1000, OutputTokens: 200})
 }
 
-// BenchmarkDecision measures one decision: a call finishes, the slot is granted
-// to one of 1,000 waiting calls, and another call is offered and queued.
+// BenchmarkDecision measures one scheduling decision: a call finishes, its slot
+// is granted to one of 1,000 waiting calls, and another call is queued.
 func BenchmarkDecision(b *testing.B) {
 	for _, order := range []string{"least-attained", "fcfs"} {
-		for _, placed := range []string{"affinity-balanced", "round-robin"} {
-			b.Run(order+"/"+placed, func(b *testing.B) {
-				pool := newLoadedPool(b, order, placed)
+		for _, placement := range []string{"affinity-balanced", "round-robin"} {
+			b.Run(order+"/"+placement, func(b *testing.B) {
+				pool := newLoadedPool(b, order, placement)
 				b.ReportAllocs()
 				b.ResetTimer()
 				for range b.N {
@@ -97,7 +97,7 @@
 	}
 }
 
-// heapBytes is the live heap after a collection.
+// heapBytes returns the size of the live heap after a garbage collection.
 func heapBytes() float64 {
 	runtime.GC()
 	var statistics runtime.MemStats
@@ -105,8 +105,8 @@
 	return float64(statistics.HeapAlloc)
 }
 
-// BenchmarkMemory measures the heap of one waiting call, each of a program of
-// its own, and of one tracked program with a cached prefix and no call.
+// BenchmarkMemory measures the heap size per waiting call, each of a different
+// program, and per tracked program with a cached prefix and no call.
 func BenchmarkMemory(b *testing.B) {
 	b.Run("waiting-call", func(b *testing.B) {
 		policies, _ := keeper.PoliciesByName("", "", "", 0)
--- a/internal/keeper/kind.go
+++ b/internal/keeper/kind.go
@@ -1,66 +1,68 @@
 package keeper
 
 const (
-	// maxKinds bounds the kinds with statistics of their own; later ones share
+	// maxKinds limits the kinds with separate statistics; further kinds share
 	// one record.
 	maxKinds = 1024
-	// firstPauseSeconds and firstReuse are taken before anything was measured.
-	firstPauseSeconds = 2.0
-	firstReuse        = 0.9
+	// initialPauseSeconds and initialReuse are used before the first sample.
+	initialPauseSeconds = 2.0
+	initialReuse        = 0.9
 )
 
-// kindKey names a program kind of one tenant.
+// kindKey identifies a program kind of one tenant.
 type kindKey struct{ tenant, kind string }
 
-// kindRecord is what past programs of one kind have shown.
-type kindRecord struct {
-	// pauseSeconds is the mean length of pauses that ended in another call.
-	pauseSeconds ratio
-	// reuse is the part of pauses that ended in another call.
-	reuse ratio
-	// shared is the cached part that programs without a prefix of their own
-	// found: the beginning of the prompt that the kind shares, tokens.
-	shared ratio
+// kindStats holds the statistics of a program kind.
+type kindStats struct {
+	// pauseSeconds is the mean length of pauses that were followed by another
+	// call.
+	pauseSeconds decayedRatio
+	// reuseProbability is the fraction of pauses that were followed by another
+	// call.
+	reuseProbability decayedRatio
+	// sharedPrefix is the mean number of cached tokens found by the first call
+	// of a program on an engine without its prefix: the beginning of the prompt
+	// that programs of the kind share.
+	sharedPrefix decayedRatio
 }
 
-// sharedTokens is how much of a prompt all programs of the kind share.
-func (record *kindRecord) sharedTokens() int {
-	return int(record.shared.value(0))
+// sharedTokens estimates how many prompt tokens all programs of the kind share.
+func (stats *kindStats) sharedTokens() int {
+	return int(stats.sharedPrefix.value(0))
 }
 
-// kindTable holds the records by kind.
+// kindTable holds the statistics by kind.
 type kindTable struct {
-	byKind map[kindKey]*kindRecord
-	others kindRecord
+	byKind   map[kindKey]*kindStats
+	overflow kindStats
 }
 
 func newKindTable() kindTable {
-	return kindTable{byKind: make(map[kindKey]*kindRecord)}
+	return kindTable{byKind: make(map[kindKey]*kindStats)}
 }
 
-// of returns the record of a kind.
-func (table *kindTable) of(tenant, kind string) *kindRecord {
+// ensure returns the statistics of a kind, adding them if needed.
+func (table *kindTable) ensure(tenant, kind string) *kindStats {
 	key := kindKey{tenant, kind}
-	record := table.byKind[key]
-	if record != nil {
-		return record
+	stats := table.byKind[key]
+	if stats != nil {
+		return stats
 	}
 	if len(table.byKind) >= maxKinds {
-		return &table.others
+		return &table.overflow
 	}
-	record = &kindRecord{}
-	table.byKind[key] = record
-	return record
+	stats = &kindStats{}
+	table.byKind[key] = stats
+	return stats
 }
 
-// unknownKind serves programs that no call has told the kind of. It is never
-// written to.
-var unknownKind kindRecord
+// emptyKindStats serves programs whose kind is unknown. It is read-only.
+var emptyKindStats kindStats
 
-// kindRecord returns the statistics of the program's kind.
-func (program *programState) kindRecord() *kindRecord {
+// kindStats returns the statistics of the program's kind.
+func (program *programState) kindStats() *kindStats {
 	if program.kind == nil {
-		return &unknownKind
+		return &emptyKindStats
 	}
 	return program.kind
 }
--- a/internal/keeper/leader.go
+++ b/internal/keeper/leader.go
@@ -1,16 +1,16 @@
 package keeper
 
-// loseLeader drops the waiting calls and ends the grants of one shard's leader.
-// Nobody is left to tell, so there is no effect; a new leader offers its calls
-// again.
-func (keeper *Keeper) loseLeader(leader string, shard uint32) {
+// removeLeader drops the waiting calls and ends the grants of one shard's
+// leader. It emits no effects, because the leader is gone; a new leader offers
+// its calls again.
+func (keeper *Keeper) removeLeader(leader string, shard uint32) {
 	for _, call := range keeper.waiting {
 		if call.request.Leader == leader && call.request.Shard == shard {
 			keeper.dropCall(call)
 		}
 	}
 	for _, engine := range keeper.engines {
-		// Ending a grant moves the last one into its place.
+		// Iterate backwards: endGrant moves the last call into the freed index.
 		for index := len(engine.running) - 1; index >= 0; index-- {
 			call := engine.running[index]
 			if call.request.Leader == leader && call.request.Shard == shard {
@@ -20,19 +20,19 @@
 	}
 }
 
-// applyHeldGrants takes over grants that the keeper does not know, and ends
-// those that their leader no longer holds.
+// applyHeldGrants restores unknown grants and ends those that the leader no
+// longer holds.
 func (keeper *Keeper) applyHeldGrants(event GrantsHeld) {
 	held := make(map[CallKey]struct{}, len(event.Grants))
 	for _, grant := range event.Grants {
 		held[grant.Request.Call] = struct{}{}
-		keeper.takeOver(grant)
+		keeper.restoreGrant(grant)
 	}
 	for _, engine := range keeper.engines {
 		for index := len(engine.running) - 1; index >= 0; index-- {
 			call := engine.running[index]
 			_, confirmed := held[call.request.Call]
-			overdue := keeper.now-call.grantedAt > keeper.config.GrantConfirm
+			overdue := keeper.now-call.grantedAt > keeper.config.GrantConfirmTimeout
 			if call.request.Leader == event.Leader && !confirmed && overdue {
 				keeper.endGrant(call)
 			}
@@ -40,22 +40,22 @@
 	}
 }
 
-// EachGrant shows every grant that the keeper counts as held by a leader, in no
+// EachGrant calls visit for every grant attributed to leader, in unspecified
 // order.
-func (keeper *Keeper) EachGrant(leader string, show func(call CallKey, engine string)) {
+func (keeper *Keeper) EachGrant(leader string, visit func(call CallKey, engine string)) {
 	for _, engine := range keeper.engines {
 		for _, call := range engine.running {
 			if call.request.Leader == leader {
-				show(call.request.Call, engine.name)
+				visit(call.request.Call, engine.name)
 			}
 		}
 	}
 }
 
-// takeOver enters a grant made by an earlier keeper, or by this one before it
-// forgot, into the books. It counts against the engine's limit even when that
-// leaves the engine over it.
-func (keeper *Keeper) takeOver(grant HeldGrant) {
+// restoreGrant adds a grant that this keeper does not know, made by an earlier
+// keeper or ended here too early. It counts against the engine's limit even if
+// that exceeds the limit.
+func (keeper *Keeper) restoreGrant(grant HeldGrant) {
 	request := grant.Request
 	if known := keeper.running[request.Call]; known != nil {
 		// The program's shard may have a new leader.
@@ -66,14 +66,14 @@
 	if waiting := keeper.waiting[request.Call]; waiting != nil {
 		keeper.dropCall(waiting)
 	}
-	rank := keeper.policies.Order.Rank(keeper.describe(&request))
-	program := keeper.seeProgram(&request)
+	rank := keeper.policies.Order.Rank(keeper.orderCall(&request))
+	program := keeper.registerCall(&request)
 	call := &runningCall{
-		request: request,
-		program: program,
-		tier:    keeper.tiers.of(&request, rank.Band),
-		need:    keeper.needTokens(&request, program),
+		request:  request,
+		program:  program,
+		tier:     keeper.tiers.ensure(&request, rank.Band),
+		kvTokens: keeper.predictKVTokens(&request, program),
 	}
 	keeper.startCall(call, keeper.ensureEngine(grant.Engine))
-	keeper.decide(request.Call, "take over", "granted by an earlier keeper")
+	keeper.recordDecision(request.Call, "take over", "granted by an earlier keeper")
 }
--- a/internal/keeper/load.go
+++ b/internal/keeper/load.go
@@ -2,18 +2,19 @@
 
 import "time"
 
-// TierLoad is one tier's part of a Load.
+// TierLoad is the load of one tier.
 type TierLoad struct {
 	Tenant  string
 	Tier    string
 	Weight  uint32
 	Waiting int
 	Running int
-	// PredictedWait is what a call of the tier that arrives now can expect.
+	// PredictedWait is the predicted wait of a call of the tier that arrives
+	// now.
 	PredictedWait time.Duration
 }
 
-// EngineLoad is one engine's part of a Load.
+// EngineLoad is the load of one engine.
 type EngineLoad struct {
 	Engine string
 	Zone   string
@@ -22,27 +23,28 @@
 	Running int
 	Waiting int
 	Limit   int
-	// UsedTokens is KV memory of running calls, IdleTokens of kept prefixes, and
-	// MemoryTokens all there is. The first two are estimates.
+	// UsedTokens is the estimated KV memory of running calls, IdleTokens that
+	// of idle prefixes, and MemoryTokens the total capacity.
 	UsedTokens   int
 	IdleTokens   int
 	MemoryTokens int
 }
 
-// Load sums up a pool for leaders, gateways and operators.
+// Load is a summary of a pool for leaders, gateways and operators.
 type Load struct {
 	Waiting     int
 	Running     int
 	Slots       int
 	LongestWait time.Duration
 	Programs    int
-	// Tiers with calls are sorted by falling weight, then by name; engines by
-	// name.
+	// Tiers lists the tiers with calls by descending weight, then name. Engines
+	// is sorted by name.
 	Tiers   []TierLoad
 	Engines []EngineLoad
 }
 
-// Snapshot returns the pool's load as of the last step. It changes nothing.
+// Snapshot returns the load as of the last step. It does not change the
+// keeper's decisions.
 func (keeper *Keeper) Snapshot() Load {
 	load := Load{
 		Waiting:     len(keeper.waiting),
@@ -83,7 +85,7 @@
 	}
 }
 
-// longestWait is how long the call that has waited longest has done so.
+// longestWait is the longest time that a waiting call has waited so far.
 func (keeper *Keeper) longestWait() time.Duration {
 	longest := time.Duration(0)
 	for _, call := range keeper.waiting {
--- a/internal/keeper/orphan.go
+++ b/internal/keeper/orphan.go
@@ -1,9 +1,9 @@
 package keeper
 
-// adoptGrants has the leader that lists a shard's programs answer for all of the
-// shard's grants. The process that was granted them may be gone, and would never
-// tell that they have ended; the next list of grants held by the new leader does.
-func (keeper *Keeper) adoptGrants(event ProgramsLive) {
+// reassignGrants attributes all grants of a shard to the leader that listed the
+// shard's programs. The leader that received a grant may be gone and never
+// report its end; the new leader's GrantsHeld then ends it.
+func (keeper *Keeper) reassignGrants(event ProgramsLive) {
 	for _, engine := range keeper.engines {
 		for _, call := range engine.running {
 			if call.request.Shard == event.Shard {
--- a/internal/keeper/orphan_test.go
+++ b/internal/keeper/orphan_test.go
@@ -10,30 +10,30 @@
 )
 
 var _ = Describe("a grant whose leader is gone", func() {
-	var b *bench
+	var h *harness
 	BeforeEach(func() {
-		b = newBench(keeper.Config{}, "", "", "")
-		b.step(report("e1", 1))
-		Expect(granted(b.step(keeper.CallQueued{Request: request("a", 1, 1)}))).To(Equal([]string{"a"}))
-		b.now += 20 * time.Second
-		b.step(report("e1", 1))
+		h = newHarness(keeper.Config{}, "", "", "")
+		h.step(report("e1", 1))
+		Expect(granted(h.step(keeper.CallQueued{Request: request("a", 1, 1)}))).To(Equal([]string{"a"}))
+		h.now += 20 * time.Second
+		h.step(report("e1", 1))
 		waiting := request("b", 1, 1)
 		waiting.Leader, waiting.Shard = "s3", 2
-		Expect(b.step(keeper.CallQueued{Request: waiting})).To(BeEmpty())
+		Expect(h.step(keeper.CallQueued{Request: waiting})).To(BeEmpty())
 	})
 
-	It("ends when the shard's next leader does not hold it", func() {
-		Expect(b.step(keeper.ProgramsLive{Leader: "s2", Shard: 1, Programs: []string{"a"}})).To(BeEmpty())
-		Expect(granted(b.step(keeper.GrantsHeld{Leader: "s2"}))).To(Equal([]string{"b"}))
+	It("ends when the shard's new leader does not hold it", func() {
+		Expect(h.step(keeper.ProgramsLive{Leader: "s2", Shard: 1, Programs: []string{"a"}})).To(BeEmpty())
+		Expect(granted(h.step(keeper.GrantsHeld{Leader: "s2"}))).To(Equal([]string{"b"}))
 	})
 
-	It("holds no cache after its program's end", func() {
-		b.step(keeper.ProgramEnded{Program: "a"})
-		b.step(keeper.ProgramsLive{Leader: "s2", Shard: 1})
-		b.step(keeper.GrantsHeld{Leader: "s2"})
-		b.now += 3 * time.Second
+	It("does not keep cache after its program has ended", func() {
+		h.step(keeper.ProgramEnded{Program: "a"})
+		h.step(keeper.ProgramsLive{Leader: "s2", Shard: 1})
+		h.step(keeper.GrantsHeld{Leader: "s2"})
+		h.now += 3 * time.Second
 		holding := report("e1", 1)
 		holding.ProgramBlocks = map[string]int{"a": 4}
-		Expect(released(b.step(holding))).To(Equal([]string{"a@e1"}))
+		Expect(released(h.step(holding))).To(Equal([]string{"a@e1"}))
 	})
 })
--- a/internal/keeper/overload_test.go
+++ b/internal/keeper/overload_test.go
@@ -12,213 +12,209 @@
 )
 
 var _ = Describe("overload", func() {
-	It("predicts a backlog's wait from the grants it gets when memory and not slots bound the pool", func() {
-		b := newBench(keeper.Config{}, "", "", "")
+	It("predicts the wait of a backlog from its grant rate when memory is the bottleneck", func() {
+		h := newHarness(keeper.Config{}, "", "", "")
 		small := report("e1", 100)
 		small.BlocksTotal = 16
-		b.step(small)
+		h.step(small)
 		for number := range 80 {
-			b.step(keeper.CallQueued{Request: request(strconv.Itoa(number), 1, 1)})
+			h.step(keeper.CallQueued{Request: request(strconv.Itoa(number), 1, 1)})
 		}
 		running := "0"
 		for range 15 {
-			b.after(time.Second)
-			b.step(small)
-			next := granted(b.step(finished(running, 1)))
+			h.after(time.Second)
+			h.step(small)
+			next := granted(h.step(finished(running, 1)))
 			Expect(next).To(HaveLen(1))
 			running = next[0]
 		}
 		late := request("late", 1, 1)
 		late.WaitBound = 20 * time.Second
-		refused := refusals(b.step(keeper.CallQueued{Request: late}))
+		refused := refusals(h.step(keeper.CallQueued{Request: late}))
 		Expect(refused).To(HaveLen(1))
 		Expect(refused[0].RetryAfter).To(BeNumerically(">", 30*time.Second))
 	})
 
-	// A call was refused as overloaded, with a minute to come back, while all engines were
-	// idle. Its keeper had just begun, or its engines had failed a call each: none was ready
-	// yet, so the pool counted no slot and the predicted wait was 1,000 s. The refusal's line
-	// said engines=0 ready=0 slots=0 predicted_wait=16m40s. Calls may wait for an engine as
-	// long as NoEngineGrace; within it there is nothing to predict a wait from.
-	It("lets calls wait while a new keeper has no report yet", func() {
-		b := newBench(keeper.Config{}, "", "", "")
+	// Guards against refusing calls as overloaded within NoEngineGrace because no
+	// engine is ready yet and the pool counts no slots.
+	It("queues calls while a new keeper has no report yet", func() {
+		h := newHarness(keeper.Config{}, "", "", "")
 		bounded := request("a", 1, 1)
 		bounded.WaitBound = 30 * time.Second
-		Expect(b.step(keeper.CallQueued{Request: bounded})).To(BeEmpty())
-		Expect(granted(b.step(report("e1", 1)))).To(Equal([]string{"a"}))
+		Expect(h.step(keeper.CallQueued{Request: bounded})).To(BeEmpty())
+		Expect(granted(h.step(report("e1", 1)))).To(Equal([]string{"a"}))
 	})
 
-	It("lets calls wait while the engines that failed a call have not reported again", func() {
-		b := newBench(keeper.Config{}, "", "", "")
-		b.step(report("e1", 8))
-		b.step(keeper.CallQueued{Request: request("a", 1, 1)})
+	It("queues calls while no engine has reported since it failed a call", func() {
+		h := newHarness(keeper.Config{}, "", "", "")
+		h.step(report("e1", 8))
+		h.step(keeper.CallQueued{Request: request("a", 1, 1)})
 		failed := finished("a", 1)
 		failed.Failed = true
-		b.step(failed)
+		h.step(failed)
 		bounded := request("b", 1, 1)
 		bounded.WaitBound = 30 * time.Second
-		Expect(b.step(keeper.CallQueued{Request: bounded})).To(BeEmpty())
-		Expect(granted(b.step(report("e1", 8)))).To(Equal([]string{"b"}))
+		Expect(h.step(keeper.CallQueued{Request: bounded})).To(BeEmpty())
+		Expect(granted(h.step(report("e1", 8)))).To(Equal([]string{"b"}))
 	})
 
-	// A process that was frozen sees time jump with its first step after it. Nothing could be
-	// granted meanwhile, and no call could wait: a band that was idle before the jump has no
-	// backlog after it, and one with a backlog is as fast as it was.
-	It("takes a freeze for no backlog", func() {
-		b := newBench(keeper.Config{ReportTimeout: time.Hour}, "", "", "")
-		b.step(report("e1", 1))
-		b.step(keeper.CallQueued{Request: request("a", 1, 1)})
-		b.step(finished("a", 1))
-		b.step(keeper.Tick{})
-		b.step(keeper.CallQueued{Request: request("b", 1, 1)})
-		b.now += time.Minute
+	// Guards against counting a suspension of the process as time in which a band
+	// had a backlog and got no grants.
+	It("does not count a suspension of the process as backlog", func() {
+		h := newHarness(keeper.Config{ReportTimeout: time.Hour}, "", "", "")
+		h.step(report("e1", 1))
+		h.step(keeper.CallQueued{Request: request("a", 1, 1)})
+		h.step(finished("a", 1))
+		h.step(keeper.Tick{})
+		h.step(keeper.CallQueued{Request: request("b", 1, 1)})
+		h.now += time.Minute
 		bounded := request("c", 1, 1)
 		bounded.WaitBound = 30 * time.Second
-		Expect(b.step(keeper.CallQueued{Request: bounded})).To(BeEmpty())
+		Expect(h.step(keeper.CallQueued{Request: bounded})).To(BeEmpty())
 	})
 
-	It("predicts a backlog's wait as before a freeze", func() {
-		b := newBench(keeper.Config{ReportTimeout: time.Hour}, "", "", "")
-		b.step(report("e1", 1))
+	It("predicts the same wait for a backlog after a suspension", func() {
+		h := newHarness(keeper.Config{ReportTimeout: time.Hour}, "", "", "")
+		h.step(report("e1", 1))
 		for number := range 40 {
-			b.step(keeper.CallQueued{Request: request(strconv.Itoa(number), 1, 1)})
+			h.step(keeper.CallQueued{Request: request(strconv.Itoa(number), 1, 1)})
 		}
 		running := "0"
 		for range 15 {
 			for range 10 {
-				b.after(100 * time.Millisecond)
+				h.after(100 * time.Millisecond)
 			}
-			next := granted(b.step(finished(running, 1)))
+			next := granted(h.step(finished(running, 1)))
 			Expect(next).To(HaveLen(1))
 			running = next[0]
 		}
-		b.now += time.Minute
+		h.now += time.Minute
 		bounded := request("late", 1, 1)
 		bounded.WaitBound = 50 * time.Second
-		Expect(b.step(keeper.CallQueued{Request: bounded})).To(BeEmpty())
+		Expect(h.step(keeper.CallQueued{Request: bounded})).To(BeEmpty())
 	})
 
-	It("refuses at once, with when to come back, over the tier's wait bound", func() {
-		b := newBench(keeper.Config{}, "", "", "")
-		b.step(report("e1", 1))
+	It("refuses immediately, with a retry delay, over the tier's wait bound", func() {
+		h := newHarness(keeper.Config{}, "", "", "")
+		h.step(report("e1", 1))
 		for number := range 20 {
-			b.step(keeper.CallQueued{Request: request("a", number, 8)})
+			h.step(keeper.CallQueued{Request: request("a", number, 8)})
 		}
 		late := request("late", 1, 1)
 		late.WaitBound = time.Second
-		refused := refusals(b.step(keeper.CallQueued{Request: late}))
+		refused := refusals(h.step(keeper.CallQueued{Request: late}))
 		Expect(refused).To(HaveLen(1))
 		Expect(refused[0].Code).To(Equal(resultcode.Overloaded))
 		Expect(refused[0].RetryAfter).To(BeNumerically(">=", time.Second))
 		top := request("top", 1, 64)
 		top.WaitBound = 5 * time.Second
-		Expect(b.step(keeper.CallQueued{Request: top})).To(BeEmpty())
+		Expect(h.step(keeper.CallQueued{Request: top})).To(BeEmpty())
 	})
 
-	It("gives a begun program a wider bound than a new one", func() {
-		b := newBench(keeper.Config{InProgressFactor: 100}, "", "", "")
-		b.step(report("e1", 1))
+	It("allows a program in progress a longer wait than a new one", func() {
+		h := newHarness(keeper.Config{InProgressFactor: 100}, "", "", "")
+		h.step(report("e1", 1))
 		for number := range 20 {
-			b.step(keeper.CallQueued{Request: request("a", number, 1)})
+			h.step(keeper.CallQueued{Request: request("a", number, 1)})
 		}
-		begun := request("begun", 1, 1)
-		begun.WaitBound = time.Second
-		begun.AttainedService = 1
-		Expect(b.step(keeper.CallQueued{Request: begun})).To(BeEmpty())
+		started := request("started", 1, 1)
+		started.WaitBound = time.Second
+		started.AttainedService = 1
+		Expect(h.step(keeper.CallQueued{Request: started})).To(BeEmpty())
 	})
 
-	It("pushes the lightest tier's last call out of a full queue", func() {
-		b := newBench(keeper.Config{MaxWaiting: 2}, "", "", "")
-		b.step(report("e1", 1))
-		b.step(keeper.CallQueued{Request: request("running", 1, 1)})
-		b.step(keeper.CallQueued{Request: request("first", 1, 1)})
-		b.step(keeper.CallQueued{Request: request("last", 1, 1)})
-		pushedOut := refusals(b.step(keeper.CallQueued{Request: request("top", 1, 8)}))
-		Expect(pushedOut).To(HaveLen(1))
-		Expect(pushedOut[0].Request.Call.Program).To(Equal("last"))
-		same := refusals(b.step(keeper.CallQueued{Request: request("same", 1, 1)}))
+	It("displaces the last call of the lowest tier from a full queue", func() {
+		h := newHarness(keeper.Config{MaxWaiting: 2}, "", "", "")
+		h.step(report("e1", 1))
+		h.step(keeper.CallQueued{Request: request("running", 1, 1)})
+		h.step(keeper.CallQueued{Request: request("first", 1, 1)})
+		h.step(keeper.CallQueued{Request: request("last", 1, 1)})
+		displaced := refusals(h.step(keeper.CallQueued{Request: request("top", 1, 8)}))
+		Expect(displaced).To(HaveLen(1))
+		Expect(displaced[0].Request.Call.Program).To(Equal("last"))
+		same := refusals(h.step(keeper.CallQueued{Request: request("same", 1, 1)}))
 		Expect(same).To(HaveLen(1))
 		Expect(same[0].Request.Call.Program).To(Equal("same"))
 	})
 
 	It("refuses a call whose deadline passes while it waits", func() {
-		b := newBench(keeper.Config{}, "", "", "")
-		b.step(report("e1", 1))
-		b.step(keeper.CallQueued{Request: request("a", 1, 1)})
+		h := newHarness(keeper.Config{}, "", "", "")
+		h.step(report("e1", 1))
+		h.step(keeper.CallQueued{Request: request("a", 1, 1)})
 		waiting := request("b", 1, 1)
-		waiting.Deadline = b.now + time.Second
-		b.step(keeper.CallQueued{Request: waiting})
-		refused := refusals(b.after(time.Second))
+		waiting.Deadline = h.now + time.Second
+		h.step(keeper.CallQueued{Request: waiting})
+		refused := refusals(h.after(time.Second))
 		Expect(refused).To(HaveLen(1))
 		Expect(refused[0].Code).To(Equal(resultcode.DeadlineNotRun))
 	})
 
-	It("preempts only a repeatable call of a much lighter tier", func() {
-		b := newBench(keeper.Config{Preempt: true, PreemptWait: time.Millisecond}, "", "", "")
-		b.step(report("e1", 2))
-		b.step(keeper.CallQueued{Request: request("fixed", 1, 1)})
-		loose := request("loose", 1, 1)
-		loose.Repeatable = true
-		b.step(keeper.CallQueued{Request: loose})
-		effects := b.step(keeper.CallQueued{Request: request("top", 1, 8)})
+	It("preempts only a repeatable call of a much lower tier", func() {
+		h := newHarness(keeper.Config{Preempt: true, PreemptWait: time.Millisecond}, "", "", "")
+		h.step(report("e1", 2))
+		h.step(keeper.CallQueued{Request: request("fixed", 1, 1)})
+		repeatable := request("repeatable", 1, 1)
+		repeatable.Repeatable = true
+		h.step(keeper.CallQueued{Request: repeatable})
+		effects := h.step(keeper.CallQueued{Request: request("top", 1, 8)})
 		Expect(effects).To(HaveLen(1))
-		Expect(effects[0].(keeper.Preempt).Request.Call.Program).To(Equal("loose"))
-		Expect(b.step(keeper.CallQueued{Request: request("top2", 1, 8)})).To(BeEmpty())
-		failed := finished("loose", 1)
+		Expect(effects[0].(keeper.Preempt).Request.Call.Program).To(Equal("repeatable"))
+		Expect(h.step(keeper.CallQueued{Request: request("top2", 1, 8)})).To(BeEmpty())
+		failed := finished("repeatable", 1)
 		failed.Failed = true
-		Expect(granted(b.step(failed))).To(Equal([]string{"top"}))
+		Expect(granted(h.step(failed))).To(Equal([]string{"top"}))
 	})
 })
 
-var _ = Describe("engines and leaders that go", func() {
-	It("grants nothing on a draining, leaving or silent engine", func() {
-		b := newBench(keeper.Config{}, "", "", "")
-		b.step(report("e1", 4))
-		b.step(keeper.EngineDraining{Engine: "e1"})
-		Expect(b.step(keeper.CallQueued{Request: request("a", 1, 1)})).To(BeEmpty())
-		Expect(b.step(report("e1", 4))).To(BeEmpty())
-		Expect(granted(b.step(keeper.EngineResumed{Engine: "e1"}))).To(Equal([]string{"a"}))
+var _ = Describe("loss of engines and leaders", func() {
+	It("grants nothing on an engine that is draining, leaving or not reporting", func() {
+		h := newHarness(keeper.Config{}, "", "", "")
+		h.step(report("e1", 4))
+		h.step(keeper.EngineDraining{Engine: "e1"})
+		Expect(h.step(keeper.CallQueued{Request: request("a", 1, 1)})).To(BeEmpty())
+		Expect(h.step(report("e1", 4))).To(BeEmpty())
+		Expect(granted(h.step(keeper.EngineResumed{Engine: "e1"}))).To(Equal([]string{"a"}))
 		leaving := report("e1", 4)
 		leaving.Leaving = true
-		b.step(leaving)
-		Expect(b.step(keeper.CallQueued{Request: request("b", 1, 1)})).To(BeEmpty())
-		Expect(granted(b.step(report("e1", 4)))).To(Equal([]string{"b"}))
-		b.after(keeper.DefaultConfig().ReportTimeout)
-		Expect(b.step(keeper.CallQueued{Request: request("c", 1, 1)})).To(BeEmpty())
+		h.step(leaving)
+		Expect(h.step(keeper.CallQueued{Request: request("b", 1, 1)})).To(BeEmpty())
+		Expect(granted(h.step(report("e1", 4)))).To(Equal([]string{"b"}))
+		h.after(keeper.DefaultConfig().ReportTimeout)
+		Expect(h.step(keeper.CallQueued{Request: request("c", 1, 1)})).To(BeEmpty())
 	})
 
-	It("binds calls anew when the engine they were bound to is lost", func() {
-		b := newBench(keeper.Config{}, "fcfs", "round-robin", "none")
-		b.step(report("e1", 1))
-		b.step(report("e2", 1))
+	It("rebinds calls when the engine they were bound to is lost", func() {
+		h := newHarness(keeper.Config{}, "fcfs", "round-robin", "none")
+		h.step(report("e1", 1))
+		h.step(report("e2", 1))
 		for number := range 4 {
-			b.step(keeper.CallQueued{Request: request("a", number, 1)})
+			h.step(keeper.CallQueued{Request: request("a", number, 1)})
 		}
-		b.step(keeper.EngineLost{Engine: "e1"})
-		Expect(granted(b.step(finished("a", 1)))).To(HaveLen(1))
-		Expect(b.keeper.Snapshot().Waiting).To(Equal(1))
+		h.step(keeper.EngineLost{Engine: "e1"})
+		Expect(granted(h.step(finished("a", 1)))).To(HaveLen(1))
+		Expect(h.keeper.Snapshot().Waiting).To(Equal(1))
 	})
 
-	It("takes over the grants of an earlier keeper and ends unconfirmed ones", func() {
-		b := newBench(keeper.Config{}, "", "", "")
-		b.step(report("e1", 1))
+	It("restores the grants of an earlier keeper and ends unconfirmed ones", func() {
+		h := newHarness(keeper.Config{}, "", "", "")
+		h.step(report("e1", 1))
 		held := keeper.HeldGrant{Request: request("a", 1, 1), Engine: "e1"}
-		b.step(keeper.GrantsHeld{Leader: "s1", Grants: []keeper.HeldGrant{held}})
-		Expect(b.step(keeper.CallQueued{Request: request("b", 1, 1)})).To(BeEmpty())
-		Expect(b.step(keeper.GrantsHeld{Leader: "s1"})).To(BeEmpty())
-		b.now += keeper.DefaultConfig().GrantConfirm
-		b.step(report("e1", 1))
-		Expect(granted(b.step(keeper.GrantsHeld{Leader: "s1"}))).To(Equal([]string{"b"}))
+		h.step(keeper.GrantsHeld{Leader: "s1", Grants: []keeper.HeldGrant{held}})
+		Expect(h.step(keeper.CallQueued{Request: request("b", 1, 1)})).To(BeEmpty())
+		Expect(h.step(keeper.GrantsHeld{Leader: "s1"})).To(BeEmpty())
+		h.now += keeper.DefaultConfig().GrantConfirmTimeout
+		h.step(report("e1", 1))
+		Expect(granted(h.step(keeper.GrantsHeld{Leader: "s1"}))).To(Equal([]string{"b"}))
 	})
 
 	It("drops a lost leader's calls and frees its slots", func() {
-		b := newBench(keeper.Config{}, "", "", "")
-		b.step(report("e1", 1))
-		b.step(keeper.CallQueued{Request: request("a", 1, 1)})
-		b.step(keeper.CallQueued{Request: request("b", 1, 1)})
+		h := newHarness(keeper.Config{}, "", "", "")
+		h.step(report("e1", 1))
+		h.step(keeper.CallQueued{Request: request("a", 1, 1)})
+		h.step(keeper.CallQueued{Request: request("b", 1, 1)})
 		other := request("c", 1, 1)
 		other.Leader = "s2"
-		b.step(keeper.CallQueued{Request: other})
-		Expect(granted(b.step(keeper.LeaderLost{Leader: "s1", Shard: 1}))).To(Equal([]string{"c"}))
+		h.step(keeper.CallQueued{Request: other})
+		Expect(granted(h.step(keeper.LeaderLost{Leader: "s1", Shard: 1}))).To(Equal([]string{"c"}))
 	})
 })
--- a/internal/keeper/pause.go
+++ b/internal/keeper/pause.go
@@ -6,10 +6,12 @@
 	"github.com/magpielug/magpielug/internal/cache"
 )
 
-// returnMargin is how many expected pauses a program may take to return.
-const returnMargin = 3
+// returnFactor multiplies the expected pause to get the time by which a program
+// is expected to return.
+const returnFactor = 3
 
-// pauseProgram decides what becomes of a waiting program's prefixes.
+// pauseProgram applies the cache policy to the idle prefixes of a pausing
+// program.
 func (keeper *Keeper) pauseProgram(event ProgramPaused) {
 	program := keeper.programs.byName[event.Program]
 	if program == nil || program.ended || program.paused {
@@ -17,18 +19,18 @@
 	}
 	program.paused = true
 	program.pausedAt = keeper.now
-	program.returnBy = keeper.now + returnMargin*keeper.expectedPause(program, event.ExpectedPause)
-	program.changeClaims()
+	program.returnExpectedBy = keeper.now + returnFactor*keeper.expectedPause(program, event.ExpectedPause)
+	program.invalidateClaims()
 	if !keeper.policies.ManagesCache {
 		return
 	}
 	keepFor := time.Duration(0)
-	for _, held := range program.prefixes {
-		if held.pins > 0 || held.tokens == 0 {
+	for _, p := range program.prefixes {
+		if p.pins > 0 || p.tokens == 0 {
 			continue
 		}
-		decision := keeper.policies.Cache.AtPause(keeper.describePause(held, event.ExpectedPause))
-		keeper.applyPauseDecision(held, decision)
+		decision := keeper.policies.Cache.AtPause(keeper.describePause(p, event.ExpectedPause))
+		keeper.applyPauseDecision(p, decision)
 		keepFor = max(keepFor, decision.KeepFor)
 	}
 	if keepFor > 0 {
@@ -36,71 +38,72 @@
 	}
 }
 
-// expectedPause is the leader's prediction, or what the kind has shown.
+// expectedPause returns the leader's prediction, or the mean pause of the
+// program's kind if there is none.
 func (keeper *Keeper) expectedPause(program *programState, predicted time.Duration) time.Duration {
 	if predicted > 0 {
 		return predicted
 	}
-	return seconds(program.kindRecord().pauseSeconds.value(firstPauseSeconds))
+	return seconds(program.kindStats().pauseSeconds.value(initialPauseSeconds))
 }
 
-// describePause is what a cache policy may know.
-func (keeper *Keeper) describePause(held *prefix, expected time.Duration) cache.Pause {
-	record := held.program.kindRecord()
+// describePause returns the cache policy's input for a prefix.
+func (keeper *Keeper) describePause(p *prefix, expected time.Duration) cache.Pause {
+	stats := p.program.kindStats()
 	return cache.Pause{
-		Tokens:           held.tokens,
-		ExpectedPause:    keeper.expectedPause(held.program, expected),
-		ReuseProbability: record.reuse.value(firstReuse),
-		Pressure:         held.engine.pressure(),
-		RecomputeCost:    time.Duration(held.tokens) * keeper.estimates.prefillPerToken(),
-		ExportCost:       time.Duration(held.tokens) * keeper.config.ExportPerToken,
+		Tokens:           p.tokens,
+		ExpectedPause:    keeper.expectedPause(p.program, expected),
+		ReuseProbability: stats.reuseProbability.value(initialReuse),
+		Pressure:         p.engine.pressure(),
+		RecomputeCost:    time.Duration(p.tokens) * keeper.estimates.prefillPerToken(),
+		ExportCost:       time.Duration(p.tokens) * keeper.config.ExportPerToken,
 	}
 }
 
-// applyPauseDecision gives the order for one prefix, if any.
-func (keeper *Keeper) applyPauseDecision(held *prefix, decision cache.Decision) {
+// applyPauseDecision emits the cache command for a prefix, if any.
+func (keeper *Keeper) applyPauseDecision(p *prefix, decision cache.Decision) {
 	switch decision.Action {
 	case cache.ActionRelease:
-		keeper.release(held, "pause expected to outweigh reuse")
+		keeper.release(p, "expected pause costs more than the prefix saves")
 	case cache.ActionExport:
-		held.program.exportedTokens = max(held.program.exportedTokens, held.tokens)
-		keeper.markReleased(held)
-		keeper.emit(ExportCache{Engine: held.engine.name, Program: held.program.name})
+		p.program.exportedTokens = max(p.program.exportedTokens, p.tokens)
+		keeper.markReleased(p)
+		keeper.emit(ExportCache{Engine: p.engine.name, Program: p.program.name})
 	case cache.ActionKeep, cache.ActionNone:
 	}
 }
 
 func (keeper *Keeper) setKeepTimer(program *programState, keepFor time.Duration) {
 	if program.keepTimer == nil {
-		program.keepTimer = &timer{program: program, position: notSet}
+		program.keepTimer = &timer{program: program, position: notScheduled}
 	}
 	keeper.timers.stop(program.keepTimer)
 	keeper.timers.set(program.keepTimer, keeper.now+keepFor)
 }
 
-// resumeProgram notes that a program makes another call.
+// resumeProgram ends a program's pause on its next call.
 func (keeper *Keeper) resumeProgram(program *programState) {
 	if !program.paused {
 		return
 	}
-	record := program.kindRecord()
-	record.reuse.add(1, 1)
-	record.pauseSeconds.add((keeper.now - program.pausedAt).Seconds(), 1)
+	stats := program.kindStats()
+	stats.reuseProbability.add(1, 1)
+	stats.pauseSeconds.add((keeper.now - program.pausedAt).Seconds(), 1)
 	program.paused = false
 	keeper.timers.stop(program.keepTimer)
 }
 
-// noteNoReturn counts a pause that ended with the program.
-func (program *programState) noteNoReturn() {
+// recordNoReuse counts a pause that was not followed by another call.
+func (program *programState) recordNoReuse() {
 	if program.kind != nil {
-		program.kind.reuse.add(0, 1)
+		program.kind.reuseProbability.add(0, 1)
 	}
 }
 
-// releaseOverdue frees the prefixes of a program whose pause has outlasted the
-// time they were kept for.
-func (keeper *Keeper) releaseOverdue(program *programState) {
+// releaseExpired releases the prefixes of a program that is still paused when
+// its keep duration ends.
+func (keeper *Keeper) releaseExpired(program *programState) {
 	if program.paused && !program.ended {
-		keeper.releaseAll(program, "pause outlasted its prediction")
+		keeper.releaseAll(program, "pause exceeded the time the prefix was kept for")
 	}
 }
--- a/internal/keeper/policies.go
+++ b/internal/keeper/policies.go
@@ -8,36 +8,36 @@
 	"github.com/magpielug/magpielug/internal/queue"
 )
 
-// Policies are the choices a keeper makes by replaceable parts. A Placement has
-// state of its own: one value serves one keeper.
+// Policies are the replaceable decision algorithms of a keeper. A placement
+// policy has state and must not be shared between keepers.
 type Policies struct {
 	Order     queue.Order
 	Placement *placement.Policy
 	Cache     cache.Policy
-	// ManagesCache is false when the engines' own eviction rules alone: then no
-	// cache orders are given, not even at a program's end.
+	// ManagesCache is false when the cache is left to the engines' own
+	// eviction. No cache commands are sent then, not even when a program ends.
 	ManagesCache bool
 }
 
-// PoliciesByName builds policies from the names of the configuration. An empty
-// name takes the default policy; affinityPercent 0 takes the default weight.
+// PoliciesByName returns the named policies. An empty name selects the default
+// policy, affinityPercent 0 the default weight.
 func PoliciesByName(queueName, placementName, cacheName string, affinityPercent uint32) (Policies, error) {
 	order, err := queue.ByName(queueName)
 	if err != nil {
 		return Policies{}, eris.Wrap(err, "queue policy")
 	}
-	placed, err := placement.ByName(placementName, affinityPercent)
+	placementPolicy, err := placement.ByName(placementName, affinityPercent)
 	if err != nil {
 		return Policies{}, eris.Wrap(err, "placement policy")
 	}
-	cached, err := cache.ByName(cacheName)
+	cachePolicy, err := cache.ByName(cacheName)
 	if err != nil {
 		return Policies{}, eris.Wrap(err, "cache policy")
 	}
 	return Policies{
 		Order:        order,
-		Placement:    placed,
-		Cache:        cached,
+		Placement:    placementPolicy,
+		Cache:        cachePolicy,
 		ManagesCache: cacheName != cache.None,
 	}, nil
 }
--- a/internal/keeper/preempt.go
+++ b/internal/keeper/preempt.go
@@ -1,16 +1,17 @@
 package keeper
 
-// maxPreemptions is how often one program may be preempted, so that it ends.
+// maxPreemptions limits how often one program is preempted, so that it can
+// finish.
 const maxPreemptions = 3
 
-// preempt cancels running low-tier calls for the calls that wait at the head of
-// the queue, when a slot is not expected to free soon.
+// preempt cancels at most one running lower-tier call for the calls at the head
+// of the queue if no slot is expected to free soon.
 func (keeper *Keeper) preempt() {
 	if !keeper.config.Preempt || keeper.pool.Len() == 0 {
 		return
 	}
 	head := keeper.pool.PeekHighestBand().Value
-	if !keeper.worthPreempting(head) {
+	if !keeper.shouldPreempt(head) {
 		return
 	}
 	victim := keeper.preemptionVictim(head.request.Weight)
@@ -19,21 +20,21 @@
 	}
 	victim.preempting = true
 	victim.program.preemptions++
-	why := "a higher tier waits"
-	keeper.decide(victim.request.Call, "preempt", why)
+	why := "a call of a higher tier is waiting"
+	keeper.recordDecision(victim.request.Call, "preempt", why)
 	keeper.emit(Preempt{Request: victim.request, Engine: victim.engine.name, Why: why})
 }
 
-// worthPreempting tells whether slots free too slowly for the head of the queue
-// and are not on their way already.
-func (keeper *Keeper) worthPreempting(head *waitingCall) bool {
+// shouldPreempt reports whether the head of the queue would wait longer than
+// PreemptWait and the pending preemptions do not free enough slots.
+func (keeper *Keeper) shouldPreempt(head *waitingCall) bool {
 	running, pending := 0, 0
 	for _, engine := range keeper.engines {
 		if keeper.freeSlots(engine) > 0 {
 			return false
 		}
 		running += len(engine.running)
-		pending += engine.preempting()
+		pending += engine.pendingPreemptions()
 	}
 	_, waiting := keeper.pool.CountAtOrAbove(head.rank.Band)
 	if running == 0 || pending >= waiting {
@@ -44,8 +45,8 @@
 	return max(expected, waited) > keeper.config.PreemptWait
 }
 
-// preempting counts the engine's calls that are being preempted.
-func (engine *engineState) preempting() int {
+// pendingPreemptions counts the engine's calls that are being preempted.
+func (engine *engineState) pendingPreemptions() int {
 	count := 0
 	for _, call := range engine.running {
 		if call.preempting {
@@ -55,8 +56,8 @@
 	return count
 }
 
-// preemptionVictim returns the call that loses least: of the lightest tier, the
-// one granted last. Nil if no call may be preempted for the weight.
+// preemptionVictim returns the most recently granted call of the lowest tier
+// that may be preempted for the weight, or nil if there is none.
 func (keeper *Keeper) preemptionVictim(weight uint32) *runningCall {
 	var victim *runningCall
 	for _, engine := range keeper.engines {
@@ -64,7 +65,7 @@
 			continue
 		}
 		for _, call := range engine.running {
-			if keeper.mayPreempt(call, weight) && (victim == nil || losesLess(call, victim)) {
+			if keeper.canPreempt(call, weight) && (victim == nil || betterVictim(call, victim)) {
 				victim = call
 			}
 		}
@@ -72,7 +73,7 @@
 	return victim
 }
 
-func (keeper *Keeper) mayPreempt(call *runningCall, weight uint32) bool {
+func (keeper *Keeper) canPreempt(call *runningCall, weight uint32) bool {
 	if call.preempting || call.cancelling || !call.request.Repeatable {
 		return false
 	}
@@ -82,9 +83,9 @@
 	return uint64(call.request.Weight)*uint64(keeper.config.PreemptRatio) <= uint64(weight)
 }
 
-// losesLess is a total order, so the choice does not depend on where calls
-// stand in an engine's list.
-func losesLess(call, other *runningCall) bool {
+// betterVictim is a total order, so that the choice does not depend on the
+// order of an engine's running list.
+func betterVictim(call, other *runningCall) bool {
 	if call.request.Weight != other.request.Weight {
 		return call.request.Weight < other.request.Weight
 	}
--- a/internal/keeper/prefix.go
+++ b/internal/keeper/prefix.go
@@ -7,35 +7,36 @@
 	"github.com/magpielug/magpielug/internal/queue"
 )
 
-// prefix is the estimate of what one engine has cached for one program. It is
-// linked in its engine's list, by last use, and listed in its program.
+// prefix is the estimated cache of one program on one engine. It is an element
+// of its engine's LRU list and is listed in its program.
 type prefix struct {
 	engine  *engineState
 	program *programState
-	// tokens is what a next call of the program would find; memory is the part
-	// that it alone holds: a prompt's beginning that all programs of a kind share
-	// is held once.
+	// tokens is how many cached tokens the program's next call would find;
+	// memory is the part not shared with other programs of the kind.
 	tokens int
 	memory int
-	// pins counts the program's running calls on the engine: their memory is
-	// counted with the calls, and the prefix can't be evicted.
+	// pins counts the program's running calls on the engine. The memory of a
+	// pinned prefix is counted with the calls, and it cannot be evicted.
 	pins int
-	// touchedAt is the keeper's own last use or order, and rules over late events.
-	touchedAt time.Duration
-	// released is true from a release order until the program runs here again.
+	// updatedAt is the keeper's own last update. Events that may be older than
+	// it are ignored.
+	updatedAt time.Duration
+	// released is true from a release command until the program runs here
+	// again.
 	released bool
 
 	older, newer *prefix
 }
 
-// prefixList is an engine's prefixes from the least to the most recently used.
+// prefixList is the LRU list of an engine's prefixes.
 type prefixList struct {
 	oldest, newest *prefix
-	// idleTokens sums the memory of the prefixes without pins.
+	// idleTokens is the total memory of the prefixes without pins.
 	idleTokens int
 }
 
-// prefixOn returns the program's prefix on an engine, nil if there is none.
+// prefixOn returns the program's prefix on an engine, or nil if there is none.
 func (program *programState) prefixOn(engine *engineState) *prefix {
 	for _, candidate := range program.prefixes {
 		if candidate.engine == engine {
@@ -45,7 +46,8 @@
 	return nil
 }
 
-// cachedOn returns the tokens thought to be cached for the program.
+// cachedOn returns the estimated number of cached tokens of the program on an
+// engine.
 func (program *programState) cachedOn(engine *engineState) int {
 	if found := program.prefixOn(engine); found != nil {
 		return found.tokens
@@ -53,8 +55,8 @@
 	return 0
 }
 
-// ensurePrefix returns the program's prefix on an engine, made empty if needed,
-// as the most recently used one.
+// ensurePrefix returns the program's prefix on an engine, adding an empty one
+// if needed, and marks it as most recently used.
 func (keeper *Keeper) ensurePrefix(program *programState, engine *engineState) *prefix {
 	found := program.prefixOn(engine)
 	if found == nil {
@@ -65,38 +67,38 @@
 	}
 	engine.prefixes.linkNewest(found)
 	found.released = false
-	found.touchedAt = keeper.now
+	found.updatedAt = keeper.now
 	return found
 }
 
-// neverTouched is the touchedAt of a prefix known only from reports: it is
-// settled at once.
-const neverTouched = -time.Hour
+// neverUpdated is the updatedAt of a prefix known only from reports, so that
+// reports can correct it at once.
+const neverUpdated = -time.Hour
 
-// adoptPrefix enters an empty prefix that the keeper knows only from a report.
-// It counts as the least recently used: what the keeper has seen itself is
-// never pushed out for it.
-func adoptPrefix(program *programState, engine *engineState) *prefix {
-	adopted := &prefix{engine: engine, program: program, touchedAt: neverTouched}
-	program.prefixes = append(program.prefixes, adopted)
-	engine.prefixes.linkOldest(adopted)
-	return adopted
+// addReportedPrefix adds an empty prefix known only from a report. It is the
+// least recently used one, so that it is dropped before prefixes that the
+// keeper has seen in use.
+func addReportedPrefix(program *programState, engine *engineState) *prefix {
+	added := &prefix{engine: engine, program: program, updatedAt: neverUpdated}
+	program.prefixes = append(program.prefixes, added)
+	engine.prefixes.linkOldest(added)
+	return added
 }
 
-// crowded tells whether a call's memory would come out of idle prefixes whose
-// programs are ranked before it and expected back. An engine that runs nothing
-// is never crowded, so a pool can't stand still.
-func (keeper *Keeper) crowded(engine *engineState, call *waitingCall) bool {
+// evictsHigherRanked reports whether the call would evict idle prefixes of
+// higher-ranked programs that are expected to return. It is false for an engine
+// without running calls, so that the pool always makes progress.
+func (keeper *Keeper) evictsHigherRanked(engine *engineState, call *waitingCall) bool {
 	if engine.memoryTokens == 0 || len(engine.running) == 0 {
 		return false
 	}
-	free := engine.memoryTokens - engine.usedTokens - call.need
+	free := engine.memoryTokens - engine.usedTokens - call.kvTokens
 	if free >= engine.prefixes.idleTokens {
 		return false
 	}
 	for index := range keeper.claims(engine) {
 		claim := &engine.claims[index]
-		if claim.program == call.program || keeper.now > claim.until {
+		if claim.program == call.program || keeper.now > claim.expiresAt {
 			continue
 		}
 		if claim.rank.Before(call.rank) {
@@ -109,51 +111,52 @@
 	return false
 }
 
-// claim is the memory of one idle prefix, for as long as its program waits for
-// a slot or is expected back.
+// claim is the memory of an idle prefix whose program has waiting calls or is
+// expected to return by expiresAt.
 type claim struct {
-	program *programState
-	rank    queue.Rank
-	memory  int
-	until   time.Duration
+	program   *programState
+	rank      queue.Rank
+	memory    int
+	expiresAt time.Duration
 }
 
-// untilGranted is the end of a claim whose program has calls.
-const untilGranted = time.Duration(math.MaxInt64)
+// noExpiry is the expiresAt of a program with waiting or running calls.
+const noExpiry = time.Duration(math.MaxInt64)
 
-// claims lists an engine's claims. Walking the prefixes for each call tried
-// would cost more than all else together, so the list is kept until a prefix
-// of the engine, or a program of one, changes.
+// claims returns the engine's claims. They are cached until a prefix of the
+// engine or a program of one changes, because a walk of the prefixes for every
+// tried call would dominate the cost of a step.
 func (keeper *Keeper) claims(engine *engineState) []claim {
 	if !engine.claimsStale {
 		return engine.claims
 	}
 	engine.claimsStale = false
 	engine.claims = engine.claims[:0]
-	for held := engine.prefixes.newest; held != nil; held = held.older {
-		until := held.program.returnBy
-		if held.program.calls > 0 {
-			until = untilGranted
+	for p := engine.prefixes.newest; p != nil; p = p.older {
+		expiresAt := p.program.returnExpectedBy
+		if p.program.calls > 0 {
+			expiresAt = noExpiry
 		}
-		if held.pins == 0 && held.memory > 0 && keeper.now <= until {
-			engine.claims = append(engine.claims, claim{held.program, held.program.rank, held.memory, until})
+		if p.pins == 0 && p.memory > 0 && keeper.now <= expiresAt {
+			engine.claims = append(engine.claims, claim{p.program, p.program.rank, p.memory, expiresAt})
 		}
 	}
 	return engine.claims
 }
 
-// changeClaims marks the claims of every engine that has a prefix of the
-// program as stale. It is called after each change of rank, calls or returnBy.
-func (program *programState) changeClaims() {
-	for _, held := range program.prefixes {
-		held.engine.claimsStale = true
+// invalidateClaims marks the claims of every engine with a prefix of the
+// program as stale. It must be called after each change of rank, calls or
+// returnExpectedBy.
+func (program *programState) invalidateClaims() {
+	for _, p := range program.prefixes {
+		p.engine.claimsStale = true
 	}
 }
 
-// resize sets the estimate.
+// resize sets the estimated number of cached tokens.
 func (p *prefix) resize(tokens int) {
 	p.engine.claimsStale = true
-	memory := max(tokens-p.program.kindRecord().sharedTokens(), 0)
+	memory := max(tokens-p.program.kindStats().sharedTokens(), 0)
 	if p.pins == 0 {
 		p.engine.prefixes.idleTokens += memory - p.memory
 	}
@@ -161,7 +164,7 @@
 	p.memory = memory
 }
 
-// pin marks one more running call of the program on the engine.
+// pin adds a running call of the program on the engine.
 func (p *prefix) pin() {
 	p.engine.claimsStale = true
 	if p.pins == 0 {
@@ -170,7 +173,7 @@
 	p.pins++
 }
 
-// unpin takes one running call back.
+// unpin removes a running call.
 func (p *prefix) unpin() {
 	p.engine.claimsStale = true
 	p.pins--
@@ -179,7 +182,7 @@
 	}
 }
 
-// drop forgets the prefix, on the engine's side and on the program's.
+// drop removes the prefix from its engine and its program.
 func (p *prefix) drop() {
 	p.engine.claimsStale = true
 	if p.pins == 0 {
@@ -233,7 +236,7 @@
 	p.older, p.newer = nil, nil
 }
 
-// oldestIdle returns the least recently used prefix without pins.
+// oldestIdle returns the least recently used prefix without pins, or nil.
 func (list *prefixList) oldestIdle() *prefix {
 	for candidate := list.oldest; candidate != nil; candidate = candidate.newer {
 		if candidate.pins == 0 {
@@ -243,7 +246,7 @@
 	return nil
 }
 
-// dropAll forgets every prefix of the engine.
+// dropAll drops every prefix of the engine.
 func (list *prefixList) dropAll() {
 	for list.oldest != nil {
 		list.oldest.drop()
--- a/internal/keeper/program.go
+++ b/internal/keeper/program.go
@@ -7,55 +7,57 @@
 	"github.com/magpielug/magpielug/internal/queue"
 )
 
-// programState is what the keeper remembers of one program.
+// programState is the keeper's state of one program.
 type programState struct {
 	name  string
 	shard uint32
-	// hasShard is false for a program known only from an engine's report.
+	// hasShard is false while the shard is unknown.
 	hasShard bool
-	// prefixes are its cached prefixes, few: one an engine it has run on.
+	// prefixes has one entry for each engine that is known to cache the
+	// program.
 	prefixes []*prefix
-	// rank is that of its latest call.
+	// rank is the rank of the program's latest call.
 	rank queue.Rank
-	// calls counts its waiting and running calls.
+	// calls counts the waiting and running calls.
 	calls       int
 	preemptions int
-	// seenAt is when a call of it was last offered; listedAt when a leader last
-	// listed it as live.
-	seenAt   time.Duration
-	listedAt time.Duration
-	// kind is nil for a program that no call was offered of.
-	kind *kindRecord
-
-	// returnBy is until when its next call is expected.
-	returnBy time.Duration
-	paused   bool
-	pausedAt time.Duration
-	// keepTimer runs while a paused program's prefix is kept; nil if it never was.
+	// lastCallAt is when a call of the program was last offered, lastListedAt
+	// when a leader last listed the program as live.
+	lastCallAt   time.Duration
+	lastListedAt time.Duration
+	// kind is nil if no call of the program was offered.
+	kind *kindStats
+
+	// returnExpectedBy is the time by which the next call is expected.
+	returnExpectedBy time.Duration
+	paused           bool
+	pausedAt         time.Duration
+	// keepTimer ends the keep duration of a paused program's prefixes; nil if
+	// never set.
 	keepTimer *timer
-	// exportedTokens is what was exported and not yet imported again.
+	// exportedTokens is the number of tokens exported and not imported again.
 	exportedTokens int
 
 	ended   bool
 	endedAt time.Duration
-	// element is the place in the table's list by last use.
+	// element is the entry in programTable.recent.
 	element *list.Element
-	// endedElement is the place in the list of ended programs.
+	// endedElement is the entry in programTable.ended.
 	endedElement *list.Element
 }
 
-// programTable holds the programs, bounded, with the least recently seen one
-// without calls forgotten first.
+// programTable holds a bounded number of programs. Above the limit, the least
+// recently used program without calls is removed first.
 type programTable struct {
 	limit  int
 	byName map[string]*programState
-	// recent is by last use, the oldest in front; ended by end time.
+	// recent is ordered by last use, least recent first; ended by end time.
 	recent *list.List
 	ended  *list.List
 	shards map[uint32]*shardState
 }
 
-// shardState indexes the programs of one shard.
+// shardState holds the programs of one shard.
 type shardState struct {
 	programs map[*programState]struct{}
 	// listed is true once a leader has listed the shard's live programs.
@@ -72,21 +74,21 @@
 	}
 }
 
-// see returns the program, made if needed, as seen now. A program that was
-// taken for ended and is seen again is alive: its leader knows better.
-func (table *programTable) see(name string, now time.Duration) *programState {
+// touch returns the program, adding it if needed, as the most recently used
+// one. A program marked as ended is revived: its leader has newer information.
+func (table *programTable) touch(name string, now time.Duration) *programState {
 	program := table.ensure(name)
 	table.recent.MoveToBack(program.element)
-	program.seenAt = now
+	program.lastCallAt = now
 	table.revive(program)
 	return program
 }
 
-// ensure returns the program, made if needed, without counting it as seen.
+// ensure returns the program, adding it if needed, without marking it as used.
 func (table *programTable) ensure(name string) *programState {
 	program := table.byName[name]
 	if program == nil {
-		program = &programState{name: name, seenAt: neverSeen}
+		program = &programState{name: name, lastCallAt: neverCalled}
 		program.element = table.recent.PushBack(program)
 		table.byName[name] = program
 		table.enforceLimit(program)
@@ -94,7 +96,7 @@
 	return program
 }
 
-// revive takes a program out of the ended ones.
+// revive removes the ended mark of a program.
 func (table *programTable) revive(program *programState) {
 	if !program.ended {
 		return
@@ -104,7 +106,7 @@
 	program.endedElement = nil
 }
 
-// end marks a program as ended and remembers it for the sweep.
+// end marks a program as ended. It is removed after EndedRetention.
 func (table *programTable) end(program *programState, now time.Duration) {
 	if program.ended {
 		return
@@ -114,18 +116,18 @@
 	program.endedElement = table.ended.PushBack(program)
 }
 
-// placeInShard records which shard a program belongs to.
-func (table *programTable) placeInShard(program *programState, shard uint32) {
+// assignShard records the shard of a program.
+func (table *programTable) assignShard(program *programState, shard uint32) {
 	if program.hasShard && program.shard == shard {
 		return
 	}
-	table.leaveShard(program)
+	table.removeFromShard(program)
 	program.shard = shard
 	program.hasShard = true
 	table.shard(shard).programs[program] = struct{}{}
 }
 
-// shard returns a shard's index, made if needed.
+// shard returns the state of a shard, adding it if needed.
 func (table *programTable) shard(number uint32) *shardState {
 	state := table.shards[number]
 	if state == nil {
@@ -135,44 +137,45 @@
 	return state
 }
 
-func (table *programTable) leaveShard(program *programState) {
+func (table *programTable) removeFromShard(program *programState) {
 	if program.hasShard {
 		delete(table.shards[program.shard].programs, program)
 		program.hasShard = false
 	}
 }
 
-// forgetEnded drops programs that ended at or before a time.
-func (table *programTable) forgetEnded(before time.Duration) {
+// removeEnded removes programs that ended at or before a time. It stops at the
+// first one that ended later or has calls.
+func (table *programTable) removeEnded(before time.Duration) {
 	for front := table.ended.Front(); front != nil; front = table.ended.Front() {
 		program := front.Value.(*programState)
 		if program.endedAt > before || program.calls > 0 {
 			return
 		}
-		table.forget(program)
+		table.remove(program)
 	}
 }
 
-// enforceLimit forgets the least recently seen programs over the limit. The
-// newest and those with calls are passed over, and moved to the back so as not
-// to be met again.
+// enforceLimit removes the least recently used programs above the limit.
+// Programs with calls and the newest one are skipped and moved to the back, so
+// that they are not visited again.
 func (table *programTable) enforceLimit(newest *programState) {
-	for tries := table.recent.Len(); len(table.byName) > table.limit && tries > 0; tries-- {
+	for attempts := table.recent.Len(); len(table.byName) > table.limit && attempts > 0; attempts-- {
 		program := table.recent.Front().Value.(*programState)
 		if program.calls > 0 || program == newest {
 			table.recent.MoveToBack(program.element)
 			continue
 		}
-		table.forget(program)
+		table.remove(program)
 	}
 }
 
-// forget removes all trace of a program without calls.
-func (table *programTable) forget(program *programState) {
+// remove removes a program without calls and its prefixes.
+func (table *programTable) remove(program *programState) {
 	for len(program.prefixes) > 0 {
 		program.prefixes[0].drop()
 	}
-	table.leaveShard(program)
+	table.removeFromShard(program)
 	table.revive(program)
 	table.recent.Remove(program.element)
 	delete(table.byName, program.name)
--- a/internal/keeper/property_test.go
+++ b/internal/keeper/property_test.go
@@ -12,11 +12,11 @@
 	"github.com/magpielug/magpielug/internal/keeper"
 )
 
-// audit mirrors, from the effects alone, what a keeper must conserve.
-type audit struct {
+// model tracks the expected state of a keeper from its events and effects alone.
+type model struct {
 	keeper *keeper.Keeper
-	// twin gets the same events and must give the same effects.
-	twin    *keeper.Keeper
+	// replica gets the same events and must return the same effects.
+	replica *keeper.Keeper
 	now     time.Duration
 	waiting map[keeper.CallKey]keeper.Request
 	running map[keeper.CallKey]string
@@ -37,19 +37,19 @@
 
 const targetRunning = 3
 
-func drawAudit(t *rapid.T) *audit {
+func drawModel(t *rapid.T) *model {
 	config := drawConfig(t)
 	order := rapid.SampledFrom([]string{"least-attained", "fcfs", "call-priority", "oracle"}).Draw(t, "order")
-	placed := rapid.SampledFrom([]string{"affinity-balanced", "round-robin", "least-loaded", "affinity"}).Draw(t, "placement")
-	cached := rapid.SampledFrom([]string{"keep", "predictive", "release", "none"}).Draw(t, "cache")
-	first, err := keeper.PoliciesByName(order, placed, cached, 0)
+	placementName := rapid.SampledFrom([]string{"affinity-balanced", "round-robin", "least-loaded", "affinity"}).Draw(t, "placement")
+	cacheName := rapid.SampledFrom([]string{"keep", "predictive", "release", "none"}).Draw(t, "cache")
+	first, err := keeper.PoliciesByName(order, placementName, cacheName, 0)
 	if err != nil {
 		t.Fatal(err)
 	}
-	// A placement has state, so the twin needs policies of its own.
-	second, _ := keeper.PoliciesByName(order, placed, cached, 0)
-	return &audit{
-		keeper: keeper.New(config, first), twin: keeper.New(config, second),
+	// Placement policies have state, so the replica needs its own.
+	second, _ := keeper.PoliciesByName(order, placementName, cacheName, 0)
+	return &model{
+		keeper: keeper.New(config, first), replica: keeper.New(config, second),
 		waiting: map[keeper.CallKey]keeper.Request{}, running: map[keeper.CallKey]string{},
 		granted: map[keeper.CallKey]time.Duration{}, limits: map[string]int{}, leaving: map[string]bool{}, drained: map[string]bool{},
 		adapters: map[string][]string{}, loading: map[string]bool{},
@@ -65,7 +65,7 @@
 	}
 }
 
-// drawEvent draws any event, sensible or not.
+// drawEvent draws any event, including ones that are invalid in the current state.
 func drawEvent(t *rapid.T, number int) keeper.Event {
 	program := programNames.Draw(t, "program")
 	call := keeper.CallKey{Program: program, RequestID: fmt.Sprint(rapid.IntRange(max(number-8, 0), number).Draw(t, "request"))}
@@ -113,86 +113,86 @@
 	}
 }
 
-// before applies what an event itself does to the mirror.
-func (a *audit) before(event keeper.Event) {
+// applyEvent applies the direct consequences of an event to the model.
+func (m *model) applyEvent(event keeper.Event) {
 	switch event := event.(type) {
 	case keeper.CallQueued:
-		if _, runs := a.running[event.Request.Call]; !runs {
-			a.waiting[event.Request.Call] = event.Request
+		if _, runs := m.running[event.Request.Call]; !runs {
+			m.waiting[event.Request.Call] = event.Request
 		}
 	case keeper.CallFinished:
-		delete(a.running, event.Call)
+		delete(m.running, event.Call)
 	case keeper.CallCancelled:
-		a.settle(event.Call)
+		m.removeWaiting(event.Call)
 	case keeper.EngineReported:
-		a.limits[event.Engine] = min(event.RunningLimit, targetRunning)
-		a.leaving[event.Engine] = event.Leaving
-		a.adapters[event.Engine] = event.Adapters
-		a.loading[event.Engine] = event.Loading
+		m.limits[event.Engine] = min(event.RunningLimit, targetRunning)
+		m.leaving[event.Engine] = event.Leaving
+		m.adapters[event.Engine] = event.Adapters
+		m.loading[event.Engine] = event.Loading
 	case keeper.EngineDraining:
-		a.drained[event.Engine] = true
+		m.drained[event.Engine] = true
 	case keeper.EngineResumed:
-		delete(a.drained, event.Engine)
+		delete(m.drained, event.Engine)
 	case keeper.EngineLost:
-		delete(a.limits, event.Engine)
-		for call, engine := range a.running {
+		delete(m.limits, event.Engine)
+		for call, engine := range m.running {
 			if engine == event.Engine {
-				delete(a.running, call)
+				delete(m.running, call)
 			}
 		}
 	}
 }
 
-func (a *audit) settle(call keeper.CallKey) bool {
-	if _, waits := a.waiting[call]; !waits {
+func (m *model) removeWaiting(call keeper.CallKey) bool {
+	if _, waits := m.waiting[call]; !waits {
 		return false
 	}
-	delete(a.waiting, call)
+	delete(m.waiting, call)
 	return true
 }
 
-// check applies the effects to the mirror and fails on any that must not be.
-func (a *audit) check(t *rapid.T, event keeper.Event, effects []keeper.Effect) {
+// applyEffects applies the effects to the model and fails on any invalid one.
+func (m *model) applyEffects(t *rapid.T, event keeper.Event, effects []keeper.Effect) {
 	offered, _ := event.(keeper.CallQueued)
 	for _, effect := range effects {
 		switch effect := effect.(type) {
 		case keeper.Grant:
-			a.checkGrant(t, effect, offered.Request.Call)
+			m.checkGrant(t, effect, offered.Request.Call)
 		case keeper.Refuse:
-			if !a.settle(effect.Request.Call) {
-				t.Fatalf("refused %v, which did not wait", effect.Request.Call)
+			if !m.removeWaiting(effect.Request.Call) {
+				t.Fatalf("refused %v, which was not waiting", effect.Request.Call)
 			}
 		case keeper.LoadAdapter:
-			if a.loading[effect.Engine] || slices.Contains(a.adapters[effect.Engine], effect.Adapter) {
-				t.Fatalf("ordered %s on %s, which loads or has it", effect.Adapter, effect.Engine)
+			if m.loading[effect.Engine] || slices.Contains(m.adapters[effect.Engine], effect.Adapter) {
+				t.Fatalf("requested load of %s on %s, which is loading or has it", effect.Adapter, effect.Engine)
 			}
 		case keeper.Preempt:
-			if a.running[effect.Request.Call] != effect.Engine {
-				t.Fatalf("preempted %v, which does not run on %s", effect.Request.Call, effect.Engine)
+			if m.running[effect.Request.Call] != effect.Engine {
+				t.Fatalf("preempted %v, which is not running on %s", effect.Request.Call, effect.Engine)
 			}
 		}
 	}
 }
 
-func (a *audit) checkGrant(t *rapid.T, grant keeper.Grant, offered keeper.CallKey) {
+func (m *model) checkGrant(t *rapid.T, grant keeper.Grant, offered keeper.CallKey) {
 	call := grant.Request.Call
-	if engine, runs := a.running[call]; runs && call == offered && engine == grant.Engine {
+	if engine, runs := m.running[call]; runs && call == offered && engine == grant.Engine {
 		return
 	}
-	if !a.settle(call) {
-		t.Fatalf("granted %v, which did not wait", call)
+	if !m.removeWaiting(call) {
+		t.Fatalf("granted %v, which was not waiting", call)
 	}
-	limit, known := a.limits[grant.Engine]
-	if !known || a.leaving[grant.Engine] || a.drained[grant.Engine] {
-		t.Fatalf("granted %v on %s, which is lost, leaving or drained", call, grant.Engine)
+	limit, known := m.limits[grant.Engine]
+	if !known || m.leaving[grant.Engine] || m.drained[grant.Engine] {
+		t.Fatalf("granted %v on %s, which is lost, leaving or draining", call, grant.Engine)
 	}
-	if adapter := grant.Request.Adapter; adapter != "" && !slices.Contains(a.adapters[grant.Engine], adapter) {
+	if adapter := grant.Request.Adapter; adapter != "" && !slices.Contains(m.adapters[grant.Engine], adapter) {
 		t.Fatalf("granted %v on %s, which does not have adapter %s", call, grant.Engine, adapter)
 	}
-	a.running[call] = grant.Engine
-	a.granted[call] = a.now
+	m.running[call] = grant.Engine
+	m.granted[call] = m.now
 	count := 0
-	for _, engine := range a.running {
+	for _, engine := range m.running {
 		if engine == grant.Engine {
 			count++
 		}
@@ -202,20 +202,21 @@
 	}
 }
 
-// loseLeader follows LeaderLost with the requests as the keeper knows them.
-func (a *audit) loseLeader(event keeper.LeaderLost, owners map[keeper.CallKey]keeper.Request) {
+// removeLeader applies LeaderLost; owners holds the requests as the keeper knows
+// them.
+func (m *model) removeLeader(event keeper.LeaderLost, owners map[keeper.CallKey]keeper.Request) {
 	for call, owner := range owners {
 		if owner.Leader != event.Leader || owner.Shard != event.Shard {
 			continue
 		}
-		a.settle(call)
-		delete(a.running, call)
+		m.removeWaiting(call)
+		delete(m.running, call)
 	}
 }
 
-// adopt follows ProgramsLive: its leader answers for the shard's grants.
-func (a *audit) adopt(event keeper.ProgramsLive, owners map[keeper.CallKey]keeper.Request) {
-	for call := range a.running {
+// reassignGrants applies ProgramsLive: its leader takes over the shard's grants.
+func (m *model) reassignGrants(event keeper.ProgramsLive, owners map[keeper.CallKey]keeper.Request) {
+	for call := range m.running {
 		owner := owners[call]
 		if owner.Shard == event.Shard {
 			owner.Leader = event.Leader
@@ -224,57 +225,58 @@
 	}
 }
 
-// unconfirm follows GrantsHeld with an empty list: grants older than the
-// confirmation time end.
-func (a *audit) unconfirm(event keeper.GrantsHeld, owners map[keeper.CallKey]keeper.Request) {
-	for call := range a.running {
-		overdue := a.now-a.granted[call] > keeper.DefaultConfig().GrantConfirm
+// expireGrants applies a GrantsHeld with an empty list: grants older than
+// GrantConfirmTimeout end.
+func (m *model) expireGrants(event keeper.GrantsHeld, owners map[keeper.CallKey]keeper.Request) {
+	for call := range m.running {
+		overdue := m.now-m.granted[call] > keeper.DefaultConfig().GrantConfirmTimeout
 		if owners[call].Leader == event.Leader && overdue {
-			delete(a.running, call)
+			delete(m.running, call)
 		}
 	}
 }
 
-// TestConservation: every queued call ends in exactly one of grant, refusal,
-// cancel or drop; grants keep to limits; equal events give equal effects.
+// TestConservation checks that every queued call ends in exactly one of grant,
+// refusal, cancel or drop, that grants respect limits, and that equal events give
+// equal effects.
 func TestConservation(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		a := drawAudit(t)
+		m := drawModel(t)
 		owners := map[keeper.CallKey]keeper.Request{}
 		for number := range rapid.IntRange(1, 200).Draw(t, "events") {
-			a.now += time.Duration(rapid.IntRange(0, 1500).Draw(t, "ms")) * time.Millisecond
+			m.now += time.Duration(rapid.IntRange(0, 1500).Draw(t, "ms")) * time.Millisecond
 			event := drawEvent(t, number)
 			if queued, ok := event.(keeper.CallQueued); ok {
 				owners[queued.Request.Call] = queued.Request
 			}
-			a.before(event)
+			m.applyEvent(event)
 			switch event := event.(type) {
 			case keeper.LeaderLost:
-				a.loseLeader(event, owners)
+				m.removeLeader(event, owners)
 			case keeper.GrantsHeld:
-				a.unconfirm(event, owners)
+				m.expireGrants(event, owners)
 			case keeper.ProgramsLive:
-				a.adopt(event, owners)
+				m.reassignGrants(event, owners)
 			}
-			effects := a.keeper.Step(a.now, event)
-			a.check(t, event, effects)
-			if again := a.twin.Step(a.now, event); !reflect.DeepEqual(effects, again) {
-				t.Fatalf("after %T: %v, but the twin gives %v", event, effects, again)
+			effects := m.keeper.Step(m.now, event)
+			m.applyEffects(t, event, effects)
+			if again := m.replica.Step(m.now, event); !reflect.DeepEqual(effects, again) {
+				t.Fatalf("after %T: %v, but the replica gives %v", event, effects, again)
 			}
-			if err := a.keeper.CheckBooks(); err != nil {
+			if err := m.keeper.CheckInvariants(); err != nil {
 				t.Fatalf("after %T: %v", event, err)
 			}
-			load := a.keeper.Snapshot()
-			if load.Waiting != len(a.waiting) || load.Running != len(a.running) {
-				t.Fatalf("after %T: keeper has %d waiting, %d running; the books say %d and %d",
-					event, load.Waiting, load.Running, len(a.waiting), len(a.running))
+			load := m.keeper.Snapshot()
+			if load.Waiting != len(m.waiting) || load.Running != len(m.running) {
+				t.Fatalf("after %T: keeper has %d waiting and %d running calls, want %d and %d",
+					event, load.Waiting, load.Running, len(m.waiting), len(m.running))
 			}
 		}
 	})
 }
 
-// TestNoTierStarves: with every tier backlogged, the lowest is granted at least
-// once in a bounded number of grants, whatever the order inside a tier does.
+// TestNoTierStarves checks that with every tier backlogged, the lowest tier gets
+// at least one in a bounded number of grants, for every order with tiers.
 func TestNoTierStarves(t *testing.T) {
 	const bound = 64
 	rapid.Check(t, func(t *rapid.T) {
@@ -282,7 +284,7 @@
 		policies, _ := keeper.PoliciesByName(order, "", "", 0)
 		pool := keeper.New(keeper.Config{}, policies)
 		pool.Step(0, keeper.EngineReported{Engine: "e1", RunningLimit: 2, BlocksTotal: 1000, BlockTokens: 16})
-		since, number := 0, 0
+		sinceLowest, number := 0, 0
 		offer := func(weight uint32) []keeper.Effect {
 			number++
 			call := keeper.CallKey{Program: fmt.Sprint(number), RequestID: "1"}
@@ -293,33 +295,33 @@
 			return pool.Step(time.Duration(number)*time.Millisecond, keeper.CallQueued{Request: request})
 		}
 		var running []keeper.CallKey
-		note := func(effects []keeper.Effect) {
+		record := func(effects []keeper.Effect) {
 			for _, effect := range effects {
 				grant, ok := effect.(keeper.Grant)
 				if !ok {
 					continue
 				}
 				running = append(running, grant.Request.Call)
-				since++
+				sinceLowest++
 				if grant.Request.Weight == 1 {
-					since = 0
+					sinceLowest = 0
 				}
 			}
 		}
 		for range 8 {
-			note(offer(8))
-			note(offer(3))
-			note(offer(1))
+			record(offer(8))
+			record(offer(3))
+			record(offer(1))
 		}
 		for range 300 {
 			done := running[0]
 			running = running[1:]
-			note(pool.Step(time.Duration(number)*time.Millisecond, keeper.CallFinished{Call: done, PromptTokens: 10, OutputTokens: 10}))
-			note(offer(rapid.SampledFrom([]uint32{8, 8, 3}).Draw(t, "weight")))
-			note(offer(8))
-			note(offer(1))
-			if since > bound {
-				t.Fatalf("%d grants passed without one to the lowest tier", since)
+			record(pool.Step(time.Duration(number)*time.Millisecond, keeper.CallFinished{Call: done, PromptTokens: 10, OutputTokens: 10}))
+			record(offer(rapid.SampledFrom([]uint32{8, 8, 3}).Draw(t, "weight")))
+			record(offer(8))
+			record(offer(1))
+			if sinceLowest > bound {
+				t.Fatalf("%d consecutive grants without one to the lowest tier", sinceLowest)
 			}
 		}
 	})
--- a/internal/keeper/release.go
+++ b/internal/keeper/release.go
@@ -1,47 +1,47 @@
 package keeper
 
-// release orders an engine to free a program's idle prefix. An order may be
-// lost, so the estimate stays, empty, until a report confirms it.
-func (keeper *Keeper) release(held *prefix, why string) {
-	keeper.markReleased(held)
-	keeper.emit(ReleaseCache{Engine: held.engine.name, Program: held.program.name, Why: why})
+// release tells an engine to free a program's idle prefix. The command may be
+// lost, so the empty estimate is kept until a report confirms the release.
+func (keeper *Keeper) release(p *prefix, why string) {
+	keeper.markReleased(p)
+	keeper.emit(ReleaseCache{Engine: p.engine.name, Program: p.program.name, Why: why})
 }
 
-// markReleased empties an estimate after an order that frees it.
-func (keeper *Keeper) markReleased(held *prefix) {
-	held.resize(0)
-	held.released = true
-	held.touchedAt = keeper.now
+// markReleased empties the estimate of a prefix that was released or exported.
+func (keeper *Keeper) markReleased(p *prefix) {
+	p.resize(0)
+	p.released = true
+	p.updatedAt = keeper.now
 }
 
-// releaseAll frees a program's idle prefixes on every engine. Those that a
-// running call uses are left: they are seen to when the call ends.
+// releaseAll releases a program's idle prefixes on all engines. A prefix in use
+// by a running call is handled when the call ends.
 func (keeper *Keeper) releaseAll(program *programState, why string) {
 	if !keeper.policies.ManagesCache {
 		return
 	}
-	for _, held := range program.prefixes {
-		if held.pins == 0 && !held.released {
-			keeper.release(held, why)
+	for _, p := range program.prefixes {
+		if p.pins == 0 && !p.released {
+			keeper.release(p, why)
 		}
 	}
 }
 
-// releaseElsewhere frees the prefixes a program leaves behind when a call of
-// it is granted on another engine: the next call will look for the newest one.
+// releaseElsewhere releases the program's idle prefixes on other engines when a
+// call is granted: the next call prefers the newest prefix.
 func (keeper *Keeper) releaseElsewhere(call *runningCall) {
 	if !keeper.policies.ManagesCache {
 		return
 	}
-	for _, held := range call.program.prefixes {
-		if held.engine != call.engine && held.pins == 0 && !held.released {
-			keeper.release(held, "program moved to another engine")
+	for _, p := range call.program.prefixes {
+		if p.engine != call.engine && p.pins == 0 && !p.released {
+			keeper.release(p, "program moved to another engine")
 		}
 	}
 }
 
-// importPrefix orders an exported prefix back in before the call runs, unless
-// the engine has as much of it already.
+// importPrefix imports an exported prefix before the call runs, unless the
+// engine has at least as much of it cached.
 func (keeper *Keeper) importPrefix(call *runningCall, engine *engineState) {
 	exported := min(call.program.exportedTokens, call.request.PromptTokens)
 	call.program.exportedTokens = 0
@@ -52,7 +52,7 @@
 	keeper.emit(ImportCache{Engine: engine.name, Program: call.program.name})
 }
 
-// endProgram marks a program as gone and frees its cache everywhere.
+// endProgram marks a program as ended and releases its idle prefixes.
 func (keeper *Keeper) endProgram(name, why string) {
 	program := keeper.programs.ensure(name)
 	if program.ended {
@@ -60,7 +60,7 @@
 	}
 	if program.paused {
 		program.paused = false
-		program.noteNoReturn()
+		program.recordNoReuse()
 	}
 	keeper.timers.stop(program.keepTimer)
 	program.exportedTokens = 0
--- a/internal/keeper/report.go
+++ b/internal/keeper/report.go
@@ -5,8 +5,9 @@
 	"time"
 )
 
-// applyReport takes an engine's load report in; the first one makes the engine
-// known. Counts of running calls in it lag, so the keeper's own grants rule.
+// applyReport applies an engine's load report; the first one adds the engine.
+// Reported call counts lag behind and are ignored in favor of the keeper's own
+// grants.
 func (keeper *Keeper) applyReport(event EngineReported) {
 	engine := keeper.ensureEngine(event.Engine)
 	engine.model = event.Model
@@ -15,16 +16,16 @@
 	engine.runningLimit = event.RunningLimit
 	engine.memoryTokens = event.BlocksTotal * event.BlockTokens
 	engine.reportedAt = keeper.now
-	engine.failed = false
+	engine.callFailed = false
 	engine.leaving = event.Leaving
 	engine.role = event.Role
-	keeper.followDrain(engine)
-	keeper.followReport(engine)
-	keeper.restoreRole(engine)
-	keeper.changedAdapters(engine, event.Adapters)
-	keeper.followLoad(engine, event)
+	keeper.updateDrain(engine)
+	keeper.updateReadiness(engine)
+	keeper.requestMixedRole(engine)
+	keeper.updateAdapters(engine, event.Adapters)
+	keeper.updateLoad(engine, event)
 	if engine.ready() {
-		keeper.lastReady = keeper.now
+		keeper.lastReadyAt = keeper.now
 	} else {
 		keeper.unbind(engine)
 	}
@@ -34,8 +35,8 @@
 	engine.trimPrefixes()
 }
 
-// reconcile compares the estimates of one engine with its report, in the order
-// of program names.
+// reconcile compares the prefix estimates of one engine with its report, in the
+// order of program names for determinism.
 func (keeper *Keeper) reconcile(engine *engineState, event EngineReported) {
 	names := make([]string, 0, len(event.ProgramBlocks))
 	for name := range event.ProgramBlocks {
@@ -43,38 +44,38 @@
 	}
 	slices.Sort(names)
 	for _, name := range names {
-		keeper.correct(engine, name, event.ProgramBlocks[name]*event.BlockTokens)
+		keeper.correctEstimate(engine, name, event.ProgramBlocks[name]*event.BlockTokens)
 	}
-	keeper.forgetMissing(engine, event.ProgramBlocks)
+	keeper.dropMissing(engine, event.ProgramBlocks)
 }
 
-// forgetMissing drops settled estimates that the report does not show: the
-// engine has evicted or released them.
-func (keeper *Keeper) forgetMissing(engine *engineState, reported map[string]int) {
+// dropMissing drops settled estimates that the report does not show: the engine
+// has evicted or released them.
+func (keeper *Keeper) dropMissing(engine *engineState, reported map[string]int) {
 	next := engine.prefixes.oldest
 	for next != nil {
-		held := next
-		next = held.newer
-		if reported[held.program.name] == 0 && keeper.settled(held) {
-			held.drop()
+		p := next
+		next = p.newer
+		if reported[p.program.name] == 0 && keeper.settled(p) {
+			p.drop()
 		}
 	}
 }
 
-// settled tells whether the keeper's own orders for a prefix are so old that
-// late reports already show them.
-func (keeper *Keeper) settled(held *prefix) bool {
-	return held.pins == 0 && keeper.now-held.touchedAt > keeper.config.CacheLag
+// settled reports whether the keeper's last update of an idle prefix is old
+// enough for delayed reports to reflect it.
+func (keeper *Keeper) settled(p *prefix) bool {
+	return p.pins == 0 && keeper.now-p.updatedAt > keeper.config.CacheLag
 }
 
-// applyCacheEvent takes one late cache event in.
+// applyCacheEvent applies a delayed cache event.
 func (keeper *Keeper) applyCacheEvent(event EngineCacheChanged) {
 	engine := keeper.engineNamed(event.Engine)
 	if engine == nil {
 		return
 	}
 	if event.Tokens > 0 {
-		keeper.correct(engine, event.Program, event.Tokens)
+		keeper.correctEstimate(engine, event.Program, event.Tokens)
 		engine.trimPrefixes()
 		return
 	}
@@ -82,34 +83,36 @@
 	if program == nil {
 		return
 	}
-	if held := program.prefixOn(engine); held != nil && keeper.settled(held) {
-		held.drop()
+	if p := program.prefixOn(engine); p != nil && keeper.settled(p) {
+		p.drop()
 	}
 }
 
-// correct brings one estimate in line with what an engine shows, tokens above
-// 0. It corrects only settled estimates; what a gone program holds is released.
-func (keeper *Keeper) correct(engine *engineState, name string, tokens int) {
-	program := keeper.reportedProgram(name)
-	held := program.prefixOn(engine)
-	if held != nil && !keeper.settled(held) {
+// correctEstimate sets a settled estimate to the reported tokens, which must be
+// above 0. A prefix of an ended program, or one already released, is released
+// again instead.
+func (keeper *Keeper) correctEstimate(engine *engineState, name string, tokens int) {
+	program := keeper.ensureReportedProgram(name)
+	p := program.prefixOn(engine)
+	if p != nil && !keeper.settled(p) {
 		return
 	}
-	if held == nil {
-		held = adoptPrefix(program, engine)
+	if p == nil {
+		p = addReportedPrefix(program, engine)
 	}
-	if !program.ended && !held.released {
-		held.resize(tokens)
+	if !program.ended && !p.released {
+		p.resize(tokens)
 		return
 	}
-	if keeper.policies.ManagesCache && keeper.now-held.touchedAt > keeper.config.ReleaseRetry {
-		keeper.release(held, "still held after its release")
+	if keeper.policies.ManagesCache && keeper.now-p.updatedAt > keeper.config.ReleaseRetry {
+		keeper.release(p, "engine still reports the cache after its release")
 	}
 }
 
-// reportedProgram returns the program that an engine's report names. One that
-// its shard's list of live programs leaves out is gone.
-func (keeper *Keeper) reportedProgram(name string) *programState {
+// ensureReportedProgram returns the program named in an engine report. An
+// unknown program is added, and counts as ended if its shard's live programs
+// have been listed.
+func (keeper *Keeper) ensureReportedProgram(name string) *programState {
 	program := keeper.programs.byName[name]
 	if program != nil {
 		return program
@@ -118,50 +121,52 @@
 	if keeper.config.ShardOf == nil {
 		return program
 	}
-	keeper.programs.placeInShard(program, keeper.config.ShardOf(name))
+	keeper.programs.assignShard(program, keeper.config.ShardOf(name))
 	if keeper.programs.shard(program.shard).listed {
 		keeper.programs.end(program, keeper.now)
 	}
 	return program
 }
 
-// applyLivePrograms takes a shard's list of live programs in. A program that it
-// leaves out is gone, unless it has calls here or was seen so lately that the
-// list may be older.
+// applyLivePrograms applies a shard's list of live programs. Programs that are
+// not listed are ended, unless they have calls here or had one within
+// LiveListGrace.
 func (keeper *Keeper) applyLivePrograms(event ProgramsLive) {
 	shard := keeper.programs.shard(event.Shard)
 	shard.listed = true
-	keeper.adoptGrants(event)
+	keeper.reassignGrants(event)
 	for _, name := range event.Programs {
-		keeper.noteLive(name, event.Shard)
+		keeper.markLive(name, event.Shard)
 	}
-	var gone []string
+	var ended []string
 	for program := range shard.programs {
 		idle := program.calls == 0 && !program.ended
-		if idle && program.listedAt != keeper.now && keeper.unseen(program) {
-			gone = append(gone, program.name)
+		if idle && program.lastListedAt != keeper.now && keeper.hadNoRecentCall(program) {
+			ended = append(ended, program.name)
 		}
 	}
-	slices.Sort(gone)
-	for _, name := range gone {
-		keeper.endProgram(name, "not among its shard's live programs")
+	slices.Sort(ended)
+	for _, name := range ended {
+		keeper.endProgram(name, "program is not in its shard's live list")
 	}
 }
 
-// noteLive marks a program as listed now.
-func (keeper *Keeper) noteLive(name string, shard uint32) {
+// markLive records that a program is listed. One that ended within
+// LiveListGrace is not revived: the list may be older than its end.
+func (keeper *Keeper) markLive(name string, shard uint32) {
 	program := keeper.programs.ensure(name)
-	keeper.programs.placeInShard(program, shard)
-	program.listedAt = keeper.now
-	if program.ended && keeper.now-program.endedAt > keeper.config.LiveMargin {
+	keeper.programs.assignShard(program, shard)
+	program.lastListedAt = keeper.now
+	if program.ended && keeper.now-program.endedAt > keeper.config.LiveListGrace {
 		keeper.programs.revive(program)
 	}
 }
 
-// unseen tells whether no call of a program was offered within the margin.
-func (keeper *Keeper) unseen(program *programState) bool {
-	return program.seenAt == neverSeen || keeper.now-program.seenAt > keeper.config.LiveMargin
+// hadNoRecentCall reports whether no call of the program was offered within
+// LiveListGrace.
+func (keeper *Keeper) hadNoRecentCall(program *programState) bool {
+	return program.lastCallAt == neverCalled || keeper.now-program.lastCallAt > keeper.config.LiveListGrace
 }
 
-// neverSeen is the seenAt of a program known only from reports and lists.
-const neverSeen = time.Duration(-1)
+// neverCalled is the lastCallAt of a program known only from reports and lists.
+const neverCalled = time.Duration(-1)
--- a/internal/keeper/role.go
+++ b/internal/keeper/role.go
@@ -1,25 +1,25 @@
 package keeper
 
-// RoleMixed is the role of an engine that computes prompts and generates. It is
-// what a call needs of its engine, since cache is not moved between engines.
+// RoleMixed is the role of an engine that does both prefill and decode. Calls
+// need it because KV cache is not transferred between engines.
 const RoleMixed = "mixed"
 
-// wholeCalls tells whether the engine both computes prompts and generates. One
-// that does not report a role does.
-func (engine *engineState) wholeCalls() bool {
+// servesFullCalls reports whether the engine does both prefill and decode. An
+// engine that reports no role is assumed to.
+func (engine *engineState) servesFullCalls() bool {
 	return engine.role == "" || engine.role == RoleMixed
 }
 
-// restoreRole orders an engine back that can serve no whole call, unless it is
-// being taken out. The order may be lost, so it is repeated.
-func (keeper *Keeper) restoreRole(engine *engineState) {
-	if engine.wholeCalls() || engine.leaving || keeper.drained[engine.name] {
+// requestMixedRole tells an engine with another role to become mixed, unless it
+// is draining. The command may be lost, so it is repeated every RoleRetry.
+func (keeper *Keeper) requestMixedRole(engine *engineState) {
+	if engine.servesFullCalls() || engine.leaving || keeper.drained[engine.name] {
 		return
 	}
-	if engine.roleOrdered && keeper.now-engine.roleOrderedAt < keeper.config.RoleRetry {
+	if engine.roleRequested && keeper.now-engine.roleRequestedAt < keeper.config.RoleRetry {
 		return
 	}
-	engine.roleOrdered = true
-	engine.roleOrderedAt = keeper.now
+	engine.roleRequested = true
+	engine.roleRequestedAt = keeper.now
 	keeper.emit(SetRole{Engine: engine.name, Role: RoleMixed})
 }
--- a/internal/keeper/role_test.go
+++ b/internal/keeper/role_test.go
@@ -7,7 +7,7 @@
 	"github.com/magpielug/magpielug/internal/keeper"
 )
 
-var _ = Describe("an engine that serves no whole calls", func() {
+var _ = Describe("an engine with a prefill or decode role", func() {
 	inRole := func(role string) keeper.EngineReported {
 		reported := report("e1", 4)
 		reported.Role = role
@@ -15,23 +15,23 @@
 	}
 
 	for _, role := range []string{"prefill", "decode"} {
-		It("is ordered back from "+role+" and gets no grant before it reports so", func() {
-			b := newBench(keeper.Config{}, "", "", "")
-			b.step(keeper.CallQueued{Request: request("a", 1, 1)})
+		It("is told to leave role "+role+" and gets no grant before it reports the mixed role", func() {
+			h := newHarness(keeper.Config{}, "", "", "")
+			h.step(keeper.CallQueued{Request: request("a", 1, 1)})
 			order := []keeper.Effect{keeper.SetRole{Engine: "e1", Role: keeper.RoleMixed}}
-			Expect(b.step(inRole(role))).To(Equal(order))
-			Expect(b.step(inRole(role))).To(BeEmpty())
-			b.now += keeper.DefaultConfig().RoleRetry
-			Expect(b.step(inRole(role))).To(Equal(order))
-			Expect(granted(b.step(inRole(keeper.RoleMixed)))).To(Equal([]string{"a"}))
+			Expect(h.step(inRole(role))).To(Equal(order))
+			Expect(h.step(inRole(role))).To(BeEmpty())
+			h.now += keeper.DefaultConfig().RoleRetry
+			Expect(h.step(inRole(role))).To(Equal(order))
+			Expect(granted(h.step(inRole(keeper.RoleMixed)))).To(Equal([]string{"a"}))
 		})
 	}
 
-	It("is left alone while it is drained", func() {
-		b := newBench(keeper.Config{}, "", "", "")
-		b.step(keeper.EngineDraining{Engine: "e1"})
-		Expect(b.step(inRole("prefill"))).To(BeEmpty())
-		b.step(keeper.EngineResumed{Engine: "e1"})
-		Expect(b.step(inRole("prefill"))).To(HaveLen(1))
+	It("gets no role command while it is draining", func() {
+		h := newHarness(keeper.Config{}, "", "", "")
+		h.step(keeper.EngineDraining{Engine: "e1"})
+		Expect(h.step(inRole("prefill"))).To(BeEmpty())
+		h.step(keeper.EngineResumed{Engine: "e1"})
+		Expect(h.step(inRole("prefill"))).To(HaveLen(1))
 	})
 })
--- a/internal/keeper/running.go
+++ b/internal/keeper/running.go
@@ -14,17 +14,17 @@
 	tier    *tierState
 	engine  *engineState
 	prefix  *prefix
-	// place is the call's index in its engine's running list.
-	place int
-	// need is the KV memory counted for the call, tokens.
-	need           int
+	// index is the call's index in its engine's running list.
+	index int
+	// kvTokens is the predicted KV memory of the call, in tokens.
+	kvTokens       int
 	expectedCached int
-	// fresh is true when the program had no prefix on the engine.
-	fresh     bool
+	// coldStart is true if the program had no prefix on the engine.
+	coldStart bool
 	grantedAt time.Duration
-	// firstToken is the time from the grant to the first token, 0 before it.
+	// firstToken is the time from grant to first token; 0 before it.
 	firstToken time.Duration
-	// sequence rises with each grant.
+	// sequence increases with each grant.
 	sequence   uint64
 	preempting bool
 	cancelling bool
@@ -34,102 +34,102 @@
 func (keeper *Keeper) grantFrom(from *queue.Queue[*waitingCall], item *queue.Item[*waitingCall], engine *engineState) {
 	call := item.Value
 	cached := keeper.expectedCached(call, engine)
-	keeper.leaveQueue(call)
+	keeper.dequeue(call)
 	from.RecordGrant(item)
 	keeper.tiers.countGrant(call.rank.Band, keeper.now)
-	running := &runningCall{request: call.request, program: call.program, tier: call.tier, need: call.need, expectedCached: cached}
+	running := &runningCall{request: call.request, program: call.program, tier: call.tier, kvTokens: call.kvTokens, expectedCached: cached}
 	keeper.importPrefix(running, engine)
 	keeper.startCall(running, engine)
 	keeper.releaseElsewhere(running)
 	why := grantReason(running, keeper.now-call.queuedAt)
-	keeper.decide(call.request.Call, "grant", why)
-	keeper.emit(running.grant(why))
+	keeper.recordDecision(call.request.Call, "grant", why)
+	keeper.emit(running.grantEffect(why))
 }
 
-// startCall enters a grant into the books of its engine, program and tier.
+// startCall adds a grant to the state of its engine, program and tier.
 func (keeper *Keeper) startCall(call *runningCall, engine *engineState) {
 	keeper.sequence++
 	call.sequence = keeper.sequence
 	call.grantedAt = keeper.now
 	call.engine = engine
-	call.place = len(engine.running)
+	call.index = len(engine.running)
 	engine.running = append(engine.running, call)
-	engine.usedTokens += call.need
+	engine.usedTokens += call.kvTokens
 	call.tier.running++
 	keeper.running[call.request.Call] = call
-	call.fresh = call.program.cachedOn(engine) == 0
+	call.coldStart = call.program.cachedOn(engine) == 0
 	call.prefix = keeper.ensurePrefix(call.program, engine)
 	call.prefix.pin()
 	engine.trimPrefixes()
 }
 
-// endGrant takes a grant out of the books. The program's prefix stays, idle.
+// endGrant removes a grant. The program's prefix on the engine stays, unpinned.
 func (keeper *Keeper) endGrant(call *runningCall) {
 	engine := call.engine
 	last := len(engine.running) - 1
-	engine.running[call.place] = engine.running[last]
-	engine.running[call.place].place = call.place
+	engine.running[call.index] = engine.running[last]
+	engine.running[call.index].index = call.index
 	engine.running[last] = nil
 	engine.running = engine.running[:last]
-	engine.usedTokens -= call.need
+	engine.usedTokens -= call.kvTokens
 	call.prefix.unpin()
 	call.tier.running--
-	keeper.tiers.forgetIdle(call.tier)
+	keeper.tiers.removeIfIdle(call.tier)
 	call.program.calls--
-	call.program.changeClaims()
+	call.program.invalidateClaims()
 	delete(keeper.running, call.request.Call)
 }
 
-// finishCall returns a grant with what the engine reported.
+// finishCall ends a grant with the measurements of the engine.
 func (keeper *Keeper) finishCall(event CallFinished) {
 	call := keeper.running[event.Call]
 	if call == nil {
 		return
 	}
 	if !event.Failed {
-		keeper.learn(call, event)
-		held := max(event.PromptTokens, call.request.PromptTokens) + event.OutputTokens
-		call.prefix.resize(held)
+		keeper.updateEstimates(call, event)
+		cachedTokens := max(event.PromptTokens, call.request.PromptTokens) + event.OutputTokens
+		call.prefix.resize(cachedTokens)
 	}
 	engine := call.engine
-	ordered := call.preempting || call.cancelling
-	if event.Failed && !ordered {
-		keeper.noteFailure(engine)
+	interrupted := call.preempting || call.cancelling
+	if event.Failed && !interrupted {
+		keeper.recordCallFailure(engine)
 	}
 	keeper.endGrant(call)
-	call.program.returnBy = keeper.now + keeper.config.ReturnWithin
-	call.program.changeClaims()
+	call.program.returnExpectedBy = keeper.now + keeper.config.ReturnTimeout
+	call.program.invalidateClaims()
 	keeper.ensurePrefix(call.program, engine)
 	if call.program.ended {
-		keeper.releaseAll(call.program, "program ended while its call ran")
+		keeper.releaseAll(call.program, "program ended while its call was running")
 	}
 	engine.trimPrefixes()
 }
 
-// learn takes the measures of a finished call in.
-func (keeper *Keeper) learn(call *runningCall, event CallFinished) {
+// updateEstimates adds the measurements of a finished call.
+func (keeper *Keeper) updateEstimates(call *runningCall, event CallFinished) {
 	keeper.estimates.holdSeconds.add((keeper.now - call.grantedAt).Seconds(), 1)
 	if call.request.MaxTokens > 0 {
-		keeper.estimates.outputPart.add(float64(event.OutputTokens), float64(call.request.MaxTokens))
+		keeper.estimates.outputRatio.add(float64(event.OutputTokens), float64(call.request.MaxTokens))
 	}
 	uncached := event.PromptTokens - event.CachedTokens
 	if call.firstToken > 0 && uncached > 0 {
 		keeper.estimates.prefillSeconds.add(call.firstToken.Seconds(), float64(uncached))
 	}
-	if call.fresh && call.request.AttainedService == 0 {
-		call.program.kind.shared.add(float64(event.CachedTokens), 1)
+	if call.coldStart && call.request.AttainedService == 0 {
+		call.program.kind.sharedPrefix.add(float64(event.CachedTokens), 1)
 	}
 }
 
-// noteFirstToken measures prompt computation.
-func (keeper *Keeper) noteFirstToken(key CallKey) {
+// recordFirstToken records the time to the first token.
+func (keeper *Keeper) recordFirstToken(key CallKey) {
 	if call := keeper.running[key]; call != nil {
 		call.firstToken = keeper.now - call.grantedAt
 	}
 }
 
-// grant is the effect that tells the leader.
-func (call *runningCall) grant(why string) Grant {
+// grantEffect returns the Grant for the leader.
+func (call *runningCall) grantEffect(why string) Grant {
 	return Grant{
 		Request:        call.request,
 		Engine:         call.engine.name,
@@ -139,7 +139,7 @@
 	}
 }
 
-// grantReason is one short line: the wait and the cached part of the prompt.
+// grantReason describes the wait and the cached part of the prompt in one line.
 func grantReason(call *runningCall, waited time.Duration) string {
 	const base = 10
 	line := make([]byte, 0, 64)
--- a/internal/keeper/tier.go
+++ b/internal/keeper/tier.go
@@ -7,10 +7,10 @@
 	"time"
 )
 
-// tierKey names a tier.
+// tierKey identifies a tier of one tenant.
 type tierKey struct{ tenant, tier string }
 
-// tierState counts a tier's calls. It is forgotten when it has none.
+// tierState counts a tier's calls. It is removed when there are none.
 type tierState struct {
 	key     tierKey
 	weight  uint32
@@ -19,11 +19,11 @@
 	running int
 }
 
-// tierTable holds the tiers with calls, and the grant rate of each queue band.
+// tierTable holds the tiers with calls and the grant rate of each queue band.
 type tierTable struct {
 	byKey map[tierKey]*tierState
-	// bands are sorted by number, the highest first. They are as few as the
-	// distinct weights.
+	// bands is sorted by number, highest first. There is one for each tier
+	// weight.
 	bands []*bandRate
 }
 
@@ -31,8 +31,8 @@
 	return tierTable{byKey: make(map[tierKey]*tierState)}
 }
 
-// of returns the tier of a request, made if needed.
-func (table *tierTable) of(request *Request, band uint32) *tierState {
+// ensure returns the tier of a request, adding it if needed.
+func (table *tierTable) ensure(request *Request, band uint32) *tierState {
 	key := tierKey{request.Tenant, request.Tier}
 	tier := table.byKey[key]
 	if tier == nil {
@@ -44,14 +44,14 @@
 	return tier
 }
 
-// forgetIdle drops a tier without calls.
-func (table *tierTable) forgetIdle(tier *tierState) {
+// removeIfIdle removes a tier without calls.
+func (table *tierTable) removeIfIdle(tier *tierState) {
 	if tier.waiting == 0 && tier.running == 0 {
 		delete(table.byKey, tier.key)
 	}
 }
 
-// sorted returns the tiers, the heaviest first, then by name.
+// sorted returns the tiers by descending weight, then name.
 func (table *tierTable) sorted() []*tierState {
 	tiers := make([]*tierState, 0, len(table.byKey))
 	for _, tier := range table.byKey {
@@ -67,25 +67,25 @@
 	return tiers
 }
 
-// rateMemory is the time over which grant rates are averaged.
-const rateMemory = 10 * time.Second
+// rateWindow is the time constant of the grant rates.
+const rateWindow = 10 * time.Second
 
-// bandRate is a decayed count of a band's grants.
+// bandRate is an exponentially decayed count of a band's grants.
 type bandRate struct {
-	number  uint32
-	count   float64
-	counted time.Duration
+	number    uint32
+	count     float64
+	countedAt time.Duration
 	// idleAt is when the band was last seen without a waiting call.
 	idleAt time.Duration
 }
 
-// decayed returns the count as of now.
+// decayed returns the count decayed to now.
 func (rate *bandRate) decayed(now time.Duration) float64 {
-	age := (now - rate.counted).Seconds()
-	return rate.count * math.Exp(-age/rateMemory.Seconds())
+	age := (now - rate.countedAt).Seconds()
+	return rate.count * math.Exp(-age/rateWindow.Seconds())
 }
 
-// band returns a band's rate, made if needed.
+// band returns a band's rate, adding it if needed.
 func (table *tierTable) band(number uint32, now time.Duration) *bandRate {
 	index, found := slices.BinarySearchFunc(table.bands, number, func(rate *bandRate, number uint32) int {
 		return cmp.Compare(number, rate.number)
@@ -96,25 +96,25 @@
 	return table.bands[index]
 }
 
-// backlogRate returns the grants a second that a band gets, once calls of it
-// have waited without a break for as long as rates are averaged; 0 before. Less
-// than that says nothing: a band may get few grants because it asks for few.
+// backlogRate returns the band's grants per second if calls of it have waited
+// without interruption for at least rateWindow, and 0 otherwise. Without a
+// backlog the rate reflects demand rather than capacity.
 func (table *tierTable) backlogRate(number uint32, now time.Duration) float64 {
 	rate := table.band(number, now)
-	if now-rate.idleAt < rateMemory {
+	if now-rate.idleAt < rateWindow {
 		return 0
 	}
-	return max(rate.decayed(now)/rateMemory.Seconds(), leastRate)
+	return max(rate.decayed(now)/rateWindow.Seconds(), minGrantRate)
 }
 
-// countGrant adds one grant to a band's rate.
+// countGrant adds a grant to a band's rate.
 func (table *tierTable) countGrant(band uint32, now time.Duration) {
 	rate := table.band(band, now)
 	rate.count = rate.decayed(now) + 1
-	rate.counted = now
+	rate.countedAt = now
 }
 
-// rateAbove returns the grants a second that go to bands above a number.
+// rateAbove returns the grants per second of all bands above a band.
 func (table *tierTable) rateAbove(band uint32, now time.Duration) float64 {
 	total := 0.0
 	for _, rate := range table.bands {
@@ -123,5 +123,5 @@
 		}
 		total += rate.decayed(now)
 	}
-	return total / rateMemory.Seconds()
+	return total / rateWindow.Seconds()
 }
--- a/internal/keeper/timer.go
+++ b/internal/keeper/timer.go
@@ -5,27 +5,27 @@
 	"time"
 )
 
-// timer is one moment at which the keeper must act: a waiting call's deadline
-// or the end of the time a paused program's prefix is kept. Exactly one of call
-// and program is set.
+// timer is a time at which the keeper must act: a waiting call's deadline or
+// adapter timeout, or the end of a paused program's keep duration. Exactly one
+// of call and program is set.
 type timer struct {
 	at       time.Duration
 	sequence uint64
-	// position is the place in the heap, or notSet.
+	// position is the index in the heap, or notScheduled.
 	position int
 	call     *waitingCall
 	program  *programState
 }
 
-const notSet = -1
+const notScheduled = -1
 
-// timerHeap orders timers by time, then by the order they were set in.
+// timerHeap orders timers by time, then by the order in which they were set.
 type timerHeap struct {
 	timers   []*timer
 	sequence uint64
 }
 
-// set starts a timer that is not running.
+// set schedules a timer that is not scheduled.
 func (h *timerHeap) set(t *timer, at time.Duration) {
 	h.sequence++
 	t.at = at
@@ -33,24 +33,23 @@
 	heap.Push(h, t)
 }
 
-// stop ends a timer, if it runs.
+// stop cancels a timer if it is scheduled. The timer may be nil.
 func (h *timerHeap) stop(t *timer) {
-	if t != nil && t.position != notSet {
+	if t != nil && t.position != notScheduled {
 		heap.Remove(h, t.position)
 	}
 }
 
-// due removes and returns the first timer at or before now, nil if none is.
-func (h *timerHeap) due(now time.Duration) *timer {
+// popDue removes and returns the first timer at or before now, or nil if none
+// is due.
+func (h *timerHeap) popDue(now time.Duration) *timer {
 	if len(h.timers) == 0 || h.timers[0].at > now {
 		return nil
 	}
 	return heap.Pop(h).(*timer)
 }
 
-// Len, Less, Swap, Push and Pop make timerHeap a heap.Interface.
-
-// Len returns the number of running timers.
+// Len implements heap.Interface.
 func (h *timerHeap) Len() int { return len(h.timers) }
 
 // Less orders by time, then sequence.
@@ -61,44 +60,44 @@
 	return h.timers[i].sequence < h.timers[j].sequence
 }
 
-// Swap swaps two timers.
+// Swap implements heap.Interface.
 func (h *timerHeap) Swap(i, j int) {
 	h.timers[i], h.timers[j] = h.timers[j], h.timers[i]
 	h.timers[i].position = i
 	h.timers[j].position = j
 }
 
-// Push appends a timer; container/heap calls it.
+// Push implements heap.Interface.
 func (h *timerHeap) Push(element any) {
 	t := element.(*timer)
 	t.position = len(h.timers)
 	h.timers = append(h.timers, t)
 }
 
-// Pop removes the last timer; container/heap calls it.
+// Pop implements heap.Interface.
 func (h *timerHeap) Pop() any {
 	last := len(h.timers) - 1
 	t := h.timers[last]
 	h.timers[last] = nil
 	h.timers = h.timers[:last]
-	t.position = notSet
+	t.position = notScheduled
 	return t
 }
 
-// runTimers acts on every timer that is due.
+// runTimers runs all timers that are due.
 func (keeper *Keeper) runTimers() {
 	for {
-		t := keeper.timers.due(keeper.now)
+		t := keeper.timers.popDue(keeper.now)
 		if t == nil {
 			return
 		}
 		switch {
 		case t.program != nil:
-			keeper.releaseOverdue(t.program)
-		case t == t.call.patience:
-			keeper.refuseUnserved(t.call)
+			keeper.releaseExpired(t.program)
+		case t == t.call.adapterTimer:
+			keeper.refuseAdapterTimeout(t.call)
 		default:
-			keeper.refuseLate(t.call)
+			keeper.refuseExpired(t.call)
 		}
 	}
 }
