--- a/internal/keeper/waiting.go
+++ b/internal/keeper/waiting.go
@@ -12,30 +12,29 @@
 type waitingCall struct {
 	request Request
 	program *programState
-	// parent is the program whose prefix may be shared; nil if none is known.
+	// parent is the program whose prefix may be shared; nil if unknown.
 	parent *programState
 	tier   *tierState
 	rank   queue.Rank
 	item   *queue.Item[*waitingCall]
-	// engine is where the call was bound on arrival; nil while it is in the
-	// pool's queue.
+	// engine is the engine that the call is bound to, or nil.
 	engine *engineState
-	// adapter is the one whose queue the call stands in; nil while it stands in
-	// another. patience ends that wait; nil where it has no bound.
-	adapter  *adapterState
-	patience *timer
-	deadline *timer
-	queuedAt time.Duration
-	// need is the KV memory expected at the call's end, tokens.
-	need int
-	// skips counts grants to calls ranked after this one; heldSince is when it
-	// was first passed over.
-	skips     int
-	held      bool
-	heldSince time.Duration
+	// adapter is set while the call is parked in that adapter's queue.
+	// adapterTimer limits that wait; nil if the wait is unlimited.
+	adapter       *adapterState
+	adapterTimer  *timer
+	deadlineTimer *timer
+	queuedAt      time.Duration
+	// kvTokens is the predicted KV memory at the call's end, in tokens.
+	kvTokens int
+	// skipped counts the grants to later calls while this one was deferred;
+	// deferredSince is when it was first deferred.
+	skipped       int
+	deferred      bool
+	deferredSince time.Duration
 }
 
-// queueCall takes an offered call in, or refuses it at once.
+// queueCall queues an offered call or refuses it.
 func (keeper *Keeper) queueCall(request Request) {
 	if waiting := keeper.waiting[request.Call]; waiting != nil {
 		waiting.request.Leader = request.Leader
@@ -45,22 +44,22 @@
 	if running := keeper.running[request.Call]; running != nil {
 		running.request.Leader = request.Leader
 		running.request.Shard = request.Shard
-		keeper.emit(running.grant("offered again"))
+		keeper.emit(running.grantEffect("already granted; the call was offered again"))
 		return
 	}
 	if request.Deadline > 0 && request.Deadline <= keeper.now {
-		keeper.refuse(&request, resultcode.DeadlineNotRun, 0, "deadline passed before the offer")
+		keeper.refuse(&request, resultcode.DeadlineNotRun, 0, "deadline passed before the call was queued")
 		return
 	}
-	rank := keeper.policies.Order.Rank(keeper.describe(&request))
+	rank := keeper.policies.Order.Rank(keeper.orderCall(&request))
 	if !keeper.admit(&request, rank) {
 		return
 	}
 	keeper.enqueue(request, rank)
 }
 
-// describe is what an order may know of a request.
-func (keeper *Keeper) describe(request *Request) queue.Call {
+// orderCall returns the order's input for a request.
+func (keeper *Keeper) orderCall(request *Request) queue.Call {
 	return queue.Call{
 		Weight:           request.Weight,
 		QueuedAt:         keeper.now,
@@ -70,46 +69,46 @@
 	}
 }
 
-// enqueue adds an admitted call.
+// enqueue queues an admitted call.
 func (keeper *Keeper) enqueue(request Request, rank queue.Rank) {
 	call := &waitingCall{request: request, rank: rank, queuedAt: keeper.now}
-	call.program = keeper.seeProgram(&request)
-	call.need = keeper.needTokens(&request, call.program)
+	call.program = keeper.registerCall(&request)
+	call.kvTokens = keeper.predictKVTokens(&request, call.program)
 	call.program.rank = rank
-	call.program.changeClaims()
+	call.program.invalidateClaims()
 	if request.Parent != "" {
 		call.parent = keeper.programs.byName[request.Parent]
 	}
-	call.tier = keeper.tiers.of(&request, rank.Band)
+	call.tier = keeper.tiers.ensure(&request, rank.Band)
 	call.tier.waiting++
 	keeper.waiting[request.Call] = call
-	keeper.setDeadline(call)
-	if !keeper.served(request.Adapter) {
+	keeper.setDeadlineTimer(call)
+	if !keeper.adapterAvailable(request.Adapter) {
 		keeper.park(call)
 		return
 	}
 	call.item = keeper.pool.Push(call, rank)
 }
 
-// seeProgram notes that a program goes on.
-func (keeper *Keeper) seeProgram(request *Request) *programState {
-	program := keeper.programs.see(request.Call.Program, keeper.now)
-	keeper.programs.placeInShard(program, request.Shard)
-	program.kind = keeper.kinds.of(request.Tenant, request.Kind)
+// registerCall counts a call of a program and ends the program's pause.
+func (keeper *Keeper) registerCall(request *Request) *programState {
+	program := keeper.programs.touch(request.Call.Program, keeper.now)
+	keeper.programs.assignShard(program, request.Shard)
+	program.kind = keeper.kinds.ensure(request.Tenant, request.Kind)
 	program.calls++
 	keeper.resumeProgram(program)
 	return program
 }
 
-func (keeper *Keeper) setDeadline(call *waitingCall) {
+func (keeper *Keeper) setDeadlineTimer(call *waitingCall) {
 	if call.request.Deadline == 0 {
 		return
 	}
-	call.deadline = &timer{call: call, position: notSet}
-	keeper.timers.set(call.deadline, call.request.Deadline)
+	call.deadlineTimer = &timer{call: call, position: notScheduled}
+	keeper.timers.set(call.deadlineTimer, call.request.Deadline)
 }
 
-// queueOf returns the queue that a waiting call stands in.
+// queueOf returns the queue that contains a waiting call.
 func (keeper *Keeper) queueOf(call *waitingCall) *queue.Queue[*waitingCall] {
 	switch {
 	case call.engine != nil:
@@ -120,41 +119,41 @@
 	return keeper.pool
 }
 
-// leaveQueue takes a waiting call out of everything that counts it as waiting.
-// The caller then grants, refuses or drops it.
-func (keeper *Keeper) leaveQueue(call *waitingCall) {
+// dequeue removes a waiting call from its queue, timers and counts. The caller
+// then grants, refuses or drops it.
+func (keeper *Keeper) dequeue(call *waitingCall) {
 	keeper.queueOf(call).Remove(call.item)
-	keeper.timers.stop(call.deadline)
-	keeper.timers.stop(call.patience)
+	keeper.timers.stop(call.deadlineTimer)
+	keeper.timers.stop(call.adapterTimer)
 	delete(keeper.waiting, call.request.Call)
 	call.tier.waiting--
 }
 
-// dropCall ends a waiting call without an effect.
+// dropCall removes a waiting call without an effect.
 func (keeper *Keeper) dropCall(call *waitingCall) {
-	keeper.leaveQueue(call)
+	keeper.dequeue(call)
 	call.program.calls--
-	call.program.changeClaims()
-	keeper.tiers.forgetIdle(call.tier)
+	call.program.invalidateClaims()
+	keeper.tiers.removeIfIdle(call.tier)
 }
 
-// refuseWaiting ends a waiting call with a refusal.
+// refuseWaiting removes a waiting call and refuses it.
 func (keeper *Keeper) refuseWaiting(call *waitingCall, code resultcode.Code, retryAfter time.Duration, why string) {
 	keeper.dropCall(call)
 	keeper.refuse(&call.request, code, retryAfter, why)
 }
 
-// refuseLate refuses a call whose deadline passed while it waited.
-func (keeper *Keeper) refuseLate(call *waitingCall) {
+// refuseExpired refuses a call whose deadline passed while it waited.
+func (keeper *Keeper) refuseExpired(call *waitingCall) {
 	keeper.refuseWaiting(call, resultcode.DeadlineNotRun, 0, "deadline passed while waiting")
 }
 
-// cancelCall withdraws a waiting call. A running one keeps its slot until its
-// leader tells that it has finished.
+// cancelCall removes a waiting call. A running call keeps its slot until its
+// leader reports that it has finished.
 func (keeper *Keeper) cancelCall(key CallKey) {
 	if call := keeper.waiting[key]; call != nil {
 		keeper.dropCall(call)
-		keeper.decide(key, "cancel", "withdrawn while waiting")
+		keeper.recordDecision(key, "cancel", "cancelled while waiting")
 		return
 	}
 	if call := keeper.running[key]; call != nil {
@@ -162,19 +161,19 @@
 	}
 }
 
-// bindArrivals chooses the engine of each call in the pool's queue, for a
-// placement that binds on arrival.
+// bindArrivals binds the calls in the pool's queue to engines, for a placement
+// policy that binds on arrival.
 func (keeper *Keeper) bindArrivals() {
 	for keeper.pool.Len() > 0 {
-		item := keeper.takeServed()
+		item := keeper.popAvailable()
 		if item == nil {
 			return
 		}
 		call := item.Value
 		keeper.fillCandidates()
-		keeper.fitCandidates(call)
-		placed := call.placed()
-		chosen := keeper.policies.Placement.Place(&placed, keeper.candidates)
+		keeper.updateCandidates(call)
+		placementCall := call.placementCall()
+		chosen := keeper.policies.Placement.Place(&placementCall, keeper.candidates)
 		if chosen == placement.None {
 			keeper.pool.Restore(item)
 			return
@@ -184,13 +183,13 @@
 	}
 }
 
-// placed is what a placement may know of the call.
-func (call *waitingCall) placed() placement.Call {
+// placementCall returns the placement policy's input for the call.
+func (call *waitingCall) placementCall() placement.Call {
 	return placement.Call{
 		Model:        call.request.Model,
 		Adapter:      call.request.Adapter,
 		Zone:         call.request.Zone,
 		PromptTokens: call.request.PromptTokens,
-		KVTokens:     call.need,
+		KVTokens:     call.kvTokens,
 	}
 }
