--- a/rehearsal/workload/arrivals.go
+++ b/rehearsal/workload/arrivals.go
@@ -7,18 +7,19 @@
 	"time"
 )
 
-// Arrivals makes the programs that arrive within duration at a mean rate in
-// programs a second over all kinds, in order of arrival. endless of them, spread
-// evenly over the run, loop without end.
+// Arrivals returns the programs that arrive within duration, sorted by arrival
+// time. rate is the mean arrival rate over all kinds, in programs per second.
+// endless additional programs, evenly spaced over duration, repeat their turns
+// until their token cap.
 func (generator *Generator) Arrivals(rate float64, duration time.Duration, endless int) []*Program {
 	var programs []*Program
 	for index, kind := range generator.deployment.Kinds {
 		if kind.Share == 0 {
 			continue
 		}
-		random := generator.random(streamArrival, uint64(index))
+		random := generator.newRandom(streamArrival, uint64(index))
 		kindRate := rate * kind.Share / generator.totalShare
-		for _, arrival := range arrivalTimes(random, kindRate, kind.Burst, duration) {
+		for _, arrival := range sampleArrivals(random, kindRate, kind.Burst, duration) {
 			program := generator.ProgramOfKind(len(programs), kind.Name)
 			program.Arrival = arrival
 			programs = append(programs, program)
@@ -32,7 +33,7 @@
 }
 
 func (generator *Generator) endlessArrivals(firstNumber, count int, duration time.Duration) []*Program {
-	lowest := generator.lowestKind()
+	lowest := generator.lowestActiveTierKind()
 	programs := make([]*Program, 0, count)
 	for index := range count {
 		program := generator.EndlessProgram(firstNumber+index, lowest)
@@ -42,8 +43,9 @@
 	return programs
 }
 
-// lowestKind returns the kind that arrives in the lowest tier in use.
-func (generator *Generator) lowestKind() string {
+// lowestActiveTierKind returns the first kind with a positive share in the
+// lowest tier that has one.
+func (generator *Generator) lowestActiveTierKind() string {
 	tiers := generator.deployment.Tiers
 	for index := len(tiers) - 1; index >= 0; index-- {
 		for _, kind := range generator.deployment.Kinds {
@@ -55,26 +57,28 @@
 	return generator.deployment.Kinds[0].Name
 }
 
-// arrivalTimes draws the arrivals of one kind. Bursts begin as a Poisson
-// process whose rate keeps the mean rate of programs.
-func arrivalTimes(random *rand.Rand, rate float64, burst Burst, duration time.Duration) []time.Duration {
+// sampleArrivals draws the arrival times of one kind. Bursts start as a Poisson
+// process at rate divided by the mean burst size, so that programs arrive at
+// rate on average.
+func sampleArrivals(random *rand.Rand, rate float64, burst Burst, duration time.Duration) []time.Duration {
 	meanSize := max(burst.MeanSize, 1)
 	var arrivals []time.Duration
 	at := time.Duration(0)
 	for rate > 0 {
-		at += seconds(random.ExpFloat64() * meanSize / rate)
+		at += durationFromSeconds(random.ExpFloat64() * meanSize / rate)
 		if at >= duration {
 			break
 		}
-		for range geometric(random, meanSize) {
+		for range sampleGeometric(random, meanSize) {
 			arrivals = append(arrivals, at+time.Duration(random.Float64()*float64(burst.Spread)))
 		}
 	}
 	return arrivals
 }
 
-// geometric draws from 1 up with the given mean.
-func geometric(random *rand.Rand, mean float64) int {
+// sampleGeometric draws from the geometric distribution on 1, 2, ... with the
+// given mean.
+func sampleGeometric(random *rand.Rand, mean float64) int {
 	if mean <= 1 {
 		return 1
 	}
@@ -82,6 +86,6 @@
 	return 1 + int(math.Log(uniform)/math.Log(1-1/mean))
 }
 
-func seconds(value float64) time.Duration {
+func durationFromSeconds(value float64) time.Duration {
 	return time.Duration(value * float64(time.Second))
 }
--- a/rehearsal/workload/cairo.go
+++ b/rehearsal/workload/cairo.go
@@ -2,11 +2,9 @@
 
 import "time"
 
-// Cairo is the court-reporting consortium: minutes are drafted turn by turn
-// over a long growing history while a session runs, and transcripts are cleaned
-// beside them, speaker by speaker, by sub-agents. Minutes come first. Sizes of
-// the machines are the brief's; token counts and pauses are assumptions, as no
-// trace is at hand.
+// Cairo returns the deployment of a court-reporting consortium. Minutes, at the
+// highest priority, are drafted over a long, growing history during a session;
+// transcripts are cleaned at the lowest priority by one sub-agent per speaker.
 func Cairo() Deployment {
 	return Deployment{
 		Name:                "cairo",
--- a/rehearsal/workload/deployment.go
+++ b/rehearsal/workload/deployment.go
@@ -5,19 +5,22 @@
 	"time"
 )
 
-// Deployment is one user's machines and the programs that run on them.
+// Deployment describes a site's zones, engines and tiers, and the mix of
+// programs that it runs.
 type Deployment struct {
 	Name  string
 	Zones []string
-	// ModelEngines serve model calls; ApplicationBackEnds serve tool calls,
-	// ToolSlots at a time each.
+	// ModelEngines is the number of engines that serve model calls.
+	// ApplicationBackEnds is the number of back ends that serve tool calls, each
+	// at most ToolSlots concurrently.
 	ModelEngines        int
 	ApplicationBackEnds int
 	ToolSlots           int
-	// ZoneDelay is one way between zones; ClientDelay is one way to callers.
+	// ZoneDelay is the one-way network delay between zones, ClientDelay the
+	// one-way delay to callers.
 	ZoneDelay   time.Duration
 	ClientDelay time.Duration
-	// Tiers stand from the highest to the lowest.
+	// Tiers are sorted from the highest to the lowest priority.
 	Tiers []Tier
 	Kinds []Kind
 }
@@ -25,45 +28,50 @@
 // Tier is a priority class.
 type Tier struct {
 	Name string
-	// Weight is the tier's share under contention.
+	// Weight is the tier's relative share of capacity under contention.
 	Weight uint32
-	// WaitBound is the longest predicted wait that the tier accepts.
+	// WaitBound is the longest predicted queue wait at which a call of the tier
+	// is accepted.
 	WaitBound time.Duration
 }
 
-// Kind describes one kind of agent program.
+// Kind is a class of agent programs and the distributions that its programs are
+// drawn from.
 type Kind struct {
 	Name string
 	Tier string
-	// Share of all programs that arrive; 0 for a kind that is only spawned.
+	// Share is the fraction of arriving programs that are of this kind; 0 for a
+	// kind that exists only as a sub-agent.
 	Share float64
-	// SystemTokens is the length of the prompt that all programs of the kind
-	// begin with.
+	// SystemTokens is the length of the system prompt shared by all programs of
+	// the kind.
 	SystemTokens int
 	Turns        Distribution
-	// NewPrompt and Output are tokens a turn.
+	// NewPrompt and Output are in tokens per turn.
 	NewPrompt Distribution
 	Output    Distribution
-	// Pause is the tool's time after a turn, in milliseconds.
+	// Pause is the tool time after a turn, in milliseconds.
 	Pause Distribution
 	Spawn Spawn
 	Burst Burst
 }
 
-// Spawn says how a kind spawns sub-agents.
+// Spawn describes the sub-agents that a kind's turns start.
 type Spawn struct {
-	// Kind of the sub-agents; empty for none.
+	// Kind is the sub-agents' kind; empty if the kind spawns none.
 	Kind string
-	// Chance that a turn spawns, and how many it spawns then.
+	// Chance is the probability that a turn spawns sub-agents, Count how many it
+	// spawns then.
 	Chance float64
 	Count  Distribution
 }
 
-// Burst groups arrivals. A zero Burst is a Poisson process.
+// Burst describes arrivals in bursts. The zero value is a plain Poisson process.
 type Burst struct {
-	// MeanSize is the mean of the geometric number of programs in a burst.
+	// MeanSize is the mean number of programs in a burst, which is geometrically
+	// distributed.
 	MeanSize float64
-	// Spread is the time over which a burst's programs arrive.
+	// Spread is the interval within which a burst's programs arrive.
 	Spread time.Duration
 }
 
@@ -77,7 +85,7 @@
 	return Deployment{}, fmt.Errorf("unknown deployment %q: namibia or cairo", name)
 }
 
-// LowestKind names a kind of the lowest tier.
+// LowestKind returns the name of the first kind in the lowest tier.
 func (deployment Deployment) LowestKind() string {
 	lowest := deployment.Tiers[len(deployment.Tiers)-1].Name
 	for _, kind := range deployment.Kinds {
@@ -88,7 +96,8 @@
 	return deployment.Kinds[0].Name
 }
 
-// TierByName returns the tier called name; the zero tier if there is none.
+// TierByName returns the tier with the given name, or the zero Tier if there is
+// none.
 func (deployment Deployment) TierByName(name string) Tier {
 	for _, tier := range deployment.Tiers {
 		if tier.Name == name {
@@ -98,14 +107,15 @@
 	return Tier{}
 }
 
-// OutputBound is the most tokens that a turn of a kind can generate: what a
-// caller of that kind asks for as its bound.
+// OutputBound returns the maximum number of tokens that a turn of the kind
+// generates, which callers send as the call's token limit.
 func (deployment Deployment) OutputBound(kindName string) int {
 	kind, _ := deployment.kind(kindName)
 	return int(kind.Output.High)
 }
 
-// kind returns the kind called name and its index.
+// kind returns the kind with the given name and its index, or -1 if there is
+// none.
 func (deployment Deployment) kind(name string) (Kind, int) {
 	for index, kind := range deployment.Kinds {
 		if kind.Name == name {
@@ -115,8 +125,8 @@
 	return Kind{}, -1
 }
 
-// OnlyTier returns the deployment with programs of one tier alone. Their
-// shares keep their proportions.
+// OnlyTier returns a copy of the deployment in which only programs of the tier
+// arrive. The kinds of the tier keep their relative shares.
 func (deployment Deployment) OnlyTier(tier string) Deployment {
 	kinds := make([]Kind, len(deployment.Kinds))
 	copy(kinds, deployment.Kinds)
--- a/rehearsal/workload/distribution.go
+++ b/rehearsal/workload/distribution.go
@@ -5,23 +5,25 @@
 	"math/rand/v2"
 )
 
-// Distribution is a lognormal with an optional Pareto tail, cut to bounds.
+// Distribution is a lognormal distribution with an optional Pareto tail, clamped
+// to [Low, High].
 type Distribution struct {
 	// Median of the lognormal, in the unit of the sampled quantity.
 	Median float64
-	// Sigma is the standard deviation of the logarithm; 0 is a constant.
+	// Sigma is the standard deviation of the logarithm; with 0 every sample
+	// outside the tail is Median.
 	Sigma float64
-	// TailChance is the share of samples taken from the tail, which is a
-	// Pareto distribution that begins at TailStart with exponent TailExponent.
+	// TailChance is the probability that a sample is drawn from the tail, a
+	// Pareto distribution with minimum TailStart and shape TailExponent.
 	TailChance   float64
 	TailStart    float64
 	TailExponent float64
-	// Low and High cut every sample.
+	// Low and High clamp every sample.
 	Low  float64
 	High float64
 }
 
-// Sample draws one value.
+// Sample draws a value.
 func (distribution Distribution) Sample(random *rand.Rand) float64 {
 	value := distribution.Median * math.Exp(distribution.Sigma*random.NormFloat64())
 	if random.Float64() < distribution.TailChance {
@@ -31,7 +33,7 @@
 	return min(max(value, distribution.Low), distribution.High)
 }
 
-// SampleCount draws one value, rounded to a whole number.
+// SampleCount draws a value and rounds it to the nearest integer.
 func (distribution Distribution) SampleCount(random *rand.Rand) int {
 	return int(math.Round(distribution.Sample(random)))
 }
--- a/rehearsal/workload/generator.go
+++ b/rehearsal/workload/generator.go
@@ -6,22 +6,23 @@
 	"time"
 )
 
-// Generator makes the programs of a deployment. Program number n of a seed is
-// the same whatever the load and the policy.
+// Generator generates the programs of a deployment. Program and ProgramOfKind
+// depend only on the seed, the program's number and its kind, so that runs under
+// different loads and policies use the same programs.
 type Generator struct {
 	deployment Deployment
 	seed       uint64
 	totalShare float64
 }
 
-// Streams keep the random draws of unlike uses apart.
+// Random streams; each use draws from its own, so that they are independent.
 const (
 	streamProgram uint64 = iota + 1
 	streamArrival
 	streamSystemPrompt
 )
 
-// endlessTokenCap ends a program that loops without end.
+// endlessTokenCap is the TokenCap of endless programs.
 const endlessTokenCap = 120_000
 
 // NewGenerator returns a generator for the deployment.
@@ -33,21 +34,23 @@
 	return generator
 }
 
-// Program makes program number of the deployment's mix, with no arrival time.
+// Program generates the program with the given number, of a kind drawn by the
+// kinds' shares. Its Arrival is 0.
 func (generator *Generator) Program(number int) *Program {
-	random := generator.random(streamProgram, uint64(number))
-	kind := generator.pickKind(random)
+	random := generator.newRandom(streamProgram, uint64(number))
+	kind := generator.sampleKind(random)
 	return generator.make(random, kind, fmt.Sprintf("p%06d", number))
 }
 
-// ProgramOfKind makes program number with a given kind.
+// ProgramOfKind generates the program with the given number and kind. Its
+// Arrival is 0.
 func (generator *Generator) ProgramOfKind(number int, kindName string) *Program {
-	random := generator.random(streamProgram, uint64(number))
+	random := generator.newRandom(streamProgram, uint64(number))
 	kind, _ := generator.deployment.kind(kindName)
 	return generator.make(random, kind, fmt.Sprintf("p%06d", number))
 }
 
-// EndlessProgram makes a program that repeats its turns until its cap.
+// EndlessProgram generates a program that repeats its turns until its TokenCap.
 func (generator *Generator) EndlessProgram(number int, kindName string) *Program {
 	program := generator.ProgramOfKind(number, kindName)
 	program.Endless = true
@@ -55,11 +58,11 @@
 	return program
 }
 
-func (generator *Generator) random(stream, number uint64) *rand.Rand {
-	return rand.New(rand.NewPCG(generator.seed, mix(stream, number)))
+func (generator *Generator) newRandom(stream, number uint64) *rand.Rand {
+	return rand.New(rand.NewPCG(generator.seed, mixHash(stream, number)))
 }
 
-func (generator *Generator) pickKind(random *rand.Rand) Kind {
+func (generator *Generator) sampleKind(random *rand.Rand) Kind {
 	left := random.Float64() * generator.totalShare
 	for _, kind := range generator.deployment.Kinds {
 		left -= kind.Share
@@ -79,7 +82,7 @@
 		Tier: kind.Tier,
 		Zone: zones[random.IntN(len(zones))],
 		SystemPrompt: Segment{
-			Seed:   mix(streamSystemPrompt, uint64(kindIndex)),
+			Seed:   mixHash(streamSystemPrompt, uint64(kindIndex)),
 			Tokens: kind.SystemTokens,
 		},
 	}
--- a/rehearsal/workload/generator_test.go
+++ b/rehearsal/workload/generator_test.go
@@ -12,7 +12,7 @@
 
 var _ = Describe("Generator", func() {
 	for _, deployment := range []workload.Deployment{workload.Namibia(), workload.Cairo()} {
-		It("makes the same programs from the same seed, "+deployment.Name, func() {
+		It("generates the same programs from the same seed, "+deployment.Name, func() {
 			first := workload.NewGenerator(deployment, 7).Arrivals(5, time.Minute, 1)
 			second := workload.NewGenerator(deployment, 7).Arrivals(5, time.Minute, 1)
 			other := workload.NewGenerator(deployment, 8).Arrivals(5, time.Minute, 1)
@@ -20,7 +20,7 @@
 			Expect(first).NotTo(Equal(other))
 		})
 
-		It("keeps the rate and the shares of the kinds, "+deployment.Name, func() {
+		It("matches the arrival rate and the kinds' shares, "+deployment.Name, func() {
 			const rate = 20.0
 			const duration = 10 * time.Minute
 			counts := map[string]float64{}
@@ -36,7 +36,7 @@
 		})
 	}
 
-	It("orders arrivals and gives every program a turn and its own id", func() {
+	It("sorts programs by arrival and gives each a turn and a unique ID", func() {
 		rapid.Check(GinkgoT(), func(t *rapid.T) {
 			seed := rapid.Uint64().Draw(t, "seed")
 			programs := workload.NewGenerator(workload.Cairo(), seed).Arrivals(3, 30*time.Second, 1)
@@ -52,7 +52,7 @@
 		})
 	})
 
-	It("makes programs of one tier only", func() {
+	It("generates programs of one tier only", func() {
 		only := workload.Namibia().OnlyTier("field")
 		for _, program := range workload.NewGenerator(only, 1).Arrivals(5, time.Minute, 0) {
 			Expect(program.Tier).To(Equal("field"))
@@ -80,7 +80,7 @@
 		return history.Blocks()
 	}
 
-	It("shares the whole blocks of a common beginning only", func() {
+	It("shares only the full blocks of a common prefix", func() {
 		system := workload.Segment{Seed: 1, Tokens: 40}
 		first := build(system, workload.Segment{Seed: 2, Tokens: 40})
 		second := build(system, workload.Segment{Seed: 3, Tokens: 40})
@@ -91,7 +91,7 @@
 		}
 	})
 
-	It("keeps the hashes of its beginning as it grows", func() {
+	It("keeps the hashes of earlier blocks when content is appended", func() {
 		history := workload.NewHistory(blockTokens)
 		history.Append(workload.Segment{Seed: 1, Tokens: 50})
 		before := history.Blocks()
--- a/rehearsal/workload/history.go
+++ b/rehearsal/workload/history.go
@@ -1,28 +1,28 @@
 package workload
 
-// History is the content of a program so far, as the chained hashes of its
-// whole blocks. It only grows, so a prefix taken earlier stays valid. The zero
-// value is not usable; see NewHistory.
+// History represents a program's content as the chained hashes of its full
+// blocks. It is append-only, so that a slice returned by Blocks stays valid. Use
+// NewHistory; the zero value is not usable.
 type History struct {
 	blockTokens int
 	hashes      []uint64
 	// chain is the hash of everything appended so far.
 	chain uint64
-	// partial counts the tokens past the last whole block.
+	// partial is the number of tokens after the last full block.
 	partial int
 	tokens  int
 }
 
-// NewHistory returns an empty history cut into blocks of blockTokens tokens.
+// NewHistory returns an empty history with blocks of blockTokens tokens.
 func NewHistory(blockTokens int) *History {
 	return &History{blockTokens: blockTokens}
 }
 
-// Append adds a segment to the end.
+// Append appends a segment.
 func (history *History) Append(segment Segment) {
 	for offset := 0; offset < segment.Tokens; {
 		taken := min(history.blockTokens-history.partial, segment.Tokens-offset)
-		history.chain = mix(mix(history.chain, segment.Seed), uint64(offset)<<32|uint64(taken))
+		history.chain = mixHash(mixHash(history.chain, segment.Seed), uint64(offset)<<32|uint64(taken))
 		history.partial += taken
 		offset += taken
 		if history.partial == history.blockTokens {
@@ -33,11 +33,11 @@
 	history.tokens += segment.Tokens
 }
 
-// Tokens returns the length.
+// Tokens returns the history's length in tokens.
 func (history *History) Tokens() int { return history.tokens }
 
-// Blocks returns the chained hashes of the whole blocks. Callers must not
-// change them.
+// Blocks returns the chained hashes of the full blocks. The caller must not
+// modify them.
 func (history *History) Blocks() []uint64 {
 	return history.hashes[:len(history.hashes):len(history.hashes)]
 }
--- a/rehearsal/workload/namibia.go
+++ b/rehearsal/workload/namibia.go
@@ -2,12 +2,10 @@
 
 import "time"
 
-// Namibia is the metering firm: kiosk vendors ask in bursts and a queue of
-// people waits on each answer; call-centre staff and technicians on the road
-// run longer programs, technicians with sub-agents that reconcile each meter;
-// the back office checks disputes overnight-style at the lowest tier. Sizes of
-// the machines are the brief's; token counts and pauses are assumptions, as no
-// trace is at hand.
+// Namibia returns the deployment of an electricity-metering company. Kiosk
+// programs arrive in bursts at the highest priority; call-centre and field
+// programs are longer, and field programs spawn a sub-agent per meter; the back
+// office runs long batch reconciliations at the lowest priority.
 func Namibia() Deployment {
 	return Deployment{
 		Name:                "namibia",
