--- a/rehearsal/usage/usage.go
+++ b/rehearsal/usage/usage.go
@@ -1,6 +1,6 @@
-// Package usage reads what running processes use, from Linux's /proc: bytes read
-// and written by system calls (which for a process without files is its network
-// traffic), processor time and resident memory.
+// Package usage measures the resource usage of running processes from Linux's
+// /proc: bytes read and written by system calls (for a process without file I/O,
+// its network traffic), CPU time and resident memory.
 package usage
 
 import (
@@ -16,37 +16,40 @@
 )
 
 const (
-	// ticksPerSecond is the unit of processor time in /proc on Linux.
+	// ticksPerSecond is USER_HZ, the unit of CPU time in /proc.
 	ticksPerSecond = 100
 	kibibyte       = 1024
-	// Fields of /proc/PID/stat after the command's closing parenthesis.
+	// Indexes of fields in /proc/PID/stat after the command name's closing
+	// parenthesis.
 	fieldUserTicks   = 11
 	fieldSystemTicks = 12
 )
 
-// Reading is what a process has used up to one moment.
+// Reading is a process's cumulative usage at one moment.
 type Reading struct {
-	// BytesRead and BytesWritten count the bytes of system calls.
+	// BytesRead and BytesWritten count bytes passed through system calls.
 	BytesRead    uint64
 	BytesWritten uint64
-	Processor    time.Duration
-	// Resident is the memory held, in bytes.
-	Resident uint64
+	CPUTime      time.Duration
+	// ResidentBytes is the current resident set size.
+	ResidentBytes uint64
 }
 
-// Rate is what a process used between two readings.
+// Rate is a process's average usage between two readings.
 type Rate struct {
 	PID                 int
 	ReadBytesPerSecond  float64
 	WriteBytesPerSecond float64
-	// ProcessorShare is 1 for one whole core.
+	// ProcessorShare is the CPU usage in cores.
 	ProcessorShare float64
-	Resident       uint64
+	// Resident is the resident set size at the second reading, in bytes.
+	Resident uint64
 }
 
-// Watch reads the processes now and after a while, and returns the rates.
-func Watch(ctx context.Context, root string, processes []int, duration time.Duration) ([]Rate, error) {
-	before, err := readAll(root, processes)
+// Watch reads the processes' usage at the start and the end of duration and
+// returns their rates, in the order of pids. root is the path of procfs.
+func Watch(ctx context.Context, root string, pids []int, duration time.Duration) ([]Rate, error) {
+	before, err := readAll(root, pids)
 	if err != nil {
 		return nil, err
 	}
@@ -56,31 +59,31 @@
 		return nil, ctx.Err()
 	case <-time.After(duration):
 	}
-	after, err := readAll(root, processes)
+	after, err := readAll(root, pids)
 	if err != nil {
 		return nil, err
 	}
 	elapsed := time.Since(started).Seconds()
 	var rates []Rate
-	for index, pid := range processes {
-		rates = append(rates, rateOf(pid, before[index], after[index], elapsed))
+	for index, pid := range pids {
+		rates = append(rates, newRate(pid, before[index], after[index], elapsed))
 	}
 	return rates, nil
 }
 
-func rateOf(pid int, before, after Reading, elapsed float64) Rate {
+func newRate(pid int, before, after Reading, elapsed float64) Rate {
 	return Rate{
 		PID:                 pid,
 		ReadBytesPerSecond:  float64(after.BytesRead-before.BytesRead) / elapsed,
 		WriteBytesPerSecond: float64(after.BytesWritten-before.BytesWritten) / elapsed,
-		ProcessorShare:      (after.Processor - before.Processor).Seconds() / elapsed,
-		Resident:            after.Resident,
+		ProcessorShare:      (after.CPUTime - before.CPUTime).Seconds() / elapsed,
+		Resident:            after.ResidentBytes,
 	}
 }
 
-func readAll(root string, processes []int) ([]Reading, error) {
+func readAll(root string, pids []int) ([]Reading, error) {
 	var readings []Reading
-	for _, pid := range processes {
+	for _, pid := range pids {
 		reading, err := Read(root, pid)
 		if err != nil {
 			return nil, eris.Wrapf(err, "process %d", pid)
@@ -90,9 +93,9 @@
 	return readings, nil
 }
 
-// Read takes a reading of one process; root is /proc.
+// Read reads the usage of one process. root is the path of procfs.
 func Read(root string, pid int) (Reading, error) {
-	folder := filepath.Join(root, strconv.Itoa(pid))
+	directory := filepath.Join(root, strconv.Itoa(pid))
 	var reading Reading
 	for _, field := range []struct {
 		file, key string
@@ -100,25 +103,25 @@
 	}{
 		{"io", "rchar", &reading.BytesRead},
 		{"io", "wchar", &reading.BytesWritten},
-		{"status", "VmRSS", &reading.Resident},
+		{"status", "VmRSS", &reading.ResidentBytes},
 	} {
-		value, err := readField(filepath.Join(folder, field.file), field.key)
+		value, err := readField(filepath.Join(directory, field.file), field.key)
 		if err != nil {
 			return Reading{}, err
 		}
 		*field.value = value
 	}
-	reading.Resident *= kibibyte
-	processor, err := readProcessor(filepath.Join(folder, "stat"))
-	reading.Processor = processor
+	reading.ResidentBytes *= kibibyte
+	cpuTime, err := readCPUTime(filepath.Join(directory, "stat"))
+	reading.CPUTime = cpuTime
 	return reading, err
 }
 
-// readField returns the number after "key:" in a file of such lines.
+// readField returns the number of the "key: number" line with the given key.
 func readField(path, key string) (uint64, error) {
 	content, err := os.ReadFile(path)
 	if err != nil {
-		return 0, eris.Wrap(err, "read usage")
+		return 0, eris.Wrap(err, "read process usage")
 	}
 	for _, line := range strings.Split(string(content), "\n") {
 		name, rest, found := strings.Cut(line, ":")
@@ -127,30 +130,30 @@
 		}
 		var value uint64
 		if _, err := fmt.Sscan(rest, &value); err != nil {
-			return 0, eris.Wrapf(err, "%s in %s", key, path)
+			return 0, eris.Wrapf(err, "parse %s in %s", key, path)
 		}
 		return value, nil
 	}
 	return 0, eris.Errorf("no %s in %s", key, path)
 }
 
-// readProcessor returns the user and system time of /proc/PID/stat.
-func readProcessor(path string) (time.Duration, error) {
+// readCPUTime returns the sum of user and system time from /proc/PID/stat.
+func readCPUTime(path string) (time.Duration, error) {
 	content, err := os.ReadFile(path)
 	if err != nil {
-		return 0, eris.Wrap(err, "read usage")
+		return 0, eris.Wrap(err, "read process usage")
 	}
-	// The command's name may hold spaces and parentheses.
-	closing := strings.LastIndexByte(string(content), ')')
-	fields := strings.Fields(string(content[closing+1:]))
-	if closing < 0 || len(fields) <= fieldSystemTicks {
-		return 0, eris.Errorf("bad content of %s", path)
+	// The command name may contain spaces and parentheses.
+	nameEnd := strings.LastIndexByte(string(content), ')')
+	fields := strings.Fields(string(content[nameEnd+1:]))
+	if nameEnd < 0 || len(fields) <= fieldSystemTicks {
+		return 0, eris.Errorf("no CPU time in %s", path)
 	}
 	var ticks uint64
 	for _, field := range []string{fields[fieldUserTicks], fields[fieldSystemTicks]} {
 		value, err := strconv.ParseUint(field, 10, 64)
 		if err != nil {
-			return 0, eris.Wrapf(err, "bad content of %s", path)
+			return 0, eris.Wrapf(err, "parse CPU time in %s", path)
 		}
 		ticks += value
 	}
--- a/rehearsal/usage/usage_test.go
+++ b/rehearsal/usage/usage_test.go
@@ -17,7 +17,7 @@
 	RunSpecs(t, "Usage")
 }
 
-var _ = Describe("reading a process", func() {
+var _ = Describe("Read", func() {
 	var root string
 	write := func(name, content string) {
 		Expect(os.WriteFile(filepath.Join(root, "7", name), []byte(content), 0o600)).To(Succeed())
@@ -31,14 +31,14 @@
 		write("stat", "7 (a (b) c) S 1 7 7 0 -1 4194304 100 0 0 0 150 50 0 0 20 0\n")
 	})
 
-	It("takes bytes, processor time and memory", func() {
+	It("returns bytes read and written, CPU time and resident memory", func() {
 		reading, err := usage.Read(root, 7)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(reading).To(Equal(usage.Reading{
-			BytesRead: 1200, BytesWritten: 340, Processor: 2 * time.Second, Resident: 2048 * 1024}))
+			BytesRead: 1200, BytesWritten: 340, CPUTime: 2 * time.Second, ResidentBytes: 2048 * 1024}))
 	})
 
-	It("tells what is missing", func() {
+	It("fails on a missing field or process", func() {
 		write("io", "rchar: 1200\n")
 		_, err := usage.Read(root, 7)
 		Expect(err).To(MatchError(ContainSubstring("no wchar")))
