--- a/rehearsal/caller/caller.go
+++ b/rehearsal/caller/caller.go
@@ -1,5 +1,4 @@
-// Package caller is a caller of magpielug's gateways over their HTTP interface,
-// as a program of a user would be.
+// Package caller is a client of the HTTP API of magpielug's gateways.
 package caller
 
 import (
@@ -19,24 +18,24 @@
 const (
 	headerRequestID      = "X-Magpielug-Request-Id"
 	headerIdempotencyKey = "Idempotency-Key"
-	maxLineBytes         = 4 << 20
+	maxEventLineBytes    = 4 << 20
 	eventChunk           = "chunk"
 	eventFinished        = "finished"
 	eventError           = "error"
 )
 
-// Caller makes requests with one tier's key. It is safe for concurrent use.
+// Caller sends requests with one tier's API key. It is safe for concurrent use.
 type Caller struct {
 	client *http.Client
 	key    string
 }
 
-// New returns a caller that presents key.
+// New returns a Caller that authenticates with key.
 func New(client *http.Client, key string) *Caller {
 	return &Caller{client: client, key: key}
 }
 
-// Failure is an error answer of a gateway.
+// Failure is an error response of a gateway.
 type Failure struct {
 	Status       int    `json:"-"`
 	Code         uint32 `json:"code"`
@@ -45,23 +44,23 @@
 	RetryAfterMs uint32 `json:"retry_after_ms"`
 }
 
-// Error returns the code, name and message.
+// Error implements error.
 func (failure *Failure) Error() string {
 	return fmt.Sprintf("%d %s: %s", failure.Code, failure.Name, failure.Message)
 }
 
-// RetryAfter is when to come back; 0 where the answer tells nothing.
+// RetryAfter is how long to wait before a retry; 0 if the response names no delay.
 func (failure *Failure) RetryAfter() time.Duration {
 	return time.Duration(failure.RetryAfterMs) * time.Millisecond
 }
 
-// Message is one message of a call.
+// Message is a message of a call's prompt.
 type Message struct {
 	Role    string `json:"role"`
 	Content string `json:"content"`
 }
 
-// Call is one call of a program.
+// Call is the request body of a program's call.
 type Call struct {
 	Kind       string    `json:"kind"`
 	Target     string    `json:"target"`
@@ -72,7 +71,7 @@
 	Stream     bool      `json:"stream"`
 }
 
-// Usage is what a finished call used.
+// Usage is the token usage and cost of a finished call.
 type Usage struct {
 	PromptTokens int    `json:"prompt_tokens"`
 	CachedTokens int    `json:"cached_tokens"`
@@ -80,20 +79,20 @@
 	CostMicros   uint64 `json:"cost_micros"`
 }
 
-// Result is a call's whole answer.
+// Result is the complete response to a call.
 type Result struct {
 	Output       string
 	FinishReason string
 	Usage        Usage
 	Turn         uint32
-	// FirstChunk is the time from the request to the first chunk, and Chunks
-	// how many there were.
-	FirstChunk time.Duration
-	Chunks     int
-	Duration   time.Duration
+	// TimeToFirstChunk is the time from the request to the first chunk, Chunks the
+	// number of chunks.
+	TimeToFirstChunk time.Duration
+	Chunks           int
+	Duration         time.Duration
 }
 
-// Program is a program as its caller sees it.
+// Program is a program's state as the gateway reports it.
 type Program struct {
 	ID          string `json:"id"`
 	State       string `json:"state"`
@@ -102,44 +101,47 @@
 	CapMicros   uint64 `json:"cap_micros"`
 }
 
-// CreateProgram makes a program; the same request id finds the same program.
+// CreateProgram creates a program, as a sub-agent of parent unless parent is
+// empty. It is idempotent by requestID.
 func (caller *Caller) CreateProgram(ctx context.Context, gateway, requestID, kind, parent string) (Program, error) {
 	var made Program
 	body := map[string]string{"kind": kind}
 	if parent != "" {
 		body["parent"] = parent
 	}
-	err := caller.exchange(ctx, http.MethodPost, gateway+"/v1/programs", requestID, body, &made)
+	err := caller.requestJSON(ctx, http.MethodPost, gateway+"/v1/programs", requestID, body, &made)
 	return made, err
 }
 
-// EndProgram ends a program. Its request has an id, by which it may be sent again.
+// EndProgram ends a program. The request ID is derived from the program, so that
+// the request can be retried.
 func (caller *Caller) EndProgram(ctx context.Context, gateway, program string) error {
-	return caller.exchange(ctx, http.MethodPost, gateway+"/v1/programs/"+program+"/end", "end-"+program, nil, nil)
+	return caller.requestJSON(ctx, http.MethodPost, gateway+"/v1/programs/"+program+"/end", "end-"+program, nil, nil)
 }
 
-// GetProgram reads a program.
+// GetProgram returns a program's decoder.
 func (caller *Caller) GetProgram(ctx context.Context, gateway, program string) (Program, error) {
 	var found Program
-	err := caller.exchange(ctx, http.MethodGet, gateway+"/v1/programs/"+program, "", nil, &found)
+	err := caller.requestJSON(ctx, http.MethodGet, gateway+"/v1/programs/"+program, "", nil, &found)
 	return found, err
 }
 
-// exchange makes one request whose answer is a JSON object.
-func (caller *Caller) exchange(ctx context.Context, method, url, requestID string, body, answer any) error {
+// requestJSON sends a request and decodes the JSON response into target,
+// or discards the response if target is nil.
+func (caller *Caller) requestJSON(ctx context.Context, method, url, requestID string, body, target any) error {
 	response, err := caller.send(ctx, method, url, requestID, body)
 	if err != nil {
 		return err
 	}
 	defer response.Body.Close()
-	if answer == nil {
+	if target == nil {
 		_, err = io.Copy(io.Discard, response.Body)
-		return eris.Wrap(err, "read answer")
+		return eris.Wrap(err, "read response")
 	}
-	return eris.Wrap(json.NewDecoder(response.Body).Decode(answer), "read answer")
+	return eris.Wrap(json.NewDecoder(response.Body).Decode(target), "decode response")
 }
 
-// send makes a request and turns an error answer into a *Failure.
+// send sends a request and converts an error response to an error.
 func (caller *Caller) send(ctx context.Context, method, url, requestID string, body any) (*http.Response, error) {
 	var content io.Reader
 	if body != nil {
@@ -151,14 +153,14 @@
 	}
 	request, err := http.NewRequestWithContext(ctx, method, "http://"+url, content)
 	if err != nil {
-		return nil, eris.Wrap(err, "make request")
+		return nil, eris.Wrap(err, "create request")
 	}
 	request.Header.Set("Authorization", "Bearer "+caller.key)
 	request.Header.Set("Content-Type", "application/json")
 	if requestID != "" {
 		request.Header.Set(headerRequestID, requestID)
-		// Under this name the HTTP client knows that it may send the request again
-		// where it crossed the close of an idle connection.
+		// With this header, net/http retries a request that failed because the
+		// server closed the idle connection.
 		request.Header.Set(headerIdempotencyKey, requestID)
 	}
 	response, err := caller.client.Do(request)
@@ -167,47 +169,47 @@
 	}
 	if response.StatusCode >= http.StatusBadRequest {
 		defer response.Body.Close()
-		return nil, readFailure(response)
+		return nil, decodeFailure(response)
 	}
 	return response, nil
 }
 
-func readFailure(response *http.Response) error {
+func decodeFailure(response *http.Response) error {
 	var body struct {
 		Error Failure `json:"error"`
 	}
 	if err := json.NewDecoder(response.Body).Decode(&body); err != nil {
-		return eris.Wrapf(err, "answer %s with no readable error", response.Status)
+		return eris.Wrapf(err, "decode error body of response %s", response.Status)
 	}
 	body.Error.Status = response.StatusCode
 	return &body.Error
 }
 
-// Run makes a streamed call of a program and returns its whole answer. A
-// *Failure is a final answer; any other error leaves the outcome open.
+// Run sends a streamed call and returns its complete response. After an error that
+// is not an error response of the gateway, the outcome of the call is unknown.
 func (caller *Caller) Run(ctx context.Context, gateway, program, requestID string, call Call) (Result, error) {
 	call.Stream = true
-	begun := time.Now()
+	started := time.Now()
 	response, err := caller.send(ctx, http.MethodPost, gateway+"/v1/programs/"+program+"/calls", requestID, call)
 	if err != nil {
 		return Result{}, err
 	}
 	defer response.Body.Close()
-	return readStream(response.Body, begun)
+	return readStream(response.Body, started)
 }
 
-// streamState collects one stream of server-sent events.
-type streamState struct {
-	begun  time.Time
-	text   strings.Builder
-	last   uint64
-	result Result
+// streamDecoder assembles a Result from a stream of server-sent events.
+type streamDecoder struct {
+	started      time.Time
+	text         strings.Builder
+	lastSequence uint64
+	result       Result
 }
 
-func readStream(body io.Reader, begun time.Time) (Result, error) {
-	state := &streamState{begun: begun}
+func readStream(body io.Reader, started time.Time) (Result, error) {
+	decoder := &streamDecoder{started: started}
 	scanner := bufio.NewScanner(body)
-	scanner.Buffer(nil, maxLineBytes)
+	scanner.Buffer(nil, maxEventLineBytes)
 	event := ""
 	for scanner.Scan() {
 		line := scanner.Text()
@@ -218,56 +220,56 @@
 		if !found {
 			continue
 		}
-		finished, err := state.take(event, []byte(data))
+		finished, err := decoder.handleEvent(event, []byte(data))
 		if finished || err != nil {
-			return state.result, err
+			return decoder.result, err
 		}
 	}
 	if err := scanner.Err(); err != nil {
-		return state.result, eris.Wrap(err, "read stream")
+		return decoder.result, eris.Wrap(err, "read stream")
 	}
-	return state.result, eris.New("the stream ended with no final event")
+	return decoder.result, eris.New("stream ended without a final event")
 }
 
-// take takes one event and tells whether it is the last.
-func (state *streamState) take(event string, data []byte) (bool, error) {
+// handleEvent processes one event and reports whether it is the final one.
+func (decoder *streamDecoder) handleEvent(event string, data []byte) (bool, error) {
 	switch event {
 	case eventChunk:
-		return false, state.takeChunk(data)
+		return false, decoder.handleChunk(data)
 	case eventFinished:
-		return true, state.finish(data)
+		return true, decoder.handleFinished(data)
 	case eventError:
 		var body struct {
 			Error Failure `json:"error"`
 		}
 		if err := json.Unmarshal(data, &body); err != nil {
-			return false, eris.Wrap(err, "read error event")
+			return false, eris.Wrap(err, "decode error event")
 		}
 		return true, &body.Error
 	}
 	return false, nil
 }
 
-func (state *streamState) takeChunk(data []byte) error {
+func (decoder *streamDecoder) handleChunk(data []byte) error {
 	var chunk struct {
 		Sequence uint64 `json:"sequence"`
 		Text     string `json:"text"`
 	}
 	if err := json.Unmarshal(data, &chunk); err != nil {
-		return eris.Wrap(err, "read chunk")
+		return eris.Wrap(err, "decode chunk")
 	}
-	if chunk.Sequence != state.last+1 {
-		return eris.Errorf("chunk %d came after chunk %d", chunk.Sequence, state.last)
+	if chunk.Sequence != decoder.lastSequence+1 {
+		return eris.Errorf("chunk out of sequence: got %d after %d", chunk.Sequence, decoder.lastSequence)
 	}
-	if state.last == 0 {
-		state.result.FirstChunk = time.Since(state.begun)
+	if decoder.lastSequence == 0 {
+		decoder.result.TimeToFirstChunk = time.Since(decoder.started)
 	}
-	state.last = chunk.Sequence
-	state.text.WriteString(chunk.Text)
+	decoder.lastSequence = chunk.Sequence
+	decoder.text.WriteString(chunk.Text)
 	return nil
 }
 
-func (state *streamState) finish(data []byte) error {
+func (decoder *streamDecoder) handleFinished(data []byte) error {
 	var body struct {
 		FinishReason string `json:"finish_reason"`
 		Turn         uint32 `json:"turn"`
@@ -275,16 +277,16 @@
 		Usage        Usage  `json:"usage"`
 	}
 	if err := json.Unmarshal(data, &body); err != nil {
-		return eris.Wrap(err, "read final event")
+		return eris.Wrap(err, "decode final event")
 	}
-	if body.LastSequence != state.last {
-		return eris.Errorf("the answer has %d chunks, %d have come", body.LastSequence, state.last)
+	if body.LastSequence != decoder.lastSequence {
+		return eris.Errorf("stream incomplete: final event names %d chunks, received %d", body.LastSequence, decoder.lastSequence)
 	}
-	state.result.Output = state.text.String()
-	state.result.FinishReason = body.FinishReason
-	state.result.Usage = body.Usage
-	state.result.Turn = body.Turn
-	state.result.Chunks = int(state.last)
-	state.result.Duration = time.Since(state.begun)
+	decoder.result.Output = decoder.text.String()
+	decoder.result.FinishReason = body.FinishReason
+	decoder.result.Usage = body.Usage
+	decoder.result.Turn = body.Turn
+	decoder.result.Chunks = int(decoder.lastSequence)
+	decoder.result.Duration = time.Since(decoder.started)
 	return nil
 }
--- a/rehearsal/caller/caller_test.go
+++ b/rehearsal/caller/caller_test.go
@@ -20,10 +20,11 @@
 	RunSpecs(t, "caller")
 }
 
-// closingServer answers one request on each connection, and closes the first
-// connection when another request comes on it.
-func closingServer(listener net.Listener, requests chan<- string) {
-	const answer = "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: 10\r\n\r\n{\"id\":\"p\"}"
+// serveAndClose accepts connections and reports the IDs of the requests on them.
+// It closes the first connection instead of responding to its second request, as
+// a server does that closes an idle connection while a request is sent on it.
+func serveAndClose(listener net.Listener, requests chan<- string) {
+	const response = "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: 10\r\n\r\n{\"id\":\"p\"}"
 	serve := func(connection net.Conn, first bool) {
 		defer connection.Close()
 		reader := bufio.NewReader(connection)
@@ -34,7 +35,7 @@
 			}
 			_, _ = io.Copy(io.Discard, request.Body)
 			requests <- request.Header.Get("X-Magpielug-Request-Id")
-			_, err = connection.Write([]byte(answer))
+			_, err = connection.Write([]byte(response))
 			if err != nil || first {
 				_, _ = reader.Peek(1)
 				return
@@ -50,19 +51,19 @@
 	}
 }
 
-// startClosingServer starts a closingServer, and returns its address and the ids it gets.
-func startClosingServer() (string, <-chan string) {
+// startServer runs serveAndClose, and returns its address and the request IDs.
+func startServer() (string, <-chan string) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	Expect(err).NotTo(HaveOccurred())
 	DeferCleanup(listener.Close)
 	requests := make(chan string, 8)
-	go closingServer(listener, requests)
+	go serveAndClose(listener, requests)
 	return listener.Addr().String(), requests
 }
 
 var _ = Describe("Caller", func() {
-	It("sends a request again that crossed the close of an idle connection", func() {
-		address, requests := startClosingServer()
+	It("retries a request that the server dropped by closing an idle connection", func() {
+		address, requests := startServer()
 		ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 		defer cancel()
 		made := caller.New(&http.Client{Transport: &http.Transport{MaxConnsPerHost: 1}}, "key")
@@ -74,12 +75,10 @@
 		Expect(requests).To(Receive(Equal("two")))
 	})
 
-	// In a run of rolling.yaml beside load a program's end was cut with EOF, one second after a
-	// gateway's stop had begun, which is when that closes its idle connections. The gateway has
-	// no line of the request: it never read it. Requests with an id were sent again by the HTTP
-	// client, the end had none.
-	It("sends a program's end again that crossed the close of an idle connection", func() {
-		address, requests := startClosingServer()
+	// Without a request ID, EndProgram failed with EOF when a stopping gateway closed its idle
+	// connections.
+	It("retries the end of a program that the server dropped by closing an idle connection", func() {
+		address, requests := startServer()
 		ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 		defer cancel()
 		made := caller.New(&http.Client{Transport: &http.Transport{MaxConnsPerHost: 1}}, "key")
@@ -90,7 +89,7 @@
 		Expect(requests).To(Receive(Equal("end-p.q")))
 	})
 
-	It("names no key for a request without an id, which the gateway would refuse", func() {
+	It("sends no idempotency key for a request without an ID, as the gateway rejects an empty one", func() {
 		var header http.Header
 		server := httptest.NewServer(http.HandlerFunc(func(writer http.ResponseWriter, request *http.Request) {
 			header = request.Header
--- a/rehearsal/caller/history.go
+++ b/rehearsal/caller/history.go
@@ -6,10 +6,10 @@
 	"net/http"
 )
 
-// historyLimit is how many turns one request for a history asks for.
-const historyLimit = 100
+// historyPageSize is the maximum number of turns requested per page.
+const historyPageSize = 100
 
-// Turn is one finished call of a program's history.
+// Turn is a finished call in a program's history.
 type Turn struct {
 	Number       uint32    `json:"number"`
 	RequestID    string    `json:"request_id"`
@@ -21,23 +21,23 @@
 	Usage        Usage     `json:"usage"`
 }
 
-// GetHistory reads a program's whole history, in the program's order.
+// GetHistory returns all turns of a program in order, reading page by page.
 func (caller *Caller) GetHistory(ctx context.Context, gateway, program string) ([]Turn, error) {
 	var turns []Turn
 	from := uint32(0)
 	for {
-		var part struct {
+		var page struct {
 			Turns []Turn `json:"turns"`
 			Next  uint32 `json:"next"`
 		}
-		url := fmt.Sprintf("%s/v1/programs/%s/history?from=%d&limit=%d", gateway, program, from, historyLimit)
-		if err := caller.exchange(ctx, http.MethodGet, url, "", nil, &part); err != nil {
+		url := fmt.Sprintf("%s/v1/programs/%s/history?from=%d&limit=%d", gateway, program, from, historyPageSize)
+		if err := caller.requestJSON(ctx, http.MethodGet, url, "", nil, &page); err != nil {
 			return nil, err
 		}
-		turns = append(turns, part.Turns...)
-		if part.Next <= from {
+		turns = append(turns, page.Turns...)
+		if page.Next <= from {
 			return turns, nil
 		}
-		from = part.Next
+		from = page.Next
 	}
 }
