--- a/rehearsal/losses/losses.go
+++ b/rehearsal/losses/losses.go
@@ -1,11 +1,9 @@
-// Package losses reads the log lines of a run of nodes and tells which programs
-// were lost, when, and for what reason. The lines may come from one process or be
-// mixed from many, with other text between them.
+// Package losses finds the programs that were lost in a run from the logs of its
+// nodes, with the time and the cause of each loss. The input may interleave the
+// logs of several nodes with other text.
 //
-// A program counts as lost in the log where the last line about it is a failure
-// other than that its budget is spent, or that the turn it names does not exist and
-// none of that id was ever answered. What its caller made of it stands in the
-// caller's own report; this tells where to look.
+// A program is lost if the last log line about it is a failure, unless its budget
+// was spent, its key was invalid, or it continued a turn that was never answered.
 package losses
 
 import (
@@ -21,112 +19,114 @@
 	"github.com/magpielug/magpielug/internal/resultcode"
 )
 
-// maxLine bounds a line, bytes.
-const maxLine = 1 << 20
+// maxLineBytes is the maximum length of an input line.
+const maxLineBytes = 1 << 20
 
 const (
 	eventAnswered = "call answered"
 	eventFailed   = "call failed"
 )
 
-// spent is the result of programs that are stopped for good reason.
-var spent = resultcode.ProgramCapReached.String()
+// resultBudgetSpent is the result of calls that the program's budget does not cover.
+var resultBudgetSpent = resultcode.ProgramCapReached.String()
 
-// badKey is the result of calls whose key was taken away, or never was one.
-var badKey = resultcode.BadKey.String()
+// resultBadKey is the result of calls with an unknown or revoked key.
+var resultBadKey = resultcode.BadKey.String()
 
-// unknownTurn is the result of turns that go on from one that is not known.
-var unknownTurn = resultcode.UnknownTurn.String()
+// resultUnknownTurn is the result of turns whose previous turn is unknown.
+var resultUnknownTurn = resultcode.UnknownTurn.String()
 
-// namedTurn matches the turn that such a failure names.
-var namedTurn = regexp.MustCompile(`there is no turn (\S+) to go on from`)
+// unknownTurnPattern matches the message of UnknownTurn errors and captures the
+// previous turn's request ID.
+var unknownTurnPattern = regexp.MustCompile(`previous turn (\S+) does not exist`)
 
 // fieldPattern matches a key=value pair of a log line.
 var fieldPattern = regexp.MustCompile(`(\w+)=("(?:[^"\\]|\\.)*"|\S+)`)
 
-// line is what counts of one log line.
-type line struct {
-	at      time.Time
-	event   string
-	request string
-	program string
-	tenant  string
-	result  string
-	verdict string
-	turn    bool
-	engine  string
-	failure string
+// logEntry holds the relevant fields of a log line.
+type logEntry struct {
+	timestamp time.Time
+	event     string
+	request   string
+	program   string
+	tenant    string
+	result    string
+	verdict   string
+	isTurn    bool
+	engine    string
+	failure   string
 }
 
-// parse takes a log line apart; false for any other text.
-func parse(text string) (line, bool) {
-	begin := strings.Index(text, "time=")
-	if begin < 0 || !strings.Contains(text, "event=") {
-		return line{}, false
+// parseEntry parses a log line. It returns false for other text.
+func parseEntry(text string) (logEntry, bool) {
+	start := strings.Index(text, "time=")
+	if start < 0 || !strings.Contains(text, "event=") {
+		return logEntry{}, false
 	}
-	var parsed line
-	for _, match := range fieldPattern.FindAllStringSubmatch(text[begin:], -1) {
+	var entry logEntry
+	for _, match := range fieldPattern.FindAllStringSubmatch(text[start:], -1) {
 		value := match[2]
 		if unquoted, err := strconv.Unquote(value); err == nil {
 			value = unquoted
 		}
-		parsed.take(match[1], value)
+		entry.setField(match[1], value)
 	}
-	return parsed, !parsed.at.IsZero()
+	return entry, !entry.timestamp.IsZero()
 }
 
-func (parsed *line) take(key, value string) {
+func (entry *logEntry) setField(key, value string) {
 	switch key {
 	case "time":
-		parsed.at, _ = time.Parse(time.RFC3339Nano, value)
+		entry.timestamp, _ = time.Parse(time.RFC3339Nano, value)
 	case "event":
-		parsed.event = value
+		entry.event = value
 	case "request":
-		parsed.request = value
+		entry.request = value
 	case "program":
-		parsed.program = value
+		entry.program = value
 	case "tenant":
-		parsed.tenant = value
+		entry.tenant = value
 	case "result":
-		parsed.result = value
+		entry.result = value
 	case "verdict":
-		parsed.verdict = value
-		parsed.turn = true
+		entry.verdict = value
+		entry.isTurn = true
 	case "events":
-		parsed.turn = true
+		entry.isTurn = true
 	case "engine":
-		parsed.engine = value
+		entry.engine = value
 	case "failure":
-		parsed.failure = value
+		entry.failure = value
 	}
 }
 
-// Loss is one program that was lost.
+// Loss is a lost program.
 type Loss struct {
 	Program string
-	// Tenant is whose program it was, empty where that is not known.
+	// Tenant is the program's tenant, or empty if unknown.
 	Tenant string
-	// Request is the one that failed last, at At.
+	// Request is the program's last request, which failed at At.
 	Request string
 	At      time.Time
 	Cause   Cause
-	// Answered is how many of the program's requests had been answered before.
+	// Answered is the number of the program's requests that succeeded before.
 	Answered int
 	Failure  string
 }
 
-// Cause groups losses.
+// Cause classifies losses.
 type Cause struct {
-	// Turn is true where a model's turn failed, false for a call of a tool.
+	// Turn is true if a model turn failed, false for a tool call.
 	Turn bool
-	// Result is the result code's name, Verdict the owner's answer to a turn.
+	// Result is the name of the result code. Verdict is the shard owner's decision
+	// on a turn.
 	Result  string
 	Verdict string
-	// Sent is true where an engine was asked.
-	Sent bool
+	// SentToEngine reports whether the request had been sent to an engine.
+	SentToEngine bool
 }
 
-// String names the cause in a table.
+// String returns the cause as it appears in tables.
 func (cause Cause) String() string {
 	parts := []string{"tool"}
 	if cause.Turn {
@@ -136,83 +136,83 @@
 	if cause.Verdict != "" {
 		parts = append(parts, strings.TrimPrefix(cause.Verdict, "VERDICT_"))
 	}
-	if cause.Sent {
+	if cause.SentToEngine {
 		parts = append(parts, "sent")
 	}
 	return strings.Join(parts, " ")
 }
 
-// account is what is known of a program so far.
-type account struct {
-	last     line
+// programOutcome is a program's last log entry and its number of answered requests.
+type programOutcome struct {
+	last     logEntry
 	answered int
 }
 
-// Read reads a run's lines and returns the losses in order of time, and when the
-// first line was written.
+// Read reads the logs of a run. It returns the losses sorted by time, and the
+// earliest timestamp of any line.
 func Read(source io.Reader) ([]Loss, time.Time, error) {
-	programs := map[string]*account{}
+	programs := map[string]*programOutcome{}
 	answered := map[string]bool{}
 	var first time.Time
 	scanner := bufio.NewScanner(source)
-	scanner.Buffer(nil, maxLine)
+	scanner.Buffer(nil, maxLineBytes)
 	for scanner.Scan() {
-		parsed, sound := parse(scanner.Text())
-		if !sound {
+		entry, valid := parseEntry(scanner.Text())
+		if !valid {
 			continue
 		}
-		if first.IsZero() || parsed.at.Before(first) {
-			first = parsed.at
+		if first.IsZero() || entry.timestamp.Before(first) {
+			first = entry.timestamp
 		}
-		if parsed.event == eventAnswered {
-			answered[parsed.request] = true
+		if entry.event == eventAnswered {
+			answered[entry.request] = true
 		}
-		if parsed.program != "" && (parsed.event == eventAnswered || parsed.event == eventFailed) {
-			note(programs, parsed)
+		if entry.program != "" && (entry.event == eventAnswered || entry.event == eventFailed) {
+			recordOutcome(programs, entry)
 		}
 	}
-	return lost(programs, answered), first, scanner.Err()
+	return collectLosses(programs, answered), first, scanner.Err()
 }
 
-// rightly tells whether a program was refused for good reason: its budget is spent, nobody
-// holds its key, or it goes on from a turn that was never answered.
-func rightly(refused line, answered map[string]bool) bool {
-	if refused.result == unknownTurn {
-		named := namedTurn.FindStringSubmatch(refused.failure)
-		return named != nil && !answered[named[1]]
+// isExpected reports whether a failure does not count as a loss: the program's budget was
+// spent, its key was invalid, or its previous turn was never answered.
+func isExpected(entry logEntry, answered map[string]bool) bool {
+	if entry.result == resultUnknownTurn {
+		groups := unknownTurnPattern.FindStringSubmatch(entry.failure)
+		return groups != nil && !answered[groups[1]]
 	}
-	return refused.result == spent || refused.result == badKey
+	return entry.result == resultBudgetSpent || entry.result == resultBadKey
 }
 
-func note(programs map[string]*account, parsed line) {
-	known := programs[parsed.program]
-	if known == nil {
-		known = &account{}
-		programs[parsed.program] = known
+func recordOutcome(programs map[string]*programOutcome, entry logEntry) {
+	outcome := programs[entry.program]
+	if outcome == nil {
+		outcome = &programOutcome{}
+		programs[entry.program] = outcome
 	}
-	if parsed.event == eventAnswered {
-		known.answered++
+	if entry.event == eventAnswered {
+		outcome.answered++
 	}
-	if !parsed.at.Before(known.last.at) {
-		known.last = parsed
+	if !entry.timestamp.Before(outcome.last.timestamp) {
+		outcome.last = entry
 	}
 }
 
-func lost(programs map[string]*account, answered map[string]bool) []Loss {
+func collectLosses(programs map[string]*programOutcome, answered map[string]bool) []Loss {
 	var losses []Loss
-	for program, known := range programs {
-		last := known.last
-		if last.event != eventFailed || rightly(last, answered) {
+	for program, outcome := range programs {
+		last := outcome.last
+		if last.event != eventFailed || isExpected(last, answered) {
 			continue
 		}
 		losses = append(losses, Loss{
 			Program:  program,
 			Tenant:   last.tenant,
 			Request:  last.request,
-			At:       last.at,
-			Answered: known.answered,
+			At:       last.timestamp,
+			Answered: outcome.answered,
 			Failure:  last.failure,
-			Cause:    Cause{Turn: last.turn, Result: last.result, Verdict: last.verdict, Sent: last.engine != ""},
+			Cause:    Cause{Turn: last.isTurn, Result: last.result, Verdict: last.verdict, SentToEngine: last.engine != ""},
 		})
 	}
 	slices.SortFunc(losses, func(left, right Loss) int {
--- a/rehearsal/losses/table.go
+++ b/rehearsal/losses/table.go
@@ -9,59 +9,62 @@
 	"time"
 )
 
-// Window is one span of a run with its losses by cause.
+// Window is an interval of a run, which begins Start after the run's first line,
+// and its losses by cause.
 type Window struct {
-	Since  time.Duration
+	Start  time.Duration
 	Causes map[Cause]int
 }
 
-// Windows groups losses by spans of a length since the run's first line.
+// Windows groups losses, sorted by time, into windows of the given length counted
+// from first. Windows without losses are left out.
 func Windows(losses []Loss, first time.Time, length time.Duration) []Window {
 	var windows []Window
 	for _, loss := range losses {
-		since := loss.At.Sub(first).Truncate(length)
-		if len(windows) == 0 || windows[len(windows)-1].Since != since {
-			windows = append(windows, Window{Since: since, Causes: map[Cause]int{}})
+		start := loss.At.Sub(first).Truncate(length)
+		if len(windows) == 0 || windows[len(windows)-1].Start != start {
+			windows = append(windows, Window{Start: start, Causes: map[Cause]int{}})
 		}
 		windows[len(windows)-1].Causes[loss.Cause]++
 	}
 	return windows
 }
 
-// count is how often a cause occurs.
-type count struct {
+// causeCount is the number of losses with a cause.
+type causeCount struct {
 	cause Cause
-	times int
+	count int
 }
 
-// ranked returns causes by how often they occur, the most frequent first.
-func ranked(causes map[Cause]int) []count {
-	var counts []count
-	for cause, times := range causes {
-		counts = append(counts, count{cause, times})
+// sortByCount returns the causes sorted by descending count.
+func sortByCount(causes map[Cause]int) []causeCount {
+	var counts []causeCount
+	for cause, count := range causes {
+		counts = append(counts, causeCount{cause, count})
 	}
-	slices.SortFunc(counts, func(left, right count) int {
-		return cmp.Or(cmp.Compare(right.times, left.times), cmp.Compare(left.cause.String(), right.cause.String()))
+	slices.SortFunc(counts, func(left, right causeCount) int {
+		return cmp.Or(cmp.Compare(right.count, left.count), cmp.Compare(left.cause.String(), right.cause.String()))
 	})
 	return counts
 }
 
-// Write prints the windows, then each cause with its first losses.
+// Write prints the windows, each cause with up to examples of its losses, and the
+// tenants with the most losses.
 func Write(output io.Writer, losses []Loss, windows []Window, examples int) error {
 	total := map[Cause]int{}
 	_, err := fmt.Fprintf(output, "%d programs lost\n\nfrom    lost  causes\n", len(losses))
 	for _, window := range windows {
 		sum := 0
 		text := ""
-		for _, found := range ranked(window.Causes) {
-			sum += found.times
-			total[found.cause] += found.times
-			text += fmt.Sprintf("%s: %d; ", found.cause, found.times)
+		for _, found := range sortByCount(window.Causes) {
+			sum += found.count
+			total[found.cause] += found.count
+			text += fmt.Sprintf("%s: %d; ", found.cause, found.count)
 		}
-		_, err = fmt.Fprintf(output, "%5.0fs %5d  %s\n", window.Since.Seconds(), sum, text)
+		_, err = fmt.Fprintf(output, "%5.0fs %5d  %s\n", window.Start.Seconds(), sum, text)
 	}
-	for _, found := range ranked(total) {
-		_, err = fmt.Fprintf(output, "\n%s: %d\n", found.cause, found.times)
+	for _, found := range sortByCount(total) {
+		_, err = fmt.Fprintf(output, "\n%s: %d\n", found.cause, found.count)
 		writeExamples(output, losses, found.cause, examples)
 	}
 	if err == nil {
@@ -70,10 +73,10 @@
 	return err
 }
 
-// mostTenants bounds the tenants that are listed.
-const mostTenants = 10
+// maxListedTenants is the maximum number of tenants printed.
+const maxListedTenants = 10
 
-// writeTenants lists the tenants that lost most.
+// writeTenants prints the tenants with the most losses.
 func writeTenants(output io.Writer, losses []Loss) error {
 	lost := map[string]int{}
 	for _, loss := range losses {
@@ -84,9 +87,9 @@
 	names := slices.SortedFunc(maps.Keys(lost), func(left, right string) int {
 		return cmp.Or(cmp.Compare(lost[right], lost[left]), cmp.Compare(left, right))
 	})
-	for place, name := range names[:min(len(names), mostTenants)] {
+	for place, name := range names[:min(len(names), maxListedTenants)] {
 		if place == 0 {
-			_, _ = fmt.Fprintf(output, "\nby tenant, of %d that lost any:\n", len(names))
+			_, _ = fmt.Fprintf(output, "\nby tenant, %d with losses:\n", len(names))
 		}
 		_, err := fmt.Fprintf(output, "  %s: %d\n", name, lost[name])
 		if err != nil {
