--- a/rehearsal/history/once.go
+++ b/rehearsal/history/at_most_once.go
@@ -2,12 +2,12 @@
 
 import "fmt"
 
-// AtMostOnce holds every call that is not repeatable to one run at most.
+// AtMostOnce checks that no non-repeatable call ran more than once.
 func AtMostOnce(run *Run) Result {
 	runs := run.BackEnds.Runs()
 	var violations []string
 	checked, ran, unknown := 0, 0, 0
-	run.calls(func(program *Program, call *Call) {
+	run.forEachCall(func(program *Program, call *Call) {
 		if call.Sent.Repeatable {
 			return
 		}
@@ -18,28 +18,29 @@
 			unknown++
 		}
 		if count > 1 {
-			violations = append(violations, fmt.Sprintf("%s is not repeatable and ran %d times (%s, sent %d times)",
+			violations = append(violations, fmt.Sprintf("%s is not repeatable but ran %d times (%s, sent %d times)",
 				BackEndName(program.ID, call.RequestID), count, call.Outcome, call.Sends))
 		}
 	})
-	return newResult(CheckOnce, checked, violations,
-		"%d calls not repeatable, %d ran, %d unknown to their callers", checked, ran, unknown)
+	return newResult(CheckAtMostOnce, checked, violations,
+		"%d non-repeatable calls, %d ran, %d with unknown outcome", checked, ran, unknown)
 }
 
-// Refusals holds every refusal as not run to no run at all.
+// Refusals checks that no call ran that was refused with a code for calls that did
+// not run.
 func Refusals(run *Run) Result {
 	runs := run.BackEnds.Runs()
 	var violations []string
 	refused := 0
-	run.calls(func(program *Program, call *Call) {
+	run.forEachCall(func(program *Program, call *Call) {
 		if call.Outcome != NotRun {
 			return
 		}
 		refused++
 		if count := runs[BackEndName(program.ID, call.RequestID)]; count > 0 {
-			violations = append(violations, fmt.Sprintf("%s was answered %d (not run) and ran %d times",
+			violations = append(violations, fmt.Sprintf("%s was refused with code %d (not run) but ran %d times",
 				BackEndName(program.ID, call.RequestID), call.Code, count))
 		}
 	})
-	return newResult(CheckRefusals, refused, violations, "%d calls refused as not run", refused)
+	return newResult(CheckRefusals, refused, violations, "%d calls refused without running", refused)
 }
--- a/rehearsal/history/back_end.go
+++ b/rehearsal/history/back_end.go
@@ -2,49 +2,53 @@
 
 import "time"
 
-// BackEnds counts the runs at the stand-in back ends by request id, over all
-// their processes. The zero value is empty.
+// BackEnds counts the runs of all stand-in back-end processes by request ID. The
+// zero value is empty.
 type BackEnds struct {
-	// runs of each attempt by process.
-	runs map[string]map[string]int
-	// Late counts requests that leaving engines got after their grace.
+	// runsByProcess counts each process's runs of each attempt.
+	runsByProcess map[string]map[string]int
+	// Late is the number of requests that draining engines received after their
+	// grace period.
 	Late int
 }
 
-// Record takes the counts of one process of a back end. Counts of a process
-// never fall, so that the last reading holds all.
+// Record replaces the counts of a process. They are cumulative, so that the last
+// ones are complete.
 func (backEnds *BackEnds) Record(process string, runs map[string]int) {
-	if backEnds.runs == nil {
-		backEnds.runs = make(map[string]map[string]int)
+	if backEnds.runsByProcess == nil {
+		backEnds.runsByProcess = make(map[string]map[string]int)
 	}
-	backEnds.runs[process] = runs
+	backEnds.runsByProcess[process] = runs
 }
 
-// Runs returns how often each call ran, its attempts together.
+// Runs returns the number of runs of each call over all its attempts.
 func (backEnds *BackEnds) Runs() map[string]int {
 	total := make(map[string]int)
-	for _, runs := range backEnds.runs {
+	for _, runs := range backEnds.runsByProcess {
 		for name, count := range runs {
-			total[withoutAttempt(name)] += count
+			total[trimAttempt(name)] += count
 		}
 	}
 	return total
 }
 
-// RunsOf returns what one process ran.
-func (backEnds *BackEnds) RunsOf(process string) map[string]int { return backEnds.runs[process] }
+// RunsOf returns the last counts recorded for a process.
+func (backEnds *BackEnds) RunsOf(process string) map[string]int {
+	return backEnds.runsByProcess[process]
+}
 
-// Leaving is a back end that was told to leave.
+// Leaving is the drain of a back end, requested at At.
 type Leaving struct {
 	BackEnd string
 	At      time.Duration
-	// Before holds what it had run when its time to stop taking work was over.
+	// Before holds the run counts at the time from which it must receive no new
+	// requests.
 	Before map[string]int
-	// After holds what it had run at the end.
+	// After holds the run counts at the end of the run.
 	After map[string]int
 }
 
-// HeldMemory is engine memory held for a program that is gone.
+// HeldMemory is engine memory that was not released when its program ended.
 type HeldMemory struct {
 	Engine  string
 	Program string
--- a/rehearsal/history/budget.go
+++ b/rehearsal/history/budget.go
@@ -2,8 +2,9 @@
 
 import "fmt"
 
-// Budget holds the programs to their caps and the tiers to their budgets, as
-// the gateways show the programs at the end and as the callers were charged.
+// Budget checks that no program exceeds its cap and no tier its budget. A tier's
+// spending is the larger of what the gateways report for its programs and what
+// its callers were charged.
 func Budget(run *Run) Result {
 	var violations []string
 	spent := make(map[string]uint64)
@@ -16,10 +17,10 @@
 		}
 		checked++
 		if program.State.SpentMicros > program.State.CapMicros {
-			violations = append(violations, fmt.Sprintf("%s spent %d of its cap %d",
+			violations = append(violations, fmt.Sprintf("%s spent %d micros, its cap is %d",
 				program.ID, program.State.SpentMicros, program.State.CapMicros))
 		}
-		charged[program.Tier] += program.charged()
+		charged[program.Tier] += program.chargedMicros()
 		if program.Parent == "" {
 			spent[program.Tier] += program.State.SpentMicros
 		}
@@ -27,16 +28,16 @@
 	figures := fmt.Sprintf("%d programs", checked)
 	for _, tier := range sortedKeys(run.Budgets) {
 		budget := run.Budgets[tier]
-		if most := max(spent[tier], charged[tier]); most > budget {
-			violations = append(violations, fmt.Sprintf("tier %s spent %d of its budget %d", tier, most, budget))
+		if total := max(spent[tier], charged[tier]); total > budget {
+			violations = append(violations, fmt.Sprintf("tier %s spent %d micros, its budget is %d", tier, total, budget))
 		}
 		figures += fmt.Sprintf("; %s %d of %d", tier, max(spent[tier], charged[tier]), budget)
 	}
 	return newResult(CheckBudget, checked, violations, "%s", figures)
 }
 
-// charged sums up what the caller of the program was told that its calls cost.
-func (program *Program) charged() uint64 {
+// chargedMicros returns the total cost reported to the program's caller.
+func (program *Program) chargedMicros() uint64 {
 	total := uint64(0)
 	for _, call := range program.Calls {
 		total += call.Result.Usage.CostMicros
--- a/rehearsal/history/check_test.go
+++ b/rehearsal/history/check_test.go
@@ -20,34 +20,34 @@
 	engineRun = "engine-1/0"
 )
 
-// question is a model call's messages, and its part of the prompt.
+// question returns a model call's messages and the part of the prompt made from them.
 func question(text string) ([]caller.Message, string) {
 	return []caller.Message{{Role: "user", Content: text}}, "\nuser: " + text
 }
 
-// goodRun is a run of one program with two model calls and a tool call, as it
-// should be.
+// goodRun returns a run without violations, of one program with two model calls and
+// a tool call.
 func goodRun() *history.Run {
 	bound, input := maxTokens, "reading"
 	first, firstPart := question("first [[tokens=20]]")
 	last, lastPart := question("last [[tokens=20]]")
 	output := engine.ExpectedOutput(program, program+"/a", []string{firstPart}, maxTokens).Text
 	reading := tool.ExpectedOutput(program, program+"/b", "records", input)
-	whole := engine.ExpectedOutput(program, program+"/c", []string{firstPart, output, "\ntool: reading", reading, lastPart}, maxTokens).Text
-	made := func(id string, place int, sent caller.Call, output string) history.Call {
-		at := time.Duration(place) * time.Second
+	lastOutput := engine.ExpectedOutput(program, program+"/c", []string{firstPart, output, "\ntool: reading", reading, lastPart}, maxTokens).Text
+	made := func(id string, order int, sent caller.Call, output string) history.Call {
+		at := time.Duration(order) * time.Second
 		return history.Call{RequestID: id, Sent: sent, Invoked: at, Returned: at + time.Millisecond, Outcome: history.Answered,
 			Sends: 1, Result: caller.Result{Output: output, Usage: caller.Usage{CostMicros: 10}}}
 	}
 	calls := []history.Call{
 		made("a", 1, caller.Call{Messages: first, MaxTokens: &bound}, output),
 		made("b", 2, caller.Call{Target: "records", Input: &input}, reading),
-		made("c", 3, caller.Call{Messages: last, MaxTokens: &bound, Repeatable: true}, whole),
+		made("c", 3, caller.Call{Messages: last, MaxTokens: &bound, Repeatable: true}, lastOutput),
 	}
 	turns := []caller.Turn{
 		{Number: 1, RequestID: "a", Messages: first, Output: output},
 		{Number: 2, RequestID: "b", Messages: []caller.Message{{Role: "tool", Content: input}}, Output: reading},
-		{Number: 3, RequestID: "c", Messages: last, Output: whole},
+		{Number: 3, RequestID: "c", Messages: last, Output: lastOutput},
 	}
 	run := &history.Run{
 		Programs: []history.Program{{
@@ -68,11 +68,11 @@
 	return run
 }
 
-// continuedAt cuts the last answer after some tokens and continues it as a
-// second engine would.
+// continuedAt replaces the last output from the given token on with what a second
+// engine generates when it continues the first one's output.
 func continuedAt(run *history.Run, tokens int) {
 	call, turn := &run.Programs[0].Calls[2], &run.Programs[0].Final[2]
-	begun := turn.Output[:tokens*4]
+	prefix := turn.Output[:tokens*4]
 	var prompt []string
 	for _, earlier := range run.Programs[0].Final {
 		for _, message := range earlier.Messages {
@@ -80,14 +80,14 @@
 		}
 		prompt = append(prompt, earlier.Output)
 	}
-	prompt[len(prompt)-1] = begun
+	prompt[len(prompt)-1] = prefix
 	rest := engine.ExpectedOutput(program, program+"/c#2", prompt, maxTokens-tokens).Text
-	turn.Output = begun + rest
+	turn.Output = prefix + rest
 	call.Result.Output = turn.Output
 }
 
 var _ = Describe("checks", func() {
-	It("pass a run in which everything held", func() {
+	It("pass a run without violations", func() {
 		run := goodRun()
 		for name, check := range history.Checks {
 			result := check(run)
@@ -99,72 +99,72 @@
 		}
 	})
 
-	It("take an answer that was continued at another engine as whole", func() {
+	It("accept a response that was continued at another engine", func() {
 		run := goodRun()
 		continuedAt(run, 7)
 		Expect(history.Answers(run).Verdict).To(Equal(history.Passed))
 		Expect(history.Answers(run).Figures).To(ContainSubstring("1 of them continued"))
 	})
 
-	DescribeTable("fail a run in which one thing did not hold", func(check string, spoil func(run *history.Run, found *history.Program)) {
+	DescribeTable("fail a run with one violation", func(check string, mutate func(run *history.Run, found *history.Program)) {
 		run := goodRun()
-		spoil(run, &run.Programs[0])
+		mutate(run, &run.Programs[0])
 		Expect(history.Checks[check](run).Verdict).To(Equal(history.Violated))
 	},
-		Entry("turns in another order", history.CheckOrder, func(_ *history.Run, found *history.Program) { slices.Reverse(found.Final) }),
-		Entry("an answered call is lost", history.CheckHistory, func(_ *history.Run, found *history.Program) { found.Final = found.Final[:2] }),
-		Entry("a turn stands twice", history.CheckHistory, func(_ *history.Run, found *history.Program) {
+		Entry("turns out of order", history.CheckOrder, func(_ *history.Run, found *history.Program) { slices.Reverse(found.Final) }),
+		Entry("answered call missing from the history", history.CheckHistory, func(_ *history.Run, found *history.Program) { found.Final = found.Final[:2] }),
+		Entry("duplicate turn", history.CheckHistory, func(_ *history.Run, found *history.Program) {
 			found.Final = append(found.Final, found.Final[0])
 		}),
-		Entry("another program's turn", history.CheckHistory, func(_ *history.Run, found *history.Program) { found.Final[1].RequestID = "z" }),
-		Entry("one byte differs", history.CheckHistory, func(_ *history.Run, found *history.Program) { found.Final[1].Output += "x" }),
-		Entry("other messages", history.CheckHistory, func(_ *history.Run, found *history.Program) { found.Final[0].Messages, _ = question("x") }),
-		Entry("a refused call stands", history.CheckHistory, func(_ *history.Run, found *history.Program) { found.Calls[1].Outcome = history.NotRun }),
-		Entry("the history can't be read", history.CheckHistory, func(_ *history.Run, found *history.Program) { found.Final = nil }),
-		Entry("an answer is cut", history.CheckAnswers, func(_ *history.Run, found *history.Program) {
+		Entry("turn that the program did not make", history.CheckHistory, func(_ *history.Run, found *history.Program) { found.Final[1].RequestID = "z" }),
+		Entry("output with an extra byte", history.CheckHistory, func(_ *history.Run, found *history.Program) { found.Final[1].Output += "x" }),
+		Entry("messages that differ from those sent", history.CheckHistory, func(_ *history.Run, found *history.Program) { found.Final[0].Messages, _ = question("x") }),
+		Entry("refused call in the history", history.CheckHistory, func(_ *history.Run, found *history.Program) { found.Calls[1].Outcome = history.NotRun }),
+		Entry("unreadable history", history.CheckHistory, func(_ *history.Run, found *history.Program) { found.Final = nil }),
+		Entry("truncated response", history.CheckAnswers, func(_ *history.Run, found *history.Program) {
 			found.Final[2].Output = found.Final[2].Output[:40]
 		}),
-		Entry("an answer was made on another history", history.CheckAnswers, func(_ *history.Run, found *history.Program) {
+		Entry("response generated from another history", history.CheckAnswers, func(_ *history.Run, found *history.Program) {
 			found.Final = found.Final[1:]
 		}),
-		Entry("a tool's answer is another's", history.CheckAnswers, func(_ *history.Run, found *history.Program) { found.Final[1].Output = "records result 0" }),
-		Entry("a second attempt ran", history.CheckOnce, func(run *history.Run, _ *history.Program) {
+		Entry("tool response to another request", history.CheckAnswers, func(_ *history.Run, found *history.Program) { found.Final[1].Output = "records result 0" }),
+		Entry("second attempt ran", history.CheckAtMostOnce, func(run *history.Run, _ *history.Program) {
 			run.BackEnds.Record("engine-2/0", map[string]int{"p1/a#2": 1})
 		}),
-		Entry("a process started anew ran it again", history.CheckOnce, func(run *history.Run, _ *history.Program) {
+		Entry("restarted process ran the call again", history.CheckAtMostOnce, func(run *history.Run, _ *history.Program) {
 			run.BackEnds.Record("engine-1/1", map[string]int{"p1/a": 1})
 		}),
-		Entry("a refused call ran", history.CheckRefusals, func(_ *history.Run, found *history.Program) { found.Calls[2].Outcome = history.NotRun }),
-		Entry("over the cap", history.CheckBudget, func(_ *history.Run, found *history.Program) { found.State.CapMicros = 29 }),
-		Entry("over the budget", history.CheckBudget, func(run *history.Run, _ *history.Program) { run.Budgets["kiosk"] = 29 }),
-		Entry("memory is held", history.CheckCache, func(run *history.Run, _ *history.Program) {
+		Entry("refused call ran", history.CheckRefusals, func(_ *history.Run, found *history.Program) { found.Calls[2].Outcome = history.NotRun }),
+		Entry("program over its cap", history.CheckBudget, func(_ *history.Run, found *history.Program) { found.State.CapMicros = 29 }),
+		Entry("tier over its budget", history.CheckBudget, func(run *history.Run, _ *history.Program) { run.Budgets["kiosk"] = 29 }),
+		Entry("memory held for an ended program", history.CheckCache, func(run *history.Run, _ *history.Program) {
 			run.Unreleased = []history.HeldMemory{{Engine: "engine-1", Program: program, Blocks: 1}}
 		}),
-		Entry("new work after leaving", history.CheckLeaving, func(run *history.Run, _ *history.Program) { run.Leavings[0].After["y"] = 1 }),
-		Entry("late requests", history.CheckLeaving, func(run *history.Run, _ *history.Program) { run.BackEnds.Late = 1 }),
-		Entry("a request was cut", history.CheckPlannedStop, func(run *history.Run, _ *history.Program) { run.Cuts = []history.Cut{{}} }),
-		Entry("an error was shown for a while", history.CheckPlannedStop, func(run *history.Run, _ *history.Program) { run.Shown = []history.Cut{{}} }),
-		Entry("an error was shown", history.CheckPlannedStop, func(_ *history.Run, found *history.Program) { found.Calls[0].Outcome = history.Failed }),
-		Entry("a caller could not go on", history.CheckProgress, func(_ *history.Run, found *history.Program) { found.Problem = "refused" }),
-		Entry("two changes won one version", history.CheckConfiguration, func(run *history.Run, _ *history.Program) { run.Publishes[1].Version = 2 }),
-		Entry("a version went back", history.CheckConfiguration, func(run *history.Run, _ *history.Program) { run.Samples[0].Version = 3 }),
-		Entry("not in force in time", history.CheckConfiguration, func(run *history.Run, _ *history.Program) { run.Samples[1].Version = 1 }),
-		Entry("a reading misses a turn", history.CheckLinearizable, func(_ *history.Run, found *history.Program) {
+		Entry("new request after the grace period", history.CheckDraining, func(run *history.Run, _ *history.Program) { run.Leavings[0].After["y"] = 1 }),
+		Entry("late requests at a draining engine", history.CheckDraining, func(run *history.Run, _ *history.Program) { run.BackEnds.Late = 1 }),
+		Entry("interrupted request", history.CheckPlannedStop, func(run *history.Run, _ *history.Program) { run.Cuts = []history.Cut{{}} }),
+		Entry("transient error", history.CheckPlannedStop, func(run *history.Run, _ *history.Program) { run.Shown = []history.Cut{{}} }),
+		Entry("failed call", history.CheckPlannedStop, func(_ *history.Run, found *history.Program) { found.Calls[0].Outcome = history.Failed }),
+		Entry("caller that stopped early", history.CheckProgress, func(_ *history.Run, found *history.Program) { found.Problem = "refused" }),
+		Entry("version assigned to two changes", history.CheckConfiguration, func(run *history.Run, _ *history.Program) { run.Publishes[1].Version = 2 }),
+		Entry("reverted version", history.CheckConfiguration, func(run *history.Run, _ *history.Program) { run.Samples[0].Version = 3 }),
+		Entry("change not active in time", history.CheckConfiguration, func(run *history.Run, _ *history.Program) { run.Samples[1].Version = 1 }),
+		Entry("history read without an earlier turn", history.CheckLinearizable, func(_ *history.Run, found *history.Program) {
 			found.Reads[0].Turns = found.Reads[0].Turns[:1]
 		}),
-		Entry("a reading shows a turn before it was made", history.CheckLinearizable, func(_ *history.Run, found *history.Program) {
+		Entry("history read with a later turn", history.CheckLinearizable, func(_ *history.Run, found *history.Program) {
 			found.Reads[0].Turns = found.Final
 		}),
 	)
 
-	It("excuse a process that was frozen from what it could not know", func() {
+	It("exempt a process that was frozen from activating a change in time", func() {
 		run := goodRun()
 		run.Samples[1].Version = 1
 		run.Disturbed = []history.Disturbance{{Process: "gateway-1", From: 5 * time.Second, Until: 15 * time.Second}}
 		Expect(history.Configuration(run).Verdict).To(Equal(history.Passed))
 	})
 
-	It("let an unknown call stand or not, but not come and go", func() {
+	It("let an unknown call take effect or not, but not be undone", func() {
 		run := goodRun()
 		found := &run.Programs[0]
 		found.Calls[1].Outcome = history.Unknown
--- a/rehearsal/history/linearizable.go
+++ b/rehearsal/history/linearizable.go
@@ -13,10 +13,10 @@
 	"github.com/magpielug/magpielug/rehearsal/caller"
 )
 
-// searchBound bounds the search for a linearization of one program's history.
-const searchBound = 20 * time.Second
+// linearizationTimeout limits the search for a linearization of a program's history.
+const linearizationTimeout = 20 * time.Second
 
-// operationKind is what an operation on a program's history does.
+// operationKind is the kind of an operation on a program's history.
 type operationKind int
 
 const (
@@ -24,30 +24,31 @@
 	readTurns
 )
 
-// input is an operation as it was invoked.
-type input struct {
+// operationInput is the input of an operation.
+type operationInput struct {
 	kind      operationKind
 	requestID string
 }
 
-// output is what an operation returned. An unknown append may stand or not.
-type output struct {
+// operationOutput is the result of an operation.
+type operationOutput struct {
 	outcome Outcome
-	// digest of an appended turn's output.
+	// digest is the digest of an appended turn's output.
 	digest string
-	// turns holds the turns that a read returned.
+	// turns are the turns that a read returned, encoded by encodeTurns.
 	turns string
 }
 
-// turnSeparator stands behind each turn of a state. A state is the history's
-// turns: the request id and the output's digest of each.
+// turnSeparator terminates each turn of a model state. A state lists the request
+// ID and the output digest of each turn in the history.
 const turnSeparator = ";"
 
-// anyOutput is the digest of an output that its caller never got.
-const anyOutput = "?"
+// unknownDigest stands for the digest of an output that its caller did not receive.
+const unknownDigest = "?"
 
-// Linearizable holds each program's operations, its calls and the readings of
-// its history beside them, to one order that a list of turns can have.
+// Linearizable checks that each program's calls and concurrent reads of its
+// history are linearizable as appends to and reads of a list of turns. Programs
+// whose search times out are counted as undecided.
 func Linearizable(run *Run) Result {
 	var violations []string
 	model := historyModel.ToModel()
@@ -60,9 +61,9 @@
 		}
 		programs++
 		operations += len(history)
-		switch porcupine.CheckOperationsTimeout(model, history, searchBound) {
+		switch porcupine.CheckOperationsTimeout(model, history, linearizationTimeout) {
 		case porcupine.Illegal:
-			violations = append(violations, program.ID+": no order explains what its callers saw")
+			violations = append(violations, program.ID+": calls and history reads are not linearizable")
 		case porcupine.Unknown:
 			undecided++
 		}
@@ -71,6 +72,10 @@
 		programs, operations, undecided)
 }
 
+// operations returns the program's calls and history reads. A call with an unknown
+// outcome may take effect at any later time.
+// operations returns the program's calls and history reads. A call with an unknown
+// outcome may take effect at any later time.
 func (program *Program) operations() []porcupine.Operation {
 	var history []porcupine.Operation
 	for _, call := range program.Calls {
@@ -79,62 +84,64 @@
 			returned = math.MaxInt64
 		}
 		history = append(history, porcupine.Operation{
-			Input: input{kind: appendTurn, requestID: call.RequestID}, Call: int64(call.Invoked),
-			Output: output{outcome: call.Outcome, digest: digestOf(call.Result.Output)}, Return: returned,
+			Input: operationInput{kind: appendTurn, requestID: call.RequestID}, Call: int64(call.Invoked),
+			Output: operationOutput{outcome: call.Outcome, digest: outputDigest(call.Result.Output)}, Return: returned,
 		})
 	}
 	for _, read := range program.Reads {
 		history = append(history, porcupine.Operation{
 			ClientId: 1,
-			Input:    input{kind: readTurns}, Call: int64(read.Invoked),
-			Output: output{turns: stateOf(read.Turns)}, Return: int64(read.Returned),
+			Input:    operationInput{kind: readTurns}, Call: int64(read.Invoked),
+			Output: operationOutput{turns: encodeTurns(read.Turns)}, Return: int64(read.Returned),
 		})
 	}
 	return history
 }
 
-func stateOf(turns []caller.Turn) string {
+func encodeTurns(turns []caller.Turn) string {
 	var state strings.Builder
 	for _, turn := range turns {
-		state.WriteString(turn.RequestID + "=" + digestOf(turn.Output) + turnSeparator)
+		state.WriteString(turn.RequestID + "=" + outputDigest(turn.Output) + turnSeparator)
 	}
 	return state.String()
 }
 
-func digestOf(text string) string {
+func outputDigest(text string) string {
 	digest := sha256.Sum256([]byte(text))
 	return hex.EncodeToString(digest[:6])
 }
 
 var historyModel = porcupine.NondeterministicModel{
 	Init: func() []any { return []any{""} },
-	Step: func(state, in, out any) []any { return step(state.(string), in.(input), out.(output)) },
+	Step: func(state, in, out any) []any {
+		return step(state.(string), in.(operationInput), out.(operationOutput))
+	},
 	DescribeOperation: func(in, out any) string {
 		return fmt.Sprintf("%+v -> %+v", in, out)
 	},
 }
 
-// step returns the states that can follow; none where the operation can't have
-// taken place.
-func step(state string, in input, out output) []any {
+// step returns the possible next states, or none if the operation's result is
+// impossible in state. An append with an unknown outcome may or may not take effect.
+func step(state string, in operationInput, out operationOutput) []any {
 	if in.kind == readTurns {
-		if !sameTurns(state, out.turns) {
+		if !matchesTurns(state, out.turns) {
 			return nil
 		}
-		// The reading tells the outputs that were not known.
+		// The read resolves the digests that were unknown.
 		return []any{out.turns}
 	}
 	switch out.outcome {
 	case Answered:
 		return []any{state + in.requestID + "=" + out.digest + turnSeparator}
 	case Unknown:
-		return []any{state, state + in.requestID + "=" + anyOutput + turnSeparator}
+		return []any{state, state + in.requestID + "=" + unknownDigest + turnSeparator}
 	}
 	return []any{state}
 }
 
-// sameTurns compares a state with the turns read.
-func sameTurns(state, read string) bool {
+// matchesTurns reports whether a read may return the turns in a state.
+func matchesTurns(state, read string) bool {
 	expected, found := strings.Split(state, turnSeparator), strings.Split(read, turnSeparator)
 	if len(expected) != len(found) {
 		return false
@@ -142,7 +149,7 @@
 	for index, turn := range expected {
 		requestID, digest, _ := strings.Cut(turn, "=")
 		readID, _, _ := strings.Cut(found[index], "=")
-		if requestID != readID || (digest != anyOutput && turn != found[index]) {
+		if requestID != readID || (digest != unknownDigest && turn != found[index]) {
 			return false
 		}
 	}
--- a/rehearsal/history/order.go
+++ b/rehearsal/history/order.go
@@ -2,33 +2,32 @@
 
 import "fmt"
 
-// Order holds each program's history to the order in which its calls were made.
+// Order checks that each program's turns are in the order of its calls.
 func Order(run *Run) Result {
 	var violations []string
 	compared := 0
 	for index := range run.Programs {
 		program := &run.Programs[index]
-		made := make(map[string]int, len(program.Calls))
-		for place, call := range program.Calls {
-			made[call.RequestID] = place
+		positions := make(map[string]int, len(program.Calls))
+		for position, call := range program.Calls {
+			positions[call.RequestID] = position
 		}
 		last, lastNumber := -1, uint32(0)
 		for _, turn := range program.Final {
-			place, known := made[turn.RequestID]
+			position, known := positions[turn.RequestID]
 			compared++
-			if known && (place <= last || turn.Number <= lastNumber) {
-				violations = append(violations, fmt.Sprintf("%s: turn %d is %s, made before the turn that stands before it",
+			if known && (position <= last || turn.Number <= lastNumber) {
+				violations = append(violations, fmt.Sprintf("%s: turn %d (%s) is out of order",
 					program.ID, turn.Number, turn.RequestID))
 			}
-			last, lastNumber = place, turn.Number
+			last, lastNumber = position, turn.Number
 		}
 	}
 	return newResult(CheckOrder, compared, violations, "%d turns of %d programs", compared, len(run.Programs))
 }
 
-// History holds each program's history to its callers' view: every answered
-// call stands in it once, byte for byte, and nothing else but calls whose
-// outcome their caller does not know.
+// History checks that each program's history contains every answered call exactly
+// once and byte for byte, and otherwise only calls with an unknown outcome.
 func History(run *Run) Result {
 	var violations []string
 	compared := 0
@@ -38,7 +37,7 @@
 			continue
 		}
 		if program.Final == nil && len(program.Calls) > 0 {
-			violations = append(violations, fmt.Sprintf("%s: its history could not be read: %s", program.ID, program.Problem))
+			violations = append(violations, fmt.Sprintf("%s: history could not be read: %s", program.ID, program.Problem))
 			continue
 		}
 		compared += len(program.Final)
@@ -49,21 +48,21 @@
 
 func historyViolations(program *Program) []string {
 	var violations []string
-	stands := make(map[string]bool)
+	present := make(map[string]bool)
 	calls := make(map[string]*Call, len(program.Calls))
 	for index := range program.Calls {
 		calls[program.Calls[index].RequestID] = &program.Calls[index]
 	}
 	for _, turn := range program.Final {
-		if stands[turn.RequestID] {
-			violations = append(violations, fmt.Sprintf("%s: %s stands twice", program.ID, turn.RequestID))
+		if present[turn.RequestID] {
+			violations = append(violations, fmt.Sprintf("%s: turn %s is duplicated", program.ID, turn.RequestID))
 		}
-		stands[turn.RequestID] = true
+		present[turn.RequestID] = true
 		violations = append(violations, turnViolations(program.ID, calls[turn.RequestID], turn)...)
 	}
 	for _, call := range program.Calls {
-		if call.Outcome == Answered && !stands[call.RequestID] {
-			violations = append(violations, fmt.Sprintf("%s: the answered call %s is lost", program.ID, call.RequestID))
+		if call.Outcome == Answered && !present[call.RequestID] {
+			violations = append(violations, fmt.Sprintf("%s: answered call %s is missing from the history", program.ID, call.RequestID))
 		}
 	}
 	return violations
--- a/rehearsal/history/record.go
+++ b/rehearsal/history/record.go
@@ -1,6 +1,6 @@
-// Package history records what the callers and operators of a run saw, and
-// checks it against what must always hold. What ran is decided by the counts of
-// the stand-in back ends, never by magpielug's own word.
+// Package history records what the callers and operators of a run observed and
+// checks it against magpielug's invariants. Whether a call ran is determined from
+// the run counts of the stand-in back ends.
 package history
 
 import (
@@ -11,23 +11,23 @@
 	"github.com/magpielug/magpielug/rehearsal/caller"
 )
 
-// Outcome is what a call's caller was told in the end.
+// Outcome is the final outcome of a call as reported to its caller.
 type Outcome string
 
 // Outcomes of a call.
 const (
-	// Answered calls got their whole answer.
+	// Answered calls received their complete response.
 	Answered Outcome = "answered"
-	// NotRun calls were refused with a code that says that nothing ran.
+	// NotRun calls were refused with a code that guarantees that they did not run.
 	NotRun Outcome = "not run"
-	// Unknown calls were told that the outcome is lost, or their caller gave up
-	// without a final answer.
+	// Unknown calls were refused with OutcomeUnknown, or their caller gave up
+	// without a final response.
 	Unknown Outcome = "unknown"
-	// Failed calls ended with another code.
+	// Failed calls failed with another code.
 	Failed Outcome = "failed"
 )
 
-// OutcomeOf is what a result code tells a caller.
+// OutcomeOf returns the outcome that a result code reports; 0 stands for success.
 func OutcomeOf(code resultcode.Code) Outcome {
 	switch {
 	case code == 0:
@@ -40,7 +40,7 @@
 	return Failed
 }
 
-// Call is one call as its caller saw it. Times count from the run's begin.
+// Call is a call as its caller saw it. Times are relative to the start of the run.
 type Call struct {
 	RequestID string
 	Sent      caller.Call
@@ -49,21 +49,20 @@
 	Outcome   Outcome
 	Code      uint32
 	Result    caller.Result
-	// Sends is how often the request was sent, under one request id.
+	// Sends is the number of times the request was sent with its request ID.
 	Sends int
-	// Failure is the last error of a call that was not answered.
+	// Failure is the last error of an unanswered call.
 	Failure string
 }
 
-// Read is one reading of a program's history.
+// Read is a read of a program's history.
 type Read struct {
 	Invoked  time.Duration
 	Returned time.Duration
 	Turns    []caller.Turn
 }
 
-// Program is one program as its caller saw it. Its calls were made one after
-// the other.
+// Program is a program as its caller saw it. Its calls were sequential.
 type Program struct {
 	ID     string
 	Parent string
@@ -71,16 +70,16 @@
 	Kind   string
 	Calls  []Call
 	Reads  []Read
-	// Final is the history at the end, nil where it could not be read.
+	// Final is the history at the end of the run; nil if it could not be read.
 	Final []caller.Turn
-	// State is the program at its end.
+	// State is the program's state at the end of the run.
 	State caller.Program
-	// Problem is why the caller could not go on; empty where all calls were made.
+	// Problem is why the caller stopped early; empty if it made all calls.
 	Problem string
 }
 
-// Cut is a connection that broke or an answer that a careful caller had to ask
-// for again.
+// Cut is a request that its caller had to repeat because of a broken connection or
+// an error response.
 type Cut struct {
 	At      time.Duration
 	Gateway string
@@ -88,44 +87,47 @@
 	Cause   string
 }
 
-// Run is everything recorded of one run.
+// Run is the record of a run.
 type Run struct {
 	Programs []Program
-	Cuts     []Cut
-	// Shown are the error answers that callers had to take for a while, though
-	// the same request succeeded later.
+	// Cuts are the requests interrupted by broken connections.
+	Cuts []Cut
+	// Shown are the transient errors: error responses to requests that succeeded
+	// when repeated.
 	Shown     []Cut
 	BackEnds  BackEnds
 	Publishes []Publish
 	Samples   []VersionSample
 	Disturbed []Disturbance
 	Leavings  []Leaving
-	// Unreleased is the memory still held for programs at the end.
+	// Unreleased is the engine memory held for ended programs at the end of the run.
 	Unreleased []HeldMemory
-	// EnginesRead tells whether the engines were asked for it.
+	// EnginesRead reports whether the engines were asked for that memory.
 	EnginesRead bool
-	Budgets     map[string]uint64
+	// Budgets are the tiers' budgets in micros.
+	Budgets map[string]uint64
 }
 
-// calls walks all calls of the run.
-func (run *Run) calls(visit func(program *Program, call *Call)) {
+// forEachCall calls visit for each call of the run.
+func (run *Run) forEachCall(visit func(program *Program, call *Call)) {
 	for index := range run.Programs {
 		program := &run.Programs[index]
-		for place := range program.Calls {
-			visit(program, &program.Calls[place])
+		for position := range program.Calls {
+			visit(program, &program.Calls[position])
 		}
 	}
 }
 
-// attemptSeparator begins the attempt's number in a back end's request id.
+// attemptSeparator precedes the attempt number in a back end's request ID.
 const attemptSeparator = "#"
 
-// BackEndName is a call's name at the back ends, without its attempt.
+// BackEndName returns a call's request ID at the back ends, without the attempt
+// number.
 func BackEndName(program, requestID string) string { return program + "/" + requestID }
 
-func withoutAttempt(name string) string {
-	if place := strings.LastIndex(name, attemptSeparator); place >= 0 {
-		return name[:place]
+func trimAttempt(name string) string {
+	if index := strings.LastIndex(name, attemptSeparator); index >= 0 {
+		return name[:index]
 	}
 	return name
 }
--- a/rehearsal/history/result.go
+++ b/rehearsal/history/result.go
@@ -5,22 +5,22 @@
 	"strings"
 )
 
-// Verdict is how a check ended.
+// Verdict is the outcome of a check.
 type Verdict string
 
 // Verdicts of a check.
 const (
 	Passed Verdict = "passed"
-	// Violated means that something which must always hold did not.
+	// Violated means that an invariant was violated.
 	Violated Verdict = "failed"
-	// NotChecked means that the run holds nothing that the check could judge.
+	// NotChecked means that the run recorded nothing that the check applies to.
 	NotChecked Verdict = "not run"
 )
 
-// shownViolations bounds the violations printed of one check.
-const shownViolations = 8
+// maxPrintedViolations is the maximum number of violations printed per check.
+const maxPrintedViolations = 8
 
-// Result is the verdict of one check.
+// Result is the result of a check.
 type Result struct {
 	Check      string
 	Verdict    Verdict
@@ -28,25 +28,26 @@
 	Violations []string
 }
 
-// newResult judges by the violations; judged is how many things were compared.
-func newResult(check string, judged int, violations []string, figures string, values ...any) Result {
+// newResult returns Violated if there are violations, and NotChecked if checked, the
+// number of items checked, is 0.
+func newResult(check string, checked int, violations []string, figures string, values ...any) Result {
 	result := Result{Check: check, Verdict: Passed, Figures: fmt.Sprintf(figures, values...), Violations: violations}
 	switch {
 	case len(violations) > 0:
 		result.Verdict = Violated
-	case judged == 0:
+	case checked == 0:
 		result.Verdict = NotChecked
 	}
 	return result
 }
 
-// String is the result as lines of text.
+// String formats the result as lines of text.
 func (result Result) String() string {
 	var text strings.Builder
 	fmt.Fprintf(&text, "%-14s %-8s %s\n", result.Check, result.Verdict, result.Figures)
 	for index, violation := range result.Violations {
-		if index == shownViolations {
-			fmt.Fprintf(&text, "    and %d more\n", len(result.Violations)-shownViolations)
+		if index == maxPrintedViolations {
+			fmt.Fprintf(&text, "    and %d more\n", len(result.Violations)-maxPrintedViolations)
 			break
 		}
 		fmt.Fprintf(&text, "    %s\n", violation)
@@ -54,35 +55,35 @@
 	return text.String()
 }
 
-// Check judges a run.
+// Check checks an invariant over a run.
 type Check func(run *Run) Result
 
-// Names of the checks, as scenario files give them.
+// Names of the checks in scenario files.
 const (
 	CheckOrder         = "order"
 	CheckHistory       = "history"
 	CheckAnswers       = "answers"
-	CheckOnce          = "at-most-once"
+	CheckAtMostOnce    = "at-most-once"
 	CheckRefusals      = "refusals"
 	CheckBudget        = "budget"
 	CheckCache         = "cache"
-	CheckLeaving       = "leaving"
+	CheckDraining      = "leaving"
 	CheckPlannedStop   = "planned-stop"
 	CheckConfiguration = "configuration"
 	CheckLinearizable  = "linearizable"
 	CheckProgress      = "progress"
 )
 
-// Checks are all checks by name.
+// Checks maps names to checks.
 var Checks = map[string]Check{
 	CheckOrder:         Order,
 	CheckHistory:       History,
 	CheckAnswers:       Answers,
-	CheckOnce:          AtMostOnce,
+	CheckAtMostOnce:    AtMostOnce,
 	CheckRefusals:      Refusals,
 	CheckBudget:        Budget,
 	CheckCache:         Cache,
-	CheckLeaving:       LeavingBackEnds,
+	CheckDraining:      DrainingBackEnds,
 	CheckPlannedStop:   PlannedStop,
 	CheckConfiguration: Configuration,
 	CheckLinearizable:  Linearizable,
