--- a/rehearsal/soak/caller.go
+++ b/rehearsal/soak/caller.go
@@ -16,180 +16,182 @@
 )
 
 const (
-	turnPath  = records.PathKept + "x"
-	plainPath = records.PathPlain + "x"
-	toolPath  = records.PathTool + "x"
-	safePath  = records.PathSafe + "x"
-	// deadline is what a caller allows an attempt, gap how long it waits for the
-	// next byte of a stream.
-	deadline = 4 * time.Second
-	gap      = 2 * time.Second
-	// most is the most tokens of a turn, by what the engine's streams hold.
-	most = eventsPerStream*tokensPerEvent + 4
-	// turnsPerProgram is how many turns a program takes, of which a share begins
-	// without an end to its budget in sight.
+	retainedTurnPath = records.PathKept + "x"
+	plainTurnPath    = records.PathPlain + "x"
+	unsafeToolPath   = records.PathTool + "x"
+	safeToolPath     = records.PathSafe + "x"
+	// attemptDeadline is the deadline of an attempt, idleTimeout the maximum time
+	// without receiving data.
+	attemptDeadline = 4 * time.Second
+	idleTimeout     = 2 * time.Second
+	// maxTurnTokens is the token bound declared for each turn, slightly above what an
+	// engine generates.
+	maxTurnTokens   = eventsPerStream*tokensPerEvent + 4
 	turnsPerProgram = 6
-	// tightBudget is that of programs that run into it.
-	tightBudget = 2*eventsPerStream*tokensPerEvent + most
-	wideBudget  = 100 * most
-	// attemptsPerTurn bounds the tries of one turn.
-	attemptsPerTurn = 40
-	// attemptPause follows a failed attempt.
-	attemptPause = 150 * time.Millisecond
-	// settleTime is how long the end of a turn may take to be known to those that
-	// decide about the next one.
-	settleTime = time.Second
-	toolsEach  = 2
+	// smallBudget is exhausted within turnsPerProgram turns, largeBudget is not.
+	smallBudget        = 2*eventsPerStream*tokensPerEvent + maxTurnTokens
+	largeBudget        = 100 * maxTurnTokens
+	maxAttemptsPerTurn = 40
+	retryDelay         = 150 * time.Millisecond
+	// settlementDelay is the time within which the end of a turn must be accounted for
+	// in decisions about the program's next turns.
+	settlementDelay      = time.Second
+	toolCallPairsPerTurn = 2
 )
 
-// callers run agent programs one after another, several at once.
-type callers struct {
-	world  *world
-	ledger *ledger
-	ids    atomic.Int64
-	// turns counts turns answered whole.
-	turns atomic.Int64
+// caller runs agent programs against the cluster. Its request IDs are numbered from
+// requestNumber.
+type caller struct {
+	cluster       *cluster
+	recorder      *recorder
+	requestNumber atomic.Int64
+	// completedTurns counts turns that received their complete response.
+	completedTurns atomic.Int64
 }
 
-// line is a chain of turns: that of a program, or of one of its sub-agents.
-type line struct {
+// session is a sequence of turns, each continuing the previous one: a program's or one
+// of its sub-agents'.
+type session struct {
 	*program
-	session string
-	random  *rand.Rand
-	path    string
-	// previous is the last turn answered whole, history the prompt up to it.
-	previous string
-	history  string
+	id     string
+	random *rand.Rand
+	path   string
+	// previousTurn is the ID of the last completed turn, history the prompt and output
+	// up to and including it.
+	previousTurn string
+	history      string
 }
 
-// run takes programs to their ends, until ctx ends.
-func (callers *callers) run(ctx context.Context, number int, random *rand.Rand) {
-	callers.runFor(ctx, number, tenantOf(number), random)
+// run runs programs one after another until ctx ends.
+func (caller *caller) run(ctx context.Context, number int, random *rand.Rand) {
+	caller.runAsTenant(ctx, number, callerTenant(number), random)
 }
 
-// runFor is run for a tenant.
-func (callers *callers) runFor(ctx context.Context, number int, tenant string, random *rand.Rand) {
+// runAsTenant runs programs of a tenant one after another until ctx ends.
+func (caller *caller) runAsTenant(ctx context.Context, number int, tenant string, random *rand.Rand) {
 	for round := 0; ctx.Err() == nil; round++ {
 		name := fmt.Sprintf("program-%d-%d", number, round)
-		running := &line{
-			program: &program{name: name, tenant: tenant, budget: wideBudget},
-			session: name,
+		current := &session{
+			program: &program{name: name, tenant: tenant, budget: largeBudget},
+			id:      name,
 			random:  random,
-			path:    turnPath,
+			path:    retainedTurnPath,
 		}
 		if random.IntN(4) == 0 {
-			running.path = plainPath
+			current.path = plainTurnPath
 		}
 		if random.IntN(4) == 0 {
-			running.budget = tightBudget
+			current.budget = smallBudget
 		}
-		callers.runProgram(ctx, running)
+		caller.runProgram(ctx, current)
 	}
 }
 
-func (callers *callers) runProgram(ctx context.Context, running *line) {
+func (caller *caller) runProgram(ctx context.Context, current *session) {
 	for range turnsPerProgram {
-		input := fmt.Sprintf("input of %s after %s;", running.name, running.previous)
-		if callers.turn(ctx, running, input) != turnWhole {
+		input := fmt.Sprintf("input of %s after %s;", current.name, current.previousTurn)
+		if caller.runTurn(ctx, current, input) != turnCompleted {
 			return
 		}
-		if running.path == turnPath && running.random.IntN(strangerShare) == 0 {
-			callers.stranger(ctx, running)
+		if current.path == retainedTurnPath && current.random.IntN(crossTenantInterval) == 0 {
+			caller.tryCrossTenantTurn(ctx, current)
 		}
-		for range toolsEach {
-			callers.tool(ctx, running)
+		for range toolCallPairsPerTurn {
+			caller.callTools(ctx, current)
 		}
 	}
 }
 
-// turnEnd is how a turn ended for its caller.
-type turnEnd int
+// turnResult is the final result of a turn.
+type turnResult int
 
 const (
-	// turnFailed was given up, or its history is gone.
-	turnFailed turnEnd = iota
-	// turnWhole was answered whole.
-	turnWhole
-	// turnSpent was refused since the budget leaves no room.
-	turnSpent
+	// turnFailed means that all attempts failed, or that the previous turn was unknown.
+	turnFailed turnResult = iota
+	// turnCompleted means that the complete response was received.
+	turnCompleted
+	// turnBudgetExhausted means that the turn was refused because the program's budget
+	// does not cover it.
+	turnBudgetExhausted
 )
 
-// turn takes one turn to its end.
-func (callers *callers) turn(ctx context.Context, running *line, input string) turnEnd {
-	for range attemptsPerTurn {
+// runTurn attempts a turn until it completes or fails permanently.
+func (caller *caller) runTurn(ctx context.Context, current *session, input string) turnResult {
+	for range maxAttemptsPerTurn {
 		if ctx.Err() != nil {
 			return turnFailed
 		}
-		attempt := &sent{method: http.MethodPost, target: running.path, prompt: running.history + input, tenant: running.tenant}
-		if running.path == turnPath {
-			attempt.previous, attempt.historyBytes = running.previous, len(running.history)
+		attempt := &callAttempt{method: http.MethodPost, target: current.path, prompt: current.history + input, tenant: current.tenant}
+		if current.path == retainedTurnPath {
+			attempt.previousTurn, attempt.historyBytes = current.previousTurn, len(current.history)
 		}
-		open := running.begin(time.Now())
-		callers.send(ctx, running.random, attempt, input, running.header())
-		end, decided := callers.turnEnded(running, attempt, open)
-		if decided {
-			return end
+		pending := current.beginAttempt(time.Now())
+		caller.send(ctx, current.random, attempt, input, current.requestHeader())
+		result, final := caller.recordAttempt(current, attempt, pending)
+		if final {
+			return result
 		}
-		wait.Sleep(ctx, attemptPause)
+		wait.Sleep(ctx, retryDelay)
 	}
 	return turnFailed
 }
 
-// header is that of the line's next turn.
-func (running *line) header() http.Header {
+// requestHeader returns the header of the session's next turn.
+func (current *session) requestHeader() http.Header {
 	header := http.Header{}
-	header.Set("Program-Id", running.name)
-	header.Set("Session-Id", running.session)
-	header.Set("Token-Budget", strconv.FormatInt(running.budget, 10))
-	header.Set("Token-Usage", "10,"+strconv.Itoa(most))
-	if running.path == turnPath && running.previous != "" {
-		header.Set("Previous-Turn", running.previous)
+	header.Set("Program-Id", current.name)
+	header.Set("Session-Id", current.id)
+	header.Set("Token-Budget", strconv.FormatInt(current.budget, 10))
+	header.Set("Token-Usage", "10,"+strconv.Itoa(maxTurnTokens))
+	if current.path == retainedTurnPath && current.previousTurn != "" {
+		header.Set("Previous-Turn", current.previousTurn)
 	}
-	if !running.due.IsZero() {
-		header.Set("Program-Deadline-Ms", strconv.FormatInt(time.Until(running.due).Milliseconds(), 10))
+	if !current.softDeadline.IsZero() {
+		header.Set("Program-Deadline-Ms", strconv.FormatInt(time.Until(current.softDeadline).Milliseconds(), 10))
 	}
 	return header
 }
 
-// turnEnded notes what an attempt of a turn came to, and tells whether it decided the turn.
-func (callers *callers) turnEnded(running *line, attempt *sent, open *turnAttempt) (end turnEnd, decided bool) {
-	ledger := callers.ledger
-	room := running.room(open)
+// recordAttempt checks and records the response to an attempt. It returns the turn's
+// result, and whether it is final.
+func (caller *caller) recordAttempt(current *session, attempt *callAttempt, pending *turnAttempt) (result turnResult, final bool) {
+	recorder := caller.recorder
+	available := current.availableBudget(pending)
 	answered := attempt.status == http.StatusOK
-	given := 0
+	receivedTokens := 0
 	if answered {
-		ledger.checkStream(attempt)
-		given = tokensPerEvent * strings.Count(attempt.body, "data:")
+		recorder.checkStream(attempt)
+		receivedTokens = tokensPerEvent * strings.Count(attempt.body, "data:")
 	}
-	total := running.end(open, answered && attempt.whole, promisesNotRun(attempt.status), int64(given))
-	if total > running.budget+most {
-		ledger.violated(promiseBudget, "%s got %d tokens of %d", running.name, total, running.budget)
+	total := current.endAttempt(pending, answered && attempt.complete, guaranteesNotRun(attempt.status), int64(receivedTokens))
+	if total > current.budget+maxTurnTokens {
+		recorder.addViolation(invariantBudget, "%s received %d tokens with a budget of %d", current.name, total, current.budget)
 	}
 	switch attempt.status {
 	case http.StatusOK:
-		if !attempt.whole {
+		if !attempt.complete {
 			return turnFailed, false
 		}
-		callers.turns.Add(1)
-		running.previous = attempt.id
-		if running.path == turnPath {
-			running.history = attempt.prompt + said(attempt.id)
+		caller.completedTurns.Add(1)
+		current.previousTurn = attempt.id
+		if current.path == retainedTurnPath {
+			current.history = attempt.prompt + turnOutput(attempt.id)
 		}
-		return turnWhole, true
+		return turnCompleted, true
 	case http.StatusPaymentRequired:
-		if running.refusedTooEarly(room) {
-			ledger.violated(promiseSpent, "%s was told 402 for %s with room for %d of %d", running.name, attempt.id, room, running.budget)
+		if current.isPrematureRefusal(available) {
+			recorder.addViolation(invariantBudgetRefusal, "%s got 402 for %s with %d of %d tokens available", current.name, attempt.id, available, current.budget)
 		}
-		return turnSpent, true
+		return turnBudgetExhausted, true
 	case http.StatusNotFound:
-		ledger.violated(promiseHistory, "%s was told 404 for %s after %q: %s", running.name, attempt.id, running.previous, attempt.body)
+		recorder.addViolation(invariantHistory, "%s got 404 for %s, which continues %q: %s", current.name, attempt.id, current.previousTurn, attempt.body)
 		return turnFailed, true
 	}
 	return turnFailed, false
 }
 
-// said is what a whole turn adds to the history.
-func said(id string) string {
+// turnOutput returns the output that a completed turn appends to the history.
+func turnOutput(id string) string {
 	var text strings.Builder
 	for event := 1; event <= eventsPerStream; event++ {
 		fmt.Fprintf(&text, "%s-%d\n", id, event)
@@ -197,83 +199,83 @@
 	return text.String()
 }
 
-// tool makes one call that may not be repeated, and one that may.
-func (callers *callers) tool(ctx context.Context, running *line) {
-	attempt := &sent{method: http.MethodPost, target: toolPath, prompt: "tool input", tenant: running.tenant}
-	callers.send(ctx, running.random, attempt, attempt.prompt, http.Header{})
-	callers.ledger.checkAnswer(attempt)
-	safe := &sent{method: http.MethodGet, target: safePath, repeatable: true, tenant: running.tenant}
-	callers.send(ctx, running.random, safe, "", http.Header{})
-	callers.ledger.checkAnswer(safe)
+// callTools makes one non-repeatable and one repeatable tool call.
+func (caller *caller) callTools(ctx context.Context, current *session) {
+	attempt := &callAttempt{method: http.MethodPost, target: unsafeToolPath, prompt: "tool input", tenant: current.tenant}
+	caller.send(ctx, current.random, attempt, attempt.prompt, http.Header{})
+	caller.recorder.checkResponse(attempt)
+	safe := &callAttempt{method: http.MethodGet, target: safeToolPath, repeatable: true, tenant: current.tenant}
+	caller.send(ctx, current.random, safe, "", http.Header{})
+	caller.recorder.checkResponse(safe)
 }
 
-// send sends an attempt to any node, with an id of its own.
-func (callers *callers) send(ctx context.Context, random *rand.Rand, attempt *sent, body string, header http.Header) {
-	target := callers.world.nodes[random.IntN(len(callers.world.nodes))]
-	callers.sendTo(ctx, target, attempt, body, header)
+// send sends an attempt to a random node.
+func (caller *caller) send(ctx context.Context, random *rand.Rand, attempt *callAttempt, body string, header http.Header) {
+	target := caller.cluster.nodes[random.IntN(len(caller.cluster.nodes))]
+	caller.sendTo(ctx, target, attempt, body, header)
 }
 
-func (callers *callers) sendTo(ctx context.Context, target *node, attempt *sent, body string, header http.Header) {
-	attempt.id = fmt.Sprintf("request-%d", callers.ids.Add(1))
+func (caller *caller) sendTo(ctx context.Context, target *node, attempt *callAttempt, body string, header http.Header) {
+	attempt.id = fmt.Sprintf("request-%d", caller.requestNumber.Add(1))
 	attempt.sentAt = time.Now()
-	callers.ledger.begin(attempt)
-	defer callers.ledger.end(attempt)
-	bounded, cancel := context.WithTimeout(ctx, deadline)
+	caller.recorder.recordStart(attempt)
+	defer caller.recorder.recordEnd(attempt)
+	attemptCtx, cancel := context.WithTimeout(ctx, attemptDeadline)
 	defer cancel()
-	request, err := http.NewRequestWithContext(bounded, attempt.method, "http://"+target.front+attempt.target, strings.NewReader(body))
+	request, err := http.NewRequestWithContext(attemptCtx, attempt.method, "http://"+target.callerAddress+attempt.target, strings.NewReader(body))
 	if err != nil {
 		return
 	}
-	request.Host = callers.world.options.Host
+	request.Host = caller.cluster.options.Host
 	request.Header = header
 	request.Header.Set("Request-Id", attempt.id)
-	request.Header.Set("Deadline-Ms", strconv.FormatInt(deadline.Milliseconds(), 10))
+	request.Header.Set("Deadline-Ms", strconv.FormatInt(attemptDeadline.Milliseconds(), 10))
 	key := attempt.key
 	if key == "" {
-		key = keyOf(attempt.tenant)
+		key = tenantKey(attempt.tenant)
 	}
 	request.Header.Set("Authorization", "Token "+key)
-	request.Header.Set("Tenant", other(attempt.tenant)) // A forged one.
-	client := &http.Client{Transport: transportOf(attempt)}
-	waiting := time.AfterFunc(gap, cancel)
-	defer waiting.Stop()
+	request.Header.Set("Tenant", otherTenant(attempt.tenant)) // Forged; nodes must ignore it.
+	client := &http.Client{Transport: newTransport(attempt)}
+	idleTimer := time.AfterFunc(idleTimeout, cancel)
+	defer idleTimer.Stop()
 	response, err := client.Do(request)
 	if err != nil {
 		return
 	}
 	defer func() { _ = response.Body.Close() }()
-	content, err := io.ReadAll(bodyOf(attempt, &timedReader{reader: response.Body, timer: waiting}))
+	content, err := io.ReadAll(responseReader(attempt, &idleTimeoutReader{reader: response.Body, timer: idleTimer}))
 	attempt.body = string(content)
-	attempt.whole = err == nil
+	attempt.complete = err == nil
 	attempt.status = response.StatusCode
 }
 
-// transportOf makes a connection for an attempt alone.
-func transportOf(attempt *sent) *http.Transport {
+// newTransport returns a transport with a connection of its own.
+func newTransport(attempt *callAttempt) *http.Transport {
 	transport := &http.Transport{DisableKeepAlives: true}
 	if attempt.slow {
-		transport.DialContext = dialSlow
+		transport.DialContext = dialSmallBuffer
 	}
 	return transport
 }
 
-// bodyOf reads as fast as the attempt's caller does.
-func bodyOf(attempt *sent, reader io.Reader) io.Reader {
+// responseReader limits the read rate of slow attempts.
+func responseReader(attempt *callAttempt, reader io.Reader) io.Reader {
 	if attempt.slow {
 		return &slowReader{reader: reader}
 	}
 	return reader
 }
 
-// timedReader sets a timer back at each read.
-type timedReader struct {
+// idleTimeoutReader resets the idle timer after each read.
+type idleTimeoutReader struct {
 	reader io.Reader
 	timer  *time.Timer
 }
 
 // Read implements io.Reader.
-func (timed *timedReader) Read(buffer []byte) (int, error) {
-	count, err := timed.reader.Read(buffer)
-	timed.timer.Reset(gap)
+func (reader *idleTimeoutReader) Read(buffer []byte) (int, error) {
+	count, err := reader.reader.Read(buffer)
+	reader.timer.Reset(idleTimeout)
 	return count, err
 }
--- a/rehearsal/soak/faults.go
+++ b/rehearsal/soak/faults.go
@@ -18,266 +18,270 @@
 )
 
 const (
-	// shortest and longest bound how long a fault lasts.
-	shortest = 300 * time.Millisecond
-	longest  = 3500 * time.Millisecond
-	// downMost is how long a killed process stays away at most.
-	downMost = 1500 * time.Millisecond
-	// calmMost bounds the pause between two faults of a lane.
-	calmMost = 1200 * time.Millisecond
-	// stopWithin is how long a planned stop may take.
-	stopWithin = (graceSeconds + 2) * time.Second
-	// slowStore and slowLink are the longest delays.
-	slowStore = 300 * time.Millisecond
-	slowLink  = 120 * time.Millisecond
+	minFaultDuration = 300 * time.Millisecond
+	maxFaultDuration = 3500 * time.Millisecond
+	// maxDowntime is the maximum time between a kill and the restart.
+	maxDowntime = 1500 * time.Millisecond
+	// maxFaultInterval is the maximum pause between two faults of a worker.
+	maxFaultInterval = 1200 * time.Millisecond
+	// shutdownTimeout is the time allowed for a planned stop.
+	shutdownTimeout = (graceSeconds + 2) * time.Second
+	// maxStoreDelay and maxLinkDelay bound the injected latencies.
+	maxStoreDelay = 300 * time.Millisecond
+	maxLinkDelay  = 120 * time.Millisecond
 )
 
-// fault is one kind of trouble. throw begins it, waits, and ends it.
+// fault is a kind of fault. inject starts one, waits and ends it. It returns a
+// description, or an empty string if no fault was injected.
 type fault struct {
-	name  string
-	throw func(thrower *thrower, ctx context.Context, random *rand.Rand) string
+	name   string
+	inject func(injector *injector, ctx context.Context, random *rand.Rand) string
 }
 
-// faults are the kinds, each as often as it is listed.
+// faults are the kinds of faults. A kind is chosen in proportion to its number of
+// entries.
 var faults = []fault{
-	{"kill node", (*thrower).killNode},
-	{"kill node", (*thrower).killNode},
-	{"kill all nodes", (*thrower).killAll},
-	{"freeze node", (*thrower).freezeNode},
-	{"freeze node", (*thrower).freezeNode},
-	{"stop node", (*thrower).stopNode},
-	{"store", (*thrower).disturbStore},
-	{"store", (*thrower).disturbStore},
-	{"compact store", (*thrower).compactStore},
-	{"way to the store", (*thrower).disturbWayToStore},
-	{"way to the store", (*thrower).disturbWayToStore},
-	{"way to an engine", (*thrower).disturbWayToEngine},
-	{"engine", (*thrower).disturbEngine},
-	{"replace engine", (*thrower).replaceEngine},
-	{"configure", (*thrower).configure},
-	{"configure", (*thrower).configure},
+	{"kill node", (*injector).killNode},
+	{"kill node", (*injector).killNode},
+	{"kill all nodes", (*injector).killAllNodes},
+	{"freeze node", (*injector).freezeNode},
+	{"freeze node", (*injector).freezeNode},
+	{"stop node", (*injector).stopNode},
+	{"store", (*injector).injectStoreFault},
+	{"store", (*injector).injectStoreFault},
+	{"compact store", (*injector).compactStore},
+	{"store link", (*injector).injectStoreLinkFault},
+	{"store link", (*injector).injectStoreLinkFault},
+	{"engine link", (*injector).injectEngineLinkFault},
+	{"engine", (*injector).injectEngineFault},
+	{"replace engine", (*injector).replaceEngine},
+	{"configure", (*injector).publishConfiguration},
+	{"configure", (*injector).publishConfiguration},
 }
 
-// thrower throws faults in lanes. Two lanes never touch the same thing at once.
-type thrower struct {
-	world  *world
-	ledger *ledger
-	logf   func(format string, values ...any)
-	mutex  sync.Mutex
-	busy   map[string]bool
-	thrown int
-	// extra counts the callers that faults have brought.
-	extra atomic.Int64
+// injector injects faults from several workers. It reserves each resource for one fault
+// at a time.
+type injector struct {
+	cluster  *cluster
+	recorder *recorder
+	logf     func(format string, values ...any)
+	mutex    sync.Mutex
+	reserved map[string]bool
+	injected int
+	// extraCallers is the number of callers started by faults.
+	extraCallers atomic.Int64
 }
 
-// run throws one fault of some kinds after another until ctx ends. What it began it ends.
-func (thrower *thrower) run(ctx context.Context, random *rand.Rand, kinds []fault) {
+// run injects randomly chosen faults of the given kinds until ctx ends, and ends each
+// of them.
+func (injector *injector) run(ctx context.Context, random *rand.Rand, kinds []fault) {
 	for ctx.Err() == nil {
-		chosen := kinds[random.IntN(len(kinds))]
-		detail := chosen.throw(thrower, ctx, random)
+		selected := kinds[random.IntN(len(kinds))]
+		detail := selected.inject(injector, ctx, random)
 		if detail != "" {
-			thrower.logf("%s: %s", chosen.name, detail)
-			thrower.mutex.Lock()
-			thrower.thrown++
-			thrower.mutex.Unlock()
+			injector.logf("%s: %s", selected.name, detail)
+			injector.mutex.Lock()
+			injector.injected++
+			injector.mutex.Unlock()
 		}
-		wait.Sleep(ctx, between(random, 0, calmMost))
+		wait.Sleep(ctx, randomDuration(random, 0, maxFaultInterval))
 	}
 }
 
-// take reserves a thing for a fault; it returns false where another one has it.
-func (thrower *thrower) take(things ...string) bool {
-	thrower.mutex.Lock()
-	defer thrower.mutex.Unlock()
-	for _, thing := range things {
-		if thrower.busy[thing] {
+// reserve reserves resources for a fault. It reserves none and returns false if any of
+// them is in use.
+func (injector *injector) reserve(resources ...string) bool {
+	injector.mutex.Lock()
+	defer injector.mutex.Unlock()
+	for _, resource := range resources {
+		if injector.reserved[resource] {
 			return false
 		}
 	}
-	for _, thing := range things {
-		thrower.busy[thing] = true
+	for _, resource := range resources {
+		injector.reserved[resource] = true
 	}
 	return true
 }
 
-func (thrower *thrower) release(things ...string) {
-	thrower.mutex.Lock()
-	defer thrower.mutex.Unlock()
-	for _, thing := range things {
-		delete(thrower.busy, thing)
+func (injector *injector) release(resources ...string) {
+	injector.mutex.Lock()
+	defer injector.mutex.Unlock()
+	for _, resource := range resources {
+		delete(injector.reserved, resource)
 	}
 }
 
-func between(random *rand.Rand, least, most time.Duration) time.Duration {
-	return least + time.Duration(random.Int64N(int64(most-least)))
+func randomDuration(random *rand.Rand, shortest, longest time.Duration) time.Duration {
+	return shortest + time.Duration(random.Int64N(int64(longest-shortest)))
 }
 
-func (thrower *thrower) anyNode(random *rand.Rand) *node {
-	return thrower.world.nodes[random.IntN(len(thrower.world.nodes))]
+func (injector *injector) randomNode(random *rand.Rand) *node {
+	return injector.cluster.nodes[random.IntN(len(injector.cluster.nodes))]
 }
 
-func (thrower *thrower) anyEngine(random *rand.Rand) *engine {
-	engines := thrower.world.listed()
+func (injector *injector) randomEngine(random *rand.Rand) *engine {
+	engines := injector.cluster.listedEngines()
 	return engines[random.IntN(len(engines))]
 }
 
-func (thrower *thrower) killNode(ctx context.Context, random *rand.Rand) string {
-	target := thrower.anyNode(random)
-	down := between(random, 0, downMost)
-	if !thrower.take(target.name) {
+func (injector *injector) killNode(ctx context.Context, random *rand.Rand) string {
+	target := injector.randomNode(random)
+	outage := randomDuration(random, 0, maxDowntime)
+	if !injector.reserve(target.name) {
 		return ""
 	}
-	defer thrower.release(target.name)
+	defer injector.release(target.name)
 	target.stop(syscall.SIGKILL, time.Second)
-	wait.Sleep(ctx, down)
+	wait.Sleep(ctx, outage)
 	_ = target.start()
-	return fmt.Sprintf("%s for %s", target.name, down)
+	return fmt.Sprintf("%s for %s", target.name, outage)
 }
 
-func (thrower *thrower) killAll(ctx context.Context, random *rand.Rand) string {
-	down := between(random, 0, downMost)
+func (injector *injector) killAllNodes(ctx context.Context, random *rand.Rand) string {
+	outage := randomDuration(random, 0, maxDowntime)
 	var names []string
-	for _, target := range thrower.world.nodes {
+	for _, target := range injector.cluster.nodes {
 		names = append(names, target.name)
 	}
-	if !thrower.take(names...) {
+	if !injector.reserve(names...) {
 		return ""
 	}
-	defer thrower.release(names...)
+	defer injector.release(names...)
 	var killing sync.WaitGroup
-	for _, target := range thrower.world.nodes {
+	for _, target := range injector.cluster.nodes {
 		killing.Go(func() { target.stop(syscall.SIGKILL, time.Second) })
 	}
 	killing.Wait()
-	wait.Sleep(ctx, down)
-	for _, target := range thrower.world.nodes {
+	wait.Sleep(ctx, outage)
+	for _, target := range injector.cluster.nodes {
 		_ = target.start()
 	}
-	return fmt.Sprintf("for %s", down)
+	return fmt.Sprintf("for %s", outage)
 }
 
-func (thrower *thrower) freezeNode(ctx context.Context, random *rand.Rand) string {
-	target := thrower.anyNode(random)
-	lasts := between(random, shortest, longest)
-	if !thrower.take(target.name) {
+func (injector *injector) freezeNode(ctx context.Context, random *rand.Rand) string {
+	target := injector.randomNode(random)
+	duration := randomDuration(random, minFaultDuration, maxFaultDuration)
+	if !injector.reserve(target.name) {
 		return ""
 	}
-	defer thrower.release(target.name)
+	defer injector.release(target.name)
 	target.freeze()
-	wait.Sleep(ctx, lasts)
-	target.wake()
-	return fmt.Sprintf("%s for %s", target.name, lasts)
+	wait.Sleep(ctx, duration)
+	target.resume()
+	return fmt.Sprintf("%s for %s", target.name, duration)
 }
 
-func (thrower *thrower) stopNode(_ context.Context, random *rand.Rand) string {
-	target := thrower.anyNode(random)
-	if !thrower.take(target.name) {
+func (injector *injector) stopNode(_ context.Context, random *rand.Rand) string {
+	target := injector.randomNode(random)
+	if !injector.reserve(target.name) {
 		return ""
 	}
-	defer thrower.release(target.name)
-	target.stop(syscall.SIGTERM, stopWithin)
+	defer injector.release(target.name)
+	target.stop(syscall.SIGTERM, shutdownTimeout)
 	_ = target.start()
 	return target.name
 }
 
-const storeThing = "store"
+const storeResource = "store"
 
-func (thrower *thrower) disturbStore(ctx context.Context, random *rand.Rand) string {
+func (injector *injector) injectStoreFault(ctx context.Context, random *rand.Rand) string {
 	kinds := []logstore.Faults{
 		{Refuse: true},
 		{Silent: true},
 		{LoseAnswers: true},
-		{Delay: between(random, 0, slowStore)},
+		{Delay: randomDuration(random, 0, maxStoreDelay)},
 		{DownParts: map[int]bool{random.IntN(partitions): true, random.IntN(partitions): true}},
 	}
-	chosen := kinds[random.IntN(len(kinds))]
-	lasts := between(random, shortest, longest)
-	if !thrower.take(storeThing) {
+	selected := kinds[random.IntN(len(kinds))]
+	duration := randomDuration(random, minFaultDuration, maxFaultDuration)
+	if !injector.reserve(storeResource) {
 		return ""
 	}
-	defer thrower.release(storeThing)
-	thrower.world.store.SetFaults(chosen)
-	wait.Sleep(ctx, lasts)
-	thrower.world.store.SetFaults(logstore.Faults{})
-	return fmt.Sprintf("%+v for %s", chosen, lasts)
+	defer injector.release(storeResource)
+	injector.cluster.store.SetFaults(selected)
+	wait.Sleep(ctx, duration)
+	injector.cluster.store.SetFaults(logstore.Faults{})
+	return fmt.Sprintf("%+v for %s", selected, duration)
 }
 
-// compactStore drops the history of the keyed topics; the newest records stay.
-func (thrower *thrower) compactStore(ctx context.Context, _ *rand.Rand) string {
+// compactStore discards all but the latest record of each key in the keyed topics.
+func (injector *injector) compactStore(ctx context.Context, _ *rand.Rand) string {
 	for _, topic := range []string{records.TopicOperator, records.TopicEngines} {
-		snapshot, err := thrower.world.store.Log.Latest(ctx, topic)
+		snapshot, err := injector.cluster.store.Log.Latest(ctx, topic)
 		if err == nil {
-			thrower.world.store.Log.Trim(durable.Partition{Topic: topic}, snapshot.End)
+			injector.cluster.store.Log.Trim(durable.Partition{Topic: topic}, snapshot.End)
 		}
 	}
 	return "keyed topics"
 }
 
-// modes are ways in which a link is disturbed.
-func modes(random *rand.Rand) relay.Mode {
-	kinds := []relay.Mode{{Silent: true}, {Mute: true}, {Resets: true}, {Delay: between(random, 0, slowLink)}}
+// randomLinkFault draws a fault of a network link.
+func randomLinkFault(random *rand.Rand) relay.Mode {
+	kinds := []relay.Mode{{Silent: true}, {Mute: true}, {Resets: true}, {Delay: randomDuration(random, 0, maxLinkDelay)}}
 	return kinds[random.IntN(len(kinds))]
 }
 
-func (thrower *thrower) disturbWayToStore(ctx context.Context, random *rand.Rand) string {
-	target := thrower.anyNode(random)
-	return thrower.disturbDoor(ctx, random, target.door, wayToStore(target))
+func (injector *injector) injectStoreLinkFault(ctx context.Context, random *rand.Rand) string {
+	target := injector.randomNode(random)
+	return injector.injectLinkFault(ctx, random, target.storeProxy, storeLinkName(target))
 }
 
-// wayToStore names a node's way to the store.
-func wayToStore(node *node) string { return "store of " + node.name }
+// storeLinkName returns the resource name of a node's connection to the log store.
+func storeLinkName(node *node) string { return "store link of " + node.name }
 
-func (thrower *thrower) disturbWayToEngine(ctx context.Context, random *rand.Rand) string {
-	target := thrower.anyEngine(random)
-	return thrower.disturbDoor(ctx, random, target.door, target.ID)
+func (injector *injector) injectEngineLinkFault(ctx context.Context, random *rand.Rand) string {
+	target := injector.randomEngine(random)
+	return injector.injectLinkFault(ctx, random, target.proxy, target.ID)
 }
 
-func (thrower *thrower) disturbDoor(ctx context.Context, random *rand.Rand, door *relay.Door, thing string) string {
-	mode := modes(random)
-	lasts := between(random, shortest, longest)
-	if !thrower.take(thing) {
+func (injector *injector) injectLinkFault(ctx context.Context, random *rand.Rand, proxy *relay.Door, resource string) string {
+	mode := randomLinkFault(random)
+	duration := randomDuration(random, minFaultDuration, maxFaultDuration)
+	if !injector.reserve(resource) {
 		return ""
 	}
-	defer thrower.release(thing)
-	door.Set(mode)
-	wait.Sleep(ctx, lasts)
-	door.Set(relay.Mode{})
-	return fmt.Sprintf("%s %+v for %s", thing, mode, lasts)
+	defer injector.release(resource)
+	proxy.Set(mode)
+	wait.Sleep(ctx, duration)
+	proxy.Set(relay.Mode{})
+	return fmt.Sprintf("%s %+v for %s", resource, mode, duration)
 }
 
-func (thrower *thrower) disturbEngine(ctx context.Context, random *rand.Rand) string {
-	target := thrower.anyEngine(random)
+func (injector *injector) injectEngineFault(ctx context.Context, random *rand.Rand) string {
+	target := injector.randomEngine(random)
 	kinds := []agentengine.Faults{
 		{Full: true},
 		{LoseAnswers: true},
 		{BreakAfter: 1 + random.IntN(eventsPerStream)},
 		{Pause: 150 * time.Millisecond},
 	}
-	chosen := kinds[random.IntN(len(kinds))]
-	lasts := between(random, shortest, longest)
-	if !thrower.take(target.ID) {
+	selected := kinds[random.IntN(len(kinds))]
+	duration := randomDuration(random, minFaultDuration, maxFaultDuration)
+	if !injector.reserve(target.ID) {
 		return ""
 	}
-	defer thrower.release(target.ID)
-	target.SetFaults(chosen)
-	wait.Sleep(ctx, lasts)
+	defer injector.release(target.ID)
+	target.SetFaults(selected)
+	wait.Sleep(ctx, duration)
 	target.SetFaults(agentengine.Faults{})
-	return fmt.Sprintf("%s %+v for %s", target.ID, chosen, lasts)
+	return fmt.Sprintf("%s %+v for %s", target.ID, selected, duration)
 }
 
-func (thrower *thrower) replaceEngine(_ context.Context, random *rand.Rand) string {
-	target := thrower.anyEngine(random)
-	if !thrower.take(target.ID) {
+func (injector *injector) replaceEngine(_ context.Context, random *rand.Rand) string {
+	target := injector.randomEngine(random)
+	if !injector.reserve(target.ID) {
 		return ""
 	}
-	defer thrower.release(target.ID)
-	err := thrower.world.replace(target)
+	defer injector.release(target.ID)
+	err := injector.cluster.replaceEngine(target)
 	if err != nil {
 		return ""
 	}
 	return target.ID
 }
 
-func (thrower *thrower) configure(context.Context, *rand.Rand) string {
-	return fmt.Sprintf("version %d", thrower.world.configure())
+func (injector *injector) publishConfiguration(context.Context, *rand.Rand) string {
+	return fmt.Sprintf("version %d", injector.cluster.publishConfiguration())
 }
--- a/rehearsal/soak/load_faults.go
+++ b/rehearsal/soak/load_faults.go
@@ -16,177 +16,178 @@
 )
 
 const (
-	// hotPrograms is how many programs a hot tenant has under way at once. With those of
-	// the other callers they are half as many again as the model engines have slots.
-	hotPrograms = 30
-	// slowReaders take large answers at once, slowPiece bytes each slowPause: a second or so
-	// an answer, while the engine gives it at once. Together they hold more than a node of
-	// the settings' memory may keep for callers.
-	slowReaders = 24
-	slowPiece   = 16 << 10
-	slowPause   = 10 * time.Millisecond
-	// slowWindow is what the system keeps for such a caller on its own side.
-	slowWindow = 16 << 10
-	largePath  = "/safe" + agentengine.LargeSuffix
-	// firstExtra numbers the callers that faults bring, above those of the run.
-	firstExtra = 1000
+	// hotTenantPrograms is the number of concurrent programs of a hot tenant. Together
+	// with the other callers' programs, they exceed the model engines' slots.
+	hotTenantPrograms = 30
+	// slowReaderCount callers read large responses at slowReadBytes per
+	// slowReadInterval. Their unread responses together exceed a node's memory limit
+	// for buffered responses.
+	slowReaderCount  = 24
+	slowReadBytes    = 16 << 10
+	slowReadInterval = 10 * time.Millisecond
+	// slowReceiveBuffer is the size of a slow reader's socket receive buffer.
+	slowReceiveBuffer = 16 << 10
+	largePath         = "/safe" + agentengine.LargeSuffix
+	// firstExtraCaller is the base of the numbers of callers started by faults, above
+	// those of the run's callers.
+	firstExtraCaller = 1000
 )
 
-// zonesUnderLoad is the default number of zones in runs with disturbances of the load.
-const zonesUnderLoad = 2
+// defaultLoadFaultZones is the default number of zones in runs with load faults.
+const defaultLoadFaultZones = 2
 
-// modelPaces and toolPaces are the times of engines of unequal speed: 0.7, 1 and 1.7 times
-// the usual, as customers' engines have them.
+// modelBaseDelays and toolBaseDelays give engines of a service unequal speeds.
 var (
-	modelPaces = []time.Duration{21 * time.Millisecond, 30 * time.Millisecond, 51 * time.Millisecond}
-	toolPaces  = []time.Duration{7 * time.Millisecond, 17 * time.Millisecond}
+	modelBaseDelays = []time.Duration{21 * time.Millisecond, 30 * time.Millisecond, 51 * time.Millisecond}
+	toolBaseDelays  = []time.Duration{7 * time.Millisecond, 17 * time.Millisecond}
 )
 
-// loadFaults are the kinds of trouble that concern the load, each as often as it is listed.
-// They have lanes of their own, so that a seed's other faults stay what they were.
+// loadFaults are the kinds of faults of the load. They are drawn from separate random
+// streams, so that they do not change the other faults of a seed.
 var loadFaults = []fault{
-	{"hot tenant", (*thrower).hotTenant},
-	{"hot tenant", (*thrower).hotTenant},
-	{"slow readers", (*thrower).slowReaders},
-	{"engine fails at once", (*thrower).failAtOnce},
-	{"engine fails at once", (*thrower).failAtOnce},
-	{"zone without store", (*thrower).zoneWithoutStore},
+	{"hot tenant", (*injector).runHotTenant},
+	{"hot tenant", (*injector).runHotTenant},
+	{"slow readers", (*injector).runSlowReaders},
+	{"failing engine", (*injector).failEngine},
+	{"failing engine", (*injector).failEngine},
+	{"zone without store", (*injector).stallZoneStoreLinks},
 }
 
-// extraCallers returns callers with request ids of their own.
-func (thrower *thrower) extraCallers() (*callers, int) {
-	number := firstExtra + int(thrower.extra.Add(1))
-	made := &callers{world: thrower.world, ledger: thrower.ledger}
-	made.ids.Store(int64(number) * idsPerCaller)
-	return made, number
+// newExtraCaller returns a caller with a distinct range of request IDs, and its number.
+func (injector *injector) newExtraCaller() (*caller, int) {
+	number := firstExtraCaller + int(injector.extraCallers.Add(1))
+	extra := &caller{cluster: injector.cluster, recorder: injector.recorder}
+	extra.requestNumber.Store(int64(number) * requestIDsPerCaller)
+	return extra, number
 }
 
-// hotTenant has one tenant run many programs at once.
-func (thrower *thrower) hotTenant(ctx context.Context, random *rand.Rand) string {
-	lasts := between(random, shortest, longest)
-	if !thrower.take(tenantHot) {
+// runHotTenant runs many concurrent programs of one tenant.
+func (injector *injector) runHotTenant(ctx context.Context, random *rand.Rand) string {
+	duration := randomDuration(random, minFaultDuration, maxFaultDuration)
+	if !injector.reserve(tenantHot) {
 		return ""
 	}
-	defer thrower.release(tenantHot)
-	flooding, stop := context.WithTimeout(ctx, lasts)
+	defer injector.release(tenantHot)
+	loadCtx, stop := context.WithTimeout(ctx, duration)
 	defer stop()
-	var working sync.WaitGroup
-	for range hotPrograms {
-		extra, number := thrower.extraCallers()
-		own := rand.New(rand.NewPCG(random.Uint64(), random.Uint64()))
-		working.Go(func() { extra.runFor(flooding, number, tenantHot, own) })
+	var workers sync.WaitGroup
+	for range hotTenantPrograms {
+		extra, number := injector.newExtraCaller()
+		callerRandom := rand.New(rand.NewPCG(random.Uint64(), random.Uint64()))
+		workers.Go(func() { extra.runAsTenant(loadCtx, number, tenantHot, callerRandom) })
 	}
-	working.Wait()
-	return fmt.Sprintf("%d programs for %s", hotPrograms, lasts)
+	workers.Wait()
+	return fmt.Sprintf("%d programs for %s", hotTenantPrograms, duration)
 }
 
-// slowReaders has callers take large answers slowly.
-func (thrower *thrower) slowReaders(ctx context.Context, random *rand.Rand) string {
-	lasts := between(random, shortest, longest)
-	const thing = "slow readers"
-	if !thrower.take(thing) {
+// runSlowReaders runs callers that read large responses slowly.
+func (injector *injector) runSlowReaders(ctx context.Context, random *rand.Rand) string {
+	duration := randomDuration(random, minFaultDuration, maxFaultDuration)
+	const resource = "slow readers"
+	if !injector.reserve(resource) {
 		return ""
 	}
-	defer thrower.release(thing)
-	reading, stop := context.WithTimeout(ctx, lasts)
+	defer injector.release(resource)
+	readCtx, stop := context.WithTimeout(ctx, duration)
 	defer stop()
-	var working sync.WaitGroup
-	for range slowReaders {
-		extra, _ := thrower.extraCallers()
-		own := rand.New(rand.NewPCG(random.Uint64(), random.Uint64()))
-		working.Go(func() {
-			for reading.Err() == nil {
-				extra.readSlowly(reading, own)
+	var workers sync.WaitGroup
+	for range slowReaderCount {
+		extra, _ := injector.newExtraCaller()
+		callerRandom := rand.New(rand.NewPCG(random.Uint64(), random.Uint64()))
+		workers.Go(func() {
+			for readCtx.Err() == nil {
+				extra.readLargeResponse(readCtx, callerRandom)
 			}
 		})
 	}
-	working.Wait()
-	return fmt.Sprintf("%d for %s", slowReaders, lasts)
+	workers.Wait()
+	return fmt.Sprintf("%d for %s", slowReaderCount, duration)
 }
 
-// readSlowly makes one call with a large answer.
-func (callers *callers) readSlowly(ctx context.Context, random *rand.Rand) {
-	attempt := &sent{method: http.MethodGet, target: largePath, repeatable: true, tenant: tenantFree, slow: true}
-	callers.send(ctx, random, attempt, "", http.Header{})
-	callers.ledger.checkLarge(attempt)
-	attempt.body = "" // The ledger keeps every attempt.
+// readLargeResponse makes a call with a large response and reads it slowly.
+func (caller *caller) readLargeResponse(ctx context.Context, random *rand.Rand) {
+	attempt := &callAttempt{method: http.MethodGet, target: largePath, repeatable: true, tenant: tenantUnlimited, slow: true}
+	caller.send(ctx, random, attempt, "", http.Header{})
+	caller.recorder.checkLargeResponse(attempt)
+	attempt.body = "" // The recorder keeps every attempt.
 	if attempt.status != http.StatusOK {
-		wait.Sleep(ctx, attemptPause)
+		wait.Sleep(ctx, retryDelay)
 	}
 }
 
-// checkLarge checks that a large answer came from its first byte on, all of it where it is
-// whole.
-func (ledger *ledger) checkLarge(attempt *sent) {
+// checkLargeResponse checks that a large response belongs to its request and, if it is
+// complete, has its full length.
+func (recorder *recorder) checkLargeResponse(attempt *callAttempt) {
 	if attempt.status != http.StatusOK {
 		return
 	}
-	ledger.checkAnswer(attempt)
-	if got := len(attempt.body); attempt.whole && got <= agentengine.LargeBytes {
-		ledger.violated(promiseWhole, "%s got %d bytes of over %d as whole", attempt.id, got, agentengine.LargeBytes)
+	recorder.checkResponse(attempt)
+	if received := len(attempt.body); attempt.complete && received <= agentengine.LargeBytes {
+		recorder.addViolation(invariantResponse, "%s received %d bytes as a complete response of more than %d", attempt.id, received, agentengine.LargeBytes)
 	}
 }
 
-// failAtOnce has an engine answer each request with a failure, at once; its record stays good.
-func (thrower *thrower) failAtOnce(ctx context.Context, random *rand.Rand) string {
-	target := thrower.anyEngine(random)
-	lasts := between(random, shortest, longest)
-	if !thrower.take(target.ID) {
+// failEngine makes an engine fail every request immediately while its record stays
+// ready.
+func (injector *injector) failEngine(ctx context.Context, random *rand.Rand) string {
+	target := injector.randomEngine(random)
+	duration := randomDuration(random, minFaultDuration, maxFaultDuration)
+	if !injector.reserve(target.ID) {
 		return ""
 	}
-	defer thrower.release(target.ID)
+	defer injector.release(target.ID)
 	target.SetFaults(agentengine.Faults{Fail: true})
-	wait.Sleep(ctx, lasts)
+	wait.Sleep(ctx, duration)
 	target.SetFaults(agentengine.Faults{})
-	return fmt.Sprintf("%s for %s", target.ID, lasts)
+	return fmt.Sprintf("%s for %s", target.ID, duration)
 }
 
-// zoneWithoutStore silences the ways of all nodes of a zone to the store. The ways between
-// nodes stay: a node's address in the store is the one that it listens at, so that nothing
-// stands between.
-func (thrower *thrower) zoneWithoutStore(ctx context.Context, random *rand.Rand) string {
-	zone := thrower.world.options.zone(random.IntN(thrower.world.options.Zones))
-	lasts := between(random, shortest, longest)
-	var doors []*relay.Door
-	var things []string
-	for _, each := range thrower.world.nodes {
+// stallZoneStoreLinks stalls the connections of all nodes of a zone to the log store.
+// Connections between nodes cannot be faulted: nodes connect directly to the addresses
+// that their peers publish.
+func (injector *injector) stallZoneStoreLinks(ctx context.Context, random *rand.Rand) string {
+	zone := injector.cluster.options.zoneName(random.IntN(injector.cluster.options.Zones))
+	duration := randomDuration(random, minFaultDuration, maxFaultDuration)
+	var proxies []*relay.Door
+	var resources []string
+	for _, each := range injector.cluster.nodes {
 		if each.zone == zone {
-			doors = append(doors, each.door)
-			things = append(things, wayToStore(each))
+			proxies = append(proxies, each.storeProxy)
+			resources = append(resources, storeLinkName(each))
 		}
 	}
-	if !thrower.take(things...) {
+	if !injector.reserve(resources...) {
 		return ""
 	}
-	defer thrower.release(things...)
-	for _, door := range doors {
-		door.Set(relay.Mode{Silent: true})
+	defer injector.release(resources...)
+	for _, proxy := range proxies {
+		proxy.Set(relay.Mode{Silent: true})
 	}
-	wait.Sleep(ctx, lasts)
-	for _, door := range doors {
-		door.Set(relay.Mode{})
+	wait.Sleep(ctx, duration)
+	for _, proxy := range proxies {
+		proxy.Set(relay.Mode{})
 	}
-	return fmt.Sprintf("%s for %s", zone, lasts)
+	return fmt.Sprintf("%s for %s", zone, duration)
 }
 
-// slowReader takes a body in small pieces with pauses.
+// slowReader limits reads to slowReadBytes per slowReadInterval.
 type slowReader struct{ reader io.Reader }
 
 // Read implements io.Reader.
-func (slow *slowReader) Read(buffer []byte) (int, error) {
-	time.Sleep(slowPause)
-	return slow.reader.Read(buffer[:min(len(buffer), slowPiece)])
+func (reader *slowReader) Read(buffer []byte) (int, error) {
+	time.Sleep(slowReadInterval)
+	return reader.reader.Read(buffer[:min(len(buffer), slowReadBytes)])
 }
 
-// dialSlow opens a connection that takes little before it is read.
-func dialSlow(ctx context.Context, network, address string) (net.Conn, error) {
+// dialSmallBuffer dials a connection with a small receive buffer.
+func dialSmallBuffer(ctx context.Context, network, address string) (net.Conn, error) {
 	var dialer net.Dialer
 	connection, err := dialer.DialContext(ctx, network, address)
 	if err != nil {
 		return nil, err
 	}
 	if tcp, ok := connection.(*net.TCPConn); ok {
-		_ = tcp.SetReadBuffer(slowWindow)
+		_ = tcp.SetReadBuffer(slowReceiveBuffer)
 	}
 	return connection, nil
 }
--- a/rehearsal/soak/node.go
+++ b/rehearsal/soak/node.go
@@ -19,54 +19,55 @@
 
 const (
 	graceSeconds = 8
-	// readyTimeout bounds one question whether a node is ready.
+	// readyTimeout is the timeout of a readiness request.
 	readyTimeout = 500 * time.Millisecond
 )
 
-// node is one process of the system, started again and again.
+// node is a node process, which can be restarted.
 type node struct {
 	name   string
 	binary string
-	// settings is the path of the settings file, in the product's own form where own is true.
-	settings string
-	own      bool
-	log      string
-	front    string
-	ready    string
-	zone     string
-	// door is the node's own way to the store.
-	door *relay.Door
+	// settingsPath is the path of the settings file, which is in the TOML format if
+	// useTOML is set.
+	settingsPath     string
+	useTOML          bool
+	logPath          string
+	callerAddress    string
+	readinessAddress string
+	zone             string
+	// storeProxy is the proxy of the node's connection to the log store.
+	storeProxy *relay.Door
 
 	mutex   sync.Mutex
 	command *exec.Cmd
-	ended   chan struct{}
-	// life counts the starts.
-	life int
+	exited  chan struct{}
+	// incarnation is the number of starts.
+	incarnation int
 }
 
-func newNode(number int, options Options, store string, picker *ports.Picker) (*node, error) {
-	door, err := relay.OpenDoor(loopback, store)
+func newNode(number int, options Options, store string, allocator *ports.Picker) (*node, error) {
+	storeProxy, err := relay.OpenDoor(loopback, store)
 	if err != nil {
 		return nil, err
 	}
-	picked, err := options.portsOf(number, picker)
+	allocated, err := options.nodePorts(number, allocator)
 	if err != nil {
 		return nil, err
 	}
 	settings := nodesettings.Settings{
 		Name:       fmt.Sprintf("node-%d", number),
-		Zone:       options.zone(number),
-		Front:      picked[0],
-		Ready:      picked[1],
-		Peer:       min(picked[2], picked[3]),
-		Metrics:    max(picked[2], picked[3]),
-		Store:      door.Address(),
+		Zone:       options.zoneName(number),
+		Front:      allocated[0],
+		Ready:      allocated[1],
+		Peer:       min(allocated[2], allocated[3]),
+		Metrics:    max(allocated[2], allocated[3]),
+		Store:      storeProxy.Address(),
 		Partitions: partitions,
 		Grace:      graceSeconds,
 		Quota:      &nodesettings.Quota{Window: int(quotaWindow.Seconds()), Overage: quotaOverage, Slack: quotaSlack},
 	}
 	write := settings.Write
-	if options.OwnSettings {
+	if options.TOMLSettings {
 		write = settings.WriteOwn
 	}
 	path, err := write(options.Directory)
@@ -74,71 +75,71 @@
 		return nil, err
 	}
 	return &node{
-		name:     settings.Name,
-		zone:     settings.Zone,
-		binary:   options.Magpielug,
-		own:      options.OwnSettings,
-		front:    nodesettings.Address(settings.Front),
-		ready:    nodesettings.Address(settings.Ready),
-		door:     door,
-		settings: path,
-		log:      filepath.Join(options.Directory, settings.Name+".log"),
+		name:             settings.Name,
+		zone:             settings.Zone,
+		binary:           options.Magpielug,
+		useTOML:          options.TOMLSettings,
+		callerAddress:    nodesettings.Address(settings.Front),
+		readinessAddress: nodesettings.Address(settings.Ready),
+		storeProxy:       storeProxy,
+		settingsPath:     path,
+		logPath:          filepath.Join(options.Directory, settings.Name+".log"),
 	}, nil
 }
 
 const (
-	// portsEach is how many ports a node has, portStride how far the first ports of two
-	// nodes lie apart where they are fixed.
-	portsEach  = 4
-	portStride = 10
+	// portsPerNode is the number of ports of a node. With fixed ports, the first ports
+	// of consecutive nodes are portStride apart.
+	portsPerNode = 4
+	portStride   = 10
 )
 
-// portsOf returns the ports of the node with a number.
-func (options Options) portsOf(number int, picker *ports.Picker) ([]int, error) {
+// nodePorts returns the ports of the node with the given number.
+func (options Options) nodePorts(number int, allocator *ports.Picker) ([]int, error) {
 	if options.FirstPort == 0 {
-		return picker.Pick(portsEach)
+		return allocator.Pick(portsPerNode)
 	}
 	var fixed []int
-	for offset := range portsEach {
+	for offset := range portsPerNode {
 		fixed = append(fixed, options.FirstPort+portStride*number+offset)
 	}
 	return fixed, nil
 }
 
-// process is the command that starts the node.
-func (node *node) process() *exec.Cmd {
-	if node.own {
-		return exec.Command(node.binary, "node", "--settings", node.settings)
+// newCommand returns the command that starts the node.
+func (node *node) newCommand() *exec.Cmd {
+	if node.useTOML {
+		return exec.Command(node.binary, "node", "--settings", node.settingsPath)
 	}
 	command := exec.Command(node.binary, "node")
-	command.Env = append(os.Environ(), nodesettings.Variable+"="+node.settings)
+	command.Env = append(os.Environ(), nodesettings.Variable+"="+node.settingsPath)
 	return command
 }
 
-// start starts the process, unless it runs.
+// start starts the process unless it is running.
 func (node *node) start() error {
 	node.mutex.Lock()
 	defer node.mutex.Unlock()
 	if node.command != nil {
 		return nil
 	}
-	output, err := os.OpenFile(node.log, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
+	output, err := os.OpenFile(node.logPath, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
-		return eris.Wrap(err, "open a node's log")
+		return eris.Wrap(err, "open node log")
 	}
-	command := node.process()
-	// A node must not outlive this process, however that ends.
+	command := node.newCommand()
+	// Kill the node if this process dies, however it does.
 	command.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 	command.Stdout = output
 	command.Stderr = output
 	err = command.Start()
 	if err != nil {
-		return eris.Wrap(err, "start a node")
+		return eris.Wrap(err, "start node")
 	}
-	node.life++
+	node.incarnation++
 	node.command = command
 	ended := make(chan struct{})
-	node.ended = ended
+	node.exited = ended
 	go func() {
 		_ = command.Wait()
 		_ = output.Close()
@@ -147,24 +148,24 @@
 	return nil
 }
 
-// hasEnded tells whether the process that was started has ended by itself.
-func (node *node) hasEnded() bool {
+// hasExited reports whether the process exited without having been stopped.
+func (node *node) hasExited() bool {
 	node.mutex.Lock()
 	defer node.mutex.Unlock()
 	if node.command == nil {
 		return false
 	}
 	select {
-	case <-node.ended:
+	case <-node.exited:
 		return true
 	default:
 		return false
 	}
 }
 
-// stop sends a signal that ends the process, and waits for its end up to a time;
-// then it kills it.
-func (node *node) stop(signal os.Signal, within time.Duration) {
+// stop sends a terminating signal and waits for the process to exit. After timeout, it
+// kills the process.
+func (node *node) stop(signal os.Signal, timeout time.Duration) {
 	node.mutex.Lock()
 	defer node.mutex.Unlock()
 	if node.command == nil {
@@ -172,18 +173,18 @@
 	}
 	_ = node.command.Process.Signal(signal)
 	select {
-	case <-node.ended:
-	case <-time.After(within):
+	case <-node.exited:
+	case <-time.After(timeout):
 		_ = node.command.Process.Kill()
-		<-node.ended
+		<-node.exited
 	}
 	node.command = nil
 }
 
-// freeze stops the process without a word, wake lets it go on.
+// freeze suspends the process, resume continues it.
 func (node *node) freeze() { node.signal(syscall.SIGSTOP) }
 
-func (node *node) wake() { node.signal(syscall.SIGCONT) }
+func (node *node) resume() { node.signal(syscall.SIGCONT) }
 
 func (node *node) signal(signal os.Signal) {
 	node.mutex.Lock()
@@ -193,41 +194,42 @@
 	}
 }
 
-// Words of a node's log by which an owner is found.
+// Texts of the node's log that claimedShards searches for.
 const (
-	wordsStart = `event="node starts"`
-	wordsClaim = `event="shard claimed"`
+	nodeStartingEvent = `event="node starting"`
+	shardClaimedEvent = `event="shard claimed"`
 )
 
-// claims counts the shards that the node has claimed since its last start, by its log.
-func (node *node) claims() int {
-	content, err := os.ReadFile(node.log)
+// claimedShards returns the number of shards claimed since the node's last start,
+// according to its log.
+func (node *node) claimedShards() int {
+	content, err := os.ReadFile(node.logPath)
 	if err != nil {
 		return 0
 	}
-	life := string(content)
-	return strings.Count(life[max(strings.LastIndex(life, wordsStart), 0):], wordsClaim)
+	currentLog := string(content)
+	return strings.Count(currentLog[max(strings.LastIndex(currentLog, nodeStartingEvent), 0):], shardClaimedEvent)
 }
 
-// lives returns the number of the present start.
-func (node *node) lives() int {
+// currentIncarnation returns the number of starts so far.
+func (node *node) currentIncarnation() int {
 	node.mutex.Lock()
 	defer node.mutex.Unlock()
-	return node.life
+	return node.incarnation
 }
 
-// end stops the process for good; a frozen one is woken first, so that it can
-// be waited for.
-func (node *node) end() {
-	node.wake()
+// shutDown kills the process and closes its proxy. A frozen process is resumed first,
+// so that it can be waited for.
+func (node *node) shutDown() {
+	node.resume()
 	node.stop(syscall.SIGKILL, time.Second)
-	node.door.Close()
+	node.storeProxy.Close()
 }
 
-// isReady asks the node whether it takes callers.
+// isReady reports whether the node's readiness endpoint returns 200.
 func (node *node) isReady() bool {
 	client := http.Client{Timeout: readyTimeout}
-	response, err := client.Get("http://" + node.ready + "/ready")
+	response, err := client.Get("http://" + node.readinessAddress + "/ready")
 	if err != nil {
 		return false
 	}
--- a/rehearsal/soak/program.go
+++ b/rehearsal/soak/program.go
@@ -5,79 +5,81 @@
 	"time"
 )
 
-// program is one agent program under way, with its sub-agents. It is safe for concurrent
-// use by their lines.
+// program is the state of a running agent program. It is safe for concurrent use by the
+// sessions of the program and its sub-agents.
 type program struct {
 	name   string
 	tenant string
 	budget int64
-	// due is when the program should be over, the zero time where nothing is said.
-	due time.Time
-	// doubt tells how much of the budget may count as spent since owners were lost, nil where
-	// nothing ever may.
-	doubt func() int64
+	// softDeadline is the time by which the program should end; zero for none.
+	softDeadline time.Time
+	// uncertainSpend returns how much of the budget may count as spent because owners
+	// were lost. It is nil if no owner can be lost.
+	uncertainSpend func() int64
 
 	mutex sync.Mutex
-	// given is what the caller got.
-	given    int64
-	attempts []*turnAttempt
+	// receivedTokens is the number of tokens received by the caller.
+	receivedTokens int64
+	attempts       []*turnAttempt
 }
 
-// turnAttempt is one attempt of a turn, and how it ended.
+// turnAttempt is an attempt of a turn and its result.
 type turnAttempt struct {
-	began time.Time
-	// ended is the zero time for one that is open.
-	ended time.Time
-	whole bool
-	// notRun is true where the caller was told that it did not run.
+	startedAt time.Time
+	// endedAt is zero while the attempt is in progress.
+	endedAt   time.Time
+	completed bool
+	// notRun is true if the response guarantees that the attempt did not run.
 	notRun bool
 }
 
-// begin notes a new attempt.
-func (running *program) begin(now time.Time) *turnAttempt {
-	running.mutex.Lock()
-	defer running.mutex.Unlock()
-	attempt := &turnAttempt{began: now}
-	running.attempts = append(running.attempts, attempt)
+// beginAttempt records the start of an attempt.
+func (program *program) beginAttempt(now time.Time) *turnAttempt {
+	program.mutex.Lock()
+	defer program.mutex.Unlock()
+	attempt := &turnAttempt{startedAt: now}
+	program.attempts = append(program.attempts, attempt)
 	return attempt
 }
 
-// end notes the end of an attempt that gave some tokens, and returns all that the program
-// was given.
-func (running *program) end(attempt *turnAttempt, whole, notRun bool, given int64) int64 {
-	running.mutex.Lock()
-	defer running.mutex.Unlock()
-	attempt.ended = time.Now()
-	attempt.whole = whole
+// endAttempt records the end of an attempt in which the caller received tokens. It
+// returns the total received by the program.
+func (program *program) endAttempt(attempt *turnAttempt, completed, notRun bool, received int64) int64 {
+	program.mutex.Lock()
+	defer program.mutex.Unlock()
+	attempt.endedAt = time.Now()
+	attempt.completed = completed
 	attempt.notRun = notRun
-	running.given += given
-	return running.given
+	program.receivedTokens += received
+	return program.receivedTokens
 }
 
-// refusedTooEarly tells whether 402 came while the budget left room for a turn.
-func (running *program) refusedTooEarly(room int64) bool {
-	if running.doubt == nil {
-		return room >= most
+// isPrematureRefusal reports whether a refusal with status 402 is wrong because the
+// available budget covers a turn.
+func (program *program) isPrematureRefusal(available int64) bool {
+	if program.uncertainSpend == nil {
+		return available >= maxTurnTokens
 	}
-	return room >= most+running.doubt()
+	return available >= maxTurnTokens+program.uncertainSpend()
 }
 
-// room is what the budget left to an attempt, where every other one counts at its most that
-// had not ended for certain by settleTime before this one began.
-func (running *program) room(of *turnAttempt) int64 {
-	running.mutex.Lock()
-	defer running.mutex.Unlock()
-	room := running.budget
-	for _, other := range running.attempts {
-		settled := !other.ended.IsZero() && of.began.Sub(other.ended) >= settleTime
+// availableBudget returns a lower bound of the budget available to an attempt. Other
+// attempts count as maxTurnTokens unless their result was known settlementDelay before
+// this attempt started.
+func (program *program) availableBudget(attempt *turnAttempt) int64 {
+	program.mutex.Lock()
+	defer program.mutex.Unlock()
+	available := program.budget
+	for _, other := range program.attempts {
+		settled := !other.endedAt.IsZero() && attempt.startedAt.Sub(other.endedAt) >= settlementDelay
 		switch {
-		case other == of:
+		case other == attempt:
 		case settled && other.notRun:
-		case settled && other.whole:
-			room -= eventsPerStream * tokensPerEvent
+		case settled && other.completed:
+			available -= eventsPerStream * tokensPerEvent
 		default:
-			room -= most
+			available -= maxTurnTokens
 		}
 	}
-	return room
+	return available
 }
--- a/rehearsal/soak/run.go
+++ b/rehearsal/soak/run.go
@@ -17,39 +17,43 @@
 	"github.com/rotisserie/eris"
 )
 
-// Options is one run of the soak.
+// Options configures a run.
 type Options struct {
-	// Seed draws faults and calls; the processes' own timing is not drawn.
+	// Seed determines the faults and calls. The timing of the processes is not
+	// reproducible.
 	Seed uint64
-	// Length is how long faults are thrown.
+	// Length is how long faults are injected.
 	Length time.Duration
 	Nodes  int
-	// Callers is how many programs run at once, Lanes how many faults.
+	// Callers is the number of concurrent programs.
 	Callers int
-	Lanes   int
-	// LoadLanes is how many disturbances of the load there are at once. With them, nodes and
-	// engines stand in two zones, and engines are of unequal speed.
+	// Lanes is the number of concurrent faults.
+	Lanes int
+	// LoadLanes is the number of concurrent load faults. If positive, there are two
+	// zones by default and engines have unequal speeds.
 	LoadLanes int
-	// Magpielug is the program to start; Directory takes settings and logs.
+	// Magpielug is the path of the binary under test. Settings files and logs are
+	// written to Directory.
 	Magpielug string
 	Directory string
-	// Output takes one line a fault.
+	// Output receives a line for each fault.
 	Output io.Writer
 
-	// Zones, Engines and Tools are the numbers of zones, of model engines and of tool
-	// services; 0 takes the default.
+	// Zones, Engines and Tools are the numbers of zones, model engines and tool
+	// services; 0 for the default.
 	Zones, Engines, Tools int
-	// Host is the host that callers name; empty takes the default.
+	// Host is the value of requests' Host header; empty for the default.
 	Host string
-	// Tenants are those of the configuration, without their keys; nil takes the default.
+	// Tenants are the configured tenants without their keys; nil for the default.
 	Tenants []records.Tenant
-	// EventPause is the time between the events of a stream.
+	// EventPause is the delay between the events of a stream.
 	EventPause time.Duration
-	// FirstPort is that of the first node's callers; 0 draws all ports.
+	// FirstPort is the first node's caller port, from which all ports are derived; 0 to
+	// allocate free ports.
 	FirstPort int
-	// OwnSettings starts nodes with settings files of the product's own, and not with those
-	// of the users' platform.
-	OwnSettings bool
+	// TOMLSettings starts nodes with TOML settings files instead of those of the users'
+	// platform.
+	TOMLSettings bool
 }
 
 // Defaults of Options.
@@ -60,10 +64,10 @@
 	defaultHost    = "h"
 )
 
-// withDefaults fills in what is not set.
+// withDefaults returns the options with unset fields replaced by defaults.
 func (options Options) withDefaults() Options {
 	if options.LoadLanes > 0 {
-		options.Zones = cmp.Or(options.Zones, zonesUnderLoad)
+		options.Zones = cmp.Or(options.Zones, defaultLoadFaultZones)
 	}
 	options.Zones = cmp.Or(options.Zones, defaultZones)
 	options.Engines = cmp.Or(options.Engines, defaultEngines)
@@ -75,13 +79,16 @@
 	return options
 }
 
-// zone is that of the machine with a number; they are spread in turn.
-func (options Options) zone(number int) string { return fmt.Sprintf("zone-%d", number%options.Zones+1) }
+// zoneName returns the zone of the component with the given number. Zones are assigned
+// round-robin.
+func (options Options) zoneName(number int) string {
+	return fmt.Sprintf("zone-%d", number%options.Zones+1)
+}
 
-// prober is the tenant that asks which configuration is in force.
-func (options Options) prober() string { return options.Tenants[0].Name }
+// probeTenant returns the tenant whose keys are used by probes.
+func (options Options) probeTenant() string { return options.Tenants[0].Name }
 
-// Outcome is what a run came to.
+// Outcome is the result of a run.
 type Outcome struct {
 	Seed       uint64
 	Thrown     int
@@ -91,210 +98,213 @@
 }
 
 const (
-	// startTimeout bounds the start of all nodes.
+	// startTimeout is the time allowed for all nodes to become ready.
 	startTimeout = 20 * time.Second
-	// recoveryBound is how long after the faults each caller may wait for a turn.
-	recoveryBound = 12 * time.Second
-	// lateRuns is how long after the last call an engine may still get one.
-	lateRuns = 2500 * time.Millisecond
-	// probePause separates two questions which configuration is in force.
-	probePause = 120 * time.Millisecond
-	readyPause = 20 * time.Millisecond
+	// recoveryTimeout is the time after the last fault within which each caller must
+	// complete a turn.
+	recoveryTimeout = 12 * time.Second
+	// lateRunWait is the time after the last call in which engines may still receive
+	// requests.
+	lateRunWait = 2500 * time.Millisecond
+	// probeInterval is the pause between two probes of the active configuration.
+	probeInterval     = 120 * time.Millisecond
+	readyPollInterval = 20 * time.Millisecond
 )
 
-// Run throws faults at nodes under load and judges what callers and engines saw.
-// An error says that the run could not be made.
+// Run injects faults into nodes under load and checks invariants over what callers and
+// engines observe. It returns an error if the run could not be carried out.
 func Run(ctx context.Context, options Options) (*Outcome, error) {
-	world, err := startWorld(ctx, options.withDefaults())
+	cluster, err := startCluster(ctx, options.withDefaults())
 	if err != nil {
 		return nil, err
 	}
-	defer world.close()
-	run := newRun(world, world.options)
-	run.load(ctx)
-	run.throw(ctx)
+	defer cluster.close()
+	run := newRun(cluster, cluster.options)
+	run.startLoad(ctx)
+	run.injectFaults(ctx)
 	run.recover(ctx)
 	run.finish()
 	return run.outcome(), nil
 }
 
-// startWorld starts everything around the callers and waits until the nodes take calls.
-func startWorld(ctx context.Context, options Options) (*world, error) {
+// startCluster starts the cluster and waits until all nodes are ready.
+func startCluster(ctx context.Context, options Options) (*cluster, error) {
 	err := os.MkdirAll(options.Directory, 0o750)
 	if err != nil {
-		return nil, eris.Wrap(err, "make the directory of the run")
+		return nil, eris.Wrap(err, "create run directory")
 	}
-	built, err := newWorld(options)
+	created, err := newCluster(options)
 	if err != nil {
 		return nil, err
 	}
-	err = startAll(ctx, built)
+	err = startNodes(ctx, created)
 	if err != nil {
-		built.close()
+		created.close()
 		return nil, err
 	}
-	return built, nil
+	return created, nil
 }
 
-func startAll(ctx context.Context, world *world) error {
-	for _, each := range world.nodes {
+func startNodes(ctx context.Context, cluster *cluster) error {
+	for _, each := range cluster.nodes {
 		err := each.start()
 		if err != nil {
 			return err
 		}
 	}
-	bounded, cancel := context.WithTimeout(ctx, startTimeout)
+	startCtx, cancel := context.WithTimeout(ctx, startTimeout)
 	defer cancel()
-	for _, each := range world.nodes {
+	for _, each := range cluster.nodes {
 		for !each.isReady() {
-			if each.hasEnded() {
-				return eris.Errorf("%s ended at its start; see %s", each.name, each.log)
+			if each.hasExited() {
+				return eris.Errorf("%s exited during startup; see %s", each.name, each.logPath)
 			}
-			if bounded.Err() != nil {
+			if startCtx.Err() != nil {
 				return eris.Errorf("%s is not ready after %s", each.name, startTimeout)
 			}
-			wait.Sleep(bounded, readyPause)
+			wait.Sleep(startCtx, readyPollInterval)
 		}
 	}
 	return nil
 }
 
-// run is a run under way.
+// run is the state of a run in progress.
 type run struct {
-	options Options
-	world   *world
-	ledger  *ledger
-	callers *callers
-	thrower *thrower
-	// progress holds each caller's number of whole turns.
-	progress []*atomic.Int64
-	stop     context.CancelFunc
-	working  sync.WaitGroup
-	printing sync.Mutex
-	began    time.Time
+	options  Options
+	cluster  *cluster
+	recorder *recorder
+	caller   *caller
+	injector *injector
+	// completedTurns holds each caller's number of completed turns.
+	completedTurns []*atomic.Int64
+	stopLoad       context.CancelFunc
+	workers        sync.WaitGroup
+	outputMutex    sync.Mutex
+	startedAt      time.Time
 }
 
-func newRun(world *world, options Options) *run {
-	made := &run{options: options, world: world, ledger: newLedger(), began: time.Now()}
-	made.callers = &callers{world: world, ledger: made.ledger}
-	made.thrower = &thrower{world: world, ledger: made.ledger, logf: made.logf, busy: map[string]bool{}}
-	return made
+func newRun(cluster *cluster, options Options) *run {
+	created := &run{options: options, cluster: cluster, recorder: newRecorder(), startedAt: time.Now()}
+	created.caller = &caller{cluster: cluster, recorder: created.recorder}
+	created.injector = &injector{cluster: cluster, recorder: created.recorder, logf: created.logf, reserved: map[string]bool{}}
+	return created
 }
 
 func (run *run) logf(format string, values ...any) {
-	run.printing.Lock()
-	defer run.printing.Unlock()
-	_, _ = fmt.Fprintf(run.options.Output, "%7.3f %s\n", time.Since(run.began).Seconds(), fmt.Sprintf(format, values...))
+	run.outputMutex.Lock()
+	defer run.outputMutex.Unlock()
+	_, _ = fmt.Fprintf(run.options.Output, "%7.3f %s\n", time.Since(run.startedAt).Seconds(), fmt.Sprintf(format, values...))
 }
 
 func (run *run) random(stream uint64) *rand.Rand {
 	return rand.New(rand.NewPCG(run.options.Seed, stream))
 }
 
-// load starts the callers and the probe.
-func (run *run) load(ctx context.Context) {
-	working, stop := context.WithCancel(ctx)
-	run.stop = stop
+// startLoad starts the callers and the configuration probe.
+func (run *run) startLoad(ctx context.Context) {
+	loadCtx, stop := context.WithCancel(ctx)
+	run.stopLoad = stop
 	for number := range run.options.Callers {
-		own := &callers{world: run.world, ledger: run.ledger}
-		own.ids.Store(int64(number+1) * idsPerCaller)
-		run.progress = append(run.progress, &own.turns)
-		run.working.Go(func() { own.run(working, number, run.random(uint64(number))) })
+		own := &caller{cluster: run.cluster, recorder: run.recorder}
+		own.requestNumber.Store(int64(number+1) * requestIDsPerCaller)
+		run.completedTurns = append(run.completedTurns, &own.completedTurns)
+		run.workers.Go(func() { own.run(loadCtx, number, run.random(uint64(number))) })
 	}
-	run.working.Go(func() { run.probe(working) })
+	run.workers.Go(func() { run.probe(loadCtx) })
 }
 
-// idsPerCaller keeps the callers' request ids apart.
-const idsPerCaller = 1_000_000
+// requestIDsPerCaller is the size of each caller's range of request IDs.
+const requestIDsPerCaller = 1_000_000
 
-// throw runs the lanes of faults for the run's length.
-func (run *run) throw(ctx context.Context) {
-	throwing, cancel := context.WithTimeout(ctx, run.options.Length)
+// injectFaults runs the fault workers for the run's length.
+func (run *run) injectFaults(ctx context.Context) {
+	faultCtx, cancel := context.WithTimeout(ctx, run.options.Length)
 	defer cancel()
-	var lanes sync.WaitGroup
-	for lane := range run.options.Lanes {
-		lanes.Go(func() { run.thrower.run(throwing, run.random(uint64(1000+lane)), faults) })
+	var workers sync.WaitGroup
+	for worker := range run.options.Lanes {
+		workers.Go(func() { run.injector.run(faultCtx, run.random(uint64(1000+worker)), faults) })
 	}
-	for lane := range run.options.LoadLanes {
-		lanes.Go(func() { run.thrower.run(throwing, run.random(uint64(2000+lane)), loadFaults) })
+	for worker := range run.options.LoadLanes {
+		workers.Go(func() { run.injector.run(faultCtx, run.random(uint64(2000+worker)), loadFaults) })
 	}
-	lanes.Wait()
+	workers.Wait()
 }
 
-// recover checks that every caller gets on once nothing is disturbed any more.
+// recover checks that every caller completes a turn within recoveryTimeout after the
+// faults.
 func (run *run) recover(ctx context.Context) {
-	run.logf("faults are over")
-	before := make([]int64, len(run.progress))
-	for number, turns := range run.progress {
+	run.logf("fault injection ended")
+	before := make([]int64, len(run.completedTurns))
+	for number, turns := range run.completedTurns {
 		before[number] = turns.Load()
 	}
-	bounded, cancel := context.WithTimeout(ctx, recoveryBound)
+	recoveryCtx, cancel := context.WithTimeout(ctx, recoveryTimeout)
 	defer cancel()
-	for number, turns := range run.progress {
-		for turns.Load() == before[number] && bounded.Err() == nil {
-			wait.Sleep(bounded, readyPause)
+	for number, turns := range run.completedTurns {
+		for turns.Load() == before[number] && recoveryCtx.Err() == nil {
+			wait.Sleep(recoveryCtx, readyPollInterval)
 		}
 		if turns.Load() == before[number] && ctx.Err() == nil {
-			run.ledger.violated(promiseRecovery, "caller %d had no turn in %s", number, recoveryBound)
+			run.recorder.addViolation(invariantRecovery, "caller %d completed no turn within %s", number, recoveryTimeout)
 		}
 	}
 }
 
 func (run *run) finish() {
-	run.stop()
-	run.working.Wait()
-	time.Sleep(lateRuns)
-	runs := run.world.runs()
-	run.ledger.checkRuns(runs)
-	run.ledger.checkLimit(runs)
+	run.stopLoad()
+	run.workers.Wait()
+	time.Sleep(lateRunWait)
+	runs := run.cluster.engineRuns()
+	run.recorder.checkRuns(runs)
+	run.recorder.checkTenantLimit(runs)
 }
 
 func (run *run) outcome() *Outcome {
-	outcome := &Outcome{Seed: run.options.Seed, Thrown: run.thrower.thrown, Statuses: run.ledger.statuses, Violations: run.ledger.violations}
-	for _, turns := range run.progress {
+	outcome := &Outcome{Seed: run.options.Seed, Thrown: run.injector.injected, Statuses: run.recorder.statuses, Violations: run.recorder.violations}
+	for _, turns := range run.completedTurns {
 		outcome.Turns += turns.Load()
 	}
 	return outcome
 }
 
-// probe asks one node after another which configuration is in force, and checks
-// that within one life it is never older than one seen.
+// probe checks that a process that has activated a configuration version never serves
+// an older one, nor accepts a key that only an older one has.
 func (run *run) probe(ctx context.Context) {
-	type life struct {
-		node   *node
-		number int
+	type process struct {
+		node        *node
+		incarnation int
 	}
-	seen := map[life]int{}
+	seen := map[process]int{}
 	for round := 0; ctx.Err() == nil; round++ {
-		target := run.world.nodes[round%len(run.world.nodes)]
-		present := life{node: target, number: target.lives()}
-		run.world.mutex.Lock()
-		newest := run.world.version
-		run.world.mutex.Unlock()
+		target := run.cluster.nodes[round%len(run.cluster.nodes)]
+		current := process{node: target, incarnation: target.currentIncarnation()}
+		run.cluster.mutex.Lock()
+		newest := run.cluster.version
+		run.cluster.mutex.Unlock()
 		if run.serves(ctx, target, newest) {
-			seen[present] = max(seen[present], newest)
+			seen[current] = max(seen[current], newest)
 		}
-		older := seen[present] - 1
-		if older > 0 && run.serves(ctx, target, older) && target.lives() == present.number {
-			run.ledger.violated(promiseVersion, "%s served version %d after %d", target.name, older, seen[present])
+		older := seen[current] - 1
+		if older > 0 && run.serves(ctx, target, older) && target.currentIncarnation() == current.incarnation {
+			run.recorder.addViolation(invariantConfiguration, "%s served version %d after version %d", target.name, older, seen[current])
 		}
-		if older > 0 && run.takesKey(ctx, target, older) && target.lives() == present.number {
-			run.ledger.violated(promiseKey, "%s took the key of version %d after %d", target.name, older, seen[present])
+		if older > 0 && run.acceptsKey(ctx, target, older) && target.currentIncarnation() == current.incarnation {
+			run.recorder.addViolation(invariantKey, "%s accepted the key of version %d after serving version %d", target.name, older, seen[current])
 		}
-		wait.Sleep(ctx, probePause)
+		wait.Sleep(ctx, probeInterval)
 	}
 }
 
-// serves tells whether a node has a version in force.
+// serves reports whether a configuration version is active on a node.
 func (run *run) serves(ctx context.Context, target *node, version int) bool {
-	attempt := &sent{method: http.MethodGet, target: versionPath(version) + "x", repeatable: true, probe: true, tenant: run.world.options.prober()}
-	run.callers.sendTo(ctx, target, attempt, "", http.Header{})
+	attempt := &callAttempt{method: http.MethodGet, target: versionPath(version) + "x", repeatable: true, probe: true, tenant: run.cluster.options.probeTenant()}
+	run.caller.sendTo(ctx, target, attempt, "", http.Header{})
 	return attempt.status == http.StatusOK
 }
 
-// takesKey tells whether a node takes the key of a version.
-func (run *run) takesKey(ctx context.Context, target *node, version int) bool {
-	attempt := &sent{method: http.MethodGet, target: safePath, repeatable: true, probe: true, tenant: run.world.options.prober(), key: versionKey(version)}
-	run.callers.sendTo(ctx, target, attempt, "", http.Header{})
+// acceptsKey reports whether a node accepts a configuration version's key.
+func (run *run) acceptsKey(ctx context.Context, target *node, version int) bool {
+	attempt := &callAttempt{method: http.MethodGet, target: safeToolPath, repeatable: true, probe: true, tenant: run.cluster.options.probeTenant(), key: versionKey(version)}
+	run.caller.sendTo(ctx, target, attempt, "", http.Header{})
 	return attempt.status == http.StatusOK
 }
--- a/rehearsal/soak/run_test.go
+++ b/rehearsal/soak/run_test.go
@@ -8,16 +8,16 @@
 	. "github.com/onsi/gomega"
 )
 
-// seeds are run each time: the first as a sample, the others because they
-// failed once. What each one found stands in docs/MEASUREMENTS.md.
+// seeds are the seeds of runs with random faults. All but the first are regression
+// tests of failures described in docs/MEASUREMENTS.md.
 var seeds = []uint64{1, 200}
 
-// loadSeeds are run with disturbances of the load.
+// loadSeeds are the seeds of runs that also have load faults.
 var loadSeeds = []uint64{1}
 
-var _ = Describe("A soak", func() {
-	findsNothing := func(seed uint64, loadLanes int) {
-		It("finds no broken promise", func() {
+var _ = Describe("Run", func() {
+	itFindsNoViolation := func(seed uint64, loadLanes int) {
+		It("finds no invariant violation", func() {
 			report, err := Run(context.Background(), Options{
 				Seed:      seed,
 				Length:    8 * time.Second,
@@ -35,9 +35,9 @@
 		})
 	}
 	for _, seed := range seeds {
-		findsNothing(seed, 0)
+		itFindsNoViolation(seed, 0)
 	}
 	for _, seed := range loadSeeds {
-		findsNothing(seed, 1)
+		itFindsNoViolation(seed, 1)
 	}
 })
--- a/rehearsal/soak/tenants.go
+++ b/rehearsal/soak/tenants.go
@@ -13,111 +13,119 @@
 )
 
 const (
-	// tenantFree has no limit, tenantLimited limitPerSecond and limitBurst.
-	tenantFree    = "free"
-	tenantLimited = "limited"
-	// tenantHot has no limit either; it sends nothing but as a fault.
+	// tenantUnlimited has no rate limit. tenantLimited is limited to limitPerSecond
+	// with a burst of limitBurst.
+	tenantUnlimited = "free"
+	tenantLimited   = "limited"
+	// tenantHot has no rate limit and is used only by the hot tenant fault.
 	tenantHot      = "hot"
 	limitPerSecond = 8
 	limitBurst     = 8
-	// quotaWindow, quotaOverage and quotaSlack are how a limit is judged.
+	// quotaWindow, quotaOverage and quotaSlack are the window and the tolerances of
+	// rate limits.
 	quotaWindow  = 5 * time.Second
 	quotaOverage = 0.1
 	quotaSlack   = 20
-	// callersPerLimited is how many callers there are for each of the limited tenant.
-	callersPerLimited = 3
-	// strangerShare of a program's turns are followed by a try of another tenant to go on
-	// from them, one in so many.
-	strangerShare = 6
+	// callersPerLimitedTenant is the number of callers for each one that uses the
+	// limited tenant.
+	callersPerLimitedTenant = 3
+	// After one in crossTenantInterval turns, another tenant attempts to continue the
+	// turn.
+	crossTenantInterval = 6
 )
 
-// defaultTenants are those of random soaks. The first one is the prober.
+// defaultTenants returns the tenants of runs with random faults. The first one is the
+// probe tenant.
 func defaultTenants() []records.Tenant {
-	return []records.Tenant{{Name: tenantFree}, {Name: tenantLimited, RatePerS: limitPerSecond, Burst: limitBurst}, {Name: tenantHot}}
+	return []records.Tenant{{Name: tenantUnlimited}, {Name: tenantLimited, RatePerS: limitPerSecond, Burst: limitBurst}, {Name: tenantHot}}
 }
 
-// tenantRecords are the tenants of a version of the configuration. Each has a key that
-// stays; the first one has a further key that only this version holds.
+// tenantRecords returns the tenants of a configuration version with their keys. Each
+// tenant has a permanent key. The first tenant also has a key that exists only in this
+// version.
 func tenantRecords(tenants []records.Tenant, version int) []records.Tenant {
-	listed := slices.Clone(tenants)
-	for number := range listed {
-		listed[number].ApiKeys = []string{keyOf(listed[number].Name)}
+	withKeys := slices.Clone(tenants)
+	for number := range withKeys {
+		withKeys[number].ApiKeys = []string{tenantKey(withKeys[number].Name)}
 	}
-	listed[0].ApiKeys = append(listed[0].ApiKeys, versionKey(version))
-	return listed
+	withKeys[0].ApiKeys = append(withKeys[0].ApiKeys, versionKey(version))
+	return withKeys
 }
 
-// keyOf is the key of a tenant that stays.
-func keyOf(tenant string) string { return "key-of-" + tenant }
+// tenantKey returns a tenant's permanent key.
+func tenantKey(tenant string) string { return "key-of-" + tenant }
 
-// versionKey is a key that one version of the configuration holds.
+// versionKey returns the key that exists only in one configuration version.
 func versionKey(version int) string { return fmt.Sprintf("key-of-version-%d", version) }
 
-// tenantOf is the tenant of a caller.
-func tenantOf(caller int) string {
-	if caller%callersPerLimited == callersPerLimited-1 {
+// callerTenant returns the tenant of the caller with the given number.
+func callerTenant(caller int) string {
+	if caller%callersPerLimitedTenant == callersPerLimitedTenant-1 {
 		return tenantLimited
 	}
-	return tenantFree
+	return tenantUnlimited
 }
 
-// other is the tenant that a tenant is not.
-func other(tenant string) string {
-	if tenant == tenantFree {
+// otherTenant returns a tenant other than the given one.
+func otherTenant(tenant string) string {
+	if tenant == tenantUnlimited {
 		return tenantLimited
 	}
-	return tenantFree
+	return tenantUnlimited
 }
 
-// checkTenant checks what an engine was told of who sent a request.
-func (ledger *ledger) checkTenant(run agentengine.Run, attempt *sent) {
-	if told := run.Header.Values("Tenant"); !slices.Equal(told, []string{attempt.tenant}) {
-		ledger.violated(promiseTenant, "%s of %s ran for %v", run.ID, attempt.tenant, told)
+// checkTenant checks that an engine was told the tenant that holds the key, and that no
+// key was forwarded to it.
+func (recorder *recorder) checkTenant(run agentengine.Run, attempt *callAttempt) {
+	if received := run.Header.Values("Tenant"); !slices.Equal(received, []string{attempt.tenant}) {
+		recorder.addViolation(invariantTenant, "%s of tenant %s ran for tenant %v", run.ID, attempt.tenant, received)
 	}
 	for name, values := range run.Header {
 		if strings.Contains(strings.Join(values, " "), "key-of-") {
-			ledger.violated(promiseTenant, "%s carried a key to its engine in %s", run.ID, name)
+			recorder.addViolation(invariantTenant, "%s forwarded a key to its engine in header %s", run.ID, name)
 		}
 	}
 }
 
-// checkLimit checks that no window saw more requests of the limited tenant than is
-// tolerated: those that were both sent and begun within it.
-func (ledger *ledger) checkLimit(runs []agentengine.Run) {
-	type span struct{ sent, begun time.Time }
+// checkTenantLimit checks that in no window of quotaWindow more requests of the limited
+// tenant ran than the limit and its tolerances allow. A request counts if it was both
+// sent and started within the window.
+func (recorder *recorder) checkTenantLimit(runs []agentengine.Run) {
+	type span struct{ sent, started time.Time }
 	var spans []span
-	ledger.mutex.Lock()
+	recorder.mutex.Lock()
 	for _, run := range runs {
-		if attempt := ledger.attempts[run.ID]; attempt != nil && attempt.tenant == tenantLimited {
+		if attempt := recorder.attempts[run.ID]; attempt != nil && attempt.tenant == tenantLimited {
 			spans = append(spans, span{attempt.sentAt, run.At})
 		}
 	}
-	ledger.mutex.Unlock()
+	recorder.mutex.Unlock()
 	slices.SortFunc(spans, func(left, right span) int { return left.sent.Compare(right.sent) })
-	bound := (limitPerSecond*quotaWindow.Seconds()+limitBurst)*(1+quotaOverage) + quotaSlack
+	limit := (limitPerSecond*quotaWindow.Seconds()+limitBurst)*(1+quotaOverage) + quotaSlack
 	for first := range spans {
 		count := 0
 		for _, each := range spans[first:] {
-			if each.begun.Sub(spans[first].sent) <= quotaWindow {
+			if each.started.Sub(spans[first].sent) <= quotaWindow {
 				count++
 			}
 		}
-		if float64(count) > bound {
-			ledger.violated(promiseLimit, "%d requests ran in a window where %.0f may", count, bound)
+		if float64(count) > limit {
+			recorder.addViolation(invariantTenantLimit, "%d requests ran in a window that allows %.0f", count, limit)
 			return
 		}
 	}
 }
 
-// stranger has another tenant go on from a line's last turn: that must not run.
-func (callers *callers) stranger(ctx context.Context, running *line) {
-	attempt := &sent{method: http.MethodPost, target: turnPath, tenant: other(running.tenant)}
+// tryCrossTenantTurn continues the session's last turn as another tenant, which must be
+// refused.
+func (caller *caller) tryCrossTenantTurn(ctx context.Context, current *session) {
+	attempt := &callAttempt{method: http.MethodPost, target: retainedTurnPath, tenant: otherTenant(current.tenant)}
 	header := http.Header{}
-	header.Set("Program-Id", running.name)
-	header.Set("Session-Id", running.session)
-	header.Set("Previous-Turn", running.previous)
-	callers.send(ctx, running.random, attempt, "stranger", header)
+	header.Set("Program-Id", current.name)
+	header.Set("Session-Id", current.id)
+	header.Set("Previous-Turn", current.previousTurn)
+	caller.send(ctx, current.random, attempt, "stranger", header)
 	if attempt.status == http.StatusOK {
-		callers.ledger.violated(promiseHistory, "%s of %s went on from a turn of %s", attempt.id, attempt.tenant, running.tenant)
+		caller.recorder.addViolation(invariantHistory, "%s of tenant %s continued a turn of tenant %s", attempt.id, attempt.tenant, current.tenant)
 	}
 }
