--- a/internal/spending/allowance.go
+++ b/internal/spending/allowance.go
@@ -19,7 +19,7 @@
 	Second bool
 }
 
-// permilleBase is a whole budget in the unit of Permille.
+// permilleBase is the denominator of Permille.
 const permilleBase = 1000
 
 // claimPermille is the allowance of a claim. A higher value lets more programs finish
--- a/internal/spending/spending.go
+++ b/internal/spending/spending.go
@@ -52,8 +52,9 @@
 
 // account is the state of one program.
 type account struct {
-	// base is the amount charged at the takeover plus that of turns expired since.
-	// uncertain is the part of it that may not have been used.
+	// base is the number of tokens charged for the time before this owner's takeover and
+	// for turns that expired after it. uncertain is how many of them may not have been
+	// used.
 	base      int64
 	uncertain int64
 	// uncertainSince is when uncertain last grew; uncertainReportedAt is when Undetermined
@@ -68,7 +69,8 @@
 	// expired is the maximum of turns that expired without a settlement. It is included
 	// in base.
 	expired int64
-	// ceiling is the acknowledged one, requestedCeiling the highest one requested.
+	// ceiling is the token ceiling that the log has acknowledged, requestedCeiling the
+	// one last requested from it.
 	ceiling          int64
 	requestedCeiling int64
 	budget           int64
