--- a/internal/quota/lessor.go
+++ b/internal/quota/lessor.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// Lessor decides, for one node and one group of tenants, to which coordinator the node leases
-// its share. It is not safe for concurrent use.
+// Lessor decides to which coordinator one node leases its share of the limits of one group of
+// tenants. It is not safe for concurrent use.
 type Lessor struct {
 	// coordinator holds the lease, or will hold it from the first request that names its clock.
 	coordinator string
