--- a/internal/load/aggregator_test.go
+++ b/internal/load/aggregator_test.go
@@ -116,7 +116,7 @@
 	}
 }
 
-func TestTwoAggregatorsOfOneZoneAddUp(t *testing.T) {
+func TestTotalIncludesOtherAggregatorOfZone(t *testing.T) {
 	expect := NewWithT(t)
 	first, second := load.NewAggregator("a"), load.NewAggregator("a")
 	reportAll(first, 0, 3, now)
--- a/internal/load/status.go
+++ b/internal/load/status.go
@@ -54,7 +54,7 @@
 	Service string `json:"service"`
 	Engines int    `json:"engines"`
 	// AvoidedEngines is the number of engines that get requests only if no other engine can.
-	// HealthySlots are the slots that admission counts.
+	// HealthySlots is the number of slots of the healthy engines; admission counts only these.
 	AvoidedEngines int  `json:"passed_over"`
 	Slots          int  `json:"slots"`
 	HealthySlots   int  `json:"sound_slots"`
