--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -48,7 +48,7 @@
 	Engines int
 	// Running is the number of requests at the engines, from all nodes.
 	Running int
-	// MemoryTokens is the number of prompt tokens one engine holds, 0 if unknown.
+	// MemoryTokens is how many prompt tokens fit into one engine's memory, 0 if unknown.
 	MemoryTokens int
 }
 
--- a/internal/admission/constraint.go
+++ b/internal/admission/constraint.go
@@ -7,7 +7,7 @@
 	"github.com/magpielug/magpielug/internal/load"
 )
 
-// constraint is the resource that limits a request most, with the demand for it.
+// constraint is a resource and its limit as they apply to one request.
 type constraint struct {
 	*resource
 	state         *State
@@ -31,7 +31,8 @@
 	backlog   float64
 }
 
-// bindingConstraint returns the resource with the highest utilization, nil if none applies.
+// bindingConstraint returns the constraint with the highest utilization, nil if the request has
+// no significant demand for any resource.
 func (controller *Controller) bindingConstraint(request Request, state *State, now time.Time) *constraint {
 	estimator := controller.estimator
 	admitted := controller.admittedSince(now.Add(-state.Age))
--- a/internal/admission/controller.go
+++ b/internal/admission/controller.go
@@ -44,8 +44,8 @@
 	MemoryLimit bool
 }
 
-// tokenBucket limits the rate at which programs start, in fractions of the binding resource's
-// capacity.
+// tokenBucket limits the rate at which programs start. One token is the whole capacity of the
+// binding resource.
 type tokenBucket struct {
 	tokens     float64
 	refilledAt time.Time
--- a/internal/admission/priorities.go
+++ b/internal/admission/priorities.go
@@ -44,8 +44,8 @@
 	return float64(min(index, maxReserves)) * (minPriorityReserve + scarcity*(maxPriorityReserve-minPriorityReserve))
 }
 
-// limitProximity returns the fraction of the reserves that applies at a utilization of the
-// limit.
+// limitProximity returns the factor by which the reserves are scaled at a utilization: 0 up to
+// proximityThreshold, then rising linearly to 1 at the limit.
 func limitProximity(utilization float64) float64 {
 	return min(max((utilization-proximityThreshold)/(1-proximityThreshold), 0), 1)
 }
--- a/internal/admission/simulation_test.go
+++ b/internal/admission/simulation_test.go
@@ -246,15 +246,15 @@
 	sim.programs = append(sim.programs, program)
 }
 
-// between sums the samples of a time span; demand is their mean.
+// between returns the sum of the samples in a time span, with the mean of their demands.
 func (sim *simulation) between(from, to time.Duration) sample {
 	sum := sample{requested: map[string]int{}, refused: map[string]int{}, reasons: map[admission.Reason]int{}}
-	steps := 0
+	sampleCount := 0
 	for _, sample := range sim.samples {
 		if sample.at < from || sample.at >= to {
 			continue
 		}
-		steps++
+		sampleCount++
 		sum.demand += sample.demand
 		for key, count := range sample.requested {
 			sum.requested[key] += count
@@ -268,7 +268,7 @@
 			sum.reasons[reason] += count
 		}
 	}
-	sum.demand /= max(steps, 1)
+	sum.demand /= max(sampleCount, 1)
 	return sum
 }
 
--- a/internal/admission/table.go
+++ b/internal/admission/table.go
@@ -200,7 +200,7 @@
 	program.startTurn(turn, now)
 	program.lastActivity = now
 	program.softDeadline = turn.SoftDeadline
-	table.recordLate(program, now)
+	table.recordIfLate(program, now)
 }
 
 // recordPause updates the average pause between turns.
@@ -210,8 +210,8 @@
 	}
 }
 
-// recordLate counts, once, a program with turns in flight after its soft deadline.
-func (table *Table) recordLate(program *startedProgram, now time.Time) {
+// recordIfLate counts, once, a program with turns in flight after its soft deadline.
+func (table *Table) recordIfLate(program *startedProgram, now time.Time) {
 	if program.late || program.refusedBefore || program.softDeadline.IsZero() || now.Before(program.softDeadline) || len(program.openTurns) == 0 {
 		return
 	}
@@ -228,7 +228,7 @@
 	if _, open := program.openTurns[requestID]; !open {
 		return
 	}
-	table.recordLate(program, now)
+	table.recordIfLate(program, now)
 	program.endTurn(requestID, now)
 	program.lastActivity = now
 }
@@ -246,7 +246,7 @@
 	tenants := map[load.TenantPriority]int{}
 	for name, program := range table.programs {
 		table.expire(name, program, now)
-		table.recordLate(program, now)
+		table.recordIfLate(program, now)
 		if !table.isActive(program, now) {
 			continue
 		}
