--- a/internal/ownership/shard.go
+++ b/internal/ownership/shard.go
@@ -158,8 +158,8 @@
 	}
 }
 
-// logUnavailable reports whether this node leaves claims to others, as the store has not
-// answered it for some time or has just failed a claim.
+// logUnavailable reports whether the log has not answered this node for some time or has
+// recently failed a claim. The node then makes no claims.
 func (manager *Manager) logUnavailable(now time.Time) bool {
 	if !feature.Enabled(feature.ClaimRefusal) {
 		return false
