--- a/internal/backend/cold_start_test.go
+++ b/internal/backend/cold_start_test.go
@@ -33,7 +33,7 @@
 // TestColdLimitHoldsWhenZoneRestarts guards against uncoordinated nodes overloading the idle,
 // cold engines of a restarted zone beyond the limit within any second.
 func TestColdLimitHoldsWhenZoneRestarts(t *testing.T) {
-	const nodes, engines, cold = 68, 45, 11
+	const nodes, engines, coldEngines = 68, 45, 11
 	for seed := range uint64(4) {
 		expect := NewWithT(t)
 		rng := rand.New(rand.NewPCG(seed, 2))
@@ -44,7 +44,7 @@
 			directory.SetColdLimits(func(string) backend.ColdLimit { return coldLimit }, senders(node))
 			for engine := range engines {
 				instance := backend.Instance{ID: fmt.Sprint("e", engine), Service: service, Zone: "z", Slots: 6}
-				if engine < cold {
+				if engine < coldEngines {
 					instance.ColdRemaining = 3 * time.Second
 				}
 				directory.Upsert(instance, now)
@@ -61,7 +61,7 @@
 			received[engine.ID] = append(received[engine.ID], at)
 			directory.Finish(engine, backend.Succeeded, now.Add(at))
 		}
-		for engine := range cold {
+		for engine := range coldEngines {
 			times := received[fmt.Sprint("e", engine)]
 			expect.Expect(times).NotTo(BeEmpty(), "an engine without requests would fill no cache and remain cold")
 			for first, last := 0, 0; last < len(times); last++ {
