--- a/internal/forward/admission.go
+++ b/internal/forward/admission.go
@@ -55,9 +55,9 @@
 	quotaRetryAfter = 100 * time.Millisecond
 )
 
-// admit waits for admission under the tenant's limit. It precedes the reservation of the turn's
-// tokens: a reservation that is open when the program's owner fails counts as spent, so a turn
-// that the limit then refuses would use up the program's budget.
+// admit waits for admission under the tenant's limit. It is called before the turn's tokens are
+// reserved: a reservation that is open when the program's owner fails counts as spent, even if
+// the limit refuses the turn.
 func (inflight *inflightCall) admit(ctx context.Context) error {
 	if inflight.tenant == nil || !inflight.tenant.Limit.Limited() || inflight.service.Quotas == nil {
 		return nil
@@ -75,8 +75,8 @@
 		Configuration: inflight.configurationVersion,
 		MaxWait:       time.Duration(admissionWaitFraction * float64(time.Until(inflight.deadline))),
 	}
-	// Programs start with a turn and call tools only later.
 	continues := inflight.call.Turn != nil && inflight.call.Turn.Previous != ""
+	// A tool call's program has started before, since programs start with a turn.
 	request.Continues = continues || inflight.route.Kind != routing.Streaming
 	return request
 }
--- a/internal/forward/service_test.go
+++ b/internal/forward/service_test.go
@@ -39,9 +39,9 @@
 func (sender *fakeSender) next(attempt *forward.Attempt) func() (*forward.EngineResponse, error) {
 	sender.mutex.Lock()
 	defer sender.mutex.Unlock()
-	response := sender.responses[min(len(sender.sent), len(sender.responses)-1)]
+	respond := sender.responses[min(len(sender.sent), len(sender.responses)-1)]
 	sender.sent = append(sender.sent, attempt)
-	return response
+	return respond
 }
 
 func respondWith(status int, body io.Reader) func() (*forward.EngineResponse, error) {
