--- a/internal/node/members.go
+++ b/internal/node/members.go
@@ -36,7 +36,7 @@
 	Draining    bool
 	// Capacity is the node's processor share in thousandths of a core, 0 if unknown.
 	Capacity uint32
-	// ProtocolVersion is the protocol version that the node supports.
+	// ProtocolVersion is the highest version of the protocol between nodes that the node supports.
 	ProtocolVersion uint32
 }
 
--- a/internal/node/owner_search.go
+++ b/internal/node/owner_search.go
@@ -21,7 +21,7 @@
 	if refusal := programs.isolationRefusal(shard); refusal != nil {
 		return refusal, false
 	}
-	search := &ownerSearch{programs: programs, shard: shard, id: id, request: request, tried: map[string]bool{}}
+	search := &ownerSearch{programs: programs, shard: shard, requestID: id, request: request, tried: map[string]bool{}}
 	deadline := time.Now().Add(ownerSearchTimeout)
 	for {
 		reply, final := search.searchRound(ctx)
@@ -51,10 +51,10 @@
 
 // ownerSearch is the search for a shard's owner on behalf of one reservation.
 type ownerSearch struct {
-	programs *programs
-	shard    int
-	id       string
-	request  *nodev1.ReserveRequest
+	programs  *programs
+	shard     int
+	requestID string
+	request   *nodev1.ReserveRequest
 	// tried holds the nodes tried in this round. attempts counts all requests, unanswered the
 	// consecutive ones that timed out.
 	tried      map[string]bool
@@ -100,14 +100,14 @@
 	programs := search.programs
 	search.tried[target] = true
 	search.request.TakeOver = programs.mayTakeOver(search.shard, target)
-	search.request.Request = search.id + "/" + strconv.Itoa(search.attempts)
+	search.request.Request = search.requestID + "/" + strconv.Itoa(search.attempts)
 	search.attempts++
 	started := time.Now()
 	reply, err := programs.sendReserve(ctx, search.shard, target, search.request)
 	search.recordOutcome(err, time.Since(started))
 	if err != nil {
 		programs.node.logger.Info("shard owner unreachable", zap.Int("shard", search.shard), zap.String("node", target),
-			zap.String("request", search.id), logging.Cause(err))
+			zap.String("request", search.requestID), logging.Cause(err))
 		search.markFailed(target)
 		// The node may have granted the reservation before the failure.
 		go programs.settleAt(target, &nodev1.Settlement{Program: search.request.Program, Tenant: search.request.Tenant, Request: search.request.Request})
--- a/internal/node/quotas.go
+++ b/internal/node/quotas.go
@@ -20,8 +20,8 @@
 	// groups mean that a node's regular requests suffice to renew its leases; more groups spread
 	// the load of the coordinators.
 	shardsPerQuotaGroup = 4
-	// quotaPseudoShard is the candidate-order key for the coordinator of the first group; those of
-	// the other groups follow below it.
+	// quotaPseudoShard is the candidate-order key for the coordinator of tenant group 0. The key
+	// of group n is quotaPseudoShard - n.
 	quotaPseudoShard = -3
 	// quotaTimeout bounds one request to a coordinator.
 	quotaTimeout = 200 * time.Millisecond
--- a/internal/node/registration_test.go
+++ b/internal/node/registration_test.go
@@ -13,7 +13,7 @@
 
 var _ = Describe("A node's membership record", func() {
 	const topic = "keyed.nodes"
-	eventuallyTimeout := 20 * time.Second
+	registrationTimeout := 20 * time.Second
 	before := Member{Name: "node-1", Address: "10.0.0.1:7000", Zone: "a", Incarnation: "before", Capacity: 800}
 
 	// writer runs the registration of a restarted node that has read a given record, and returns a
@@ -30,7 +30,7 @@
 		}()
 		DeferCleanup(func() {
 			cancel()
-			Eventually(ended, eventuallyTimeout).Should(BeClosed())
+			Eventually(ended, registrationTimeout).Should(BeClosed())
 		})
 		return func() int64 {
 			snapshot, err := log.Latest(context.Background(), topic)
@@ -46,17 +46,17 @@
 
 	It("is written if the log holds none", func() {
 		written := writer(durable.NewMemory(), Member{}, before)
-		Eventually(written, eventuallyTimeout).Should(BeEquivalentTo(1))
+		Eventually(written, registrationTimeout).Should(BeEquivalentTo(1))
 		Consistently(written, 2*registerCheckInterval).Should(BeEquivalentTo(1))
 	})
 
 	It("is written if the log holds another address or the draining state", func() {
 		readdressed := before
 		readdressed.Address = "10.0.0.9:7000"
-		Eventually(writer(durable.NewMemory(), before, readdressed), eventuallyTimeout).Should(BeEquivalentTo(1))
+		Eventually(writer(durable.NewMemory(), before, readdressed), registrationTimeout).Should(BeEquivalentTo(1))
 		draining := before
 		draining.Draining = true
-		Eventually(writer(durable.NewMemory(), draining, before), eventuallyTimeout).Should(BeEquivalentTo(1))
+		Eventually(writer(durable.NewMemory(), draining, before), registrationTimeout).Should(BeEquivalentTo(1))
 	})
 
 	It("is rewritten after a late append of an earlier incarnation", func() {
@@ -82,7 +82,7 @@
 		}()
 		Consistently(waited, registerRetryDelay).ShouldNot(BeClosed())
 		read.Store(true)
-		Eventually(waited, eventuallyTimeout).Should(BeClosed())
+		Eventually(waited, registrationTimeout).Should(BeClosed())
 		read.Store(false)
 		registration.awaitLoaded(context.Background()) // Returns after registerReadTimeout.
 	})
