--- a/internal/stream/buffer.go
+++ b/internal/stream/buffer.go
@@ -1,6 +1,6 @@
-// Package stream holds the answer of one call while it is generated: one writer
-// appends chunks, any number of readers follow from a sequence number of their
-// own. Readers share the one copy, so a slow reader costs no memory.
+// Package stream buffers the output of one call while it is generated. One
+// writer appends chunks; each reader follows from its own sequence number.
+// Readers share the chunks, so a slow reader uses no extra memory.
 package stream
 
 import (
@@ -14,17 +14,17 @@
 	"github.com/magpielug/magpielug/internal/resultcode"
 )
 
-// Buffer is one call's answer, safe for concurrent use.
+// Buffer holds one call's output. It is safe for concurrent use.
 //
-// Invariants: sequence numbers rise by one from 1; nothing is appended after
-// the end; the end is set once.
+// Invariants: sequence numbers are consecutive from 1; the buffer ends once,
+// and nothing is appended after that.
 type Buffer struct {
-	mutex    sync.Mutex
-	chunks   []*schedulerv1.Chunk
-	changed  chan struct{}
-	finished *schedulerv1.Finished
-	failure  *resultcode.Error
-	dropped  bool
+	mutex     sync.Mutex
+	chunks    []*schedulerv1.Chunk
+	changed   chan struct{}
+	finished  *schedulerv1.Finished
+	failure   *resultcode.Error
+	abandoned bool
 }
 
 // New returns an empty buffer.
@@ -32,26 +32,27 @@
 	return &Buffer{changed: make(chan struct{})}
 }
 
-// Recorded returns a buffer that holds a whole recorded answer, cut where its
-// chunks ended.
+// Recorded returns a finished buffer with the output of a stored call, split
+// at the stored chunk lengths.
 func Recorded(output string, chunkBytes []uint32, usage *schedulerv1.Usage, finishReason string) *Buffer {
 	buffer := Begun(output, chunkBytes, usage.GetOutputTokens())
 	buffer.Finish(finishReason, usage)
 	return buffer
 }
 
-// Begun returns a buffer that holds the beginning of an answer. Its tokens are
-// known as a sum only, which the last chunk carries.
+// Begun returns an open buffer with the first part of a call's output, split at
+// the given chunk lengths. Only the total token count is known, so the last
+// chunk carries all of it.
 func Begun(output string, chunkBytes []uint32, tokens uint32) *Buffer {
 	buffer := New()
-	rest := output
+	remaining := output
 	for _, size := range chunkBytes {
-		size = min(size, uint32(len(rest)))
+		size = min(size, uint32(len(remaining)))
 		buffer.chunks = append(buffer.chunks, &schedulerv1.Chunk{
 			Sequence: uint64(len(buffer.chunks) + 1),
-			Text:     rest[:size],
+			Text:     remaining[:size],
 		})
-		rest = rest[size:]
+		remaining = remaining[size:]
 	}
 	if len(buffer.chunks) > 0 {
 		buffer.chunks[len(buffer.chunks)-1].Tokens = tokens
@@ -59,15 +60,15 @@
 	return buffer
 }
 
-// Failed returns a buffer that ends with a failure at once.
+// Failed returns an empty buffer that has ended with failure.
 func Failed(failure *resultcode.Error) *Buffer {
 	buffer := New()
 	buffer.Fail(failure)
 	return buffer
 }
 
-// Append adds a chunk whose sequence number is the next; a chunk seen already
-// changes nothing. It returns false for a gap or after the end.
+// Append adds the chunk with the next sequence number and ignores a duplicate.
+// It returns false if the chunk would leave a gap or the buffer has ended.
 func (buffer *Buffer) Append(sequence uint64, text string, tokens uint32) bool {
 	buffer.mutex.Lock()
 	defer buffer.mutex.Unlock()
@@ -75,20 +76,20 @@
 	if sequence < next {
 		return true
 	}
-	if sequence > next || buffer.over() {
+	if sequence > next || buffer.ended() {
 		return false
 	}
 	chunk := &schedulerv1.Chunk{Sequence: sequence, Text: text, Tokens: tokens}
 	buffer.chunks = append(buffer.chunks, chunk)
-	buffer.wake()
+	buffer.notifyReaders()
 	return true
 }
 
-// Finish ends the buffer with a result.
+// Finish ends the buffer successfully. It has no effect on an ended buffer.
 func (buffer *Buffer) Finish(reason string, usage *schedulerv1.Usage) {
 	buffer.mutex.Lock()
 	defer buffer.mutex.Unlock()
-	if buffer.over() {
+	if buffer.ended() {
 		return
 	}
 	buffer.finished = &schedulerv1.Finished{
@@ -96,40 +97,42 @@
 		Usage:        usage,
 		LastSequence: uint64(len(buffer.chunks)),
 	}
-	buffer.wake()
+	buffer.notifyReaders()
 }
 
-// Fail ends the buffer with an error.
+// Fail ends the buffer with an error. It has no effect on an ended buffer.
 func (buffer *Buffer) Fail(failure *resultcode.Error) {
 	buffer.mutex.Lock()
 	defer buffer.mutex.Unlock()
-	if buffer.over() {
+	if buffer.ended() {
 		return
 	}
 	buffer.failure = failure
-	buffer.wake()
+	buffer.notifyReaders()
 }
 
-// Drop ends the buffer with no answer: this process no longer knows the call's
-// fate, and its readers have to ask the shard's new leader.
+// Drop ends the buffer without a result: this process no longer tracks the
+// call, and readers must reattach at the shard's new leader. It has no effect
+// on an ended buffer.
 func (buffer *Buffer) Drop() {
 	buffer.mutex.Lock()
 	defer buffer.mutex.Unlock()
-	if buffer.over() {
+	if buffer.ended() {
 		return
 	}
-	buffer.dropped = true
-	buffer.wake()
+	buffer.abandoned = true
+	buffer.notifyReaders()
 }
 
-// LastSequence returns the number of the last chunk, 0 before the first.
+// LastSequence returns the sequence number of the last chunk, or 0 if there is
+// none.
 func (buffer *Buffer) LastSequence() uint64 {
 	buffer.mutex.Lock()
 	defer buffer.mutex.Unlock()
 	return uint64(len(buffer.chunks))
 }
 
-// Content returns the text so far and the bytes of each chunk.
+// Content returns the text so far and the length of each chunk in bytes.
 func (buffer *Buffer) Content() (string, []uint32) {
 	buffer.mutex.Lock()
 	defer buffer.mutex.Unlock()
@@ -142,7 +145,7 @@
 	return text.String(), sizes
 }
 
-// Tokens returns how many tokens the chunks hold.
+// Tokens returns the total token count of the chunks.
 func (buffer *Buffer) Tokens() uint32 {
 	buffer.mutex.Lock()
 	defer buffer.mutex.Unlock()
@@ -153,33 +156,33 @@
 	return total
 }
 
-func (buffer *Buffer) over() bool {
-	return buffer.finished != nil || buffer.failure != nil || buffer.dropped
+func (buffer *Buffer) ended() bool {
+	return buffer.finished != nil || buffer.failure != nil || buffer.abandoned
 }
 
-func (buffer *Buffer) wake() {
+func (buffer *Buffer) notifyReaders() {
 	close(buffer.changed)
 	buffer.changed = make(chan struct{})
 }
 
-// View is what a reader sees at one moment.
+// View is a reader's snapshot of a buffer.
 type View struct {
-	// Chunks after the reader's sequence number, in order.
+	// Chunks are those after the reader's sequence number, in order.
 	Chunks []*schedulerv1.Chunk
-	// Finished or Failure is set once the buffer has ended with an answer and
-	// Chunks holds the rest of it.
+	// Finished or Failure is set once the buffer has ended with a result;
+	// Chunks then holds all remaining chunks.
 	Finished *schedulerv1.Finished
 	Failure  *resultcode.Error
-	// Dropped is true once the buffer has ended with no answer.
+	// Dropped is true once the buffer has ended without a result.
 	Dropped bool
 }
 
-// ErrQuiet is returned by Next where the wait has ended first.
-var ErrQuiet = errors.New("nothing new in the stream")
+// ErrQuiet is returned by Next when its timeout fires first.
+var ErrQuiet = errors.New("timed out waiting for stream data")
 
-// Next waits until there is something after the sequence number and returns it.
-// It returns ErrQuiet once quiet is ready.
-func (buffer *Buffer) Next(ctx context.Context, quiet <-chan time.Time, after uint64) (View, error) {
+// Next waits for chunks after the given sequence number or the buffer's end. It
+// returns an error when timeout fires or ctx is done.
+func (buffer *Buffer) Next(ctx context.Context, timeout <-chan time.Time, after uint64) (View, error) {
 	for {
 		view, changed, ready := buffer.view(after)
 		if ready {
@@ -187,7 +190,7 @@
 		}
 		select {
 		case <-changed:
-		case <-quiet:
+		case <-timeout:
 			return View{}, ErrQuiet
 		case <-ctx.Done():
 			return View{}, ctx.Err()
@@ -195,7 +198,8 @@
 	}
 }
 
-// Look returns what there is after the sequence number now, without waiting.
+// Look returns the current view after the given sequence number without
+// waiting.
 func (buffer *Buffer) Look(after uint64) View {
 	view, _, _ := buffer.view(after)
 	return view
@@ -204,10 +208,10 @@
 func (buffer *Buffer) view(after uint64) (View, <-chan struct{}, bool) {
 	buffer.mutex.Lock()
 	defer buffer.mutex.Unlock()
-	view := View{Finished: buffer.finished, Failure: buffer.failure, Dropped: buffer.dropped}
+	view := View{Finished: buffer.finished, Failure: buffer.failure, Dropped: buffer.abandoned}
 	if after < uint64(len(buffer.chunks)) {
 		view.Chunks = buffer.chunks[after:len(buffer.chunks):len(buffer.chunks)]
 	}
-	ready := len(view.Chunks) > 0 || buffer.over()
+	ready := len(view.Chunks) > 0 || buffer.ended()
 	return view, buffer.changed, ready
 }
