--- a/internal/operator/handler.go
+++ b/internal/operator/handler.go
@@ -1,5 +1,5 @@
-// Package operator serves the operators' schema (api/operator/v1) by twirp and
-// checks the operators' key.
+// Package operator serves the operator API (api/operator/v1) over twirp and
+// authenticates requests with the operator key.
 package operator
 
 import (
@@ -20,23 +20,23 @@
 	bearerPrefix        = "Bearer "
 )
 
-// PathPrefix is where the handler is to be mounted.
+// PathPrefix is the path prefix to mount the handler at.
 const PathPrefix = operatorv1.OperatorPathPrefix
 
-// Dependencies are the parts the operators' service works with.
+// Dependencies holds the collaborators of the operator service.
 type Dependencies struct {
 	Publisher Publisher
 	Reader    Reader
 	Cluster   Cluster
-	// KeySHA256 is the SHA-256 of the operators' key, hex. Without it every
-	// call is refused.
+	// KeySHA256 is the hex-encoded SHA-256 digest of the operator key. If it is
+	// empty or invalid, every request is rejected.
 	KeySHA256 string
 	// Logger is optional.
 	Logger *zap.Logger
 }
 
-// NewHandler returns the operators' service under PathPrefix, behind the check
-// of their key.
+// NewHandler returns the operator service under PathPrefix. It rejects requests
+// without the operator key.
 func NewHandler(dependencies Dependencies) http.Handler {
 	if dependencies.Logger == nil {
 		dependencies.Logger = zap.NewNop()
@@ -45,8 +45,8 @@
 	return requireKey(dependencies.KeySHA256, dependencies.Logger, server)
 }
 
-// requireKey refuses every request without the operators' key. Digests are
-// compared in constant time, and neither key nor digest is logged.
+// requireKey rejects requests without the operator key. Digests are compared in
+// constant time, and neither key nor digest is logged.
 func requireKey(keySHA256 string, logger *zap.Logger, next http.Handler) http.Handler {
 	expected, err := hex.DecodeString(keySHA256)
 	configured := err == nil && len(expected) == sha256.Size
@@ -55,9 +55,9 @@
 		digest := sha256.Sum256([]byte(key))
 		matches := configured && subtle.ConstantTimeCompare(digest[:], expected) == 1
 		if !present || !matches {
-			logger.Warn("operator refused", zap.String("path", request.URL.Path), zap.String("from", request.RemoteAddr))
-			refusal := resultcode.New(resultcode.BadKey, "the operators' key is missing or wrong")
-			_ = twirp.WriteError(writer, ToTwirp(refusal))
+			logger.Warn("operator request rejected: invalid key", zap.String("path", request.URL.Path), zap.String("from", request.RemoteAddr))
+			rejection := resultcode.New(resultcode.BadKey, "the operator key is missing or invalid")
+			_ = twirp.WriteError(writer, ToTwirp(rejection))
 			return
 		}
 		next.ServeHTTP(writer, request)
--- a/internal/operator/operator_test.go
+++ b/internal/operator/operator_test.go
@@ -19,57 +19,58 @@
 	"go.uber.org/zap/zaptest/observer"
 )
 
-const key = "correct key"
-
-// register is a Publisher and a Reader in memory. Before each publish it lets
-// other operators win as often as interruptions says.
-type register struct {
-	version       uint64
-	configuration *operatorv1.Configuration
-	interruptions int
-	changeIDs     []string
+const operatorKey = "correct key"
+
+// memoryStore is an in-memory Publisher and Reader. The next concurrentPublishes
+// publishes each conflict with another operator's change.
+type memoryStore struct {
+	version             uint64
+	configuration       *operatorv1.Configuration
+	concurrentPublishes int
+	changeIDs           []string
 }
 
-func (register *register) Current() *configuration.Snapshot {
-	if register.version == 0 {
+func (store *memoryStore) Current() *configuration.Snapshot {
+	if store.version == 0 {
 		return nil
 	}
-	return configuration.NewSnapshot(register.version, register.configuration)
+	return configuration.NewSnapshot(store.version, store.configuration)
 }
 
-func (register *register) Publish(_ context.Context, request *operatorv1.PublishRequest) (uint64, error) {
-	register.changeIDs = append(register.changeIDs, request.GetChangeId())
-	if register.interruptions > 0 {
-		register.interruptions--
-		register.version++
+func (store *memoryStore) Publish(_ context.Context, request *operatorv1.PublishRequest) (uint64, error) {
+	store.changeIDs = append(store.changeIDs, request.GetChangeId())
+	if store.concurrentPublishes > 0 {
+		store.concurrentPublishes--
+		store.version++
 	}
-	if request.GetBaseVersion() != register.version {
-		return 0, resultcode.New(resultcode.VersionConflict, "version %d is in force", register.version)
+	if request.GetBaseVersion() != store.version {
+		return 0, resultcode.New(resultcode.VersionConflict, "version %d is in force", store.version)
 	}
-	register.version++
-	register.configuration = request.GetConfiguration()
-	return register.version, nil
+	store.version++
+	store.configuration = request.GetConfiguration()
+	return store.version, nil
 }
 
-// cluster answers as its failure says.
-type cluster struct {
-	failure error
-	limit   uint32
+// fakeCluster returns err from every method and records the limit of the last
+// Programs request.
+type fakeCluster struct {
+	err       error
+	lastLimit uint32
 }
 
-func (cluster *cluster) Nodes(context.Context) ([]*operatorv1.Node, error) {
-	return []*operatorv1.Node{{Id: "gateway-1"}}, cluster.failure
+func (cluster *fakeCluster) Nodes(context.Context) ([]*operatorv1.Node, error) {
+	return []*operatorv1.Node{{Id: "gateway-1"}}, cluster.err
 }
 
-func (cluster *cluster) Programs(_ context.Context, _ string, limit uint32) ([]*operatorv1.Program, error) {
-	cluster.limit = limit
-	return nil, cluster.failure
+func (cluster *fakeCluster) Programs(_ context.Context, _ string, limit uint32) ([]*operatorv1.Program, error) {
+	cluster.lastLimit = limit
+	return nil, cluster.err
 }
 
-func (cluster *cluster) StopProgram(context.Context, string, string) error { return cluster.failure }
+func (cluster *fakeCluster) StopProgram(context.Context, string, string) error { return cluster.err }
 
-func (cluster *cluster) ExplainCall(context.Context, string, string) (*operatorv1.ExplainCallReply, error) {
-	return &operatorv1.ExplainCallReply{CallState: "queued"}, cluster.failure
+func (cluster *fakeCluster) ExplainCall(context.Context, string, string) (*operatorv1.ExplainCallReply, error) {
+	return &operatorv1.ExplainCallReply{CallState: "queued"}, cluster.err
 }
 
 func digestOf(key string) string {
@@ -77,38 +78,38 @@
 	return hex.EncodeToString(digest[:])
 }
 
-// connect serves the dependencies and returns a client that presents key.
-func connect(dependencies Dependencies, presented string) (operatorv1.Operator, context.Context) {
+// newClient starts a server and returns a client that sends presentedKey.
+func newClient(dependencies Dependencies, presentedKey string) (operatorv1.Operator, context.Context) {
 	server := httptest.NewServer(NewHandler(dependencies))
 	DeferCleanup(server.Close)
 	header := http.Header{}
-	header.Set(authorizationHeader, bearerPrefix+presented)
+	header.Set(authorizationHeader, bearerPrefix+presentedKey)
 	ctx, err := twirp.WithHTTPRequestHeaders(context.Background(), header)
 	Expect(err).NotTo(HaveOccurred())
 	return operatorv1.NewOperatorProtobufClient(server.URL, server.Client()), ctx
 }
 
 var _ = Describe("Operator", func() {
-	var state *register
-	var peers *cluster
+	var store *memoryStore
+	var cluster *fakeCluster
 	var dependencies Dependencies
 
 	BeforeEach(func() {
-		state = &register{configuration: &operatorv1.Configuration{}}
-		peers = &cluster{}
-		dependencies = Dependencies{Publisher: state, Reader: state, Cluster: peers, KeySHA256: digestOf(key)}
+		store = &memoryStore{configuration: &operatorv1.Configuration{}}
+		cluster = &fakeCluster{}
+		dependencies = Dependencies{Publisher: store, Reader: store, Cluster: cluster, KeySHA256: digestOf(operatorKey)}
 	})
 
-	It("refuses a wrong, empty or unset key, and logs none", func() {
+	It("rejects a wrong, empty or unconfigured key and does not log it", func() {
 		core, logs := observer.New(zap.DebugLevel)
 		dependencies.Logger = zap.New(core)
-		for _, presented := range []string{"secret guess", "", key + "x"} {
-			client, ctx := connect(dependencies, presented)
+		for _, presentedKey := range []string{"secret guess", "", operatorKey + "x"} {
+			client, ctx := newClient(dependencies, presentedKey)
 			_, err := client.GetConfiguration(ctx, &operatorv1.GetConfigurationRequest{})
 			Expect(FromTwirp(err).Code).To(Equal(resultcode.BadKey))
 		}
 		dependencies.KeySHA256 = ""
-		client, ctx := connect(dependencies, "")
+		client, ctx := newClient(dependencies, "")
 		_, err := client.GetConfiguration(ctx, &operatorv1.GetConfigurationRequest{})
 		Expect(FromTwirp(err).Code).To(Equal(resultcode.BadKey))
 		Expect(logs.Len()).To(Equal(4))
@@ -119,8 +120,8 @@
 		}
 	})
 
-	It("publishes, reads and lists", func() {
-		client, ctx := connect(dependencies, key)
+	It("publishes and reads configurations, and validates requests", func() {
+		client, ctx := newClient(dependencies, operatorKey)
 		read, err := client.GetConfiguration(ctx, &operatorv1.GetConfigurationRequest{})
 		Expect(err).NotTo(HaveOccurred())
 		Expect(read.GetVersion()).To(BeZero())
@@ -134,7 +135,7 @@
 		Expect(nodes.GetNodes()).To(HaveLen(1))
 		_, err = client.ListPrograms(ctx, &operatorv1.ListProgramsRequest{})
 		Expect(err).NotTo(HaveOccurred())
-		Expect(peers.limit).To(BeEquivalentTo(defaultProgramLimit))
+		Expect(cluster.lastLimit).To(BeEquivalentTo(defaultProgramLimit))
 		_, err = client.ListPrograms(ctx, &operatorv1.ListProgramsRequest{Limit: 1001})
 		Expect(FromTwirp(err).Code).To(Equal(resultcode.BadRequest))
 		_, err = client.StopProgram(ctx, &operatorv1.StopProgramRequest{})
@@ -146,36 +147,36 @@
 		Expect(explained.GetCallState()).To(Equal("queued"))
 	})
 
-	It("drains over changes that come between, once, each try under its own change id", func() {
-		state.interruptions = 2
-		client, ctx := connect(dependencies, key)
+	It("retries a drain on version conflicts with a new change id, and drains once", func() {
+		store.concurrentPublishes = 2
+		client, ctx := newClient(dependencies, operatorKey)
 		request := &operatorv1.DrainBackEndRequest{BackEnd: "engine-1", ChangeId: "d"}
 		first, err := client.DrainBackEnd(ctx, request)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(first.GetVersion()).To(BeEquivalentTo(3))
-		Expect(state.changeIDs).To(Equal([]string{"d@0", "d@1", "d@2"}))
+		Expect(store.changeIDs).To(Equal([]string{"d@0", "d@1", "d@2"}))
 		second, err := client.DrainBackEnd(ctx, request)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(second.GetVersion()).To(BeEquivalentTo(3))
-		Expect(state.configuration.GetDrainedBackEnds()).To(Equal([]string{"engine-1"}))
-		state.interruptions = 99
+		Expect(store.configuration.GetDrainedBackEnds()).To(Equal([]string{"engine-1"}))
+		store.concurrentPublishes = 99
 		_, err = client.DrainBackEnd(ctx, &operatorv1.DrainBackEndRequest{BackEnd: "engine-2", ChangeId: "e"})
 		Expect(FromTwirp(err).Code).To(Equal(resultcode.VersionConflict))
 	})
 
-	It("carries every result code with its wait", func() {
+	It("round-trips every result code with its retry delay", func() {
 		for _, entry := range resultcode.Table[1:] {
 			sent := resultcode.New(entry.Code, "why").After(1500 * time.Millisecond)
-			peers.failure = sent
-			client, ctx := connect(dependencies, key)
+			cluster.err = sent
+			client, ctx := newClient(dependencies, operatorKey)
 			_, err := client.ListNodes(ctx, &operatorv1.ListNodesRequest{})
 			Expect(FromTwirp(err)).To(Equal(sent))
 		}
 	})
 
-	It("withholds the text of an unnumbered error", func() {
-		peers.failure = context.Canceled
-		client, ctx := connect(dependencies, key)
+	It("hides the text of an error without a result code", func() {
+		cluster.err = context.Canceled
+		client, ctx := newClient(dependencies, operatorKey)
 		_, err := client.ListNodes(ctx, &operatorv1.ListNodesRequest{})
 		Expect(FromTwirp(err).Code).To(Equal(resultcode.Internal))
 		Expect(err.Error()).NotTo(ContainSubstring("canceled"))
--- a/internal/operator/service.go
+++ b/internal/operator/service.go
@@ -12,36 +12,39 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// Bounds of requests.
+// Request limits.
 const (
 	defaultProgramLimit = 100
 	maxProgramLimit     = 1000
 	maxIDLength         = 256
 	maxReasonLength     = 1024
-	// drainAttempts is how often a drain is rebased on a change that came
-	// between.
-	drainAttempts = 5
+	// maxDrainAttempts bounds the publishes of one drain when other changes
+	// conflict with it.
+	maxDrainAttempts = 5
 )
 
-// Publisher offers a configuration and returns its version once accepted.
+// Publisher publishes a configuration and returns its version once accepted.
 type Publisher interface {
 	Publish(ctx context.Context, request *operatorv1.PublishRequest) (uint64, error)
 }
 
-// Reader knows the configuration in force on this process; nil is none yet.
+// Reader returns this process's current configuration, or nil before the first
+// one is loaded.
 type Reader interface {
 	Current() *configuration.Snapshot
 }
 
-// Cluster reaches the other processes. Its errors are *resultcode.Error.
+// Cluster queries and controls the other processes. Its errors are
+// *resultcode.Error.
 type Cluster interface {
 	// Nodes returns every known process.
 	Nodes(ctx context.Context) ([]*operatorv1.Node, error)
-	// Programs returns up to limit programs of tenant, or of all where empty.
+	// Programs returns up to limit programs of tenant, or of all tenants if
+	// tenant is empty.
 	Programs(ctx context.Context, tenant string, limit uint32) ([]*operatorv1.Program, error)
 	// StopProgram stops a program of any tenant.
 	StopProgram(ctx context.Context, program, reason string) error
-	// ExplainCall returns the last decisions taken for one call.
+	// ExplainCall returns the latest scheduling decisions for a call.
 	ExplainCall(ctx context.Context, program, requestID string) (*operatorv1.ExplainCallReply, error)
 }
 
@@ -57,17 +60,17 @@
 // Publish implements operatorv1.Operator.
 func (service *service) Publish(ctx context.Context, request *operatorv1.PublishRequest) (*operatorv1.PublishReply, error) {
 	version, err := service.Publisher.Publish(ctx, request)
-	service.log("publish", err, zap.String("change", request.GetChangeId()), zap.Uint64("version", version))
+	service.logChange("publish", err, zap.String("change", request.GetChangeId()), zap.Uint64("version", version))
 	if err != nil {
 		return nil, ToTwirp(err)
 	}
 	return &operatorv1.PublishReply{Version: version}, nil
 }
 
-// GetConfiguration implements operatorv1.Operator. Version 0 with an empty
-// configuration is the state before the first publish.
+// GetConfiguration implements operatorv1.Operator. Before the first publish it
+// returns version 0 and an empty configuration.
 func (service *service) GetConfiguration(context.Context, *operatorv1.GetConfigurationRequest) (*operatorv1.GetConfigurationReply, error) {
-	version, current := service.current()
+	version, current := service.currentConfiguration()
 	return &operatorv1.GetConfigurationReply{Version: version, Configuration: current}, nil
 }
 
@@ -80,30 +83,31 @@
 	return &operatorv1.ListNodesReply{Nodes: nodes}, nil
 }
 
-// DrainBackEnd implements operatorv1.Operator. It publishes the configuration
-// in force with the back end added to the drained ones.
+// DrainBackEnd implements operatorv1.Operator. It publishes the current
+// configuration with the back end added to its drained back ends.
 func (service *service) DrainBackEnd(ctx context.Context, request *operatorv1.DrainBackEndRequest) (*operatorv1.DrainBackEndReply, error) {
-	err := checkID("back_end", request.GetBackEnd())
+	err := validateID("back_end", request.GetBackEnd())
 	if err == nil {
-		err = checkID("change_id", request.GetChangeId())
+		err = validateID("change_id", request.GetChangeId())
 	}
 	if err != nil {
 		return nil, ToTwirp(err)
 	}
 	version, err := service.drain(ctx, request)
-	service.log("drain", err, zap.String("back_end", request.GetBackEnd()), zap.Uint64("version", version))
+	service.logChange("drain", err, zap.String("back_end", request.GetBackEnd()), zap.Uint64("version", version))
 	if err != nil {
 		return nil, ToTwirp(err)
 	}
 	return &operatorv1.DrainBackEndReply{Version: version}, nil
 }
 
-// drain publishes on the version in force and, where another change wins, anew
-// on that. Every try has a change id of its own, since its content differs.
+// drain publishes against the current version and retries against the newer one
+// on a version conflict. Each attempt has its own change id, as its content
+// differs.
 func (service *service) drain(ctx context.Context, request *operatorv1.DrainBackEndRequest) (uint64, error) {
-	var failure error
-	for range drainAttempts {
-		version, current := service.current()
+	var lastErr error
+	for range maxDrainAttempts {
+		version, current := service.currentConfiguration()
 		if slices.Contains(current.GetDrainedBackEnds(), request.GetBackEnd()) {
 			return version, nil
 		}
@@ -117,9 +121,9 @@
 		if resultcode.CodeOf(err) != resultcode.VersionConflict {
 			return accepted, err
 		}
-		failure = err
+		lastErr = err
 	}
-	return 0, failure
+	return 0, lastErr
 }
 
 // ListPrograms implements operatorv1.Operator.
@@ -140,7 +144,7 @@
 
 // StopProgram implements operatorv1.Operator.
 func (service *service) StopProgram(ctx context.Context, request *operatorv1.StopProgramRequest) (*operatorv1.StopProgramReply, error) {
-	err := checkID("program", request.GetProgram())
+	err := validateID("program", request.GetProgram())
 	if err == nil && len(request.GetReason()) > maxReasonLength {
 		err = resultcode.New(resultcode.BadRequest, "reason: longer than %d bytes", maxReasonLength)
 	}
@@ -148,7 +152,7 @@
 		return nil, ToTwirp(err)
 	}
 	err = service.Cluster.StopProgram(ctx, request.GetProgram(), request.GetReason())
-	service.log("stop program", err, zap.String("program", request.GetProgram()))
+	service.logChange("stop program", err, zap.String("program", request.GetProgram()))
 	if err != nil {
 		return nil, ToTwirp(err)
 	}
@@ -157,9 +161,9 @@
 
 // ExplainCall implements operatorv1.Operator.
 func (service *service) ExplainCall(ctx context.Context, request *operatorv1.ExplainCallRequest) (*operatorv1.ExplainCallReply, error) {
-	err := checkID("program", request.GetProgram())
+	err := validateID("program", request.GetProgram())
 	if err == nil {
-		err = checkID("request_id", request.GetRequestId())
+		err = validateID("request_id", request.GetRequestId())
 	}
 	if err != nil {
 		return nil, ToTwirp(err)
@@ -171,7 +175,7 @@
 	return reply, nil
 }
 
-func (service *service) current() (uint64, *operatorv1.Configuration) {
+func (service *service) currentConfiguration() (uint64, *operatorv1.Configuration) {
 	snapshot := service.Reader.Current()
 	if snapshot == nil {
 		return 0, &operatorv1.Configuration{}
@@ -179,16 +183,16 @@
 	return snapshot.Version(), snapshot.Configuration()
 }
 
-// log writes one line for an operator's change and its outcome.
-func (service *service) log(what string, err error, fields ...zap.Field) {
-	fields = append(fields, zap.String("what", what), zap.Stringer("result", resultcode.CodeOf(err)))
+// logChange logs a change made by an operator and its result.
+func (service *service) logChange(operation string, err error, fields ...zap.Field) {
+	fields = append(fields, zap.String("what", operation), zap.Stringer("result", resultcode.CodeOf(err)))
 	if err != nil {
 		fields = append(fields, zap.String("error", err.Error()))
 	}
 	service.Logger.Info("operator change", fields...)
 }
 
-func checkID(field, value string) error {
+func validateID(field, value string) error {
 	switch {
 	case value == "":
 		return resultcode.New(resultcode.BadRequest, "%s: missing", field)
--- a/internal/operator/failure.go
+++ b/internal/operator/twirp_error.go
@@ -17,8 +17,9 @@
 	metaRetryAfter = "retry_after_ms"
 )
 
-// ToTwirp turns err into a twirp error with its result code as metadata. An
-// error without a result code becomes Internal, its text withheld.
+// ToTwirp converts err to a twirp error that carries its result code as
+// metadata. An error without a result code becomes Internal, and its text is
+// not exposed.
 func ToTwirp(err error) twirp.Error {
 	var failure *resultcode.Error
 	if !errors.As(err, &failure) {
@@ -33,8 +34,8 @@
 	return converted
 }
 
-// FromTwirp returns the result code error inside a twirp error, or nil where
-// err carries none: the server was not reached, or it is no magpielug.
+// FromTwirp returns the result code error carried by a twirp error, or nil if
+// there is none: the server was unreachable or is not a magpielug server.
 func FromTwirp(err error) *resultcode.Error {
 	var received twirp.Error
 	if !errors.As(err, &received) {
@@ -52,7 +53,7 @@
 	return failure
 }
 
-// twirpCode is the twirp code nearest to a result code.
+// twirpCode returns the closest twirp code to a result code.
 func twirpCode(code resultcode.Code) twirp.ErrorCode {
 	switch code {
 	case resultcode.VersionConflict:
