--- a/internal/gateway/authenticate.go
+++ b/internal/gateway/authenticate.go
@@ -7,7 +7,7 @@
 	"github.com/magpielug/magpielug/internal/resultcode"
 )
 
-// Headers of magpielug's own; see docs/INTERFACES-callers.md.
+// Headers of the callers' API; see docs/INTERFACES-callers.md.
 const (
 	headerProgram        = "X-Magpielug-Program"
 	headerRequestID      = "X-Magpielug-Request-Id"
@@ -19,8 +19,8 @@
 
 const bearerPrefix = "bearer "
 
-// authenticate finds the tier of the request's key. It runs before anything
-// else of the request is looked at.
+// authenticate sets the exchange's configuration and caller from the request's
+// API key. It runs before any other part of the request is read.
 func (gateway *Gateway) authenticate(exchange *exchange) error {
 	configuration := gateway.dependencies.Configuration()
 	if configuration == nil {
--- a/internal/gateway/bad_input_test.go
+++ b/internal/gateway/bad_input_test.go
@@ -31,7 +31,7 @@
 	longMessage := strings.Repeat("x", 70<<10)
 	manyMessages := strings.Repeat(`,{"role":"user","content":"x"}`, 8)
 
-	DescribeTable("is refused with its own code and reaches no scheduler",
+	DescribeTable("is rejected with the specific code before reaching a scheduler",
 		func(method, path, body string, code resultcode.Code, headers ...string) {
 			reply := caller.send(method, path, body, headers...)
 			Expect(reply.code()).To(Equal(code), reply.body)
@@ -41,49 +41,49 @@
 		Entry("key without scheme", "POST", chatPath, chat(""), resultcode.BadKey, "Authorization", "meter-key"),
 		Entry("unknown path", "POST", "/v1/embeddings", "{}", resultcode.UnknownRoute),
 		Entry("wrong method", "DELETE", "/v1/programs/p1", "", resultcode.UnknownRoute),
-		Entry("no JSON", "POST", chatPath, "{", resultcode.BadRequest),
+		Entry("invalid JSON", "POST", chatPath, "{", resultcode.BadRequest),
 		Entry("two JSON values", "POST", chatPath, chat("")+"{}", resultcode.BadRequest),
 		Entry("wrong type", "POST", chatPath, `{"model":5}`, resultcode.BadRequest),
 		Entry("no messages", "POST", chatPath, `{"model":"agent","messages":[]}`, resultcode.BadRequest),
 		Entry("too many messages", "POST", chatPath,
 			`{"model":"agent","messages":[{"role":"user","content":"x"}`+manyMessages+`]}`, resultcode.BadRequest),
 		Entry("unknown role", "POST", chatPath, `{"model":"agent","messages":[{"role":"king","content":"x"}]}`, resultcode.BadRequest),
-		Entry("picture", "POST", chatPath,
+		Entry("image content", "POST", chatPath,
 			`{"model":"agent","messages":[{"role":"user","content":[{"type":"image_url"}]}]}`, resultcode.BadRequest),
 		Entry("two choices", "POST", chatPath, chat(`,"n":2`), resultcode.BadRequest),
-		Entry("no output", "POST", chatPath, chat(`,"max_tokens":0`), resultcode.BadRequest),
-		Entry("endless output", "POST", chatPath, chat(`,"max_tokens":99999999999`), resultcode.BadRequest),
+		Entry("max_tokens of zero", "POST", chatPath, chat(`,"max_tokens":0`), resultcode.BadRequest),
+		Entry("max_tokens above the limit", "POST", chatPath, chat(`,"max_tokens":99999999999`), resultcode.BadRequest),
 		Entry("oversized body", "POST", chatPath, longMessage, resultcode.BodyTooLarge),
 		Entry("unknown model", "POST", chatPath, strings.Replace(chat(""), "agent", "gpt", 1), resultcode.UnknownTarget),
 		Entry("unknown adapter", "POST", chatPath, strings.Replace(chat(""), "agent", "agent:x", 1), resultcode.UnknownTarget),
 		Entry("tool as model", "POST", chatPath, strings.Replace(chat(""), "agent", "meter", 1), resultcode.UnknownTarget),
-		Entry("program id of other letters", "POST", chatPath, chat(""), resultcode.UnknownProgram, headerProgram, "a/b"),
-		Entry("request id of other letters", "POST", chatPath, chat(""), resultcode.BadRequest, headerRequestID, "a b"),
+		Entry("invalid character in program id", "POST", chatPath, chat(""), resultcode.UnknownProgram, headerProgram, "a/b"),
+		Entry("invalid character in request id", "POST", chatPath, chat(""), resultcode.BadRequest, headerRequestID, "a b"),
 		Entry("long request id", "POST", chatPath, chat(""), resultcode.BadRequest, headerRequestID, strings.Repeat("x", 129)),
-		Entry("two request ids", "POST", chatPath, chat(""), resultcode.BadRequest, headerRequestID, "a", headerIdempotencyKey, "b"),
-		Entry("unclear repeatable", "POST", chatPath, chat(""), resultcode.BadRequest, headerRepeatable, "yes"),
-		Entry("deadline out of bounds", "POST", chatPath, chat(""), resultcode.BadRequest, headerDeadline, "4000000000"),
+		Entry("conflicting request ids", "POST", chatPath, chat(""), resultcode.BadRequest, headerRequestID, "a", headerIdempotencyKey, "b"),
+		Entry("invalid repeatable header", "POST", chatPath, chat(""), resultcode.BadRequest, headerRepeatable, "yes"),
+		Entry("deadline out of range", "POST", chatPath, chat(""), resultcode.BadRequest, headerDeadline, "4000000000"),
 		Entry("misspelt field", "POST", callsPath, `{"kind":"tool","target":"meter","input":"x","repeatible":false}`, resultcode.BadRequest),
-		Entry("unknown kind of call", "POST", callsPath, `{"kind":"x"}`, resultcode.BadRequest),
+		Entry("unknown call kind", "POST", callsPath, `{"kind":"x"}`, resultcode.BadRequest),
 		Entry("unknown tool", "POST", callsPath, `{"kind":"tool","target":"agent","input":"x"}`, resultcode.UnknownTarget),
 		Entry("tool without input", "POST", callsPath, `{"kind":"tool","target":"meter"}`, resultcode.BadRequest),
-		Entry("bad resume point", "GET", callsPath+"/r1/stream?after=-1", "", resultcode.BadRequest),
-		Entry("bad history bound", "GET", "/v1/programs/p1/history?limit=9999", "", resultcode.BadRequest),
-		Entry("no kind", "POST", "/v1/programs", "{}", resultcode.BadRequest),
+		Entry("invalid resume position", "GET", callsPath+"/r1/stream?after=-1", "", resultcode.BadRequest),
+		Entry("history limit out of range", "GET", "/v1/programs/p1/history?limit=9999", "", resultcode.BadRequest),
+		Entry("missing program kind", "POST", "/v1/programs", "{}", resultcode.BadRequest),
 	)
 
-	It("closes a half-sent request and serves the next", func() {
+	It("closes the connection of an incomplete request and serves the next request", func() {
 		connection, err := net.Dial("tcp", caller.address)
 		Expect(err).NotTo(HaveOccurred())
 		defer connection.Close()
 		fmt.Fprintf(connection, "POST %s HTTP/1.1\r\nHost: x\r\nContent-Length: 50\r\n\r\n{\"mod", chatPath)
-		Expect(connection.SetReadDeadline(time.Now().Add(patience))).To(Succeed())
+		Expect(connection.SetReadDeadline(time.Now().Add(testTimeout))).To(Succeed())
 		_, err = bufio.NewReader(connection).ReadByte()
 		Expect(err).To(HaveOccurred())
 		Expect(caller.send("GET", "/v1/models", "").status).To(Equal(http.StatusOK))
 	})
 
-	It("answers another tenant's program exactly as one that does not exist", func() {
+	It("responds identically for another tenant's program and an unknown program", func() {
 		Expect(caller.send("GET", "/v1/programs/mine", "").status).To(Equal(http.StatusOK))
 		caller.key = "court-key"
 		foreign := caller.send("GET", "/v1/programs/mine", "")
@@ -96,7 +96,7 @@
 		}
 	})
 
-	It("refuses all while no configuration is current", func() {
+	It("rejects every request without a current configuration", func() {
 		gateway := New(testConfig(), Dependencies{Configuration: func() Configuration { return nil }})
 		server, err := httpserver.Start("127.0.0.1:0", gateway.Handler(), httpserver.Limits{})
 		Expect(err).NotTo(HaveOccurred())
@@ -106,10 +106,10 @@
 	})
 })
 
-var _ = Describe("A request id used with another body", func() {
-	It("has another digest, and the scheduler's refusal is passed on", func() {
+var _ = Describe("A request id reused with a different body", func() {
+	It("has a different digest, and the scheduler's rejection is returned", func() {
 		var digests []string
-		scheduler := startScheduler(func(request *schedulerv1.CallRequest, send sender) {
+		scheduler := startScheduler(func(request *schedulerv1.CallRequest, send eventSender) {
 			digests = append(digests, string(request.Digest))
 			if digests[0] != string(request.Digest) {
 				send(failed(failure(resultcode.RequestIDReused, "used with another body")))
--- a/internal/gateway/benchmark_test.go
+++ b/internal/gateway/benchmark_test.go
@@ -22,16 +22,16 @@
 )
 
 const (
-	// tokensPerCall and stepInterval shape a call as an engine would.
+	// tokensPerCall and tokenInterval approximate an engine's output.
 	tokensPerCall = 100
-	stepInterval  = 3 * time.Millisecond
+	tokenInterval = 3 * time.Millisecond
 	maxMicros     = 10_000_000
 )
 
-// paced sends one token a step, each stamped with the time it was sent; with
-// no interval it sends them at once.
-func paced(interval time.Duration) func(*schedulerv1.CallRequest, sender) {
-	return func(_ *schedulerv1.CallRequest, send sender) {
+// pacedCall sends one token per interval, each containing its send time. An
+// interval of 0 sends them without delay.
+func pacedCall(interval time.Duration) func(*schedulerv1.CallRequest, eventSender) {
+	return func(_ *schedulerv1.CallRequest, send eventSender) {
 		send(accepted())
 		for sequence := uint64(1); sequence <= tokensPerCall; sequence++ {
 			time.Sleep(interval)
@@ -41,52 +41,52 @@
 	}
 }
 
-// path is one way from a client to the fake scheduler.
-type path struct {
+// benchmarkTarget is a server to call: the fake scheduler, or a gateway before it.
+type benchmarkTarget struct {
 	client *http.Client
 	url    string
 	body   []byte
-	// scan reads one event or line.
+	// scan splits the response into events or lines.
 	scan bufio.SplitFunc
 }
 
-// delays collects what calls at once measure.
-type delays struct {
+// latencies collects the latencies of concurrent calls.
+type latencies struct {
 	mutex sync.Mutex
-	// first is from a call's start to its first token, token from the
-	// scheduler to the client.
+	// first is the time from a call's start to its first token, token the
+	// time from a token's send at the scheduler to its receipt.
 	first, token *hdrhistogram.Histogram
 }
 
-func (delays *delays) note(histogram *hdrhistogram.Histogram, delay time.Duration) {
-	delays.mutex.Lock()
-	defer delays.mutex.Unlock()
-	_ = histogram.RecordValue(delay.Microseconds())
+func (latencies *latencies) record(histogram *hdrhistogram.Histogram, latency time.Duration) {
+	latencies.mutex.Lock()
+	defer latencies.mutex.Unlock()
+	_ = histogram.RecordValue(latency.Microseconds())
 }
 
-// call makes one call and notes its delays.
-func (path *path) call(delays *delays) error {
+// call makes one call and records its latencies.
+func (target *benchmarkTarget) call(latencies *latencies) error {
 	started := time.Now()
-	request, err := http.NewRequest(http.MethodPost, path.url, bytes.NewReader(path.body))
+	request, err := http.NewRequest(http.MethodPost, target.url, bytes.NewReader(target.body))
 	if err != nil {
 		return err
 	}
 	request.Header.Set("Authorization", "Bearer meter-key")
-	response, err := path.client.Do(request)
+	response, err := target.client.Do(request)
 	if err != nil {
 		return err
 	}
 	defer response.Body.Close()
 	scanner := bufio.NewScanner(response.Body)
-	scanner.Split(path.scan)
+	scanner.Split(target.scan)
 	tokens := 0
 	for scanner.Scan() {
 		if _, rest, found := strings.Cut(scanner.Text(), "@"); found {
 			stamp, _, _ := strings.Cut(rest, "@")
 			sent, _ := strconv.ParseInt(stamp, 10, 64)
-			delays.note(delays.token, time.Duration(time.Now().UnixNano()-sent))
+			latencies.record(latencies.token, time.Duration(time.Now().UnixNano()-sent))
 			if tokens++; tokens == 1 {
-				delays.note(delays.first, time.Since(started))
+				latencies.record(latencies.first, time.Since(started))
 			}
 		}
 	}
@@ -96,7 +96,7 @@
 	return scanner.Err()
 }
 
-// scanDelimited splits a scheduler's stream into its events.
+// scanDelimited is a split function for a scheduler's event stream.
 func scanDelimited(data []byte, atEOF bool) (int, []byte, error) {
 	reader := bytes.NewReader(data)
 	event := &schedulerv1.CallEvent{}
@@ -106,13 +106,13 @@
 	return len(data) - reader.Len(), []byte(event.GetChunk().GetText()), nil
 }
 
-// paths starts a fake scheduler, and a gateway before it.
-func paths(b *testing.B, interval time.Duration) map[string]*path {
-	scheduler := newFakeScheduler(paced(interval))
+// newBenchmarkTargets starts a fake scheduler and a gateway that routes to it.
+func newBenchmarkTargets(b *testing.B, interval time.Duration) map[string]*benchmarkTarget {
+	scheduler := newFakeScheduler(pacedCall(interval))
 	b.Cleanup(scheduler.server.Close)
 	gateway := New(Config{}, Dependencies{
 		Configuration: func() Configuration { return fixedConfiguration{} },
-		Router:        routerTo(scheduler.address()),
+		Router:        newTestRouter(scheduler.address()),
 	})
 	server, err := httpserver.Start("127.0.0.1:0", gateway.Handler(), httpserver.Limits{})
 	if err != nil {
@@ -122,34 +122,34 @@
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 1024}}
 	b.Cleanup(client.CloseIdleConnections)
 	direct, _ := proto.Marshal(&schedulerv1.CallRequest{ProgramId: "p1"})
-	return map[string]*path{
+	return map[string]*benchmarkTarget{
 		"direct":  {client, "http://" + scheduler.address() + CallPath, direct, scanDelimited},
 		"gateway": {client, "http://" + server.Address() + chatPath, []byte(chat(`,"stream":true`)), bufio.ScanLines},
 	}
 }
 
-// BenchmarkRelay streams calls of 100 tokens, so many at once, with and without
-// a gateway between. At 3 ms a token the delays of tokens are reported; without
-// a pause the time of one call and token under full load is.
+// BenchmarkRelay streams concurrent calls of 100 tokens with and without a
+// gateway. A token interval of 3 ms measures latency; an interval of 0 measures
+// throughput.
 func BenchmarkRelay(b *testing.B) {
-	for _, interval := range []time.Duration{stepInterval, 0} {
-		for name, path := range paths(b, interval) {
+	for _, interval := range []time.Duration{tokenInterval, 0} {
+		for name, target := range newBenchmarkTargets(b, interval) {
 			for _, inFlight := range []int{1, 64, 512} {
 				b.Run(fmt.Sprintf("step=%v/%s/%d", interval, name, inFlight), func(b *testing.B) {
-					relayAtOnce(b, path, inFlight)
+					runConcurrentCalls(b, target, inFlight)
 				})
 			}
 		}
 	}
 }
 
-func relayAtOnce(b *testing.B, path *path, inFlight int) {
-	delays := &delays{first: hdrhistogram.New(1, maxMicros, 3), token: hdrhistogram.New(1, maxMicros, 3)}
+func runConcurrentCalls(b *testing.B, target *benchmarkTarget, inFlight int) {
+	latencies := &latencies{first: hdrhistogram.New(1, maxMicros, 3), token: hdrhistogram.New(1, maxMicros, 3)}
 	var callers sync.WaitGroup
 	for range inFlight {
 		callers.Go(func() {
 			for range b.N {
-				if err := path.call(delays); err != nil {
+				if err := target.call(latencies); err != nil {
 					b.Error(err)
 				}
 			}
@@ -158,7 +158,7 @@
 	callers.Wait()
 	tokens := float64(b.N * inFlight * tokensPerCall)
 	b.ReportMetric(float64(b.Elapsed().Nanoseconds())/tokens, "ns/token")
-	b.ReportMetric(float64(delays.first.ValueAtQuantile(50)), "first-p50-µs")
-	b.ReportMetric(float64(delays.token.ValueAtQuantile(50)), "token-p50-µs")
-	b.ReportMetric(float64(delays.token.ValueAtQuantile(99)), "token-p99-µs")
+	b.ReportMetric(float64(latencies.first.ValueAtQuantile(50)), "first-p50-µs")
+	b.ReportMetric(float64(latencies.token.ValueAtQuantile(50)), "token-p50-µs")
+	b.ReportMetric(float64(latencies.token.ValueAtQuantile(99)), "token-p99-µs")
 }
--- a/internal/gateway/call.go
+++ b/internal/gateway/call.go
@@ -7,7 +7,7 @@
 	"github.com/magpielug/magpielug/internal/resultcode"
 )
 
-// Names of the kinds of calls.
+// Call kinds in the callers' API.
 const (
 	kindModel = "model"
 	kindTool  = "tool"
@@ -20,26 +20,28 @@
 	return kindModel
 }
 
-// toolInputRole is the role of the one message that carries a tool's input.
+// toolInputRole is the role of the single message that carries a tool call's
+// input.
 const toolInputRole = "tool"
 
 // callBody is the body of POST /v1/programs/{id}/calls.
 type callBody struct {
 	Kind string `json:"kind"`
-	// Target is a model's name as in GET /v1/models, or a tool service's.
+	// Target is a model name as listed by GET /v1/models, or the name of a tool
+	// service.
 	Target string `json:"target"`
-	// Messages are those that a model call adds to the program's history.
+	// Messages are appended to the program's history by a model call.
 	Messages  []message `json:"messages"`
 	MaxTokens *int64    `json:"max_tokens"`
-	// Input is what a tool call hands to its service.
+	// Input is the input of a tool call.
 	Input      *string `json:"input"`
 	Repeatable *bool   `json:"repeatable"`
 	Stream     bool    `json:"stream"`
 }
 
-// callProgram serves POST /v1/programs/{id}/calls.
-func (gateway *Gateway) callProgram(exchange *exchange) error {
-	if err := exchange.programInPath(); err != nil {
+// createCall serves POST /v1/programs/{id}/calls.
+func (gateway *Gateway) createCall(exchange *exchange) error {
+	if err := exchange.parseProgramID(); err != nil {
 		return err
 	}
 	content, err := exchange.readBody()
@@ -50,38 +52,38 @@
 	if err := decodeStrict(content, &body); err != nil {
 		return err
 	}
-	request, err := exchange.programCall(&body)
+	request, err := exchange.newProgramCallRequest(&body)
 	if err != nil {
 		return err
 	}
-	if exchange.requestID, err = requestIDOf(exchange.request.Header); err != nil {
+	if exchange.requestID, err = parseRequestID(exchange.request.Header); err != nil {
 		return err
 	}
-	exchange.completeName(request)
-	return exchange.runCall(request, newCallAnswer(exchange, body.Stream))
+	exchange.assignCallIDs(request)
+	return exchange.runCall(request, newProgramCallResponse(exchange, body.Stream))
 }
 
-func (exchange *exchange) programCall(body *callBody) (*schedulerv1.CallRequest, error) {
+func (exchange *exchange) newProgramCallRequest(body *callBody) (*schedulerv1.CallRequest, error) {
 	switch body.Kind {
 	case kindModel:
-		return exchange.modelCall(body)
+		return exchange.newModelCallRequest(body)
 	case kindTool:
-		return exchange.toolCall(body)
+		return exchange.newToolCallRequest(body)
 	default:
 		return nil, resultcode.New(resultcode.BadRequest, "kind must be %s or %s", kindModel, kindTool)
 	}
 }
 
-func (exchange *exchange) modelCall(body *callBody) (*schedulerv1.CallRequest, error) {
+func (exchange *exchange) newModelCallRequest(body *callBody) (*schedulerv1.CallRequest, error) {
 	if body.Input != nil {
-		return nil, resultcode.New(resultcode.BadRequest, "input is for tool calls")
+		return nil, resultcode.New(resultcode.BadRequest, "input is only allowed in tool calls")
 	}
 	request, err := exchange.newCallRequest(schedulerv1.CallKind_CALL_KIND_MODEL, body.Repeatable)
 	if err != nil {
 		return nil, err
 	}
 	config := exchange.gateway.config
-	if request.MaxTokens, err = config.outputTokens(body.MaxTokens); err != nil {
+	if request.MaxTokens, err = config.resolveMaxTokens(body.MaxTokens); err != nil {
 		return nil, err
 	}
 	if request.Messages, err = toMessages(body.Messages, config.MaxMessages); err != nil {
@@ -91,9 +93,9 @@
 	return request, err
 }
 
-func (exchange *exchange) toolCall(body *callBody) (*schedulerv1.CallRequest, error) {
+func (exchange *exchange) newToolCallRequest(body *callBody) (*schedulerv1.CallRequest, error) {
 	if body.Input == nil || body.Messages != nil || body.MaxTokens != nil {
-		return nil, resultcode.New(resultcode.BadRequest, "a tool call takes input, and neither messages nor max_tokens")
+		return nil, resultcode.New(resultcode.BadRequest, "a tool call requires input and does not allow messages or max_tokens")
 	}
 	if err := resolveTool(exchange.configuration, body.Target); err != nil {
 		return nil, err
@@ -107,21 +109,21 @@
 	return request, nil
 }
 
-// resumeCall serves GET /v1/programs/{id}/calls/{request}/stream?after=N: the
-// call's chunks from N+1 on, whether it still runs or has ended.
+// resumeCall serves GET /v1/programs/{id}/calls/{request}/stream?after=N: it
+// streams the chunks after sequence number N of a running or finished call.
 func (gateway *Gateway) resumeCall(exchange *exchange) error {
-	if err := exchange.programInPath(); err != nil {
+	if err := exchange.parseProgramID(); err != nil {
 		return err
 	}
 	exchange.requestID = exchange.request.PathValue("request")
-	if !validIdentifier(exchange.requestID) {
+	if !isValidIdentifier(exchange.requestID) {
 		return resultcode.New(resultcode.UnknownRequest, "the program has no call with this request id")
 	}
-	after, err := resumePoint(exchange.request)
+	after, err := parseResumeAfter(exchange.request)
 	if err != nil {
 		return err
 	}
-	exchange.nameCall()
+	exchange.setCallHeaders()
 	request := &schedulerv1.CallRequest{
 		ProgramId:   exchange.programID,
 		RequestId:   exchange.requestID,
@@ -129,16 +131,17 @@
 		ResumeAfter: after,
 		AttachOnly:  true,
 	}
-	return exchange.runCall(request, newCallAnswer(exchange, true))
+	return exchange.runCall(request, newProgramCallResponse(exchange, true))
 }
 
-// resumePoint reads the last chunk that the caller holds, from the query or
-// from the header that event stream clients send by themselves.
-func resumePoint(request *http.Request) (uint64, error) {
+// parseResumeAfter returns the sequence number of the last chunk that the
+// caller has, from the query or, as event stream clients send it on
+// reconnecting, from the Last-Event-ID header.
+func parseResumeAfter(request *http.Request) (uint64, error) {
 	const bits = 64
 	value := request.URL.Query().Get("after")
 	if value == "" {
 		value = request.Header.Get(headerLastEventID)
 	}
-	return numberOf("after", value, bits, 0)
+	return parseNumber("after", value, bits, 0)
 }
--- a/internal/gateway/call_order.go
+++ b/internal/gateway/call_request.go
@@ -11,11 +11,11 @@
 	"github.com/magpielug/magpielug/internal/resultcode"
 )
 
-// adapterSeparator stands between a model and an adapter in a model's name.
+// adapterSeparator separates the model from the adapter in a model name.
 const adapterSeparator = ":"
 
-// resolveModel finds the service and adapter that a model's name means: a
-// model service's name, or that name, a colon and one of its adapters.
+// resolveModel returns the service and adapter of a model name: either a model
+// service's name, or that name and one of its adapters joined by a colon.
 func resolveModel(configuration Configuration, name string) (target, adapter string, err error) {
 	if service, known := configuration.ServiceByName(name); known && service.Kind == ServiceModel {
 		return name, "", nil
@@ -30,7 +30,7 @@
 	return "", "", resultcode.New(resultcode.UnknownTarget, "no such model")
 }
 
-// resolveTool checks that name is a tool service.
+// resolveTool returns an error unless name is a tool service.
 func resolveTool(configuration Configuration, name string) error {
 	if service, known := configuration.ServiceByName(name); known && service.Kind == ServiceTool {
 		return nil
@@ -38,42 +38,41 @@
 	return resultcode.New(resultcode.UnknownTarget, "no such tool service")
 }
 
-// outputTokens chooses a call's bound on generated tokens; nil asks for the
+// resolveMaxTokens returns a call's limit on generated tokens; nil selects the
 // default.
-func (config Config) outputTokens(asked *int64) (uint32, error) {
-	if asked == nil {
+func (config Config) resolveMaxTokens(requested *int64) (uint32, error) {
+	if requested == nil {
 		return config.DefaultOutputTokens, nil
 	}
-	if *asked < 1 || *asked > int64(config.MaxOutputTokens) {
+	if *requested < 1 || *requested > int64(config.MaxOutputTokens) {
 		return 0, resultcode.New(resultcode.BadRequest, "max_tokens must be 1 to %d", config.MaxOutputTokens)
 	}
-	return uint32(*asked), nil
+	return uint32(*requested), nil
 }
 
-// repeatableOf reads whether the call may run again after a lost outcome.
-// Model calls may unless the caller says no; tool calls may not unless it says
-// yes.
-func repeatableOf(header http.Header, inBody *bool, byDefault bool) (bool, error) {
+// parseRepeatable returns whether the call may run again if its outcome is
+// lost. By default model calls may and tool calls may not.
+func parseRepeatable(header http.Header, bodyValue *bool, defaultValue bool) (bool, error) {
 	value := header.Get(headerRepeatable)
 	if value == "" {
-		if inBody != nil {
-			return *inBody, nil
+		if bodyValue != nil {
+			return *bodyValue, nil
 		}
-		return byDefault, nil
+		return defaultValue, nil
 	}
 	if value != "true" && value != "false" {
 		return false, resultcode.New(resultcode.BadRequest, "%s must be true or false", headerRepeatable)
 	}
 	repeatable := value == "true"
-	if inBody != nil && *inBody != repeatable {
+	if bodyValue != nil && *bodyValue != repeatable {
 		return false, resultcode.New(resultcode.BadRequest, "%s and repeatable differ", headerRepeatable)
 	}
 	return repeatable, nil
 }
 
-// deadlineOf reads how long the caller wants to wait, in milliseconds; 0 takes
-// the service's deadline.
-func (config Config) deadlineOf(header http.Header) (uint32, error) {
+// parseDeadline returns the caller's deadline in milliseconds; 0 selects the
+// service's default.
+func (config Config) parseDeadline(header http.Header) (uint32, error) {
 	value := header.Get(headerDeadline)
 	if value == "" {
 		return 0, nil
@@ -85,15 +84,16 @@
 	return uint32(deadline), nil
 }
 
-// newCallRequest fills what a call takes from the caller's headers.
+// newCallRequest returns a call request with the fields that come from the
+// request's headers.
 func (exchange *exchange) newCallRequest(kind schedulerv1.CallKind, repeatableInBody *bool) (*schedulerv1.CallRequest, error) {
 	header := exchange.request.Header
 	config := exchange.gateway.config
-	repeatable, err := repeatableOf(header, repeatableInBody, kind == schedulerv1.CallKind_CALL_KIND_MODEL)
+	repeatable, err := parseRepeatable(header, repeatableInBody, kind == schedulerv1.CallKind_CALL_KIND_MODEL)
 	if err != nil {
 		return nil, err
 	}
-	deadline, err := config.deadlineOf(header)
+	deadline, err := config.parseDeadline(header)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/gateway/chat.go
+++ b/internal/gateway/chat.go
@@ -8,8 +8,7 @@
 	"github.com/magpielug/magpielug/internal/resultcode"
 )
 
-// chatRequest is the body of POST /v1/chat/completions, the fields that
-// magpielug acts on.
+// chatRequest is the supported part of the body of POST /v1/chat/completions.
 type chatRequest struct {
 	Model               string    `json:"model"`
 	Messages            []message `json:"messages"`
@@ -23,8 +22,8 @@
 }
 
 // completeChat serves POST /v1/chat/completions. With a program header, the
-// messages are those that this call adds to the program's history; without
-// one, they are the whole prompt of a program of one call.
+// messages are appended to that program's history; otherwise they are the whole
+// prompt of a new single-call program.
 func (gateway *Gateway) completeChat(exchange *exchange) error {
 	content, err := exchange.readBody()
 	if err != nil {
@@ -34,22 +33,22 @@
 	if err := decodeLenient(content, &body); err != nil {
 		return err
 	}
-	request, err := exchange.chatCall(&body)
+	request, err := exchange.newChatCallRequest(&body)
 	if err != nil {
 		return err
 	}
-	cancelWithCaller, err := exchange.nameChat(request)
+	cancelWithCaller, err := exchange.assignChatIDs(request)
 	if err != nil {
 		return err
 	}
-	err = exchange.runCall(request, newCompletionAnswer(exchange, &body))
-	if cancelWithCaller && errors.Is(err, errCallerGone) {
+	err = exchange.runCall(request, newCompletionResponse(exchange, &body))
+	if cancelWithCaller && errors.Is(err, errCallerDisconnected) {
 		gateway.cancelSingleCall(exchange)
 	}
 	return err
 }
 
-func (exchange *exchange) chatCall(body *chatRequest) (*schedulerv1.CallRequest, error) {
+func (exchange *exchange) newChatCallRequest(body *chatRequest) (*schedulerv1.CallRequest, error) {
 	if body.Choices != nil && *body.Choices != 1 {
 		return nil, resultcode.New(resultcode.BadRequest, "n must be 1")
 	}
@@ -61,7 +60,7 @@
 		body.MaxTokens = body.MaxCompletionTokens
 	}
 	config := exchange.gateway.config
-	if request.MaxTokens, err = config.outputTokens(body.MaxTokens); err != nil {
+	if request.MaxTokens, err = config.resolveMaxTokens(body.MaxTokens); err != nil {
 		return nil, err
 	}
 	if request.Messages, err = toMessages(body.Messages, config.MaxMessages); err != nil {
@@ -71,11 +70,11 @@
 	return request, err
 }
 
-// nameChat gives the call its program and request id. It reports whether the
-// call is of no use once its caller has left: a single call that nobody can
-// name again.
-func (exchange *exchange) nameChat(request *schedulerv1.CallRequest) (cancelWithCaller bool, err error) {
-	requestID, err := requestIDOf(exchange.request.Header)
+// assignChatIDs sets the call's program and request ids. It reports whether the
+// call is to be cancelled when its caller disconnects: a single call without a
+// request id can't be resumed.
+func (exchange *exchange) assignChatIDs(request *schedulerv1.CallRequest) (cancelWithCaller bool, err error) {
+	requestID, err := parseRequestID(exchange.request.Header)
 	if err != nil {
 		return false, err
 	}
@@ -84,8 +83,8 @@
 	request.SingleCall = exchange.programID == ""
 	switch {
 	case !request.SingleCall:
-		if !validIdentifier(exchange.programID) {
-			return false, unknownProgram()
+		if !isValidIdentifier(exchange.programID) {
+			return false, unknownProgramError()
 		}
 	case requestID == "":
 		exchange.programID = newIdentifier()
@@ -93,34 +92,35 @@
 	default:
 		exchange.programID = derivedProgramID(purposeSingleCall, exchange.caller.Tenant, requestID)
 	}
-	exchange.completeName(request)
+	exchange.assignCallIDs(request)
 	return cancelWithCaller, nil
 }
 
-// completeName fills in the ids and the digest of a call whose other fields
-// are set.
-func (exchange *exchange) completeName(request *schedulerv1.CallRequest) {
+// assignCallIDs sets the ids and the digest of a call whose other fields are
+// set.
+func (exchange *exchange) assignCallIDs(request *schedulerv1.CallRequest) {
 	if exchange.requestID == "" {
 		exchange.requestID = newIdentifier()
 	}
 	request.ProgramId = exchange.programID
 	request.RequestId = exchange.requestID
-	request.Digest = digestOf(request)
-	exchange.nameCall()
+	request.Digest = requestDigest(request)
+	exchange.setCallHeaders()
 }
 
-// cancelSingleCall stops the program of a call whose answer nobody can fetch,
-// so that the engine's work for it ends.
+// cancelSingleCall stops the program of a call that can't be resumed, so that
+// its engine stops generating.
 func (gateway *Gateway) cancelSingleCall(exchange *exchange) {
-	order := &schedulerv1.EndProgramRequest{
+	request := &schedulerv1.EndProgramRequest{
 		ProgramId: exchange.programID,
 		Caller:    exchange.caller,
 		Stop:      true,
-		Reason:    errCallerGone.Error(),
+		Reason:    errCallerDisconnected.Error(),
 	}
-	// The order outlives the caller's connection; ask bounds its time.
-	_, err := gateway.orderEnd(context.WithoutCancel(exchange.context), order)
+	// The request must outlive the caller's connection; sendUnary bounds its
+	// duration.
+	_, err := gateway.sendEndProgram(context.WithoutCancel(exchange.context), request)
 	if err != nil && resultcode.CodeOf(err) != resultcode.UnknownProgram {
-		gateway.dependencies.Logger.Warn("abandoned call not cancelled", exchange.errorFields(err)...)
+		gateway.dependencies.Logger.Warn("failed to cancel the call of a disconnected caller", exchange.errorFields(err)...)
 	}
 }
--- a/internal/gateway/client_library_test.go
+++ b/internal/gateway/client_library_test.go
@@ -32,19 +32,19 @@
 		library = openai.NewClientWithConfig(config)
 	})
 
-	It("gets whole answers and the models", func(ctx context.Context) {
-		whole := request
-		whole.StreamOptions = nil
-		answer, err := library.CreateChatCompletion(ctx, whole)
+	It("reads complete responses and the model list", func(ctx context.Context) {
+		nonStreaming := request
+		nonStreaming.StreamOptions = nil
+		completion, err := library.CreateChatCompletion(ctx, nonStreaming)
 		Expect(err).NotTo(HaveOccurred())
-		Expect(answer.Choices[0].Message.Content).To(Equal(helloText))
-		Expect(answer.Usage.TotalTokens).To(Equal(8))
+		Expect(completion.Choices[0].Message.Content).To(Equal(helloText))
+		Expect(completion.Usage.TotalTokens).To(Equal(8))
 		models, err := library.ListModels(ctx)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(models.Models).To(HaveLen(2))
 	})
 
-	It("reads streams to their end", func(ctx context.Context) {
+	It("reads streams to the end", func(ctx context.Context) {
 		stream, err := library.CreateChatCompletionStream(ctx, request)
 		Expect(err).NotTo(HaveOccurred())
 		defer stream.Close()
@@ -67,22 +67,22 @@
 		Expect(total).To(Equal(8))
 	})
 
-	It("reads errors, before and inside a stream", func(ctx context.Context) {
-		scheduler.onCall = answering(resultcode.Overloaded)
+	It("reads errors before and inside a stream", func(ctx context.Context) {
+		scheduler.onCall = rejectWith(resultcode.Overloaded)
 		_, err := library.CreateChatCompletionStream(ctx, request)
-		var told *openai.APIError
-		Expect(errors.As(err, &told)).To(BeTrue(), "%v", err)
-		Expect(told.HTTPStatusCode).To(Equal(429))
-		Expect(told.Code).To(BeEquivalentTo(2001))
+		var apiErr *openai.APIError
+		Expect(errors.As(err, &apiErr)).To(BeTrue(), "%v", err)
+		Expect(apiErr.HTTPStatusCode).To(Equal(429))
+		Expect(apiErr.Code).To(BeEquivalentTo(2001))
 		stopped := failed(failure(resultcode.CallStopped, "stopped"))
-		scheduler.onCall = cutAfter(accepted(), chunk(1, "Hel"), stopped)
+		scheduler.onCall = abortAfter(accepted(), chunk(1, "Hel"), stopped)
 		stream, err := library.CreateChatCompletionStream(ctx, request)
 		Expect(err).NotTo(HaveOccurred())
 		defer stream.Close()
 		_, err = stream.Recv()
 		Expect(err).NotTo(HaveOccurred())
 		_, err = stream.Recv()
-		Expect(errors.As(err, &told)).To(BeTrue(), "%v", err)
-		Expect(told.Message).To(Equal("stopped"))
+		Expect(errors.As(err, &apiErr)).To(BeTrue(), "%v", err)
+		Expect(apiErr.Message).To(Equal("stopped"))
 	})
 })
--- a/internal/gateway/completion_answer.go
+++ b/internal/gateway/completion_response.go
@@ -8,7 +8,7 @@
 	schedulerv1 "github.com/magpielug/magpielug/api/scheduler/v1"
 )
 
-// Object names of OpenAI's shapes.
+// Fixed values of OpenAI's response format.
 const (
 	objectCompletion = "chat.completion"
 	objectChunk      = "chat.completion.chunk"
@@ -16,7 +16,7 @@
 	completionPrefix = "chatcmpl-"
 )
 
-// completionUsage is OpenAI's count of a call's tokens.
+// completionUsage is OpenAI's token usage object.
 type completionUsage struct {
 	PromptTokens     uint32        `json:"prompt_tokens"`
 	CompletionTokens uint32        `json:"completion_tokens"`
@@ -28,7 +28,7 @@
 	CachedTokens uint32 `json:"cached_tokens"`
 }
 
-func usageOf(usage *schedulerv1.Usage) completionUsage {
+func newCompletionUsage(usage *schedulerv1.Usage) completionUsage {
 	return completionUsage{
 		PromptTokens:     usage.GetPromptTokens(),
 		CompletionTokens: usage.GetOutputTokens(),
@@ -37,7 +37,8 @@
 	}
 }
 
-// completionHead is what the whole answer and each of its chunks begin with.
+// completionHead holds the fields common to chat.completion and
+// chat.completion.chunk objects.
 type completionHead struct {
 	ID      string `json:"id"`
 	Object  string `json:"object"`
@@ -45,7 +46,7 @@
 	Model   string `json:"model"`
 }
 
-func headOf(exchange *exchange, object, model string) completionHead {
+func newCompletionHead(exchange *exchange, object, model string) completionHead {
 	return completionHead{
 		ID:      completionPrefix + exchange.requestID,
 		Object:  object,
@@ -54,16 +55,16 @@
 	}
 }
 
-func newCompletionAnswer(exchange *exchange, body *chatRequest) answer {
+func newCompletionResponse(exchange *exchange, body *chatRequest) callResponse {
 	if !body.Stream {
-		return &completionWhole{wholeText: wholeText{exchange: exchange}, model: body.Model}
+		return &completionResponse{textCollector: textCollector{exchange: exchange}, model: body.Model}
 	}
 	return newCompletionStream(exchange, body)
 }
 
-// completionWhole answers with one chat.completion object.
-type completionWhole struct {
-	wholeText
+// completionResponse responds with one chat.completion object.
+type completionResponse struct {
+	textCollector
 	model string
 }
 
@@ -84,44 +85,43 @@
 	Content string `json:"content"`
 }
 
-func (whole *completionWhole) finish(_ uint32, finished *schedulerv1.Finished) error {
-	return whole.exchange.answerJSON(http.StatusOK, completionBody{
-		completionHead: headOf(whole.exchange, objectCompletion, whole.model),
+func (response *completionResponse) finish(_ uint32, finished *schedulerv1.Finished) error {
+	return response.exchange.writeJSON(http.StatusOK, completionBody{
+		completionHead: newCompletionHead(response.exchange, objectCompletion, response.model),
 		Choices: []completionChoice{{
-			Message:      completionMessage{Role: roleAssistant, Content: whole.text.String()},
+			Message:      completionMessage{Role: roleAssistant, Content: response.text.String()},
 			FinishReason: finished.GetFinishReason(),
 		}},
-		Usage: usageOf(finished.GetUsage()),
+		Usage: newCompletionUsage(finished.GetUsage()),
 	})
 }
 
-// completionStream answers with chat.completion.chunk events.
+// completionStream responds with chat.completion.chunk events.
 type completionStream struct {
 	events       *eventStream
 	includeUsage bool
-	// prefix is a chunk's JSON up to the text of its delta.
+	// prefix is the JSON encoding of head without its closing brace.
 	prefix []byte
 	head   completionHead
 	buffer []byte
 }
 
-// The parts of a chunk's JSON around its text. The sequence number stands in
-// the JSON, since some client libraries take an event's id line for a part of
-// an error.
+// Parts of a chunk's JSON around its text. The sequence number is in the JSON
+// because some client libraries treat an event's id line as part of an error.
 const (
 	deltaPrefix      = `,"choices":[{"index":0,"delta":{"content":`
 	firstDeltaPrefix = `,"choices":[{"index":0,"delta":{"role":"assistant","content":`
 	deltaSuffix      = `},"finish_reason":null}],"sequence":`
 )
 
-// endOfStream is the data of an OpenAI stream's last event.
+// endOfStream is the data of the last event of an OpenAI stream.
 const endOfStream = "[DONE]"
 
 func newCompletionStream(exchange *exchange, body *chatRequest) *completionStream {
-	head := headOf(exchange, objectChunk, body.Model)
+	head := newCompletionHead(exchange, objectChunk, body.Model)
 	encoded, err := json.Marshal(head)
 	if err != nil {
-		// Strings and numbers always have a JSON form.
+		// Strings and numbers can always be encoded.
 		panic(err)
 	}
 	return &completionStream{
@@ -144,11 +144,11 @@
 	buffer = strconv.AppendUint(buffer, chunk.GetSequence(), 10)
 	buffer = append(buffer, '}')
 	stream.buffer = buffer
-	stream.events.exchange.noteChunk()
+	stream.events.exchange.recordChunk()
 	return stream.events.send(0, "", buffer)
 }
 
-func (stream *completionStream) canRestart() bool { return !stream.events.exchange.committed }
+func (stream *completionStream) tryReset() bool { return !stream.events.exchange.committed }
 
 type completionChunk struct {
 	completionHead
@@ -171,7 +171,7 @@
 		return err
 	}
 	if stream.includeUsage {
-		usage := usageOf(finished.GetUsage())
+		usage := newCompletionUsage(finished.GetUsage())
 		counted := completionChunk{completionHead: stream.head, Choices: []chunkChoice{}, Usage: &usage}
 		if err := stream.sendChunk(counted); err != nil {
 			return err
@@ -188,4 +188,4 @@
 	return stream.events.send(0, "", content)
 }
 
-func (stream *completionStream) fail(failure error) { stream.events.fail("", failure) }
+func (stream *completionStream) sendError(failure error) { stream.events.sendError("", failure) }
--- a/internal/gateway/completion_test.go
+++ b/internal/gateway/completion_test.go
@@ -19,7 +19,7 @@
 	return `{"model":"agent","messages":[{"role":"user","content":"hi"}]` + extra + `}`
 }
 
-// dataOf returns the data of each event of a stream.
+// dataOf returns the data of each event in a stream.
 func dataOf(stream string) []string {
 	var data []string
 	for _, line := range strings.Split(stream, "\n") {
@@ -30,7 +30,7 @@
 	return data
 }
 
-// textOf joins the deltas of an OpenAI stream.
+// textOf concatenates the content deltas of an OpenAI stream.
 func textOf(stream string) string {
 	var text strings.Builder
 	for _, data := range dataOf(stream) {
@@ -55,7 +55,7 @@
 		caller = startGateway(testConfig(), httpserver.Limits{}, scheduler.address())
 	})
 
-	It("answers whole in OpenAI's shape and passes the call on", func() {
+	It("forwards the call and responds in OpenAI's format", func() {
 		reply := caller.send("POST", chatPath, chat(`,"max_completion_tokens":7,"unknown":1`), headerRequestID, "r1")
 		Expect(reply.status).To(Equal(http.StatusOK), reply.body)
 		var body completionBody
@@ -73,7 +73,7 @@
 		Expect(request.ProgramId).To(Equal(derivedProgramID(purposeSingleCall, "metering", "r1")))
 	})
 
-	It("streams in OpenAI's shape, with usage where asked", func() {
+	It("streams in OpenAI's format, with usage if requested", func() {
 		reply := caller.send("POST", chatPath, chat(`,"stream":true,"stream_options":{"include_usage":true}`))
 		Expect(reply.header.Get("Content-Type")).To(Equal("text/event-stream"))
 		Expect(textOf(reply.body)).To(Equal(helloText))
@@ -86,7 +86,7 @@
 		Expect(data[5]).To(Equal("[DONE]"))
 	})
 
-	It("makes a call of the program that a header names", func() {
+	It("adds the call to the program in the header", func() {
 		caller.send("POST", chatPath, chat(""), headerProgram, "p1", headerRepeatable, "false", headerIdempotencyKey, "k")
 		request := scheduler.requests()[0]
 		Expect(request.ProgramId).To(Equal("p1"))
@@ -95,12 +95,12 @@
 		Expect(request.Repeatable).To(BeFalse())
 	})
 
-	It("gives a call refused after a wait its own status and when to come back", func() {
+	It("responds to a call rejected after a wait with its status and Retry-After", func() {
 		scheduler.onCall = func(_ *schedulerv1.CallRequest, send func(*schedulerv1.CallEvent)) {
 			send(accepted())
-			refusal := failure(resultcode.Overloaded, "busy")
-			refusal.RetryAfterMs = 1200
-			send(failed(refusal))
+			rejection := failure(resultcode.Overloaded, "busy")
+			rejection.RetryAfterMs = 1200
+			send(failed(rejection))
 		}
 		reply := caller.send("POST", chatPath, chat(`,"stream":true`))
 		Expect(reply.status).To(Equal(http.StatusTooManyRequests))
@@ -108,7 +108,7 @@
 		Expect(reply.code()).To(Equal(resultcode.Overloaded))
 	})
 
-	It("tells a failure inside a stream that has begun", func() {
+	It("reports an error inside a stream that has begun", func() {
 		scheduler.onCall = func(_ *schedulerv1.CallRequest, send func(*schedulerv1.CallEvent)) {
 			send(accepted())
 			send(chunk(1, "Hel"))
@@ -119,7 +119,7 @@
 		Expect(data[1]).To(ContainSubstring(`"code":3002`))
 	})
 
-	It("has every path and header on the interface page", func() {
+	It("documents every route and header", func() {
 		page, err := os.ReadFile("../../docs/INTERFACES-callers.md")
 		Expect(err).NotTo(HaveOccurred())
 		for _, route := range (&Gateway{}).routes() {
--- a/internal/gateway/config.go
+++ b/internal/gateway/config.go
@@ -2,54 +2,55 @@
 
 import "time"
 
-// Config holds the gateway's limits and bounds. A zero field takes the value
+// Config holds the gateway's limits and timeouts. A zero field takes the value
 // of DefaultConfig.
 type Config struct {
-	// MaxBodyBytes bounds a request's body.
+	// MaxBodyBytes limits the size of a request body.
 	MaxBodyBytes int64
-	// MaxMessages bounds the messages of one call.
+	// MaxMessages limits the messages of one call.
 	MaxMessages int
-	// MaxOutputTokens bounds max_tokens; DefaultOutputTokens stands in for a
-	// request that names none. Both are reserved against the budget.
+	// MaxOutputTokens limits max_tokens; DefaultOutputTokens applies if a
+	// request does not set it. The value in effect is reserved against the
+	// budget.
 	MaxOutputTokens     uint32
 	DefaultOutputTokens uint32
-	// MaxHistoryLimit bounds and DefaultHistoryLimit stands in for the limit
-	// of one read of a program's history, in turns.
+	// MaxHistoryLimit is the highest limit, in turns, of one history request;
+	// DefaultHistoryLimit applies if the request does not set it.
 	MaxHistoryLimit     uint32
 	DefaultHistoryLimit uint32
-	// MaxWait bounds the deadline a caller may ask for a call.
+	// MaxWait is the longest deadline that a caller may set.
 	MaxWait time.Duration
 
-	// RouteBound is the longest the gateway looks for a shard's leader before
-	// it refuses a request as not run.
+	// RouteBound is the timeout for finding a shard's leader, after which the
+	// request is rejected as not run.
 	RouteBound time.Duration
-	// ReattachBound is the longest it looks for the leader of a call that a
-	// scheduler has accepted.
+	// ReattachBound is the timeout for finding the leader again for a call that
+	// a scheduler has accepted.
 	ReattachBound time.Duration
-	// FirstEventBound is the longest silence of a scheduler after a call is
-	// sent to it; a live leader accepts, refuses or redirects at once.
+	// FirstEventBound is the timeout for a scheduler's first event; a healthy
+	// leader accepts, rejects or redirects a call immediately.
 	FirstEventBound time.Duration
-	// IdleBound is the longest silence on an accepted call before the gateway
-	// attaches anew, so that a frozen leader is noticed.
+	// IdleBound is the longest gap between events of an accepted call. After it
+	// the gateway reattaches, in case the leader is frozen.
 	IdleBound time.Duration
-	// UnaryBound is the longest wait for one answer that is no stream.
+	// UnaryBound is the timeout of one unary request to a scheduler.
 	UnaryBound time.Duration
-	// BackoffBase is the mean wait before the second look at all candidates;
-	// it doubles up to BackoffLimit.
+	// BackoffBase is the mean backoff before the second pass over the
+	// candidates; it doubles up to BackoffLimit.
 	BackoffBase  time.Duration
 	BackoffLimit time.Duration
-	// RetryAfter is what callers are told where no better figure is known.
+	// RetryAfter is the Retry-After reported where no better estimate is known.
 	RetryAfter time.Duration
-	// RedirectLimit bounds the leader hints followed for one request between
-	// two waits.
+	// RedirectLimit limits the leader hints followed in one pass over the
+	// candidates.
 	RedirectLimit int
-	// RetryRatio and RetryBurst bound the retries: RetryBurst plus RetryRatio
-	// for each request.
+	// RetryRatio and RetryBurst set the retry budget: a burst of RetryBurst
+	// retries, refilled by RetryRatio for each request.
 	RetryRatio float64
 	RetryBurst float64
 }
 
-// DefaultConfig returns the values used where settings name none.
+// DefaultConfig returns the default limits and timeouts.
 func DefaultConfig() Config {
 	return Config{
 		MaxBodyBytes:        4 << 20,
@@ -75,28 +76,28 @@
 
 func (config Config) withDefaults() Config {
 	defaults := DefaultConfig()
-	orDefault(&config.MaxBodyBytes, defaults.MaxBodyBytes)
-	orDefault(&config.MaxMessages, defaults.MaxMessages)
-	orDefault(&config.MaxOutputTokens, defaults.MaxOutputTokens)
-	orDefault(&config.DefaultOutputTokens, min(defaults.DefaultOutputTokens, config.MaxOutputTokens))
-	orDefault(&config.MaxHistoryLimit, defaults.MaxHistoryLimit)
-	orDefault(&config.DefaultHistoryLimit, min(defaults.DefaultHistoryLimit, config.MaxHistoryLimit))
-	orDefault(&config.MaxWait, defaults.MaxWait)
-	orDefault(&config.RouteBound, defaults.RouteBound)
-	orDefault(&config.ReattachBound, defaults.ReattachBound)
-	orDefault(&config.FirstEventBound, defaults.FirstEventBound)
-	orDefault(&config.IdleBound, defaults.IdleBound)
-	orDefault(&config.UnaryBound, defaults.UnaryBound)
-	orDefault(&config.BackoffBase, defaults.BackoffBase)
-	orDefault(&config.BackoffLimit, defaults.BackoffLimit)
-	orDefault(&config.RetryAfter, defaults.RetryAfter)
-	orDefault(&config.RedirectLimit, defaults.RedirectLimit)
-	orDefault(&config.RetryRatio, defaults.RetryRatio)
-	orDefault(&config.RetryBurst, defaults.RetryBurst)
+	setDefault(&config.MaxBodyBytes, defaults.MaxBodyBytes)
+	setDefault(&config.MaxMessages, defaults.MaxMessages)
+	setDefault(&config.MaxOutputTokens, defaults.MaxOutputTokens)
+	setDefault(&config.DefaultOutputTokens, min(defaults.DefaultOutputTokens, config.MaxOutputTokens))
+	setDefault(&config.MaxHistoryLimit, defaults.MaxHistoryLimit)
+	setDefault(&config.DefaultHistoryLimit, min(defaults.DefaultHistoryLimit, config.MaxHistoryLimit))
+	setDefault(&config.MaxWait, defaults.MaxWait)
+	setDefault(&config.RouteBound, defaults.RouteBound)
+	setDefault(&config.ReattachBound, defaults.ReattachBound)
+	setDefault(&config.FirstEventBound, defaults.FirstEventBound)
+	setDefault(&config.IdleBound, defaults.IdleBound)
+	setDefault(&config.UnaryBound, defaults.UnaryBound)
+	setDefault(&config.BackoffBase, defaults.BackoffBase)
+	setDefault(&config.BackoffLimit, defaults.BackoffLimit)
+	setDefault(&config.RetryAfter, defaults.RetryAfter)
+	setDefault(&config.RedirectLimit, defaults.RedirectLimit)
+	setDefault(&config.RetryRatio, defaults.RetryRatio)
+	setDefault(&config.RetryBurst, defaults.RetryBurst)
 	return config
 }
 
-func orDefault[T comparable](field *T, value T) {
+func setDefault[T comparable](field *T, value T) {
 	var zero T
 	if *field == zero {
 		*field = value
--- a/internal/gateway/dependencies.go
+++ b/internal/gateway/dependencies.go
@@ -8,64 +8,64 @@
 	"go.uber.org/zap"
 )
 
-// Tier is the priority class that a key belongs to.
+// Tier is the priority class of an API key.
 type Tier struct {
 	Name   string
 	Tenant string
 }
 
-// ServiceKind tells what a service of the configuration is.
+// ServiceKind distinguishes model services from tool services.
 type ServiceKind int
 
-// Kinds of services.
+// Service kinds.
 const (
 	ServiceModel ServiceKind = iota + 1
 	ServiceTool
 )
 
-// Service is a model or a tool service that programs may call.
+// Service is a model or tool service that programs may call.
 type Service struct {
 	Name     string
 	Kind     ServiceKind
 	Adapters []string
 }
 
-// Configuration is what the gateway reads from one version of the operators'
-// configuration. It never changes once handed out.
+// Configuration is the gateway's view of one version of the operators'
+// configuration. It is immutable.
 type Configuration interface {
-	// TierByKey finds the tier of a caller's key, without a comparison whose
-	// time depends on the key.
+	// TierByKey returns the tier of a caller's key. Its duration must not
+	// depend on the key.
 	TierByKey(key string) (Tier, bool)
-	// ServiceByName finds a service.
+	// ServiceByName returns the service with the given name.
 	ServiceByName(name string) (Service, bool)
-	// Services lists all services in the operators' order.
+	// Services returns all services in configuration order.
 	Services() []Service
 }
 
-// Clock tells the time and lets it pass.
+// Clock provides the time and timers.
 type Clock interface {
 	Now() time.Time
 	After(wait time.Duration) <-chan time.Time
 }
 
-// Dependencies are the parts a gateway works with.
+// Dependencies holds a gateway's collaborators.
 type Dependencies struct {
-	// Configuration returns the configuration in force on this node; nil
-	// while none is known, or none that is fresh.
+	// Configuration returns this node's current configuration, or nil if none
+	// is known or the known one is stale.
 	Configuration func() Configuration
 	Router        Router
-	// Client speaks to schedulers; optional.
+	// Client sends requests to schedulers; optional.
 	Client *http.Client
 	// Clock is optional.
 	Clock Clock
 	// Logger is optional.
 	Logger *zap.Logger
-	// Metrics takes the gateway's metrics; optional.
+	// Metrics registers the gateway's metrics; optional.
 	Metrics prometheus.Registerer
 }
 
-// Limits of the default client's connections to schedulers. A call under way
-// holds a connection, so their number is bounded by the calls in flight.
+// Limits on the default client's idle connections to schedulers. Each call in
+// flight holds a connection, so the calls in flight bound the open ones.
 const (
 	idleConnectionsPerScheduler = 256
 	idleConnectionTimeout       = 90 * time.Second
--- a/internal/gateway/departure_test.go
+++ b/internal/gateway/disconnect_test.go
@@ -17,7 +17,7 @@
 	. "github.com/onsi/gomega"
 )
 
-// open sends a request over a connection of its own and does not read.
+// open sends a request over a new connection and does not read the response.
 func (caller *caller) open(path, body string, headers ...string) net.Conn {
 	connection, err := net.Dial("tcp", caller.address)
 	Expect(err).NotTo(HaveOccurred())
@@ -31,13 +31,13 @@
 	return connection
 }
 
-var _ = Describe("A caller that leaves", func() {
+var _ = Describe("A caller that disconnects", func() {
 	var scheduler *fakeScheduler
 	var caller *caller
 	var stopped chan *schedulerv1.EndProgramRequest
 
 	BeforeEach(func() {
-		scheduler = startScheduler(silentAfter(accepted()))
+		scheduler = startScheduler(hangAfter(accepted()))
 		stopped = make(chan *schedulerv1.EndProgramRequest, 8)
 		scheduler.onEnd = func(request *schedulerv1.EndProgramRequest) *schedulerv1.ProgramReply {
 			stopped <- request
@@ -46,27 +46,27 @@
 		caller = startGateway(testConfig(), httpserver.Limits{}, scheduler.address())
 	})
 
-	leave := func(headers ...string) {
+	disconnect := func(headers ...string) {
 		connection := caller.open(chatPath, chat(""), headers...)
-		Eventually(scheduler.requests).WithTimeout(patience).ShouldNot(BeEmpty())
+		Eventually(scheduler.requests).WithTimeout(testTimeout).ShouldNot(BeEmpty())
 		Expect(connection.Close()).To(Succeed())
 	}
 
-	It("has a call that nobody can name again cancelled", func() {
-		leave()
-		var order *schedulerv1.EndProgramRequest
-		Eventually(stopped).WithTimeout(patience).Should(Receive(&order))
-		Expect(order.Stop).To(BeTrue())
-		Expect(order.ProgramId).To(Equal(scheduler.requests()[0].ProgramId))
+	It("cancels a call that can't be resumed", func() {
+		disconnect()
+		var request *schedulerv1.EndProgramRequest
+		Eventually(stopped).WithTimeout(testTimeout).Should(Receive(&request))
+		Expect(request.Stop).To(BeTrue())
+		Expect(request.ProgramId).To(Equal(scheduler.requests()[0].ProgramId))
 	})
 
-	DescribeTable("leaves a call that can be asked for again to its end",
+	DescribeTable("does not cancel a call that can be resumed",
 		func(headers ...string) {
-			leave(headers...)
-			leave()
-			var order *schedulerv1.EndProgramRequest
-			Eventually(stopped).WithTimeout(patience).Should(Receive(&order))
-			Expect(order.ProgramId).NotTo(Equal(scheduler.requests()[0].ProgramId))
+			disconnect(headers...)
+			disconnect()
+			var request *schedulerv1.EndProgramRequest
+			Eventually(stopped).WithTimeout(testTimeout).Should(Receive(&request))
+			Expect(request.ProgramId).NotTo(Equal(scheduler.requests()[0].ProgramId))
 			Consistently(stopped, "100ms").ShouldNot(Receive())
 		},
 		Entry("a program's call", headerProgram, "p1"),
@@ -75,9 +75,9 @@
 })
 
 var _ = Describe("A caller that stops reading", func() {
-	It("is cut off as a slow reader, keeps no more than the bound, and can resume", func() {
+	It("is disconnected as a slow reader and can resume", func() {
 		const count = 2000
-		scheduler := startScheduler(func(request *schedulerv1.CallRequest, send sender) {
+		scheduler := startScheduler(func(request *schedulerv1.CallRequest, send eventSender) {
 			send(accepted())
 			for sequence := request.ResumeAfter + 1; sequence <= count; sequence++ {
 				send(chunk(sequence, strings.Repeat("x", 4<<10)))
@@ -88,7 +88,7 @@
 		registry := prometheus.NewRegistry()
 		gateway := New(testConfig(), Dependencies{
 			Configuration: func() Configuration { return fixedConfiguration{} },
-			Router:        routerTo(scheduler.address()),
+			Router:        newTestRouter(scheduler.address()),
 			Logger:        zap.New(core),
 			Metrics:       registry,
 		})
@@ -100,7 +100,7 @@
 
 		body := `{"kind":"model","target":"agent","messages":[{"role":"user","content":"hi"}],"stream":true}`
 		caller.open(callsPath, body, headerRequestID, "r1")
-		Eventually(lines.Len).WithTimeout(patience).Should(Equal(1))
+		Eventually(lines.Len).WithTimeout(testTimeout).Should(Equal(1))
 		fields := lines.All()[0].ContextMap()
 		Expect(fields["code"]).To(Equal(uint32(resultcode.SlowReader)))
 		Expect(fields["program"]).To(Equal("p1"))
--- a/internal/gateway/failure.go
+++ b/internal/gateway/errors.go
@@ -9,23 +9,23 @@
 	"github.com/magpielug/magpielug/internal/resultcode"
 )
 
-// fromScheduler turns a scheduler's error into the caller's. An unknown
-// program always gets the same words, so that another tenant's program can't
-// be told from one that does not exist.
-func fromScheduler(failure *schedulerv1.Error) *resultcode.Error {
+// convertSchedulerError converts a scheduler's error for the caller. The
+// message for an unknown program is fixed, so that it does not reveal whether
+// another tenant has that program.
+func convertSchedulerError(failure *schedulerv1.Error) *resultcode.Error {
 	code := resultcode.Code(failure.GetCode())
 	if code == resultcode.UnknownProgram {
-		return unknownProgram()
+		return unknownProgramError()
 	}
 	wait := time.Duration(failure.GetRetryAfterMs()) * time.Millisecond
 	return resultcode.New(code, "%s", failure.GetMessage()).After(wait)
 }
 
-func unknownProgram() *resultcode.Error {
+func unknownProgramError() *resultcode.Error {
 	return resultcode.New(resultcode.UnknownProgram, "no such program under this key")
 }
 
-// encodeFailure returns the JSON that a failure has inside a stream.
-func encodeFailure(failure error) ([]byte, error) {
+// encodeError returns the JSON encoding of an error event.
+func encodeError(failure error) ([]byte, error) {
 	return json.Marshal(httpserver.ErrorBody{Error: httpserver.NewErrorDetail(failure)})
 }
--- a/internal/gateway/event_stream.go
+++ b/internal/gateway/event_stream.go
@@ -10,23 +10,22 @@
 	"github.com/magpielug/magpielug/internal/resultcode"
 )
 
-// eventStream writes server-sent events to one caller. The answer's status is
-// sent with the first event, so that a call refused after a wait still gets
+// eventStream writes server-sent events to one caller. The response status is
+// sent with the first event, so that a call rejected after a wait still gets
 // its own status.
 type eventStream struct {
-	exchange *exchange
-	control  *http.ResponseController
-	buffer   []byte
+	exchange   *exchange
+	controller *http.ResponseController
+	buffer     []byte
 }
 
 func newEventStream(exchange *exchange) *eventStream {
-	return &eventStream{exchange: exchange, control: http.NewResponseController(exchange.writer)}
+	return &eventStream{exchange: exchange, controller: http.NewResponseController(exchange.writer)}
 }
 
-// send writes one event and flushes it. id is left out where 0, name where
-// empty.
+// send writes one event and flushes it. An id of 0 or an empty name is omitted.
 func (stream *eventStream) send(id uint64, name string, data []byte) error {
-	stream.begin()
+	stream.writeHeader()
 	buffer := stream.buffer[:0]
 	if name != "" {
 		buffer = append(buffer, "event: "...)
@@ -45,30 +44,30 @@
 	return stream.write(buffer)
 }
 
-// write hands the event to the server, which holds it within the connection's
-// write buffer and waits, within its write timeout, while that is full.
+// write passes the event to the server, which buffers it and blocks while the
+// connection's write buffer is full, up to the write timeout.
 func (stream *eventStream) write(content []byte) error {
 	_, err := stream.exchange.writer.Write(content)
 	if err == nil {
-		err = stream.control.Flush()
+		err = stream.controller.Flush()
 	}
 	return writeError(err)
 }
 
-// writeError turns a failed write to the caller into the exchange's outcome.
-// A slow reader's connection is closed: it can't be told, but it can resume.
+// writeError converts an error of writing to the caller. The connection of a
+// slow reader is already closed, so the error is only logged and counted.
 func writeError(err error) error {
 	switch {
 	case err == nil:
 		return nil
 	case errors.Is(err, httpserver.ErrSlowReader):
-		return resultcode.New(resultcode.SlowReader, "the caller read too slowly; its call goes on and can be resumed")
+		return resultcode.New(resultcode.SlowReader, "the caller read too slowly; the call continues and can be resumed")
 	default:
-		return errCallerGone
+		return errCallerDisconnected
 	}
 }
 
-func (stream *eventStream) begin() {
+func (stream *eventStream) writeHeader() {
 	if stream.exchange.committed {
 		return
 	}
@@ -79,26 +78,26 @@
 	stream.exchange.writer.WriteHeader(http.StatusOK)
 }
 
-// fail tells a failure inside a stream that has begun.
-func (stream *eventStream) fail(name string, failure error) {
+// sendError sends an error event if the stream has begun.
+func (stream *eventStream) sendError(name string, failure error) {
 	if !stream.exchange.committed {
 		return
 	}
-	content, err := encodeFailure(failure)
+	content, err := encodeError(failure)
 	if err == nil {
-		// A failed write means that the caller has left.
+		// A write error means that the caller has disconnected.
 		_ = stream.send(0, name, content)
 	}
 }
 
-// appendJSONString appends text as a JSON string. Generated text is mostly
-// plain, which needs no escape.
+// appendJSONString appends text as a JSON string. It avoids the encoder for
+// printable ASCII that needs no escaping.
 func appendJSONString(buffer []byte, text string) []byte {
 	for index := range len(text) {
-		if letter := text[index]; letter < ' ' || letter == '"' || letter == '\\' || letter > '~' {
+		if char := text[index]; char < ' ' || char == '"' || char == '\\' || char > '~' {
 			encoded, err := json.Marshal(text)
 			if err != nil {
-				// Any string has a JSON form.
+				// Strings can always be encoded.
 				panic(err)
 			}
 			return append(buffer, encoded...)
--- a/internal/gateway/exchange.go
+++ b/internal/gateway/exchange.go
@@ -15,16 +15,17 @@
 	"github.com/magpielug/magpielug/internal/resultcode"
 )
 
-// errCallerGone is the cause of an exchange's end when its caller left.
-var errCallerGone = errors.New("caller gone")
+// errCallerDisconnected ends an exchange whose caller has disconnected. Its
+// text is stored as the reason for stopping a program.
+var errCallerDisconnected = errors.New("caller gone")
 
-// exchange is one caller's request and what is known of it so far.
+// exchange is the state of one caller's request.
 type exchange struct {
 	gateway *Gateway
 	route   string
 	writer  http.ResponseWriter
 	request *http.Request
-	// context ends when the caller's connection closes: see httpserver.
+	// context is done when the caller's connection closes; see httpserver.
 	context context.Context
 	started time.Time
 
@@ -33,13 +34,13 @@
 	programID     string
 	requestID     string
 
-	// committed is true once the answer's status has been sent: a failure can
-	// then be told only inside the stream.
-	committed  bool
-	firstToken time.Time
-	lastToken  time.Time
-	chunks     uint64
-	attaches   int
+	// committed is true once the response status has been sent. A later error
+	// can only be reported inside the stream.
+	committed   bool
+	firstToken  time.Time
+	lastToken   time.Time
+	chunks      uint64
+	attachCount int
 }
 
 func (gateway *Gateway) newExchange(route string, writer http.ResponseWriter, request *http.Request) *exchange {
@@ -53,11 +54,10 @@
 	}
 }
 
-// callerGone reports whether the caller's connection has closed.
-func (exchange *exchange) callerGone() bool { return exchange.context.Err() != nil }
+func (exchange *exchange) callerDisconnected() bool { return exchange.context.Err() != nil }
 
-// noteChunk records the times of one relayed chunk.
-func (exchange *exchange) noteChunk() {
+// recordChunk updates the latency metrics for one relayed chunk.
+func (exchange *exchange) recordChunk() {
 	now := exchange.gateway.dependencies.Clock.Now()
 	metrics := exchange.gateway.metrics
 	if exchange.chunks == 0 {
@@ -70,22 +70,22 @@
 	exchange.chunks++
 }
 
-// conclude answers a failure that the caller has not been told yet, then
-// writes the request's log line and metrics.
-func (exchange *exchange) conclude(err error) {
-	if err != nil && !exchange.committed && !exchange.callerGone() && !errors.Is(err, errCallerGone) {
+// finish writes the error response, unless the response has begun or the caller
+// has disconnected, then logs the request and updates the metrics.
+func (exchange *exchange) finish(err error) {
+	if err != nil && !exchange.committed && !exchange.callerDisconnected() && !errors.Is(err, errCallerDisconnected) {
 		httpserver.WriteError(exchange.writer, err)
 	}
 	code := resultcode.CodeOf(err)
 	outcome := code.String()
-	if errors.Is(err, errCallerGone) {
+	if errors.Is(err, errCallerDisconnected) {
 		code, outcome = resultcode.OK, "CALLER_GONE"
 	}
 	exchange.gateway.metrics.requests.WithLabelValues(exchange.route, outcome).Inc()
-	exchange.log(code, outcome, err)
+	exchange.logRequest(code, outcome, err)
 }
 
-func (exchange *exchange) log(code resultcode.Code, outcome string, err error) {
+func (exchange *exchange) logRequest(code resultcode.Code, outcome string, err error) {
 	now := exchange.gateway.dependencies.Clock.Now()
 	fields := []zap.Field{
 		zap.String("route", exchange.route),
@@ -102,8 +102,8 @@
 			zap.Float64("first_token_ms", milliseconds(exchange.firstToken.Sub(exchange.started))),
 			zap.Uint64("chunks", exchange.chunks))
 	}
-	if exchange.attaches > 1 {
-		fields = append(fields, zap.Int("attaches", exchange.attaches))
+	if exchange.attachCount > 1 {
+		fields = append(fields, zap.Int("attaches", exchange.attachCount))
 	}
 	if err != nil {
 		fields = append(fields, zap.String("error", err.Error()))
@@ -111,7 +111,7 @@
 	exchange.gateway.dependencies.Logger.Info("request", fields...)
 }
 
-// errorFields names the exchange and an error for a log line.
+// errorFields returns log fields that identify the exchange and the error.
 func (exchange *exchange) errorFields(err error) []zap.Field {
 	return []zap.Field{
 		zap.String("request", exchange.requestID),
@@ -122,8 +122,8 @@
 	}
 }
 
-// answerJSON answers with a whole JSON value.
-func (exchange *exchange) answerJSON(status int, value any) error {
+// writeJSON writes a complete JSON response.
+func (exchange *exchange) writeJSON(status int, value any) error {
 	content, err := json.Marshal(value)
 	if err != nil {
 		return err
--- a/internal/gateway/fixture_test.go
+++ b/internal/gateway/fixture_test.go
@@ -22,15 +22,15 @@
 	. "github.com/onsi/gomega"
 )
 
-const patience = 20 * time.Second
+const testTimeout = 20 * time.Second
 
-// fakeScheduler answers calls and questions by the functions a test sets.
+// fakeScheduler serves requests with the functions set by a test.
 type fakeScheduler struct {
 	schedulerv1.Programs
-	server *httptest.Server
-	onCall func(request *schedulerv1.CallRequest, send func(*schedulerv1.CallEvent))
-	onEnd  func(request *schedulerv1.EndProgramRequest) *schedulerv1.ProgramReply
-	onMake func(request *schedulerv1.CreateProgramRequest) *schedulerv1.ProgramReply
+	server   *httptest.Server
+	onCall   func(request *schedulerv1.CallRequest, send func(*schedulerv1.CallEvent))
+	onEnd    func(request *schedulerv1.EndProgramRequest) *schedulerv1.ProgramReply
+	onCreate func(request *schedulerv1.CreateProgramRequest) *schedulerv1.ProgramReply
 
 	mutex sync.Mutex
 	calls []*schedulerv1.CallRequest
@@ -64,11 +64,11 @@
 	scheduler.calls = append(scheduler.calls, request)
 	scheduler.mutex.Unlock()
 	scheduler.onCall(request, func(event *schedulerv1.CallEvent) {
-		if event != headersOnly && event != hang {
+		if event != headersOnly && event != hangOpen {
 			_, _ = protodelim.MarshalTo(writer, event)
 		}
 		writer.(http.Flusher).Flush()
-		if event == hang {
+		if event == hangOpen {
 			<-httpRequest.Context().Done()
 		}
 	})
@@ -81,14 +81,14 @@
 }
 
 func (scheduler *fakeScheduler) CreateProgram(_ context.Context, request *schedulerv1.CreateProgramRequest) (*schedulerv1.ProgramReply, error) {
-	return scheduler.onMake(request), nil
+	return scheduler.onCreate(request), nil
 }
 
 func (scheduler *fakeScheduler) EndProgram(_ context.Context, request *schedulerv1.EndProgramRequest) (*schedulerv1.ProgramReply, error) {
 	return scheduler.onEnd(request), nil
 }
 
-// GetProgram knows program "mine" of tenant "metering" only.
+// GetProgram finds only program "mine" of tenant "metering".
 func (scheduler *fakeScheduler) GetProgram(_ context.Context, request *schedulerv1.GetProgramRequest) (*schedulerv1.ProgramReply, error) {
 	if request.ProgramId != "mine" || request.Caller.Tenant != "metering" {
 		message := "program " + request.ProgramId + " is not of " + request.Caller.Tenant
@@ -127,41 +127,41 @@
 	}}
 }
 
-// words answers a call with its words as chunks, after the caller's last one.
-func words(request *schedulerv1.CallRequest, send func(*schedulerv1.CallEvent), answer ...string) {
+// sendWords sends the words as chunks, from the one after ResumeAfter.
+func sendWords(request *schedulerv1.CallRequest, send func(*schedulerv1.CallEvent), words ...string) {
 	send(accepted())
-	for index, word := range answer {
+	for index, word := range words {
 		if sequence := uint64(index + 1); sequence > request.ResumeAfter {
 			send(chunk(sequence, word))
 		}
 	}
-	send(finished(uint64(len(answer))))
+	send(finished(uint64(len(words))))
 }
 
 func hello(request *schedulerv1.CallRequest, send func(*schedulerv1.CallEvent)) {
-	words(request, send, "Hel", "lo \"", "wörld\"")
+	sendWords(request, send, "Hel", "lo \"", "wörld\"")
 }
 
 const helloText = `Hello "wörld"`
 
-// Instead of an event: headersOnly sends the answer's headers alone, hang keeps
-// the connection open and silent until the gateway closes it.
-var headersOnly, hang = &schedulerv1.CallEvent{}, &schedulerv1.CallEvent{}
+// Sent instead of an event, headersOnly flushes only the response headers, and
+// hangOpen blocks until the gateway closes the connection.
+var headersOnly, hangOpen = &schedulerv1.CallEvent{}, &schedulerv1.CallEvent{}
 
-// cut breaks the scheduler's connection in mid-answer.
-func cut() { panic(http.ErrAbortHandler) }
+// abortConnection aborts the response and closes its connection.
+func abortConnection() { panic(http.ErrAbortHandler) }
 
 // machineList is a fixed machine list.
 type machineList []outside.Machine
 
 func (list machineList) List(context.Context) ([]outside.Machine, error) { return list, nil }
 
-// inOrder places every shard on the schedulers as listed.
-type inOrder struct{}
+// listedOrder places every shard on the schedulers in list order.
+type listedOrder struct{}
 
-func (inOrder) ShardOf(string) uint32 { return 0 }
+func (listedOrder) ShardOf(string) uint32 { return 0 }
 
-func (inOrder) Order(_ uint32, schedulers []outside.Machine) []string {
+func (listedOrder) Order(_ uint32, schedulers []outside.Machine) []string {
 	var addresses []string
 	for _, machine := range schedulers {
 		addresses = append(addresses, machine.Address)
@@ -169,18 +169,18 @@
 	return addresses
 }
 
-func routerTo(addresses ...string) *ShardRouter {
+func newTestRouter(addresses ...string) *ShardRouter {
 	var list machineList
 	for index, address := range addresses {
 		machine := outside.Machine{ID: string(rune('a' + index)), Role: outside.RoleScheduler, Address: address}
 		list = append(list, machine)
 	}
-	router := NewShardRouter(list, inOrder{}, nil)
+	router := NewShardRouter(list, listedOrder{}, nil)
 	_ = router.Refresh(context.Background())
 	return router
 }
 
-// fixedConfiguration has two tenants' keys, one model and one tool.
+// fixedConfiguration has the keys of two tenants, one model and one tool.
 type fixedConfiguration struct{}
 
 func (fixedConfiguration) TierByKey(key string) (Tier, bool) {
@@ -218,13 +218,13 @@
 	}
 }
 
-// caller speaks to a gateway that runs on the real HTTP server.
+// caller is a client of a gateway that runs on the production HTTP server.
 type caller struct{ address, key string }
 
 func startGateway(config Config, limits httpserver.Limits, schedulers ...string) *caller {
 	gateway := New(config, Dependencies{
 		Configuration: func() Configuration { return fixedConfiguration{} },
-		Router:        routerTo(schedulers...),
+		Router:        newTestRouter(schedulers...),
 	})
 	server, err := httpserver.Start("127.0.0.1:0", gateway.Handler(), limits)
 	Expect(err).NotTo(HaveOccurred())
@@ -236,7 +236,7 @@
 	return &caller{address: server.Address(), key: "meter-key"}
 }
 
-// reply is what a caller got.
+// callerReply is a response received by a caller.
 type callerReply struct {
 	status int
 	header http.Header
@@ -250,7 +250,7 @@
 	for index := 0; index < len(headers); index += 2 {
 		request.Header.Set(headers[index], headers[index+1])
 	}
-	client := &http.Client{Timeout: patience}
+	client := &http.Client{Timeout: testTimeout}
 	defer client.CloseIdleConnections()
 	response, err := client.Do(request)
 	Expect(err).NotTo(HaveOccurred())
@@ -259,14 +259,15 @@
 	return callerReply{status: response.StatusCode, header: response.Header, body: string(content)}
 }
 
-// code returns the numbered code of an error answer.
+// code returns the result code of an error response.
 func (reply callerReply) code() resultcode.Code {
 	var body httpserver.ErrorBody
 	Expect(json.Unmarshal([]byte(reply.body), &body)).To(Succeed(), reply.body)
 	return body.Error.Code
 }
 
-// resettingAddress takes one request and resets its connection.
+// resettingAddress returns an address that accepts one connection, reads from
+// it and resets it.
 func resettingAddress() string {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	Expect(err).NotTo(HaveOccurred())
@@ -283,7 +284,7 @@
 	return listener.Addr().String()
 }
 
-// unusedAddress is one that refuses connections.
+// unusedAddress returns an address that refuses connections.
 func unusedAddress() string {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	Expect(err).NotTo(HaveOccurred())
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -1,8 +1,7 @@
-// Package gateway serves callers over HTTP: it authenticates a request by its
-// tier key, checks it, finds the scheduler that leads the program's shard and
-// relays the call's stream to the caller. It keeps no state that matters: any
-// gateway can resume any call. The wire shapes stand in
-// docs/INTERFACES-callers.md.
+// Package gateway serves the callers' HTTP API. It authenticates a request by
+// its API key, validates it, finds the leader of the program's shard and relays
+// the call's stream to the caller. It keeps no durable state: any gateway can
+// resume any call. The API is documented in docs/INTERFACES-callers.md.
 package gateway
 
 import (
@@ -12,7 +11,7 @@
 	"github.com/magpielug/magpielug/internal/resultcode"
 )
 
-// Gateway is the callers' side of one gateway process.
+// Gateway serves the callers' API in one process.
 type Gateway struct {
 	config       Config
 	dependencies Dependencies
@@ -21,8 +20,8 @@
 	handler      http.Handler
 }
 
-// New makes a gateway. Fields of dependencies that are optional take their
-// defaults; those of config that are zero take DefaultConfig's.
+// New returns a gateway. Defaults replace the optional dependencies that are
+// not set and the zero fields of config.
 func New(config Config, dependencies Dependencies) *Gateway {
 	config = config.withDefaults()
 	dependencies = dependencies.withDefaults()
@@ -36,14 +35,14 @@
 	return gateway
 }
 
-// Handler returns the handler of all callers' paths.
+// Handler returns the HTTP handler of the callers' API.
 func (gateway *Gateway) Handler() http.Handler { return gateway.handler }
 
-// endpoint serves one authenticated request. An error that it returns has not
-// been written to the caller yet.
+// endpoint serves one authenticated request. The caller of endpoint reports the
+// returned error unless the response has begun.
 type endpoint func(exchange *exchange) error
 
-// route is one of the callers' paths, as docs/INTERFACES-callers.md lists them.
+// route is one of the API's routes, as listed in docs/INTERFACES-callers.md.
 type route struct {
 	pattern string
 	serve   endpoint
@@ -58,12 +57,12 @@
 		{"POST /v1/programs/{id}/end", gateway.endProgram},
 		{"POST /v1/programs/{id}/stop", gateway.stopProgram},
 		{"GET /v1/programs/{id}/history", gateway.readHistory},
-		{"POST /v1/programs/{id}/calls", gateway.callProgram},
+		{"POST /v1/programs/{id}/calls", gateway.createCall},
 		{"GET /v1/programs/{id}/calls/{request}/stream", gateway.resumeCall},
 	}
 }
 
-// unknownRoute names requests for no path of routes in logs and metrics.
+// unknownRoute is the route in logs and metrics of requests that match none.
 const unknownRoute = "unknown"
 
 func (gateway *Gateway) newHandler() http.Handler {
@@ -72,12 +71,13 @@
 		mux.Handle(route.pattern, gateway.serve(route.pattern, route.serve))
 	}
 	mux.Handle("/", gateway.serveUnauthenticated(unknownRoute, func(*exchange) error {
-		return resultcode.New(resultcode.UnknownRoute, "no such path or method")
+		return resultcode.New(resultcode.UnknownRoute, "unknown path or method")
 	}))
 	return mux
 }
 
-// serve wraps an endpoint with authentication, then as serveUnauthenticated.
+// serve adds authentication to an endpoint and wraps it like
+// serveUnauthenticated.
 func (gateway *Gateway) serve(route string, serve endpoint) http.Handler {
 	return gateway.serveUnauthenticated(route, func(exchange *exchange) error {
 		if err := gateway.authenticate(exchange); err != nil {
@@ -87,19 +87,19 @@
 	})
 }
 
-// serveUnauthenticated wraps an endpoint with the error answer, the log line
-// and the metrics. Requests in flight are bounded, and panics caught, by
-// internal/httpserver.
+// serveUnauthenticated adds the error response, the request log and the metrics
+// to an endpoint. internal/httpserver limits concurrent requests and recovers
+// panics.
 func (gateway *Gateway) serveUnauthenticated(route string, serve endpoint) http.Handler {
 	return http.HandlerFunc(func(writer http.ResponseWriter, request *http.Request) {
 		exchange := gateway.newExchange(route, writer, request)
 		gateway.metrics.inFlight.Inc()
 		defer gateway.metrics.inFlight.Dec()
-		exchange.conclude(serve(exchange))
+		exchange.finish(serve(exchange))
 	})
 }
 
-// milliseconds renders a duration for logs, in milliseconds with fractions.
+// milliseconds converts a duration to fractional milliseconds.
 func milliseconds(duration time.Duration) float64 {
 	return float64(duration) / float64(time.Millisecond)
 }
--- a/internal/gateway/history.go
+++ b/internal/gateway/history.go
@@ -8,11 +8,10 @@
 	"github.com/magpielug/magpielug/internal/resultcode"
 )
 
-// historyBody is a part of a program's history, in the program's order.
+// historyBody is one page of a program's history, in turn order.
 type historyBody struct {
 	Turns []turnBody `json:"turns"`
-	// Next is the turn to read from for the following part; absent where no
-	// more turns were found.
+	// Next is the first turn of the next page; absent if this page is not full.
 	Next uint32 `json:"next,omitempty"`
 }
 
@@ -33,7 +32,8 @@
 	Content string `json:"content"`
 }
 
-// usageBody counts a call's tokens and its cost in micro units.
+// usageBody holds a call's token counts and its cost in micro units of the
+// operator's currency.
 type usageBody struct {
 	PromptTokens uint32 `json:"prompt_tokens"`
 	CachedTokens uint32 `json:"cached_tokens"`
@@ -41,7 +41,7 @@
 	CostMicros   uint64 `json:"cost_micros"`
 }
 
-func callUsageOf(usage *schedulerv1.Usage) usageBody {
+func newUsageBody(usage *schedulerv1.Usage) usageBody {
 	return usageBody{
 		PromptTokens: usage.GetPromptTokens(),
 		CachedTokens: usage.GetCachedTokens(),
@@ -50,7 +50,7 @@
 	}
 }
 
-func turnOf(turn *schedulerv1.Turn) turnBody {
+func newTurnBody(turn *schedulerv1.Turn) turnBody {
 	messages := make([]messageBody, 0, len(turn.GetMessages()))
 	for _, message := range turn.GetMessages() {
 		messages = append(messages, messageBody{Role: message.GetRole(), Content: message.GetContent()})
@@ -63,47 +63,47 @@
 		Messages:     messages,
 		Output:       turn.GetOutput(),
 		FinishReason: turn.GetFinishReason(),
-		Usage:        callUsageOf(turn.GetUsage()),
+		Usage:        newUsageBody(turn.GetUsage()),
 	}
 }
 
 // readHistory serves GET /v1/programs/{id}/history?from=&limit=.
 func (gateway *Gateway) readHistory(exchange *exchange) error {
-	if err := exchange.programInPath(); err != nil {
+	if err := exchange.parseProgramID(); err != nil {
 		return err
 	}
 	query := exchange.request.URL.Query()
-	from, err := queryNumber(query, "from", 0)
+	from, err := parseQueryNumber(query, "from", 0)
 	if err != nil {
 		return err
 	}
-	limit, err := queryNumber(query, "limit", gateway.config.DefaultHistoryLimit)
+	limit, err := parseQueryNumber(query, "limit", gateway.config.DefaultHistoryLimit)
 	if err != nil {
 		return err
 	}
 	if limit < 1 || limit > gateway.config.MaxHistoryLimit {
 		return resultcode.New(resultcode.BadRequest, "limit must be 1 to %d", gateway.config.MaxHistoryLimit)
 	}
-	question := &schedulerv1.ReadHistoryRequest{
+	request := &schedulerv1.ReadHistoryRequest{
 		ProgramId: exchange.programID,
 		Caller:    exchange.caller,
 		FromTurn:  from,
 		Limit:     limit,
 	}
-	part, err := ask(exchange.context, gateway.schedulers, question.ProgramId, false,
+	reply, err := sendUnary(exchange.context, gateway.schedulers, request.ProgramId, false,
 		func(ctx context.Context, service schedulerv1.Programs) (*schedulerv1.ReadHistoryReply, error) {
-			return service.ReadHistory(ctx, question)
+			return service.ReadHistory(ctx, request)
 		})
 	if err != nil {
 		return err
 	}
-	return exchange.answerJSON(http.StatusOK, historyOf(part, limit))
+	return exchange.writeJSON(http.StatusOK, newHistoryBody(reply, limit))
 }
 
-func historyOf(part *schedulerv1.ReadHistoryReply, limit uint32) historyBody {
-	body := historyBody{Turns: make([]turnBody, 0, len(part.GetTurns()))}
-	for _, turn := range part.GetTurns() {
-		body.Turns = append(body.Turns, turnOf(turn))
+func newHistoryBody(reply *schedulerv1.ReadHistoryReply, limit uint32) historyBody {
+	body := historyBody{Turns: make([]turnBody, 0, len(reply.GetTurns()))}
+	for _, turn := range reply.GetTurns() {
+		body.Turns = append(body.Turns, newTurnBody(turn))
 	}
 	if count := len(body.Turns); count > 0 && count >= int(limit) {
 		body.Next = body.Turns[count-1].Number + 1
--- a/internal/gateway/identifier.go
+++ b/internal/gateway/identifier.go
@@ -14,29 +14,31 @@
 	"github.com/magpielug/magpielug/internal/resultcode"
 )
 
-// maxIdentifierBytes bounds program and request ids.
+// maxIdentifierBytes limits the length of program and request ids.
 const maxIdentifierBytes = 128
 
-// identifierBytes is how much of a hash or of randomness an id made here holds.
+// identifierBytes is the number of random or hash bytes in a generated id.
 const identifierBytes = 16
 
 var identifierEncoding = base32.NewEncoding("abcdefghijklmnopqrstuvwxyz234567").WithPadding(base32.NoPadding)
 
-// Purposes keep ids derived from one request id for two uses apart.
+// Hash prefixes that separate the ids derived from one request id for different
+// uses.
 const (
 	purposeProgram    = "program"
 	purposeSingleCall = "single"
 )
 
-// validIdentifier accepts letters, digits and . _ : - only.
-func validIdentifier(identifier string) bool {
+// isValidIdentifier accepts 1 to maxIdentifierBytes letters, digits and . _ :
+// -.
+func isValidIdentifier(identifier string) bool {
 	if identifier == "" || len(identifier) > maxIdentifierBytes {
 		return false
 	}
-	for _, letter := range []byte(identifier) {
+	for _, char := range []byte(identifier) {
 		switch {
-		case letter >= 'a' && letter <= 'z', letter >= 'A' && letter <= 'Z', letter >= '0' && letter <= '9':
-		case strings.IndexByte("._:-", letter) >= 0:
+		case char >= 'a' && char <= 'z', char >= 'A' && char <= 'Z', char >= '0' && char <= '9':
+		case strings.IndexByte("._:-", char) >= 0:
 		default:
 			return false
 		}
@@ -47,13 +49,13 @@
 // newIdentifier returns a random id.
 func newIdentifier() string {
 	var content [identifierBytes]byte
-	// crypto/rand.Read never fails; it ends the process instead.
+	// crypto/rand.Read never returns an error; it crashes the process instead.
 	_, _ = rand.Read(content[:])
 	return identifierEncoding.EncodeToString(content[:])
 }
 
-// derivedProgramID names the program that a tenant's request id makes, so that
-// the request can be sent again through any gateway.
+// derivedProgramID derives a program id from a tenant's request id, so that a
+// retry through any gateway reaches the same program.
 func derivedProgramID(purpose, tenant, requestID string) string {
 	digest := sha256.New()
 	writeField(digest, purpose)
@@ -62,8 +64,8 @@
 	return identifierEncoding.EncodeToString(digest.Sum(nil)[:identifierBytes])
 }
 
-// requestIDOf reads the caller's request id; empty where it gave none.
-func requestIDOf(header http.Header) (string, error) {
+// parseRequestID returns the caller's request id, or "" if it set none.
+func parseRequestID(header http.Header) (string, error) {
 	requestID := header.Get(headerRequestID)
 	key := header.Get(headerIdempotencyKey)
 	if requestID == "" {
@@ -72,16 +74,16 @@
 	if key != "" && key != requestID {
 		return "", resultcode.New(resultcode.BadRequest, "%s and %s differ", headerRequestID, headerIdempotencyKey)
 	}
-	if requestID != "" && !validIdentifier(requestID) {
+	if requestID != "" && !isValidIdentifier(requestID) {
 		return "", resultcode.New(resultcode.BadRequest,
 			"the request id must be 1 to %d letters, digits or . _ : -", maxIdentifierBytes)
 	}
 	return requestID, nil
 }
 
-// digestOf hashes what makes two calls the same call: everything but how the
-// answer is delivered.
-func digestOf(request *schedulerv1.CallRequest) []byte {
+// requestDigest hashes the fields that define a call, but not those that set
+// how its response is delivered.
+func requestDigest(request *schedulerv1.CallRequest) []byte {
 	digest := sha256.New()
 	writeNumber(digest, uint64(request.Kind))
 	writeField(digest, request.Target)
@@ -102,7 +104,7 @@
 
 func writeField(digest hash.Hash, field string) {
 	writeNumber(digest, uint64(len(field)))
-	// A hash's Write never fails.
+	// Write on a hash never returns an error.
 	_, _ = io.WriteString(digest, field)
 }
 
--- a/internal/gateway/message.go
+++ b/internal/gateway/message.go
@@ -10,16 +10,16 @@
 	"github.com/magpielug/magpielug/internal/resultcode"
 )
 
-// roles are the message roles that callers may use.
-var roles = []string{"system", "developer", "user", "assistant", "tool", "function"}
+// allowedRoles are the message roles that callers may use.
+var allowedRoles = []string{"system", "developer", "user", "assistant", "tool", "function"}
 
-// message is one message of a call's JSON body.
+// message is one message in a call's JSON body.
 type message struct {
 	Role    string         `json:"role"`
 	Content messageContent `json:"content"`
 }
 
-// messageContent is a text, a list of text parts, or null.
+// messageContent is decoded from a string, a list of text parts or null.
 type messageContent string
 
 type contentPart struct {
@@ -29,9 +29,9 @@
 
 const textPart = "text"
 
-var errContent = errors.New("a message's content must be a string or a list of parts of type text")
+var errInvalidContent = errors.New("a message's content must be a string or a list of parts of type text")
 
-// UnmarshalJSON joins the parts of a list.
+// UnmarshalJSON concatenates the parts of a list.
 func (content *messageContent) UnmarshalJSON(source []byte) error {
 	var text *string
 	if json.Unmarshal(source, &text) == nil {
@@ -42,12 +42,12 @@
 	}
 	var parts []contentPart
 	if json.Unmarshal(source, &parts) != nil {
-		return errContent
+		return errInvalidContent
 	}
 	var joined strings.Builder
 	for _, part := range parts {
 		if part.Type != textPart {
-			return errContent
+			return errInvalidContent
 		}
 		joined.WriteString(part.Text)
 	}
@@ -55,18 +55,18 @@
 	return nil
 }
 
-// toMessages checks messages and turns them into the schedulers' form.
+// toMessages validates messages and converts them to the scheduler's type.
 func toMessages(messages []message, limit int) ([]*schedulerv1.Message, error) {
 	if len(messages) == 0 {
-		return nil, resultcode.New(resultcode.BadRequest, "messages must hold at least one message")
+		return nil, resultcode.New(resultcode.BadRequest, "messages must contain at least one message")
 	}
 	if len(messages) > limit {
-		return nil, resultcode.New(resultcode.BadRequest, "messages must hold at most %d messages", limit)
+		return nil, resultcode.New(resultcode.BadRequest, "messages must contain at most %d messages", limit)
 	}
 	converted := make([]*schedulerv1.Message, 0, len(messages))
 	for index, message := range messages {
-		if !slices.Contains(roles, message.Role) {
-			return nil, resultcode.New(resultcode.BadRequest, "messages[%d].role must be one of %s", index, strings.Join(roles, ", "))
+		if !slices.Contains(allowedRoles, message.Role) {
+			return nil, resultcode.New(resultcode.BadRequest, "messages[%d].role must be one of %s", index, strings.Join(allowedRoles, ", "))
 		}
 		converted = append(converted, &schedulerv1.Message{Role: message.Role, Content: string(message.Content)})
 	}
--- a/internal/gateway/metrics.go
+++ b/internal/gateway/metrics.go
@@ -2,17 +2,17 @@
 
 import "github.com/prometheus/client_golang/prometheus"
 
-// metrics are the gateway's Prometheus metrics.
+// metrics holds the gateway's Prometheus metrics.
 type metrics struct {
-	requests      *prometheus.CounterVec
-	firstToken    prometheus.Histogram
-	betweenTokens prometheus.Histogram
-	inFlight      prometheus.Gauge
-	retries       prometheus.Counter
-	attempts      prometheus.Counter
+	requests        *prometheus.CounterVec
+	firstToken      prometheus.Histogram
+	betweenTokens   prometheus.Histogram
+	inFlight        prometheus.Gauge
+	retries         prometheus.Counter
+	furtherAttempts prometheus.Counter
 }
 
-// Buckets run from half a millisecond by factors of two.
+// Exponential histogram buckets, from 0.5 ms to 65 s.
 const (
 	firstBucketSeconds = 0.0005
 	bucketFactor       = 2
@@ -44,12 +44,12 @@
 			Name: "magpielug_gateway_retries_total",
 			Help: "Waits before a shard's candidates were asked once more.",
 		}),
-		attempts: prometheus.NewCounter(prometheus.CounterOpts{
+		furtherAttempts: prometheus.NewCounter(prometheus.CounterOpts{
 			Name: "magpielug_gateway_further_attempts_total",
 			Help: "Schedulers asked for a call after the first: others than its leader, unreachable ones, streams that ended early.",
 		}),
 	}
 	registerer.MustRegister(created.requests, created.firstToken, created.betweenTokens,
-		created.inFlight, created.retries, created.attempts)
+		created.inFlight, created.retries, created.furtherAttempts)
 	return created
 }
--- a/internal/gateway/models.go
+++ b/internal/gateway/models.go
@@ -2,7 +2,7 @@
 
 import "net/http"
 
-// modelList is OpenAI's list of models.
+// modelList is OpenAI's list object.
 type modelList struct {
 	Object string      `json:"object"`
 	Data   []modelBody `json:"data"`
@@ -21,7 +21,8 @@
 	ownedBy     = "magpielug"
 )
 
-// listModels serves GET /v1/models: each model, and each of its adapters.
+// listModels serves GET /v1/models: all models, and each model with each of its
+// adapters.
 func (gateway *Gateway) listModels(exchange *exchange) error {
 	list := modelList{Object: objectList, Data: []modelBody{}}
 	add := func(name string) {
@@ -36,5 +37,5 @@
 			add(service.Name + adapterSeparator + adapter)
 		}
 	}
-	return exchange.answerJSON(http.StatusOK, list)
+	return exchange.writeJSON(http.StatusOK, list)
 }
--- a/internal/gateway/program.go
+++ b/internal/gateway/program.go
@@ -11,7 +11,7 @@
 	"github.com/magpielug/magpielug/internal/resultcode"
 )
 
-// programBody is a program as callers see it. Amounts are in micro units of
+// programBody is a program in the callers' API. Amounts are in micro units of
 // the operator's currency.
 type programBody struct {
 	ID             string `json:"id"`
@@ -25,7 +25,7 @@
 	CapMicros      uint64 `json:"cap_micros"`
 }
 
-func programOf(program *schedulerv1.Program) programBody {
+func newProgramBody(program *schedulerv1.Program) programBody {
 	return programBody{
 		ID:             program.GetId(),
 		Tier:           program.GetTier(),
@@ -46,8 +46,8 @@
 	CapMicros uint64 `json:"cap_micros"`
 }
 
-// createProgram serves POST /v1/programs. With a request id, sending the
-// request again finds the program made by the first.
+// createProgram serves POST /v1/programs. A retry with the same request id
+// returns the program that the first request created.
 func (gateway *Gateway) createProgram(exchange *exchange) error {
 	content, err := exchange.readBody()
 	if err != nil {
@@ -57,36 +57,36 @@
 	if err := decodeStrict(content, &body); err != nil {
 		return err
 	}
-	if !validIdentifier(body.Kind) {
+	if !isValidIdentifier(body.Kind) {
 		return resultcode.New(resultcode.BadRequest, "kind must name a program kind")
 	}
-	if body.Parent != "" && !validIdentifier(body.Parent) {
-		return unknownProgram()
+	if body.Parent != "" && !isValidIdentifier(body.Parent) {
+		return unknownProgramError()
 	}
-	if err := exchange.nameNewProgram(body.Parent); err != nil {
+	if err := exchange.assignProgramID(body.Parent); err != nil {
 		return err
 	}
-	order := &schedulerv1.CreateProgramRequest{
+	request := &schedulerv1.CreateProgramRequest{
 		ProgramId: exchange.programID,
 		Caller:    exchange.caller,
 		Kind:      body.Kind,
 		ParentId:  body.Parent,
 		CapMicros: body.CapMicros,
 	}
-	created, err := ask(exchange.context, gateway.schedulers, order.ProgramId, true,
+	created, err := sendUnary(exchange.context, gateway.schedulers, request.ProgramId, true,
 		func(ctx context.Context, service schedulerv1.Programs) (*schedulerv1.ProgramReply, error) {
-			return service.CreateProgram(ctx, order)
+			return service.CreateProgram(ctx, request)
 		})
 	if err != nil {
 		return err
 	}
-	return exchange.answerJSON(http.StatusCreated, programOf(created.GetProgram()))
+	return exchange.writeJSON(http.StatusCreated, newProgramBody(created.GetProgram()))
 }
 
-// nameNewProgram gives the program its id. A sub-agent's begins with its
-// parent's, so that the whole family belongs to one shard.
-func (exchange *exchange) nameNewProgram(parent string) error {
-	requestID, err := requestIDOf(exchange.request.Header)
+// assignProgramID sets the new program's id. A sub-agent's id begins with its
+// parent's id, which places the whole family in one shard.
+func (exchange *exchange) assignProgramID(parent string) error {
+	requestID, err := parseRequestID(exchange.request.Header)
 	if err != nil {
 		return err
 	}
@@ -99,18 +99,18 @@
 		return nil
 	}
 	exchange.programID = parent + membership.FamilySeparator + exchange.programID
-	if !validIdentifier(exchange.programID) {
-		return resultcode.New(resultcode.BadRequest, "sub-agents are nested too deep")
+	if !isValidIdentifier(exchange.programID) {
+		return resultcode.New(resultcode.BadRequest, "sub-agents are nested too deeply")
 	}
 	return nil
 }
 
-// programInPath reads the program's id from the path. One that can't be an id
-// is answered as one that does not exist.
-func (exchange *exchange) programInPath() error {
+// parseProgramID reads the program id from the path. An invalid id gets the
+// same error as an unknown program.
+func (exchange *exchange) parseProgramID() error {
 	identifier := exchange.request.PathValue("id")
-	if !validIdentifier(identifier) {
-		return unknownProgram()
+	if !isValidIdentifier(identifier) {
+		return unknownProgramError()
 	}
 	exchange.programID = identifier
 	return nil
@@ -118,36 +118,36 @@
 
 // getProgram serves GET /v1/programs/{id}.
 func (gateway *Gateway) getProgram(exchange *exchange) error {
-	if err := exchange.programInPath(); err != nil {
+	if err := exchange.parseProgramID(); err != nil {
 		return err
 	}
-	question := &schedulerv1.GetProgramRequest{ProgramId: exchange.programID, Caller: exchange.caller}
-	found, err := ask(exchange.context, gateway.schedulers, question.ProgramId, false,
+	request := &schedulerv1.GetProgramRequest{ProgramId: exchange.programID, Caller: exchange.caller}
+	found, err := sendUnary(exchange.context, gateway.schedulers, request.ProgramId, false,
 		func(ctx context.Context, service schedulerv1.Programs) (*schedulerv1.ProgramReply, error) {
-			return service.GetProgram(ctx, question)
+			return service.GetProgram(ctx, request)
 		})
 	if err != nil {
 		return err
 	}
-	return exchange.answerJSON(http.StatusOK, programOf(found.GetProgram()))
+	return exchange.writeJSON(http.StatusOK, newProgramBody(found.GetProgram()))
 }
 
-// endProgram serves POST /v1/programs/{id}/end: no further calls.
+// endProgram serves POST /v1/programs/{id}/end, which rejects further calls.
 func (gateway *Gateway) endProgram(exchange *exchange) error {
-	return gateway.concludeProgram(exchange, false, "ended by its caller")
+	return gateway.endOrStopProgram(exchange, false, "ended by its caller")
 }
 
-// stopProgram serves POST /v1/programs/{id}/stop: calls under way are
-// cancelled as well.
+// stopProgram serves POST /v1/programs/{id}/stop, which also cancels running
+// calls.
 func (gateway *Gateway) stopProgram(exchange *exchange) error {
-	return gateway.concludeProgram(exchange, true, "stopped by its caller")
+	return gateway.endOrStopProgram(exchange, true, "stopped by its caller")
 }
 
-func (gateway *Gateway) concludeProgram(exchange *exchange, stop bool, reason string) error {
-	if err := exchange.programInPath(); err != nil {
+func (gateway *Gateway) endOrStopProgram(exchange *exchange, stop bool, reason string) error {
+	if err := exchange.parseProgramID(); err != nil {
 		return err
 	}
-	ended, err := gateway.orderEnd(exchange.context, &schedulerv1.EndProgramRequest{
+	ended, err := gateway.sendEndProgram(exchange.context, &schedulerv1.EndProgramRequest{
 		ProgramId: exchange.programID,
 		Caller:    exchange.caller,
 		Stop:      stop,
@@ -156,32 +156,31 @@
 	if err != nil {
 		return err
 	}
-	return exchange.answerJSON(http.StatusOK, programOf(ended.GetProgram()))
+	return exchange.writeJSON(http.StatusOK, newProgramBody(ended.GetProgram()))
 }
 
-func (gateway *Gateway) orderEnd(ctx context.Context, order *schedulerv1.EndProgramRequest) (*schedulerv1.ProgramReply, error) {
-	return ask(ctx, gateway.schedulers, order.ProgramId, true,
+func (gateway *Gateway) sendEndProgram(ctx context.Context, request *schedulerv1.EndProgramRequest) (*schedulerv1.ProgramReply, error) {
+	return sendUnary(ctx, gateway.schedulers, request.ProgramId, true,
 		func(ctx context.Context, service schedulerv1.Programs) (*schedulerv1.ProgramReply, error) {
-			return service.EndProgram(ctx, order)
+			return service.EndProgram(ctx, request)
 		})
 }
 
-// numberOf reads a whole number of the query, or of other text; fallback
-// stands in where it is empty.
-func numberOf(name, value string, bits int, fallback uint64) (uint64, error) {
+// parseNumber parses an unsigned integer of the given size in bits; an empty
+// value yields fallback.
+func parseNumber(name, value string, bits int, fallback uint64) (uint64, error) {
 	if value == "" {
 		return fallback, nil
 	}
 	number, err := strconv.ParseUint(value, 10, bits)
 	if err != nil {
-		return 0, resultcode.New(resultcode.BadRequest, "%s must be a whole number from 0", name)
+		return 0, resultcode.New(resultcode.BadRequest, "%s must be a non-negative integer", name)
 	}
 	return number, nil
 }
 
-// queryNumber reads a whole number of 32 bits from the query.
-func queryNumber(query url.Values, name string, fallback uint32) (uint32, error) {
+func parseQueryNumber(query url.Values, name string, fallback uint32) (uint32, error) {
 	const bits = 32
-	number, err := numberOf(name, query.Get(name), bits, uint64(fallback))
+	number, err := parseNumber(name, query.Get(name), bits, uint64(fallback))
 	return uint32(number), err
 }
--- a/internal/gateway/program_test.go
+++ b/internal/gateway/program_test.go
@@ -13,14 +13,14 @@
 var _ = Describe("Programs", func() {
 	var scheduler *fakeScheduler
 	var caller *caller
-	var made []string
+	var createdIDs []string
 	var ended []*schedulerv1.EndProgramRequest
 
 	BeforeEach(func() {
-		made, ended = nil, nil
+		createdIDs, ended = nil, nil
 		scheduler = startScheduler(hello)
-		scheduler.onMake = func(request *schedulerv1.CreateProgramRequest) *schedulerv1.ProgramReply {
-			made = append(made, request.ProgramId)
+		scheduler.onCreate = func(request *schedulerv1.CreateProgramRequest) *schedulerv1.ProgramReply {
+			createdIDs = append(createdIDs, request.ProgramId)
 			program := &schedulerv1.Program{Id: request.ProgramId, Kind: request.Kind, ParentId: request.ParentId}
 			return &schedulerv1.ProgramReply{Program: program}
 		}
@@ -31,7 +31,7 @@
 		caller = startGateway(testConfig(), httpserver.Limits{}, unusedAddress(), scheduler.address())
 	})
 
-	It("are made once for one request id of one tenant", func() {
+	It("are created once per tenant and request id", func() {
 		body := `{"kind":"dispute","parent":"p0","cap_micros":5}`
 		for range 2 {
 			reply := caller.send("POST", "/v1/programs", body, headerRequestID, "r1")
@@ -41,10 +41,10 @@
 		caller.send("POST", "/v1/programs", body)
 		caller.key = "court-key"
 		caller.send("POST", "/v1/programs", body, headerRequestID, "r1")
-		Expect(made).To(HaveLen(4))
-		Expect(made[1]).To(Equal(made[0]))
-		Expect(made[2]).NotTo(Equal(made[0]))
-		Expect(made[3]).NotTo(Equal(made[0]))
+		Expect(createdIDs).To(HaveLen(4))
+		Expect(createdIDs[1]).To(Equal(createdIDs[0]))
+		Expect(createdIDs[2]).NotTo(Equal(createdIDs[0]))
+		Expect(createdIDs[3]).NotTo(Equal(createdIDs[0]))
 	})
 
 	It("are ended and stopped", func() {
@@ -55,14 +55,14 @@
 		Expect(ended[1].Stop).To(BeTrue())
 	})
 
-	It("give their history with the place to read on from", func() {
+	It("return their history and the start of the next page", func() {
 		reply := caller.send("GET", "/v1/programs/p1/history?from=4&limit=1", "")
 		Expect(reply.body).To(ContainSubstring(`"number":4`))
 		Expect(reply.body).To(ContainSubstring(`"kind":"tool"`))
 		Expect(reply.body).To(ContainSubstring(`"next":5`))
 	})
 
-	It("call tools, which may not run twice unless the caller says so", func() {
+	It("call tools, which are not repeatable by default", func() {
 		reply := caller.send("POST", callsPath, `{"kind":"tool","target":"meter","input":"read 7"}`, headerRequestID, "r1")
 		Expect(reply.status).To(Equal(http.StatusOK))
 		Expect(reply.body).To(ContainSubstring(`"output":"Hello \"wörld\""`))
@@ -73,7 +73,7 @@
 		Expect(request.Repeatable).To(BeFalse())
 	})
 
-	It("call models, whole or as a stream of named events that can be resumed", func() {
+	It("call models with a stream of named events that can be resumed", func() {
 		body := `{"kind":"model","target":"agent:minutes","messages":[{"role":"user","content":[{"type":"text","text":"hi"}]}],"stream":true}`
 		stream := caller.send("POST", callsPath, body, headerRequestID, "r1")
 		Expect(dataOf(stream.body)).To(HaveLen(4))
@@ -87,14 +87,14 @@
 		Expect(caller.send("GET", callsPath+"/r1/stream?after=4", "").code()).To(Equal(resultcode.BadRequest))
 	})
 
-	It("tell a call that nobody made from one that is lost", func() {
-		scheduler.onCall = inTurn(cutAfter(), answering(resultcode.UnknownRequest))
+	It("report an unknown call as unknown rather than lost", func() {
+		scheduler.onCall = inSequence(abortAfter(), rejectWith(resultcode.UnknownRequest))
 		reply := caller.send("GET", callsPath+"/r9/stream", "")
 		Expect(reply.code()).To(Equal(resultcode.UnknownRequest))
 	})
 
-	It("are not called not made where the answer was lost", func() {
-		scheduler.onMake = func(*schedulerv1.CreateProgramRequest) *schedulerv1.ProgramReply { cut(); return nil }
+	It("report an unknown outcome if the reply to their creation is lost", func() {
+		scheduler.onCreate = func(*schedulerv1.CreateProgramRequest) *schedulerv1.ProgramReply { abortConnection(); return nil }
 		reply := caller.send("POST", "/v1/programs", `{"kind":"dispute"}`, headerRequestID, "r1")
 		Expect(reply.code()).To(Equal(resultcode.OutcomeUnknown))
 		Expect(reply.header.Get("Retry-After")).NotTo(BeEmpty())
--- a/internal/gateway/relay.go
+++ b/internal/gateway/relay.go
@@ -10,195 +10,199 @@
 	"github.com/magpielug/magpielug/internal/resultcode"
 )
 
-// receiver takes one call's stream on behalf of its caller.
+// receiver consumes one call's stream on behalf of its caller.
 type receiver interface {
-	// chunk takes the next chunk: each exactly once and in order. An error
-	// ends the relay, not the call.
+	// chunk consumes the next chunk. Each chunk is delivered exactly once and
+	// in order. An error ends the relay, but not the call.
 	chunk(chunk *schedulerv1.Chunk) error
-	// canRestart reports whether chunks taken so far can be dropped, and if
-	// so drops them.
-	canRestart() bool
+	// tryReset discards the chunks consumed so far and returns true, or returns
+	// false if they have already been sent to the caller.
+	tryReset() bool
 }
 
-// relay carries one call from the shard's leader to its receiver, across
-// leaders and lost connections.
+// relay forwards one call's stream from the shard's leader to a receiver. It
+// reattaches after leader changes and lost connections.
 type relay struct {
 	client   *schedulerClient
 	request  *schedulerv1.CallRequest
 	receiver receiver
 
-	// resumed is true for a caller's request to resume a call's stream.
+	// resumed is true if the caller asked to resume an existing call.
 	resumed bool
-	// delivered is true once a scheduler may have taken the call and the
-	// gateway has not been told otherwise.
-	delivered bool
-	// accepted is true once a scheduler has said so.
-	accepted bool
-	turn     uint32
-	attaches int
-	// taken counts the chunks passed on.
-	taken uint64
-	// fruitless counts the streams accepted in a row without a new chunk.
-	fruitless int
+	// mayBeDelivered is true if a scheduler may have received the call and has
+	// not reported it unknown since.
+	mayBeDelivered bool
+	// accepted is true once a scheduler has accepted the call.
+	accepted    bool
+	turn        uint32
+	attachCount int
+	// forwarded counts the chunks passed to the receiver.
+	forwarded uint64
+	// streamsWithoutProgress counts consecutive accepted streams without a new
+	// chunk.
+	streamsWithoutProgress int
 }
 
-// maxFruitlessStreams bounds the streams in a row that a scheduler accepted
-// and that broke without a new chunk.
-const maxFruitlessStreams = 10
+// maxStreamsWithoutProgress limits the consecutive streams that a scheduler
+// accepts and breaks without sending a new chunk.
+const maxStreamsWithoutProgress = 10
 
-// Errors of one attachment after which the call is to be attached to again.
+// Errors of one attempt after which the relay reattaches to the call.
 var (
-	// errNotTaken means that the scheduler was not reached or does not lead
-	// the shard now: the search goes on.
-	errNotTaken = errors.New("not taken by this scheduler")
-	// errStreamBroken means that an accepted call's stream ended too early.
-	errStreamBroken = errors.New("stream broken")
+	// errNotAccepted means that the scheduler was unreachable or does not lead
+	// the shard. The lookup continues.
+	errNotAccepted = errors.New("call not accepted by this scheduler")
+	// errStreamInterrupted means that an accepted call's stream ended before
+	// the call.
+	errStreamInterrupted = errors.New("call stream interrupted")
 	// errStreamGap means that the stream skipped a chunk.
 	errStreamGap = errors.New("gap in the stream's sequence numbers")
 )
 
-// run relays the call to its end. It returns the call's end, or the error to
-// tell the caller.
+// run relays the call to its end. It returns the call's result or the error to
+// report to the caller.
 func (relay *relay) run(ctx context.Context) (*schedulerv1.Finished, error) {
 	relay.client.budget.deposit()
-	search := relay.newSearch()
+	lookup := relay.newLeaderLookup()
 	for {
-		address, err := search.next(ctx)
+		address, err := lookup.nextAddress(ctx)
 		if err != nil {
-			return nil, relay.giveUp(err)
+			return nil, relay.lookupError(err)
 		}
-		finished, err := relay.attach(ctx, search, address)
+		finished, err := relay.attach(ctx, lookup, address)
 		switch {
 		case err == nil:
 			return finished, nil
-		case !canAttachAgain(err):
+		case !canReattach(err):
 			return nil, err
 		case ctx.Err() != nil:
-			return nil, errCallerGone
-		case errors.Is(err, errNotTaken):
+			return nil, errCallerDisconnected
+		case errors.Is(err, errNotAccepted):
 			continue
-		case relay.fruitless > maxFruitlessStreams:
-			return nil, relay.lost(err.Error())
+		case relay.streamsWithoutProgress > maxStreamsWithoutProgress:
+			return nil, relay.outcomeUnknown(err.Error())
 		}
-		search = relay.newSearch()
+		lookup = relay.newLeaderLookup()
 	}
 }
 
-func canAttachAgain(err error) bool {
-	return errors.Is(err, errNotTaken) || errors.Is(err, errStreamBroken) || errors.Is(err, errStreamGap)
+func canReattach(err error) bool {
+	return errors.Is(err, errNotAccepted) || errors.Is(err, errStreamInterrupted) || errors.Is(err, errStreamGap)
 }
 
-// newSearch begins the search for the leader: within the short bound while the
-// call has not been accepted, and within the long one after. From the second
-// fruitless stream in a row on it begins with a pause.
-func (relay *relay) newSearch() *search {
+// newLeaderLookup starts a lookup that is limited by RouteBound until a
+// scheduler has accepted the call, and by ReattachBound after that. After two
+// or more streams without progress the lookup starts with a backoff.
+func (relay *relay) newLeaderLookup() *leaderLookup {
 	config := relay.client.config
 	if !relay.accepted {
-		return relay.client.newSearch(relay.request.ProgramId, config.RouteBound, false)
+		return relay.client.newLeaderLookup(relay.request.ProgramId, config.RouteBound, false)
 	}
-	search := relay.client.newSearch(relay.request.ProgramId, config.ReattachBound, true)
-	search.passes = max(relay.fruitless-1, 0)
-	return search
+	lookup := relay.client.newLeaderLookup(relay.request.ProgramId, config.ReattachBound, true)
+	lookup.passes = max(relay.streamsWithoutProgress-1, 0)
+	return lookup
 }
 
-// attach sends the call to one scheduler and relays what comes.
-func (relay *relay) attach(ctx context.Context, search *search, address string) (*schedulerv1.Finished, error) {
-	relay.prepare()
-	relay.attaches++
-	delivery := &delivery{}
-	stream, err := relay.client.open(delivery.watch(ctx), address, relay.request)
+// attach sends the call to one scheduler and relays the resulting stream.
+func (relay *relay) attach(ctx context.Context, lookup *leaderLookup, address string) (*schedulerv1.Finished, error) {
+	relay.prepareRequest()
+	relay.attachCount++
+	tracker := &deliveryTracker{}
+	stream, err := relay.client.openCall(tracker.withTrace(ctx), address, relay.request)
 	if err != nil {
-		search.unreachable(address)
-		relay.delivered = relay.delivered || !delivery.ruledOut(err)
-		return nil, errNotTaken
+		lookup.recordUnreachable(address)
+		relay.mayBeDelivered = relay.mayBeDelivered || !tracker.notDelivered(err)
+		return nil, errNotAccepted
 	}
 	defer stream.close()
-	return relay.receive(search, address, stream)
+	return relay.receive(lookup, address, stream)
 }
 
-// prepare sets how the next scheduler is to take the request. A call that may
-// have been taken before is only attached to, never run anew, if it must run
-// at most once or if the caller already holds a part of its answer.
-func (relay *relay) prepare() {
-	if !relay.delivered || relay.request.AttachOnly {
+// prepareRequest sets whether the next scheduler may run the call or only
+// attach to it. A call that may have been delivered is not run again if it is
+// not repeatable or if the caller already has part of its output.
+func (relay *relay) prepareRequest() {
+	if !relay.mayBeDelivered || relay.request.AttachOnly {
 		return
 	}
-	holdsChunks := relay.request.ResumeAfter > 0
-	relay.request.AttachOnly = !relay.request.Repeatable || holdsChunks
+	hasChunks := relay.request.ResumeAfter > 0
+	relay.request.AttachOnly = !relay.request.Repeatable || hasChunks
 }
 
-func (relay *relay) receive(search *search, address string, stream *callStream) (*schedulerv1.Finished, error) {
+func (relay *relay) receive(lookup *leaderLookup, address string, stream *callStream) (*schedulerv1.Finished, error) {
 	event := &schedulerv1.CallEvent{}
 	acceptedHere := false
 	for {
 		proto.Reset(event)
 		if err := stream.receive(event); err != nil {
-			return nil, relay.broken(search, address, acceptedHere, stream.silent.Load())
+			return nil, relay.handleInterruption(lookup, address, acceptedHere, stream.timedOut.Load())
 		}
 		if failed := event.GetFailed(); failed != nil {
-			return nil, relay.failed(search, address, failed, acceptedHere)
+			return nil, relay.handleError(lookup, address, failed, acceptedHere)
 		}
 		if event.Event == nil {
-			// The scheduler only shows that it is alive.
+			// An event without content is a keepalive.
 			continue
 		}
 		if !acceptedHere {
 			acceptedHere = true
-			relay.acceptedBy(search, address)
+			relay.recordAccepted(lookup, address)
 		}
 		switch body := event.Event.(type) {
 		case *schedulerv1.CallEvent_Accepted:
 			relay.turn = body.Accepted.GetTurn()
 		case *schedulerv1.CallEvent_Chunk:
-			if err := relay.take(body.Chunk); err != nil {
+			if err := relay.forwardChunk(body.Chunk); err != nil {
 				return nil, err
 			}
 		case *schedulerv1.CallEvent_Finished:
-			return relay.finished(body.Finished)
+			return relay.checkComplete(body.Finished)
 		}
 	}
 }
 
-// acceptedBy notes that the scheduler leads the shard and has taken the call.
-func (relay *relay) acceptedBy(search *search, address string) {
-	search.found(address)
-	search.free = true
-	search.deadline = relay.client.clock.Now().Add(relay.client.config.ReattachBound)
-	relay.delivered, relay.accepted = true, true
-	relay.fruitless++
+// recordAccepted records that the scheduler leads the shard and has accepted
+// the call.
+func (relay *relay) recordAccepted(lookup *leaderLookup, address string) {
+	lookup.recordLeader(address)
+	lookup.bypassBudget = true
+	lookup.deadline = relay.client.clock.Now().Add(relay.client.config.ReattachBound)
+	relay.mayBeDelivered, relay.accepted = true, true
+	relay.streamsWithoutProgress++
 }
 
-// broken weighs a stream that ended before its call. A leader that was only
-// silent stays the first to be asked: the call may just wait long.
-func (relay *relay) broken(search *search, address string, acceptedHere, silent bool) error {
-	relay.delivered = true
+// handleInterruption handles a stream that ended before its call. A leader that
+// merely timed out stays the first candidate, as the call may just be slow.
+func (relay *relay) handleInterruption(lookup *leaderLookup, address string, acceptedHere, timedOut bool) error {
+	relay.mayBeDelivered = true
 	if !acceptedHere {
-		search.unreachable(address)
-		return errNotTaken
+		lookup.recordUnreachable(address)
+		return errNotAccepted
 	}
-	if silent {
-		relay.fruitless = 0
+	if timedOut {
+		relay.streamsWithoutProgress = 0
 	} else {
-		search.unreachable(address)
+		lookup.recordUnreachable(address)
 	}
-	return errStreamBroken
+	return errStreamInterrupted
 }
 
-// finished checks that the receiver holds every chunk.
-func (relay *relay) finished(finished *schedulerv1.Finished) (*schedulerv1.Finished, error) {
+// checkComplete returns the call's result if the receiver has every chunk.
+func (relay *relay) checkComplete(finished *schedulerv1.Finished) (*schedulerv1.Finished, error) {
 	last := finished.GetLastSequence()
 	switch {
 	case last == relay.request.ResumeAfter:
 		return finished, nil
-	case last < relay.request.ResumeAfter && relay.taken == 0:
-		return nil, resultcode.New(resultcode.BadRequest, "after is past the stream's last chunk, %d", last)
+	case last < relay.request.ResumeAfter && relay.forwarded == 0:
+		return nil, resultcode.New(resultcode.BadRequest, "after exceeds the last chunk's sequence number, %d", last)
 	default:
 		return nil, errStreamGap
 	}
 }
 
-// take passes a chunk on unless the receiver has it already.
-func (relay *relay) take(chunk *schedulerv1.Chunk) error {
+// forwardChunk passes a chunk to the receiver unless the receiver already has
+// it.
+func (relay *relay) forwardChunk(chunk *schedulerv1.Chunk) error {
 	switch {
 	case chunk.GetSequence() <= relay.request.ResumeAfter:
 		return nil
@@ -209,38 +213,38 @@
 		return err
 	}
 	relay.request.ResumeAfter = chunk.GetSequence()
-	relay.taken++
-	relay.fruitless = 0
+	relay.forwarded++
+	relay.streamsWithoutProgress = 0
 	return nil
 }
 
-// failed weighs a scheduler's error: whether to go on elsewhere, or what to
-// tell the caller.
-func (relay *relay) failed(search *search, address string, failure *schedulerv1.Error, acceptedHere bool) error {
-	if search.moved(address, failure) {
-		return errNotTaken
+// handleError decides whether to try another scheduler after a scheduler's
+// error, and otherwise returns the error to report to the caller.
+func (relay *relay) handleError(lookup *leaderLookup, address string, failure *schedulerv1.Error, acceptedHere bool) error {
+	if lookup.handleNotLeader(address, failure) {
+		return errNotAccepted
 	}
-	search.found(address)
+	lookup.recordLeader(address)
 	sentBefore := relay.mayHaveRun() && !acceptedHere
 	switch {
-	case sentBefore && relay.request.AttachOnly && isUnknown(failure):
-		return relay.forgotten()
+	case sentBefore && relay.request.AttachOnly && isUnknownCall(failure):
+		return relay.handleUnknownCall()
 	case sentBefore && isUncommitted(failure):
-		return relay.lost(failure.GetMessage())
+		return relay.outcomeUnknown(failure.GetMessage())
 	default:
-		return fromScheduler(failure)
+		return convertSchedulerError(failure)
 	}
 }
 
-// isUnknown reports whether the leader knows nothing of the call.
-func isUnknown(failure *schedulerv1.Error) bool {
+// isUnknownCall reports whether the leader has no record of the call.
+func isUnknownCall(failure *schedulerv1.Error) bool {
 	code := resultcode.Code(failure.GetCode())
 	return code == resultcode.UnknownRequest || code == resultcode.UnknownProgram
 }
 
-// isUncommitted reports whether the refusal speaks of this request alone: the
-// scheduler commits its other refusals, so that they hold for every request of
-// the same id, but these say nothing of one that was sent before.
+// isUncommitted reports whether the rejection applies to this request only.
+// Schedulers commit all other rejections, which then hold for every request
+// with the same id; an uncommitted one says nothing about an earlier request.
 func isUncommitted(failure *schedulerv1.Error) bool {
 	switch resultcode.Code(failure.GetCode()) {
 	case resultcode.BadKey, resultcode.UnknownProgram, resultcode.ConfigurationStale, resultcode.ArchiveBacklogFull:
@@ -250,36 +254,39 @@
 	}
 }
 
-// mayHaveRun reports whether the call may have run for all that the gateway
-// knows. A request to resume can't make a call run.
+// mayHaveRun reports whether the call may have run as a result of this request.
+// A request to resume never starts a call.
 func (relay *relay) mayHaveRun() bool {
-	return relay.accepted || (relay.delivered && !relay.resumed)
+	return relay.accepted || (relay.mayBeDelivered && !relay.resumed)
 }
 
-// forgotten handles a leader that does not know a call which was sent before.
-func (relay *relay) forgotten() error {
-	if !relay.request.Repeatable || !relay.receiver.canRestart() {
-		return relay.lost("the call's place was lost")
+// handleUnknownCall handles a leader that has no record of a call that was sent
+// before. The call runs again if it is repeatable and its output can be
+// discarded.
+func (relay *relay) handleUnknownCall() error {
+	if !relay.request.Repeatable || !relay.receiver.tryReset() {
+		return relay.outcomeUnknown("the scheduler has no record of the call")
 	}
 	relay.request.ResumeAfter = 0
-	relay.taken = 0
+	relay.forwarded = 0
 	relay.request.AttachOnly = false
-	relay.delivered = false
-	return errNotTaken
+	relay.mayBeDelivered = false
+	return errNotAccepted
 }
 
-// giveUp is the final answer when no leader was found.
-func (relay *relay) giveUp(err error) error {
+// lookupError returns the error to report when no leader was found.
+func (relay *relay) lookupError(err error) error {
 	var failure *resultcode.Error
 	if !relay.mayHaveRun() || !errors.As(err, &failure) {
 		return err
 	}
-	return relay.lost(failure.Message)
+	return relay.outcomeUnknown(failure.Message)
 }
 
-// lost answers a call that may have run: never as not run.
-func (relay *relay) lost(cause string) error {
+// outcomeUnknown returns the error for a call that may have run. It must not be
+// reported as not run.
+func (relay *relay) outcomeUnknown(cause string) error {
 	failure := resultcode.New(resultcode.OutcomeUnknown,
-		"%s; the call may have run; resume its stream, or send the same request id again to learn its outcome", cause)
+		"%s; the call may have run: resume its stream or retry with the same request id to learn its outcome", cause)
 	return failure.After(relay.client.config.RetryAfter)
 }
--- a/internal/gateway/relay_test.go
+++ b/internal/gateway/relay_test.go
@@ -19,35 +19,35 @@
 	. "github.com/onsi/gomega"
 )
 
-type sender = func(*schedulerv1.CallEvent)
+type eventSender = func(*schedulerv1.CallEvent)
 
-// answering refuses every call with a code.
-func answering(code resultcode.Code) func(*schedulerv1.CallRequest, sender) {
-	return func(_ *schedulerv1.CallRequest, send sender) { send(failed(failure(code, "refused"))) }
+// rejectWith rejects every call with code.
+func rejectWith(code resultcode.Code) func(*schedulerv1.CallRequest, eventSender) {
+	return func(_ *schedulerv1.CallRequest, send eventSender) { send(failed(failure(code, "refused"))) }
 }
 
-// inTurn serves the first call by the first step, and so on; the last step
-// serves all further ones.
-func inTurn(steps ...func(*schedulerv1.CallRequest, sender)) func(*schedulerv1.CallRequest, sender) {
+// inSequence serves the nth call with the nth step and any further calls with
+// the last one.
+func inSequence(steps ...func(*schedulerv1.CallRequest, eventSender)) func(*schedulerv1.CallRequest, eventSender) {
 	var count atomic.Int64
-	return func(request *schedulerv1.CallRequest, send sender) {
+	return func(request *schedulerv1.CallRequest, send eventSender) {
 		step := min(int(count.Add(1)), len(steps))
 		steps[step-1](request, send)
 	}
 }
 
-func cutAfter(events ...*schedulerv1.CallEvent) func(*schedulerv1.CallRequest, sender) {
-	return func(_ *schedulerv1.CallRequest, send sender) {
+func abortAfter(events ...*schedulerv1.CallEvent) func(*schedulerv1.CallRequest, eventSender) {
+	return func(_ *schedulerv1.CallRequest, send eventSender) {
 		for _, event := range events {
 			send(event)
 		}
-		cut()
+		abortConnection()
 	}
 }
 
-// silentAfter keeps the connection open and sends nothing more.
-func silentAfter(events ...*schedulerv1.CallEvent) func(*schedulerv1.CallRequest, sender) {
-	return cutAfter(append(events, hang)...)
+// hangAfter sends events and then keeps the connection open without sending.
+func hangAfter(events ...*schedulerv1.CallEvent) func(*schedulerv1.CallRequest, eventSender) {
+	return abortAfter(append(events, hangOpen)...)
 }
 
 var _ = Describe("Relay", func() {
@@ -61,10 +61,10 @@
 
 	It("follows a leader hint and remembers the leader", func() {
 		leader := startScheduler(hello)
-		follower := startScheduler(func(_ *schedulerv1.CallRequest, send sender) {
-			refusal := failure(resultcode.NotLeader, "")
-			refusal.LeaderAddress = leader.address()
-			send(failed(refusal))
+		follower := startScheduler(func(_ *schedulerv1.CallRequest, send eventSender) {
+			rejection := failure(resultcode.NotLeader, "")
+			rejection.LeaderAddress = leader.address()
+			send(failed(rejection))
 		})
 		caller := serve(follower.address())
 		for range 3 {
@@ -74,25 +74,25 @@
 		Expect(leader.requests()).To(HaveLen(3))
 	})
 
-	It("passes over a candidate that can't be reached, as nothing ran there", func() {
+	It("skips an unreachable candidate, where the call can't have run", func() {
 		leader := startScheduler(hello)
 		reply := serve(unusedAddress(), leader.address()).send("POST", chatPath, streamed, headerRepeatable, "false")
 		Expect(textOf(reply.body)).To(Equal(helloText))
 		Expect(leader.requests()[0].AttachOnly).To(BeFalse())
 	})
 
-	It("resumes at another leader, each chunk once", func() {
+	It("resumes at a new leader without repeating chunks", func() {
 		second := startScheduler(hello)
-		first := startScheduler(inTurn(cutAfter(accepted(), chunk(1, "Hel")), answering(resultcode.NotLeader)))
+		first := startScheduler(inSequence(abortAfter(accepted(), chunk(1, "Hel")), rejectWith(resultcode.NotLeader)))
 		reply := serve(first.address(), second.address()).send("POST", chatPath, streamed)
 		Expect(textOf(reply.body)).To(Equal(helloText))
 		Expect(second.requests()[0].ResumeAfter).To(Equal(uint64(1)))
 		Expect(second.requests()[0].AttachOnly).To(BeTrue())
 	})
 
-	It("goes on through a leader that hands over in mid-call", func() {
+	It("continues a call across a leadership handover", func() {
 		second := startScheduler(hello)
-		first := startScheduler(func(_ *schedulerv1.CallRequest, send sender) {
+		first := startScheduler(func(_ *schedulerv1.CallRequest, send eventSender) {
 			send(accepted())
 			send(chunk(1, "Hel"))
 			send(failed(failure(resultcode.Stopping, "")))
@@ -100,22 +100,22 @@
 		Expect(textOf(serve(first.address(), second.address()).send("POST", chatPath, streamed).body)).To(Equal(helloText))
 	})
 
-	It("notices a frozen leader and one that never answers", func() {
-		second := startScheduler(inTurn(hello))
-		first := startScheduler(inTurn(silentAfter(accepted(), chunk(1, "Hel")), silentAfter()))
+	It("fails over from a frozen leader and from one that never responds", func() {
+		second := startScheduler(inSequence(hello))
+		first := startScheduler(inSequence(hangAfter(accepted(), chunk(1, "Hel")), hangAfter()))
 		Expect(textOf(serve(first.address(), second.address()).send("POST", chatPath, streamed).body)).To(Equal(helloText))
 	})
 
-	It("waits on a leader whose call stays silent for long", func() {
-		scheduler := startScheduler(inTurn(silentAfter(accepted()), silentAfter(accepted()), silentAfter(accepted()), hello))
+	It("keeps waiting for a leader whose call produces no events for a long time", func() {
+		scheduler := startScheduler(inSequence(hangAfter(accepted()), hangAfter(accepted()), hangAfter(accepted()), hello))
 		Expect(textOf(serve(scheduler.address()).send("POST", chatPath, streamed).body)).To(Equal(helloText))
 		Expect(scheduler.requests()).To(HaveLen(4))
 	})
 
-	It("drops repeated chunks and attaches anew at a gap", func() {
-		scheduler := startScheduler(inTurn(
-			cutAfter(accepted(), chunk(1, "Hel"), chunk(1, "Hel"), chunk(3, `wörld"`)),
-			func(_ *schedulerv1.CallRequest, send sender) {
+	It("drops duplicate chunks and reattaches after a gap", func() {
+		scheduler := startScheduler(inSequence(
+			abortAfter(accepted(), chunk(1, "Hel"), chunk(1, "Hel"), chunk(3, `wörld"`)),
+			func(_ *schedulerv1.CallRequest, send eventSender) {
 				send(accepted())
 				send(chunk(1, "Hel"))
 				send(finished(3))
@@ -124,27 +124,27 @@
 		Expect(textOf(serve(scheduler.address()).send("POST", chatPath, streamed).body)).To(Equal(helloText))
 	})
 
-	It("gives up on a leader that accepts and cuts for ever, without saying not run", func() {
-		scheduler := startScheduler(cutAfter(accepted()))
+	It("gives up with an unknown outcome on a leader that keeps accepting and disconnecting", func() {
+		scheduler := startScheduler(abortAfter(accepted()))
 		reply := serve(scheduler.address()).send("POST", chatPath, streamed)
 		Expect(reply.code()).To(Equal(resultcode.OutcomeUnknown))
-		Expect(len(scheduler.requests())).To(BeNumerically("<=", maxFruitlessStreams+1))
+		Expect(len(scheduler.requests())).To(BeNumerically("<=", maxStreamsWithoutProgress+1))
 	})
 
-	Describe("a call that must not run twice", func() {
+	Describe("a call that is not repeatable", func() {
 		send := func(caller *caller) callerReply {
 			return caller.send("POST", chatPath, chat(""), headerRepeatable, "false", headerRequestID, "r1")
 		}
 
-		It("is only attached to once it may have arrived", func() {
-			scheduler := startScheduler(inTurn(cutAfter(), hello))
+		It("is only attached to once it may have been delivered", func() {
+			scheduler := startScheduler(inSequence(abortAfter(), hello))
 			Expect(send(serve(scheduler.address())).status).To(Equal(http.StatusOK))
 			Expect(scheduler.requests()[1].AttachOnly).To(BeTrue())
 		})
 
-		DescribeTable("is answered as unknown where its outcome can't be learnt",
-			func(steps ...func(*schedulerv1.CallRequest, sender)) {
-				scheduler := startScheduler(inTurn(steps...))
+		DescribeTable("has an unknown outcome if its result can't be determined",
+			func(steps ...func(*schedulerv1.CallRequest, eventSender)) {
+				scheduler := startScheduler(inSequence(steps...))
 				reply := send(serve(scheduler.address()))
 				Expect(reply.code()).To(Equal(resultcode.OutcomeUnknown))
 				running := slices.DeleteFunc(scheduler.requests(), func(request *schedulerv1.CallRequest) bool {
@@ -152,18 +152,18 @@
 				})
 				Expect(running).To(HaveLen(1))
 			},
-			Entry("forgotten before it was accepted", cutAfter(), answering(resultcode.UnknownRequest)),
-			Entry("forgotten after headers alone", cutAfter(headersOnly), answering(resultcode.UnknownRequest)),
-			Entry("forgotten after a silence", silentAfter(), answering(resultcode.UnknownRequest)),
-			Entry("forgotten with its program", cutAfter(), answering(resultcode.UnknownProgram)),
-			Entry("forgotten after it was accepted", cutAfter(accepted()), answering(resultcode.UnknownRequest)),
-			Entry("no leader afterwards", cutAfter(), answering(resultcode.NoLeader)),
+			Entry("unknown to the leader before it was accepted", abortAfter(), rejectWith(resultcode.UnknownRequest)),
+			Entry("unknown to the leader after headers only", abortAfter(headersOnly), rejectWith(resultcode.UnknownRequest)),
+			Entry("unknown to the leader after a timeout", hangAfter(), rejectWith(resultcode.UnknownRequest)),
+			Entry("unknown to the leader with its program", abortAfter(), rejectWith(resultcode.UnknownProgram)),
+			Entry("unknown to the leader after it was accepted", abortAfter(accepted()), rejectWith(resultcode.UnknownRequest)),
+			Entry("no leader afterwards", abortAfter(), rejectWith(resultcode.NoLeader)),
 		)
 
-		It("is passed on where the connection or its handshake was never made", func() {
+		It("is sent to another scheduler if the connection or handshake failed", func() {
 			scheduler := startScheduler(hello)
 			hanging := unusedAddress()
-			gateway := New(testConfig(), Dependencies{Router: routerTo(hanging, scheduler.address())})
+			gateway := New(testConfig(), Dependencies{Router: newTestRouter(hanging, scheduler.address())})
 			transport := gateway.dependencies.Client.Transport.(*http.Transport)
 			transport.DialContext = func(ctx context.Context, network, address string) (net.Conn, error) {
 				if address == hanging {
@@ -180,79 +180,78 @@
 			Expect(scheduler.requests()[0].AttachOnly).To(BeFalse())
 		})
 
-		It("is answered as unknown after a reset connection", func() {
-			scheduler := startScheduler(answering(resultcode.UnknownRequest))
+		It("has an unknown outcome after a connection reset", func() {
+			scheduler := startScheduler(rejectWith(resultcode.UnknownRequest))
 			reply := send(serve(resettingAddress(), scheduler.address()))
 			Expect(reply.code()).To(Equal(resultcode.OutcomeUnknown))
 			Expect(scheduler.requests()[0].AttachOnly).To(BeTrue())
 		})
 
-		It("is refused as not run where no scheduler took it", func() {
-			reply := send(serve(startScheduler(answering(resultcode.NotLeader)).address(), unusedAddress()))
+		It("is rejected as not run if no scheduler accepted it", func() {
+			reply := send(serve(startScheduler(rejectWith(resultcode.NotLeader)).address(), unusedAddress()))
 			Expect(reply.code()).To(Equal(resultcode.NoLeader))
 			Expect(reply.status).To(Equal(http.StatusServiceUnavailable))
 			Expect(reply.header.Get("Retry-After")).To(Equal("1"))
 		})
 	})
 
-	It("runs a repeatable call anew where its place was lost and nothing was shown", func() {
-		scheduler := startScheduler(inTurn(cutAfter(accepted(), chunk(1, "other")), answering(resultcode.UnknownRequest), hello))
+	It("reruns a repeatable call that the leader has no record of if no output was sent", func() {
+		scheduler := startScheduler(inSequence(abortAfter(accepted(), chunk(1, "other")), rejectWith(resultcode.UnknownRequest), hello))
 		reply := serve(scheduler.address()).send("POST", chatPath, chat(""))
 		Expect(reply.body).To(ContainSubstring(`"content":"Hello \"wörld\""`))
 		Expect(scheduler.requests()[2].AttachOnly).To(BeFalse())
 		Expect(scheduler.requests()[2].ResumeAfter).To(BeZero())
 	})
 
-	It("never joins two runs of a call in one stream", func() {
-		scheduler := startScheduler(inTurn(cutAfter(accepted(), chunk(1, "other")), answering(resultcode.UnknownRequest), hello))
+	It("never mixes the output of two runs in one stream", func() {
+		scheduler := startScheduler(inSequence(abortAfter(accepted(), chunk(1, "other")), rejectWith(resultcode.UnknownRequest), hello))
 		reply := serve(scheduler.address()).send("POST", chatPath, streamed)
 		Expect(textOf(reply.body)).To(Equal("other"))
 		Expect(reply.body).To(ContainSubstring(`"code":3001`))
 	})
 
-	DescribeTable("never says not run of a repeatable call that may have run",
-		func(code resultcode.Code, told resultcode.Code) {
-			scheduler := startScheduler(inTurn(cutAfter(headersOnly), answering(code)))
-			Expect(serve(scheduler.address()).send("POST", chatPath, chat("")).code()).To(Equal(told))
+	DescribeTable("never reports a repeatable call that may have run as not run",
+		func(code resultcode.Code, expected resultcode.Code) {
+			scheduler := startScheduler(inSequence(abortAfter(headersOnly), rejectWith(code)))
+			Expect(serve(scheduler.address()).send("POST", chatPath, chat("")).code()).To(Equal(expected))
 		},
-		Entry("refused for this request alone", resultcode.ConfigurationStale, resultcode.OutcomeUnknown),
+		Entry("uncommitted rejection", resultcode.ConfigurationStale, resultcode.OutcomeUnknown),
 		Entry("unknown program", resultcode.UnknownProgram, resultcode.OutcomeUnknown),
-		Entry("refused for good", resultcode.Overloaded, resultcode.Overloaded),
+		Entry("committed rejection", resultcode.Overloaded, resultcode.Overloaded),
 	)
 
-	It("is not misled by events that only show life", func() {
-		scheduler := startScheduler(inTurn(cutAfter(&schedulerv1.CallEvent{}), answering(resultcode.UnknownRequest)))
+	It("does not treat a keepalive as acceptance", func() {
+		scheduler := startScheduler(inSequence(abortAfter(&schedulerv1.CallEvent{}), rejectWith(resultcode.UnknownRequest)))
 		reply := serve(scheduler.address()).send("POST", chatPath, streamed, headerRepeatable, "false")
 		Expect(reply.code()).To(Equal(resultcode.OutcomeUnknown))
 	})
 
-	It("keeps retries within their budget", func() {
+	It("keeps retries within the retry budget", func() {
 		config := testConfig()
 		config.RetryBurst = 1
-		scheduler := startScheduler(answering(resultcode.NoLeader))
+		scheduler := startScheduler(rejectWith(resultcode.NoLeader))
 		caller := startGateway(config, httpserver.Limits{}, scheduler.address())
 		const calls = 21
 		for range calls {
 			Expect(caller.send("POST", chatPath, chat("")).code()).To(Equal(resultcode.NoLeader))
 		}
-		// One token at first and a tenth for each call that the full bucket
-		// had room for.
+		// At most the burst of one token plus a tenth of a token per call.
 		Expect(len(scheduler.requests()) - calls).To(BeNumerically("<=", 3))
 	})
 
-	It("passes each chunk on exactly once whatever breaks", func() {
+	It("forwards each chunk exactly once under random faults", func() {
 		rapid.Check(GinkgoT(), func(t *rapid.T) {
 			text := strings.Split("a b c d e f g h i j k l", " ")
 			faults := rapid.SliceOfN(rapid.IntRange(0, 4), 0, 6).Draw(t, "faults")
-			steps := []func(*schedulerv1.CallRequest, sender){}
+			steps := []func(*schedulerv1.CallRequest, eventSender){}
 			for index, fault := range faults {
 				length := rapid.IntRange(0, len(text)).Draw(t, fmt.Sprint("length", index))
-				steps = append(steps, faulty(fault, text, length))
+				steps = append(steps, faultyStep(fault, text, length))
 			}
-			whole := func(request *schedulerv1.CallRequest, send sender) { words(request, send, text...) }
-			scheduler := newFakeScheduler(inTurn(append(steps, whole)...))
+			completeCall := func(request *schedulerv1.CallRequest, send eventSender) { sendWords(request, send, text...) }
+			scheduler := newFakeScheduler(inSequence(append(steps, completeCall)...))
 			defer scheduler.server.Close()
-			gateway := New(testConfig(), Dependencies{Router: routerTo(scheduler.address())})
+			gateway := New(testConfig(), Dependencies{Router: newTestRouter(scheduler.address())})
 			received := &collector{}
 			relay := &relay{client: gateway.schedulers, receiver: received, request: &schedulerv1.CallRequest{Repeatable: true}}
 			if _, err := relay.run(context.Background()); err != nil {
@@ -265,10 +264,11 @@
 	})
 })
 
-// faulty sends the answer's first words, then goes wrong in one of five ways.
-// It never lies about a word's place or the answer's length.
-func faulty(fault int, text []string, length int) func(*schedulerv1.CallRequest, sender) {
-	return func(request *schedulerv1.CallRequest, send sender) {
+// faultyStep sends the first length words and then fails: 1 repeats earlier
+// words, 2 skips one, 3 finishes early, 4 returns an error, and all of them end
+// by aborting the connection. Sequence numbers are always correct.
+func faultyStep(fault int, text []string, length int) func(*schedulerv1.CallRequest, eventSender) {
+	return func(request *schedulerv1.CallRequest, send eventSender) {
 		send(accepted())
 		for index, word := range text[:length] {
 			if sequence := uint64(index + 1); sequence > request.ResumeAfter || fault == 1 {
@@ -283,11 +283,11 @@
 		case fault == 4:
 			send(failed(failure(resultcode.NoLeader, "")))
 		}
-		cut()
+		abortConnection()
 	}
 }
 
-// collector is a receiver that keeps the text.
+// collector is a receiver that stores the text of each chunk.
 type collector struct{ text []string }
 
 func (collector *collector) chunk(chunk *schedulerv1.Chunk) error {
@@ -295,4 +295,4 @@
 	return nil
 }
 
-func (collector *collector) canRestart() bool { return false }
+func (collector *collector) tryReset() bool { return false }
--- a/internal/gateway/router.go
+++ b/internal/gateway/router.go
@@ -15,33 +15,34 @@
 	"github.com/magpielug/magpielug/internal/outside"
 )
 
-// Router tells which schedulers may lead a program's shard.
+// Router returns the schedulers that may lead a program's shard.
 type Router interface {
-	// Candidates returns the addresses to ask, the likeliest leader first.
+	// Candidates returns the addresses to ask, the most likely leader first.
 	Candidates(program string) []string
-	// Learn notes that address leads the program's shard.
-	Learn(program, address string)
-	// Forget notes that address does not lead the program's shard.
-	Forget(program, address string)
-	// Suspect notes that address did not answer: it is asked last for a while.
-	Suspect(program, address string)
+	// RecordLeader records that address leads the program's shard.
+	RecordLeader(program, address string)
+	// ForgetLeader records that address does not lead the program's shard.
+	ForgetLeader(program, address string)
+	// MarkSuspect records that address did not respond. It is asked last for
+	// some time.
+	MarkSuspect(program, address string)
 }
 
-// Placement tells how programs map to shards and shards to schedulers.
+// Placement maps programs to shards and shards to schedulers.
 type Placement interface {
 	// ShardOf returns the program's shard.
 	ShardOf(program string) uint32
-	// Order returns the addresses of schedulers in the order in which they
-	// should host the shard.
+	// Order returns the addresses of schedulers in order of preference for
+	// hosting the shard.
 	Order(shard uint32, schedulers []outside.Machine) []string
 }
 
-// maxCandidates bounds the schedulers asked in one pass: a shard's group, and
-// some more in case that the machine list lags.
+// maxCandidates limits the schedulers asked in one pass. It exceeds the size of
+// a shard's group, as the machine list may lag.
 const maxCandidates = 6
 
-// ShardRouter routes by the platform's lagging machine list and by the leaders
-// learned from answers. It is safe for concurrent use.
+// ShardRouter routes by the platform's eventually consistent machine list and
+// by the leaders learned from responses. It is safe for concurrent use.
 type ShardRouter struct {
 	machines  outside.Machines
 	placement Placement
@@ -51,39 +52,40 @@
 
 	now func() time.Time
 
-	mutex   sync.RWMutex
-	leaders map[uint32]string
-	orders  map[uint32][]string
-	// suspects holds until when a scheduler is asked last.
-	suspects map[string]time.Time
+	mutex           sync.RWMutex
+	leaders         map[uint32]string
+	placementOrders map[uint32][]string
+	// suspectUntil holds the time until which each suspect is asked last.
+	suspectUntil map[string]time.Time
 }
 
-// suspectPeriod is how long a scheduler that did not answer is asked last, so
-// that not every call waits for one that is cut off or frozen.
+// suspectPeriod is how long an unresponsive scheduler is asked last, so that
+// calls do not each wait for it to time out.
 const suspectPeriod = 5 * time.Second
 
-// NewShardRouter makes a router that knows no scheduler until Refresh or Run.
+// NewShardRouter returns a router that has no candidates until Refresh or Run
+// reads the machine list.
 func NewShardRouter(machines outside.Machines, placement Placement, logger *zap.Logger) *ShardRouter {
 	router := &ShardRouter{
-		machines:  machines,
-		placement: placement,
-		logger:    logger,
-		now:       time.Now,
-		leaders:   map[uint32]string{},
-		orders:    map[uint32][]string{},
-		suspects:  map[string]time.Time{},
+		machines:        machines,
+		placement:       placement,
+		logger:          logger,
+		now:             time.Now,
+		leaders:         map[uint32]string{},
+		placementOrders: map[uint32][]string{},
+		suspectUntil:    map[string]time.Time{},
 	}
 	router.schedulers.Store(&[]outside.Machine{})
 	return router
 }
 
-// Run refreshes the machine list each interval until ctx ends.
+// Run refreshes the machine list at each interval until ctx is done.
 func (router *ShardRouter) Run(ctx context.Context, interval time.Duration) {
 	ticker := time.NewTicker(interval)
 	defer ticker.Stop()
 	for {
 		if err := router.Refresh(ctx); err != nil && ctx.Err() == nil {
-			router.logger.Warn("machine list not read", zap.String("error", err.Error()))
+			router.logger.Warn("failed to refresh the machine list", zap.String("error", err.Error()))
 		}
 		select {
 		case <-ctx.Done():
@@ -93,8 +95,8 @@
 	}
 }
 
-// Refresh reads the machine list once. A failed read, or one that names no
-// scheduler, leaves the last list in force.
+// Refresh reads the machine list once. If that fails or the list has no
+// schedulers, the previous list stays in use.
 func (router *ShardRouter) Refresh(ctx context.Context) error {
 	machines, err := router.machines.List(ctx)
 	if err != nil {
@@ -103,27 +105,27 @@
 	schedulers := slices.DeleteFunc(slices.Clone(machines), func(machine outside.Machine) bool {
 		return machine.Role != outside.RoleScheduler
 	})
-	slices.SortFunc(schedulers, func(one, other outside.Machine) int { return cmp.Compare(one.ID, other.ID) })
+	slices.SortFunc(schedulers, func(left, right outside.Machine) int { return cmp.Compare(left.ID, right.ID) })
 	if len(schedulers) == 0 || slices.Equal(schedulers, *router.schedulers.Load()) {
 		return nil
 	}
 	router.schedulers.Store(&schedulers)
 	router.mutex.Lock()
 	defer router.mutex.Unlock()
-	clear(router.orders)
+	clear(router.placementOrders)
 	return nil
 }
 
-// Candidates returns the learned leader, if any, then the hosts of the shard
-// in placement order.
+// Candidates returns the known leader, if any, then the shard's hosts in
+// placement order, with suspects last.
 func (router *ShardRouter) Candidates(program string) []string {
 	shard := router.placement.ShardOf(program)
 	router.mutex.RLock()
 	leader := router.leaders[shard]
-	order, known := router.orders[shard]
+	order, known := router.placementOrders[shard]
 	router.mutex.RUnlock()
 	if !known {
-		order = router.order(shard)
+		order = router.placementOrder(shard)
 	}
 	candidates := make([]string, 0, len(order)+1)
 	if leader != "" {
@@ -134,18 +136,18 @@
 			candidates = append(candidates, address)
 		}
 	}
-	return router.suspectsLast(candidates)
+	return router.moveSuspectsLast(candidates)
 }
 
-// suspectsLast keeps the order otherwise.
-func (router *ShardRouter) suspectsLast(candidates []string) []string {
+// moveSuspectsLast moves suspects to the end and otherwise keeps the order.
+func (router *ShardRouter) moveSuspectsLast(candidates []string) []string {
 	router.mutex.RLock()
 	defer router.mutex.RUnlock()
-	if len(router.suspects) == 0 {
+	if len(router.suspectUntil) == 0 {
 		return candidates
 	}
 	now := router.now()
-	isSuspect := func(address string) bool { return router.suspects[address].After(now) }
+	isSuspect := func(address string) bool { return router.suspectUntil[address].After(now) }
 	sorted := make([]string, 0, len(candidates))
 	for _, address := range candidates {
 		if !isSuspect(address) {
@@ -160,20 +162,21 @@
 	return sorted
 }
 
-func (router *ShardRouter) order(shard uint32) []string {
+func (router *ShardRouter) placementOrder(shard uint32) []string {
 	order := router.placement.Order(shard, *router.schedulers.Load())
 	order = order[:min(len(order), maxCandidates)]
 	router.mutex.Lock()
 	defer router.mutex.Unlock()
-	router.orders[shard] = order
+	router.placementOrders[shard] = order
 	return order
 }
 
-// Learn notes the leader of the program's shard.
-func (router *ShardRouter) Learn(program, address string) {
+// RecordLeader records the leader of the program's shard and clears its
+// suspicion.
+func (router *ShardRouter) RecordLeader(program, address string) {
 	shard := router.placement.ShardOf(program)
 	router.mutex.RLock()
-	_, suspect := router.suspects[address]
+	_, suspect := router.suspectUntil[address]
 	known := router.leaders[shard] == address && !suspect
 	router.mutex.RUnlock()
 	if known {
@@ -182,11 +185,11 @@
 	router.mutex.Lock()
 	defer router.mutex.Unlock()
 	router.leaders[shard] = address
-	delete(router.suspects, address)
+	delete(router.suspectUntil, address)
 }
 
-// Forget drops the learned leader if it is address.
-func (router *ShardRouter) Forget(program, address string) {
+// ForgetLeader removes address as the known leader of the program's shard.
+func (router *ShardRouter) ForgetLeader(program, address string) {
 	shard := router.placement.ShardOf(program)
 	router.mutex.Lock()
 	defer router.mutex.Unlock()
@@ -195,29 +198,30 @@
 	}
 }
 
-// Suspect forgets the address as a leader and asks it last for suspectPeriod.
-func (router *ShardRouter) Suspect(program, address string) {
-	router.Forget(program, address)
+// MarkSuspect removes address as the known leader and asks it last for
+// suspectPeriod.
+func (router *ShardRouter) MarkSuspect(program, address string) {
+	router.ForgetLeader(program, address)
 	router.mutex.Lock()
 	defer router.mutex.Unlock()
 	now := router.now()
-	maps.DeleteFunc(router.suspects, func(_ string, until time.Time) bool { return !until.After(now) })
-	router.suspects[address] = now.Add(suspectPeriod)
+	maps.DeleteFunc(router.suspectUntil, func(_ string, until time.Time) bool { return !until.After(now) })
+	router.suspectUntil[address] = now.Add(suspectPeriod)
 }
 
-// HashPlacement places shards by rendezvous hashing over all schedulers.
+// HashPlacement places shards on schedulers by rendezvous hashing.
 type HashPlacement struct {
-	// Shards is the fixed number of shards.
+	// Shards is the number of shards; it must not change.
 	Shards uint32
 }
 
-// ShardOf hashes the program's id.
+// ShardOf returns the shard of the program id's hash.
 func (placement HashPlacement) ShardOf(program string) uint32 {
 	return uint32(xxhash.Sum64String(program) % uint64(placement.Shards))
 }
 
-// Order sorts the schedulers by the hash of shard and machine id, live ones
-// first.
+// Order sorts the schedulers by the hash of shard and machine id, with leaving
+// machines last.
 func (placement HashPlacement) Order(shard uint32, schedulers []outside.Machine) []string {
 	type ranked struct {
 		address string
@@ -233,14 +237,14 @@
 			score:   xxhash.Sum64(append(prefix, machine.ID...)),
 		})
 	}
-	slices.SortFunc(ranking, func(one, other ranked) int {
-		if one.leaving != other.leaving {
-			if one.leaving {
+	slices.SortFunc(ranking, func(left, right ranked) int {
+		if left.leaving != right.leaving {
+			if left.leaving {
 				return 1
 			}
 			return -1
 		}
-		return cmp.Compare(other.score, one.score)
+		return cmp.Compare(right.score, left.score)
 	})
 	addresses := make([]string, 0, len(ranking))
 	for _, entry := range ranking {
--- a/internal/gateway/scheduler_client.go
+++ b/internal/gateway/scheduler_client.go
@@ -19,148 +19,150 @@
 	"github.com/magpielug/magpielug/internal/resultcode"
 )
 
-// CallPath is where a scheduler takes a CallRequest and streams CallEvents.
+// CallPath is the HTTP path at which a scheduler accepts a CallRequest and
+// streams CallEvents.
 const CallPath = "/internal/v1/call"
 
-// Bounds of one event of a scheduler's stream.
+// Limits for reading a scheduler's event stream.
 const (
 	streamBufferBytes = 16 << 10
 	maxEventBytes     = 4 << 20
 )
 
-// schedulerClient speaks to the schedulers, finding each shard's leader.
+// schedulerClient sends requests to the leaders of shards.
 type schedulerClient struct {
-	config  Config
-	router  Router
-	client  *http.Client
-	clock   Clock
-	metrics *metrics
-	budget  *retryBudget
-	sender  *arrival.Sender
-	// services holds one twirp client by scheduler address.
-	services sync.Map
+	config     Config
+	router     Router
+	httpClient *http.Client
+	clock      Clock
+	metrics    *metrics
+	budget     *retryBudget
+	sender     *arrival.Sender
+	// programsClients caches a twirp client for each scheduler address.
+	programsClients sync.Map
 }
 
 func newSchedulerClient(config Config, dependencies Dependencies, metrics *metrics) *schedulerClient {
 	return &schedulerClient{
-		config:  config,
-		router:  dependencies.Router,
-		client:  dependencies.Client,
-		clock:   dependencies.Clock,
-		metrics: metrics,
-		budget:  newRetryBudget(config.RetryRatio, config.RetryBurst),
-		sender:  arrival.NewSender(),
+		config:     config,
+		router:     dependencies.Router,
+		httpClient: dependencies.Client,
+		clock:      dependencies.Clock,
+		metrics:    metrics,
+		budget:     newRetryBudget(config.RetryRatio, config.RetryBurst),
+		sender:     arrival.NewSender(),
 	}
 }
 
-func (client *schedulerClient) service(address string) schedulerv1.Programs {
-	if known, ok := client.services.Load(address); ok {
+func (client *schedulerClient) programsClient(address string) schedulerv1.Programs {
+	if known, ok := client.programsClients.Load(address); ok {
 		return known.(schedulerv1.Programs)
 	}
-	service := schedulerv1.NewProgramsProtobufClient("http://"+address, client.client)
-	known, _ := client.services.LoadOrStore(address, service)
+	service := schedulerv1.NewProgramsProtobufClient("http://"+address, client.httpClient)
+	known, _ := client.programsClients.LoadOrStore(address, service)
 	return known.(schedulerv1.Programs)
 }
 
-// reply is the part that all answers of the Programs service share.
-type reply interface{ GetError() *schedulerv1.Error }
+// unaryReply is implemented by all replies of the Programs service.
+type unaryReply interface{ GetError() *schedulerv1.Error }
 
-// ask sends one request to the leader of the program's shard and returns its
-// answer. All requests of the Programs service can be sent again: they read,
-// or they name the state to reach. mutates tells which, for an honest answer
-// when it is not known whether the request arrived.
-func ask[Reply reply](ctx context.Context, client *schedulerClient, program string, mutates bool,
+// sendUnary sends one request to the leader of the program's shard and returns
+// its reply. Requests of the Programs service are idempotent, so it may send
+// them again. mutates marks those that change state: if it is unknown whether
+// one arrived, the error says so.
+func sendUnary[Reply unaryReply](ctx context.Context, client *schedulerClient, program string, mutates bool,
 	send func(ctx context.Context, service schedulerv1.Programs) (Reply, error)) (Reply, error) {
-	var none Reply
+	var zero Reply
 	client.budget.deposit()
-	search := client.newSearch(program, client.config.RouteBound, false)
+	lookup := client.newLeaderLookup(program, client.config.RouteBound, false)
 	mayHaveRun := false
 	for {
-		address, err := search.next(ctx)
+		address, err := lookup.nextAddress(ctx)
 		if err != nil {
-			return none, unansweredRequest(err, mayHaveRun)
+			return zero, finalUnaryError(err, mayHaveRun)
 		}
-		delivery := &delivery{}
-		answer, err := sendOnce(delivery.watch(ctx), client, address, send)
+		tracker := &deliveryTracker{}
+		reply, err := sendUnaryOnce(tracker.withTrace(ctx), client, address, send)
 		if err != nil {
 			if ctx.Err() != nil {
-				return none, errCallerGone
+				return zero, errCallerDisconnected
 			}
-			mayHaveRun = mayHaveRun || (mutates && !delivery.ruledOut(err))
-			search.unreachable(address)
+			mayHaveRun = mayHaveRun || (mutates && !tracker.notDelivered(err))
+			lookup.recordUnreachable(address)
 			continue
 		}
-		failure := answer.GetError()
-		if search.moved(address, failure) {
+		failure := reply.GetError()
+		if lookup.handleNotLeader(address, failure) {
 			continue
 		}
-		search.found(address)
+		lookup.recordLeader(address)
 		if failure.GetCode() != 0 {
-			refusal := fromScheduler(failure)
-			return none, unansweredRequest(refusal, mayHaveRun && isUncommitted(failure))
+			rejection := convertSchedulerError(failure)
+			return zero, finalUnaryError(rejection, mayHaveRun && isUncommitted(failure))
 		}
-		return answer, nil
+		return reply, nil
 	}
 }
 
-func sendOnce[Reply reply](ctx context.Context, client *schedulerClient, address string,
+func sendUnaryOnce[Reply unaryReply](ctx context.Context, client *schedulerClient, address string,
 	send func(ctx context.Context, service schedulerv1.Programs) (Reply, error)) (Reply, error) {
 	bounded, cancel := context.WithTimeout(ctx, client.config.UnaryBound)
 	defer cancel()
-	return send(bounded, client.service(address))
+	return send(bounded, client.programsClient(address))
 }
 
-// unansweredRequest is the final answer of a request that no leader took. err
-// stands unless the request may have taken effect at a scheduler whose answer
-// was lost.
-func unansweredRequest(err error, mayHaveRun bool) error {
+// finalUnaryError returns the error of a request without a reply. It reports an
+// unknown outcome if the request may have taken effect at a scheduler whose
+// reply was lost, and err otherwise.
+func finalUnaryError(err error, mayHaveRun bool) error {
 	var failure *resultcode.Error
 	if !mayHaveRun || !errors.As(err, &failure) {
 		return err
 	}
 	unknown := resultcode.New(resultcode.OutcomeUnknown,
-		"the scheduler's answer was lost; the request may have taken effect, and the same request can be sent again")
+		"the scheduler's reply was lost; the request may have taken effect, and the same request can be retried")
 	return unknown.After(failure.RetryAfter)
 }
 
-// moved reports whether the answer means that another scheduler, or the same
-// one later, is to be asked; nothing ran there.
-func (search *search) moved(address string, failure *schedulerv1.Error) bool {
+// handleNotLeader reports whether the scheduler rejected the request without
+// running it because it is not the shard's leader or is stopping. The lookup
+// then continues.
+func (lookup *leaderLookup) handleNotLeader(address string, failure *schedulerv1.Error) bool {
 	switch resultcode.Code(failure.GetCode()) {
 	case resultcode.NotLeader:
-		search.redirected(address, failure.GetLeaderAddress())
+		lookup.recordNotLeader(address, failure.GetLeaderAddress())
 		return true
 	case resultcode.NoLeader, resultcode.Stopping:
-		search.redirected(address, "")
+		lookup.recordNotLeader(address, "")
 		return true
 	default:
 		return false
 	}
 }
 
-// callStream is the open stream of one call from one scheduler.
+// callStream is the event stream of one call from one scheduler.
 type callStream struct {
-	body   io.ReadCloser
-	reader *bufio.Reader
-	cancel context.CancelFunc
-	timer  *time.Timer
-	idle   time.Duration
-	// silent is true once the stream was ended for the scheduler's silence.
-	silent atomic.Bool
+	body        io.ReadCloser
+	reader      *bufio.Reader
+	cancel      context.CancelFunc
+	timer       *time.Timer
+	idleTimeout time.Duration
+	// timedOut is true once the stream was cancelled because no event arrived
+	// in time.
+	timedOut atomic.Bool
 }
 
-// open sends a call to address. The stream ends by itself when the scheduler
-// stays silent too long: FirstEventBound until its first event, IdleBound
-// later on.
-func (client *schedulerClient) open(ctx context.Context, address string, request *schedulerv1.CallRequest) (*callStream, error) {
+// openCall sends a call to address. The stream is cancelled if the first event
+// takes longer than FirstEventBound or a later one longer than IdleBound.
+func (client *schedulerClient) openCall(ctx context.Context, address string, request *schedulerv1.CallRequest) (*callStream, error) {
 	content, err := proto.Marshal(request)
 	if err != nil {
 		return nil, err
 	}
 	streamContext, cancel := context.WithCancel(ctx)
-	stream := &callStream{cancel: cancel, idle: client.config.IdleBound}
-	stream.timer = time.AfterFunc(client.config.FirstEventBound, stream.endSilent)
-	response, err := client.post(streamContext, address, content)
+	stream := &callStream{cancel: cancel, idleTimeout: client.config.IdleBound}
+	stream.timer = time.AfterFunc(client.config.FirstEventBound, stream.onTimeout)
+	response, err := client.postCall(streamContext, address, content)
 	if err != nil {
 		stream.timer.Stop()
 		cancel()
@@ -171,16 +173,16 @@
 	return stream, nil
 }
 
-// post sends the request once. The transport sends it again only where it
-// knows that nothing of it was written.
-func (client *schedulerClient) post(ctx context.Context, address string, content []byte) (*http.Response, error) {
+// postCall sends the request once. The HTTP transport retries it only if
+// nothing of it was written.
+func (client *schedulerClient) postCall(ctx context.Context, address string, content []byte) (*http.Response, error) {
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+address+CallPath, bytes.NewReader(content))
 	if err != nil {
 		return nil, err
 	}
 	request.Header.Set("Content-Type", "application/protobuf")
 	client.sender.Stamp(request.Header, client.config.FirstEventBound)
-	response, err := client.client.Do(request)
+	response, err := client.httpClient.Do(request)
 	if err != nil {
 		return nil, err
 	}
@@ -191,22 +193,22 @@
 	return response, nil
 }
 
-func (stream *callStream) endSilent() {
-	stream.silent.Store(true)
+func (stream *callStream) onTimeout() {
+	stream.timedOut.Store(true)
 	stream.cancel()
 }
 
-// receive reads the stream's next event.
+// receive reads the next event.
 func (stream *callStream) receive(event *schedulerv1.CallEvent) error {
 	options := protodelim.UnmarshalOptions{MaxSize: maxEventBytes}
 	if err := options.UnmarshalFrom(stream.reader, event); err != nil {
 		return err
 	}
-	stream.timer.Reset(stream.idle)
+	stream.timer.Reset(stream.idleTimeout)
 	return nil
 }
 
-// close detaches from the call; the scheduler goes on with it.
+// close detaches from the call, which continues at the scheduler.
 func (stream *callStream) close() {
 	stream.timer.Stop()
 	stream.cancel()
