--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -35,8 +35,7 @@
 	// only if HasSoftDeadline is true.
 	UntilSoftDeadline time.Duration
 	HasSoftDeadline   bool
-	// RetryJitter is in [0, 1) and differs between programs, so that programs refused together
-	// do not retry together.
+	// RetryJitter is in [0, 1) and differs between programs; it spreads their retries.
 	RetryJitter float64
 }
 
@@ -117,8 +116,8 @@
 	return "/" + service + "/" + strconv.Itoa(priority)
 }
 
-// toolCallPriority is the priority under which tool calls are reported. They have none of their
-// own: a running program's calls must proceed.
+// toolCallPriority is the priority under which tool calls are reported. It is the most urgent,
+// since running programs are never refused.
 const toolCallPriority = 0
 
 // ToolCallRoute returns the report entry for the tool calls that programs have in flight at a
--- a/internal/admission/components_test.go
+++ b/internal/admission/components_test.go
@@ -48,9 +48,9 @@
 
 func TestAdjustLimit(t *testing.T) {
 	expect := NewWithT(t)
-	after := func(limit float64, signals loadSignals, while time.Duration) float64 {
+	after := func(limit float64, signals loadSignals, duration time.Duration) float64 {
 		const step = 100 * time.Millisecond
-		for ; while > 0; while -= step {
+		for ; duration > 0; duration -= step {
 			limit = adjustLimit(limit, signals, step)
 		}
 		return limit
@@ -91,9 +91,9 @@
 	state := &State{Known: true, Services: []Service{{Name: "m", Slots: 100, Running: 20}, {Name: "other", Engines: 1}}}
 	state.Total.Routes = map[string]load.Route{"r": {Service: "m", Programs: 10, Turns: 10}}
 	now := time.Unix(1000, 0)
-	sample := func(turns int, while time.Duration) {
+	sample := func(turns int, duration time.Duration) {
 		state.Total.Routes["r"] = load.Route{Service: "m", Programs: 10, Turns: turns}
-		for until := now.Add(while); now.Before(until); now = now.Add(sampleInterval) {
+		for until := now.Add(duration); now.Before(until); now = now.Add(sampleInterval) {
 			estimator.observe(state, now)
 		}
 	}
--- a/internal/admission/constraint.go
+++ b/internal/admission/constraint.go
@@ -17,15 +17,15 @@
 	// use.
 	priorityIndex int
 	priorities    []int
-	// projected is the forecast demand including the request. limit excludes the reserves for
-	// more urgent priorities and costlyReserve, which the route leaves to cheaper ones of its
-	// priority.
+	// projected is the forecast demand including the request. limit is what the request may use:
+	// the resource's limit without the reserves for more urgent priorities and without
+	// costlyReserve, the reserve for cheaper programs of the same priority.
 	projected     float64
 	limit         float64
 	costlyReserve float64
-	// startRate is what may start per second at the request's priority, over all owners, and
-	// routeRate what may start of its route regardless of other requests. backlog is the rate
-	// of recently refused demand of the priority.
+	// startRate is the demand that may start per second at the request's priority, over all
+	// owners. routeRate is the minimum for its route, 0 without a costlyReserve. backlog is the
+	// demand of the priority refused per second.
 	startRate float64
 	routeRate float64
 	backlog   float64
@@ -43,15 +43,15 @@
 		candidate := &constraint{resource: resource, state: state, request: request, priorities: priorities, priorityIndex: priorityIndex(priorities, request.Priority)}
 		candidate.programDemand = estimator.programDemand(resource, request.Route, request.Service)
 		if resource.memory {
-			candidate.programDemand = max(candidate.programDemand, float64(request.PromptTokens)*memoryUser(resource, request))
+			candidate.programDemand = max(candidate.programDemand, float64(request.PromptTokens)*memoryFactor(resource, request))
 		}
 		if candidate.programDemand < minDemandFraction*resource.capacity {
 			continue
 		}
 		candidate.projected = resource.demand + estimator.demandChange(resource, state, admitted) + candidate.programDemand
-		proximity := limitProximity(candidate.projected / resource.limit)
-		candidate.costlyReserve = proximity * costlyReserve * resource.capacity
-		candidate.limit = resource.limit - proximity*estimator.priorityReserve(candidate.priorityIndex)*resource.capacity - candidate.costlyReserve
+		reserveFactor := reserveScale(candidate.projected / resource.limit)
+		candidate.costlyReserve = reserveFactor * costlyReserve * resource.capacity
+		candidate.limit = resource.limit - reserveFactor*estimator.priorityReserve(candidate.priorityIndex)*resource.capacity - candidate.costlyReserve
 		if tightest == nil || candidate.utilization() > tightest.utilization() {
 			tightest = candidate
 		}
@@ -62,8 +62,8 @@
 	return tightest
 }
 
-// memoryUser returns 1 if the request's prompts use the memory resource, 0 otherwise.
-func memoryUser(resource *resource, request Request) float64 {
+// memoryFactor returns 1 if the request's prompts occupy the memory resource, 0 otherwise.
+func memoryFactor(resource *resource, request Request) float64 {
 	if resource.service == request.Service {
 		return 1
 	}
@@ -71,8 +71,8 @@
 }
 
 // admittedSince returns this owner's admissions since a time.
-func (controller *Controller) admittedSince(moment time.Time) []admittedProgram {
-	first, _ := slices.BinarySearchFunc(controller.recentAdmissions, moment, func(admission admittedProgram, moment time.Time) int { return admission.at.Compare(moment) })
+func (controller *Controller) admittedSince(since time.Time) []admittedProgram {
+	first, _ := slices.BinarySearchFunc(controller.recentAdmissions, since, func(admission admittedProgram, since time.Time) int { return admission.at.Compare(since) })
 	return controller.recentAdmissions[first:]
 }
 
@@ -133,14 +133,14 @@
 // fits reports whether demand stays within its limit with the request.
 func (constraint *constraint) fits() bool { return constraint.projected <= constraint.limit }
 
-// fitsUnderShare reports whether the allowance for tenants far under their fair share has
-// capacity.
-func (constraint *constraint) fitsUnderShare(decision Decision) bool {
+// fitsUnderShareAllowance reports whether the tenant is far below its fair share and demand
+// stays within the allowance for such tenants.
+func (constraint *constraint) fitsUnderShareAllowance(decision Decision) bool {
 	return decision.farUnderShare() && constraint.projected <= constraint.limit+underShareAllowance*constraint.capacity
 }
 
-// retryAfter returns when capacity is expected for the request, after the requests refused
-// before it.
+// retryAfter returns how long the request must wait until capacity is expected for it, behind
+// recently refused requests.
 func (constraint *constraint) retryAfter(request Request, lifetime time.Duration) time.Duration {
 	longest := maxRetryAfter
 	if request.HasSoftDeadline {
@@ -155,7 +155,7 @@
 }
 
 // addJitter extends a wait by up to maxRetryJitter, so that programs refused together do not
-// retry together.
+// retry at the same time.
 func addJitter(wait time.Duration, jitter float64) time.Duration {
 	return time.Duration(float64(wait) * (1 + maxRetryJitter*jitter))
 }
--- a/internal/admission/controller.go
+++ b/internal/admission/controller.go
@@ -20,16 +20,16 @@
 	// requests admission.
 	maxBurstDuration = 300 * time.Millisecond
 	minBurstPrograms = 1.5
-	// refusalRetention is how long a refused program is remembered. Such a program takes
-	// precedence when it retries and can still meet its soft deadline.
+	// refusalRetention is how long a refused program is remembered. When it retries and can
+	// still meet its soft deadline, it takes precedence.
 	refusalRetention = 3 * time.Second
 	// minRetryAfter and maxRetryAfter bound Decision.RetryAfter. Callers retry only once or
-	// twice within their timeout, so that a shorter wait would waste an attempt.
+	// twice within their timeout, so a shorter wait would waste an attempt.
 	minRetryAfter = 150 * time.Millisecond
 	maxRetryAfter = 900 * time.Millisecond
 	// maxTimelyRefusals is the number of refusals after which a program cannot meet its soft
-	// deadline any more. It is then told to wait at least lateRetryAfter, so that its remaining
-	// attempts outlast a burst.
+	// deadline any more. It then waits at least lateRetryAfter, so that its remaining attempts
+	// outlast a burst.
 	maxTimelyRefusals = 2
 	lateRetryAfter    = 850 * time.Millisecond
 	// maxRetryJitter is the maximum jitter as a fraction of the wait.
@@ -138,7 +138,7 @@
 	case constraint.fits():
 		controller.buckets[bucketKey{priority: request.Priority}] = &tokenBucket{refilledAt: now}
 		return controller.admit(request, decision, now)
-	case constraint.fitsUnderShare(decision):
+	case constraint.fitsUnderShareAllowance(decision):
 		return controller.admit(request, decision, now)
 	}
 	if controller.takeTokens(request, constraint, now) {
@@ -171,7 +171,7 @@
 	if controller.canMeetDeadline(request) {
 		minFraction = 0
 	}
-	// Both buckets are refilled, whichever is used.
+	// Refill both buckets even if only one is used.
 	priorityBucket := controller.refilledBucket(bucketKey{priority: request.Priority}, constraint.startRate, constraint, now)
 	routeBucket := controller.refilledBucket(bucketKey{priority: request.Priority, route: request.Route}, constraint.routeRate, constraint, now)
 	return priorityBucket.take(constraint, minFraction) || (constraint.routeRate > 0 && routeBucket.take(constraint, 1))
--- a/internal/admission/controller_test.go
+++ b/internal/admission/controller_test.go
@@ -154,7 +154,7 @@
 var _ = Describe("A tenant at six times its usual rate", func() {
 	// There are 24 tenants with equal rates; "t0" has six times its rate during the burst, in
 	// which total demand is 1.2 times the slots.
-	hot := func(at time.Duration, random *rand.Rand) string {
+	burstTenant := func(at time.Duration, random *rand.Rand) string {
 		weight := 1.0
 		if at >= warmUp && at < burstEnds {
 			weight = 6
@@ -164,10 +164,10 @@
 		}
 		return "t0"
 	}
-	play := func(shares bool) sample {
+	runBurst := func(shares bool) sample {
 		classes := classesAt(0.95)
 		classes[0].rate = burstRate(classes[0].rate(0), 1.5, warmUp, burstEnds)
-		classes[0].tenant = hot
+		classes[0].tenant = burstTenant
 		sim := newSimulation(classes, 14)
 		sim.options.TenantShares = shares
 		sim.run(runTime)
@@ -184,9 +184,9 @@
 	}
 
 	It("is refused before the others are", func() {
-		with := play(true)
+		with := runBurst(true)
 		Expect(with.refusedFraction("shortt0")).To(BeNumerically(">", 3*others(with)))
-		Expect(others(with)).To(BeNumerically("<", others(play(false))))
+		Expect(others(with)).To(BeNumerically("<", others(runBurst(false))))
 		Expect(with.reasons[admission.ReasonTenantShare]).To(BeNumerically(">", 0))
 	})
 })
@@ -238,7 +238,7 @@
 			waits[decision.RetryAfter] = true
 		}
 		Expect(len(waits)).To(BeNumerically(">", 5))
-		urgent := request("hurried")
+		urgent := request("urgent")
 		urgent.RetryJitter, urgent.HasSoftDeadline, urgent.UntilSoftDeadline = 0.9, true, 1400*time.Millisecond
 		Expect(controller.Decide(urgent, full, now).RetryAfter).To(BeNumerically("<=", 400*time.Millisecond), "its lifetime is one second")
 	})
--- a/internal/admission/forecast.go
+++ b/internal/admission/forecast.go
@@ -53,18 +53,18 @@
 // less than a refusal.
 func (estimator *estimator) resources(state *State, withMemory bool) []*resource {
 	var all []*resource
-	models := map[string]bool{}
+	modelServices := map[string]bool{}
 	for name, route := range state.Total.Routes {
 		if estimator.hasPrograms(name, route) {
-			models[route.Service] = true
+			modelServices[route.Service] = true
 		}
 	}
 	for index := range state.Services {
 		service := &state.Services[index]
-		if service.Slots > 0 && models[service.Name] {
+		if service.Slots > 0 && modelServices[service.Name] {
 			all = append(all, estimator.slotResource(service, state))
 		}
-		if withMemory && service.MemoryTokens > 0 && models[service.Name] {
+		if withMemory && service.MemoryTokens > 0 && modelServices[service.Name] {
 			all = append(all, estimator.memoryResource(service, state))
 		}
 	}
--- a/internal/admission/priorities.go
+++ b/internal/admission/priorities.go
@@ -16,19 +16,19 @@
 	scarcityThreshold  = 0.2
 	// scarcityWindow is the averaging window for the fraction of refused programs.
 	scarcityWindow = 800 * time.Millisecond
-	// maxCostlyReserve is the fraction of the capacity that programs with many times the work
-	// of others of their priority leave free when scarcityThreshold is reached, since the same
-	// capacity finishes several of the cheaper ones.
+	// maxCostlyReserve bounds the fraction of the capacity that a route leaves free for routes
+	// of its priority whose programs need less work, since the same capacity finishes more of
+	// those.
 	maxCostlyReserve = 0.4
-	// proximityThreshold is the utilization at which reserves begin to apply; they apply in
-	// full at the limit. Without it refusals would sustain the reserves after a burst while
-	// capacity is free.
-	proximityThreshold = 0.85
+	// reserveThreshold is the utilization at which reserves begin to apply; they apply in full
+	// at the limit. Otherwise the reserves, which grow with recent refusals, would cause further
+	// refusals after a burst while capacity is free.
+	reserveThreshold = 0.85
 	// minPriorityShare is the fraction of the start rate kept for each priority with demand, so
 	// that none starves.
 	minPriorityShare = 0.05
-	// minRouteShare is the fraction of the capacity kept for each route that leaves a costly
-	// reserve, so that it does not starve.
+	// minRouteShare is the fraction of the capacity kept for each route that has to leave a
+	// costly reserve free, so that it does not starve.
 	minRouteShare = 0.02
 )
 
@@ -44,10 +44,10 @@
 	return float64(min(index, maxReserves)) * (minPriorityReserve + scarcity*(maxPriorityReserve-minPriorityReserve))
 }
 
-// limitProximity returns the factor by which the reserves are scaled at a utilization: 0 up to
-// proximityThreshold, then rising linearly to 1 at the limit.
-func limitProximity(utilization float64) float64 {
-	return min(max((utilization-proximityThreshold)/(1-proximityThreshold), 0), 1)
+// reserveScale returns the factor by which the reserves are scaled at a utilization: 0 up to
+// reserveThreshold, then rising linearly to 1 at the limit.
+func reserveScale(utilization float64) float64 {
+	return min(max((utilization-reserveThreshold)/(1-reserveThreshold), 0), 1)
 }
 
 // costlyReserve returns the fraction of the capacity that a route's programs leave free for
--- a/internal/admission/starvation_test.go
+++ b/internal/admission/starvation_test.go
@@ -20,13 +20,13 @@
 	anyTenant := func(_ time.Duration, random *rand.Rand) string { return fmt.Sprint("t", random.IntN(tenants)) }
 	type tenantOf = func(time.Duration, *rand.Rand) string
 	// threePriorities returns three priorities with more demand than capacity. Of the last,
-	// "dear" needs twenty times the work of "cheap".
+	// "expensive" needs twenty times the work of "cheap".
 	threePriorities := func(tenant tenantOf) []*programClass {
 		return []*programClass{
 			{route: "urgent", priority: 0, rate: steadyRate(400), lifetime: time.Second, concurrentTurns: 1, tenant: tenant},
 			{route: "usual", priority: 1, rate: steadyRate(200), lifetime: time.Second, concurrentTurns: 1, tenant: tenant},
 			{route: "cheap", priority: 2, rate: steadyRate(200), lifetime: time.Second, concurrentTurns: 1, tenant: tenant},
-			{route: "dear", priority: 2, rate: steadyRate(20), lifetime: 8 * time.Second, concurrentTurns: 4, tenant: tenant},
+			{route: "expensive", priority: 2, rate: steadyRate(20), lifetime: 8 * time.Second, concurrentTurns: 4, tenant: tenant},
 		}
 	}
 	// onePriority returns the last two classes only.
@@ -54,7 +54,7 @@
 					sim.run(span)
 					for _, class := range sim.classes {
 						for from := interval; from < span; from += interval {
-							GinkgoWriter.Println(seed, class.route, from, "begun", started(sim, class.route, from), "demand", sim.between(from, from+interval).demand)
+							GinkgoWriter.Println(seed, class.route, from, "started", started(sim, class.route, from), "demand", sim.between(from, from+interval).demand)
 							Expect(started(sim, class.route, from)).To(BeNumerically(">", 0), "%s from %s, seed %d", class.route, from, seed)
 						}
 					}
--- a/internal/admission/status_test.go
+++ b/internal/admission/status_test.go
@@ -29,8 +29,8 @@
 		return found
 	}
 
-	roomy := shares(stateWith(10))
-	expect.Expect(roomy["hot"]).To(Equal(math.Inf(1)), "there is capacity for all")
+	uncontested := shares(stateWith(10))
+	expect.Expect(uncontested["hot"]).To(Equal(math.Inf(1)), "there is capacity for all")
 	scarce := shares(stateWith(80))
 	expect.Expect(scarce["hot"]).To(And(BeNumerically("<", 60), BeNumerically(">", 8)))
 	expect.Expect(scarce["small"]).To(Equal(scarce["hot"]), "tenants of equal weight have equal shares")
--- a/internal/admission/table.go
+++ b/internal/admission/table.go
@@ -16,8 +16,8 @@
 	defaultPause = 150 * time.Millisecond
 	// pauseWeight is the weight of the latest pause in the moving average.
 	pauseWeight = 0.05
-	// idlePauses is the number of average pauses without a turn after which a program counts as
-	// finished. One that pauses longer counts again from its next turn.
+	// A program counts as finished after idlePauses times the average pause without a turn, and
+	// as running again from its next turn.
 	idlePauses = 3
 	// minIdleTimeout and maxIdleTimeout bound the idle timeout. Counting finished programs for
 	// long would hide how many have started recently.
@@ -65,8 +65,7 @@
 	refusedBefore bool
 }
 
-// programSession is one of a program's sessions: a conversation of the program itself or of a
-// sub-agent.
+// programSession is a conversation of a program or of one of its sub-agents.
 type programSession struct {
 	// promptTokens is the length of its latest prompt.
 	promptTokens int64
@@ -103,7 +102,6 @@
 	return total
 }
 
-// startTurn records the start of a turn.
 func (program *startedProgram) startTurn(turn Turn, now time.Time) {
 	if _, repeated := program.openTurns[turn.RequestID]; !repeated {
 		session := program.sessions[turn.Session]
@@ -118,7 +116,6 @@
 	program.openTurns[turn.RequestID] = openTurn{session: turn.Session, expiresAt: turn.ExpiresAt.Add(turnEndGrace)}
 }
 
-// endTurn records the end of a turn.
 func (program *startedProgram) endTurn(requestID string, now time.Time) {
 	turn := program.openTurns[requestID]
 	delete(program.openTurns, requestID)
@@ -135,13 +132,13 @@
 	started  decayingCount
 	refused  decayingCount
 	late     decayingCount
-	// usualPause is the moving average of the pause between two turns.
-	usualPause time.Duration
+	// averagePause is the moving average of the pause between two turns.
+	averagePause time.Duration
 }
 
 // idleTimeout returns how long a program of the route may pause before it counts as finished.
 func (stats *routeStats) idleTimeout() time.Duration {
-	return min(max(idlePauses*stats.usualPause, minIdleTimeout), maxIdleTimeout)
+	return min(max(idlePauses*stats.averagePause, minIdleTimeout), maxIdleTimeout)
 }
 
 // minCount is the decaying count below which there are no recent events.
@@ -171,7 +168,7 @@
 func (table *Table) statsFor(name, service string, priority int) *routeStats {
 	stats := table.routes[name]
 	if stats == nil {
-		stats = &routeStats{usualPause: defaultPause}
+		stats = &routeStats{averagePause: defaultPause}
 		table.routes[name] = stats
 	}
 	stats.service = service
@@ -206,7 +203,7 @@
 // recordPause updates the average pause between turns.
 func (stats *routeStats) recordPause(pause time.Duration) {
 	if pause <= maxIdleTimeout {
-		stats.usualPause += time.Duration(pauseWeight * float64(pause-stats.usualPause))
+		stats.averagePause += time.Duration(pauseWeight * float64(pause-stats.averagePause))
 	}
 }
 
--- a/internal/admission/utilization_limit.go
+++ b/internal/admission/utilization_limit.go
@@ -18,7 +18,8 @@
 	// and are late whatever is admitted.
 	expectedLateFraction = 0.05
 	// lateThreshold is the fraction of late programs, beyond expectedLateFraction, above which
-	// the limit decreases while requests queue. It tolerates the failure of single machines.
+	// the limit decreases while requests queue. It is high enough to tolerate
+	// the failure of single machines.
 	lateThreshold = 0.1
 	// lateLoadThreshold is the load per slot above which late programs decrease the limit. With
 	// a shorter queue they are left over from an earlier overload.
