--- a/internal/quota/bucket.go
+++ b/internal/quota/bucket.go
@@ -9,8 +9,7 @@
 	// maxRetryAfter bounds Response.RetryAfter, since limits and load may change meanwhile.
 	maxRetryAfter = 4 * time.Second
 	// startReserve is the fraction of the depth kept for running programs while the limit is
-	// scarce. Only finished programs are of use to callers, so that it is better to start
-	// fewer.
+	// scarce, since a started program has value only if it finishes.
 	startReserve = 0.25
 	// scarcityDuration is how long a limit counts as scarce after a request of a running
 	// program had to wait: about a program's lifetime.
@@ -20,10 +19,10 @@
 // bucket is a tenant's limit at a coordinator. It grants requests within an envelope over a
 // sliding window.
 type bucket struct {
-	configuration int64
-	envelope      envelope
+	configurationVersion int64
+	envelope             envelope
 	// grants are those of the window, the oldest first, including delayed ones.
-	grants   []mark
+	grants   []leaseSample
 	programs programs
 	// scarceUntil is the end of the time in which the limit counts as scarce.
 	scarceUntil time.Time
@@ -57,7 +56,7 @@
 	if wait > min(request.MaxWait, maxDelay) {
 		return Refused, 0, bucket.reserveRetry(wait, leased)
 	}
-	bucket.addGrant(mark{at: leased.now.Add(wait), leased: leased.cumulative + wait.Seconds()*leased.share})
+	bucket.addGrant(leaseSample{at: leased.now.Add(wait), leased: leased.cumulative + wait.Seconds()*leased.share})
 	bucket.programs.record(request, leased.now)
 	return Granted, wait, 0
 }
@@ -72,16 +71,15 @@
 }
 
 // addGrant inserts a grant in order of time; delayed ones may be later than those that follow.
-func (bucket *bucket) addGrant(added mark) {
+func (bucket *bucket) addGrant(added leaseSample) {
 	bucket.grants = append(bucket.grants, added)
 	for index := len(bucket.grants) - 1; index > 0 && bucket.grants[index-1].at.After(added.at); index-- {
 		bucket.grants[index-1], bucket.grants[index] = bucket.grants[index], bucket.grants[index-1]
 	}
 }
 
-// waitFor returns the time until a number of further requests may run: until they fit into both
-// the leased part of the window and, from each grant on, the envelope, unless that grant
-// expires before.
+// waitFor returns the time until count further requests may run. They must fit into what was
+// leased in the window, and into the envelope since each grant that is still in the window.
 func (bucket *bucket) waitFor(count float64, leased leaseTotals) time.Duration {
 	rate := bucket.envelope.rate * leased.share
 	longest := durationOf((count - bucket.windowRemaining(leased)) / rate)
@@ -95,15 +93,15 @@
 	return max(longest, 0)
 }
 
-// windowRemaining returns the number of requests left in the window, by what was leased in it.
-// The depth counts only for settled shares, since a former coordinator may have used it for the
-// others.
+// windowRemaining returns the number of further requests that the shares leased in the last
+// window permit. The depth counts only for settled shares, since a former coordinator may have
+// used that of the others.
 func (bucket *bucket) windowRemaining(leased leaseTotals) float64 {
 	return bucket.envelope.depth*leased.settled + bucket.envelope.rate*leased.inWindow - float64(len(bucket.grants))
 }
 
-// remainingSince returns the number of requests that the envelope leaves, counted from a grant
-// on.
+// remainingSince returns the number of further requests that the envelope permits in the time
+// since a grant.
 func (bucket *bucket) remainingSince(index int, leased leaseTotals) float64 {
 	depth := max(bucket.envelope.depth*leased.share, 1)
 	return depth + bucket.envelope.rate*(leased.cumulative-bucket.grants[index].leased) - float64(len(bucket.grants)-index)
--- a/internal/quota/coordinator.go
+++ b/internal/quota/coordinator.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// minDecisiveShare is the share of a limit below which a coordinator does not refuse. With
-// less, nodes are probably about to change coordinators, and another one may be able to decide.
+// minDecisiveShare is the share of a limit below which a coordinator does not refuse, since
+// another coordinator may hold the larger part and be able to decide.
 const minDecisiveShare = 0.5
 
 // Coordinator applies the limits of groups of tenants. It is safe for concurrent use.
@@ -98,19 +98,20 @@
 	// of requests that a limit of one per second has given.
 	leased    float64
 	updatedAt time.Time
-	// marks are samples of leased in the last window, the oldest first.
-	marks   []mark
+	// samples are samples of leased in the last window, the oldest first.
+	samples []leaseSample
 	buckets map[string]*bucket
 }
 
-// mark is the value of group.leased at a time.
-type mark struct {
+// leaseSample is the value of group.leased at a time; for a delayed grant, the value expected
+// when it runs.
+type leaseSample struct {
 	at     time.Time
 	leased float64
 }
 
-// markInterval is the time between two marks.
-const markInterval = 50 * time.Millisecond
+// sampleInterval is the time between two samples of group.leased.
+const sampleInterval = 50 * time.Millisecond
 
 // lease is the share of one node.
 type lease struct {
@@ -147,28 +148,28 @@
 	return leaseTotals{
 		now:        now,
 		cumulative: group.leased,
-		inWindow:   group.leased - group.leasedBefore(now.Add(-window)),
+		inWindow:   group.leased - group.leasedAt(now.Add(-window)),
 		share:      float64(len(group.leases)) / nodes,
 		settled:    float64(settled) / nodes,
 	}
 }
 
-// leasedBefore returns the value of leased at a time, or shortly after it, and drops older
-// marks.
-func (group *group) leasedBefore(moment time.Time) float64 {
+// leasedAt returns the value of leased at the first sample not before a time, or at the latest
+// one if there is none, and drops older samples.
+func (group *group) leasedAt(at time.Time) float64 {
 	first := 0
-	for first < len(group.marks)-1 && group.marks[first].at.Before(moment) {
+	for first < len(group.samples)-1 && group.samples[first].at.Before(at) {
 		first++
 	}
-	group.marks = group.marks[first:]
-	return group.marks[0].leased
+	group.samples = group.samples[first:]
+	return group.samples[0].leased
 }
 
-// advance updates leased to now, and marks it at intervals.
+// advance updates leased to now, and samples it every sampleInterval.
 func (group *group) advance(now time.Time) {
 	group.accrue(now)
-	if len(group.marks) == 0 || now.Sub(group.marks[len(group.marks)-1].at) >= markInterval {
-		group.marks = append(group.marks, mark{at: now, leased: group.leased})
+	if len(group.samples) == 0 || now.Sub(group.samples[len(group.samples)-1].at) >= sampleInterval {
+		group.samples = append(group.samples, leaseSample{at: now, leased: group.leased})
 	}
 }
 
@@ -199,8 +200,8 @@
 		existing = newBucket(now)
 		group.buckets[request.Tenant] = existing
 	}
-	if request.Configuration >= existing.configuration {
-		existing.configuration = request.Configuration
+	if request.Configuration >= existing.configurationVersion {
+		existing.configurationVersion = request.Configuration
 		existing.envelope = group.tolerance.envelope(request.Limit)
 	}
 	return existing
--- a/internal/quota/fault_schedule_test.go
+++ b/internal/quota/fault_schedule_test.go
@@ -40,22 +40,23 @@
 	incarnations int
 	coordinators []*quota.Coordinator
 	lessors      []*quota.Lessor
-	suspects     [][]time.Time
-	frozen       []time.Time
-	// cut is the time until which messages from one node to another are lost.
-	cut      map[[2]int]time.Time
-	messages []message
-	grants   []time.Time
-	restarts int
+	// suspectedUntil holds, by suspecting and suspected node, when the suspicion ends.
+	suspectedUntil [][]time.Time
+	frozenUntil    []time.Time
+	// blockedUntil is the time until which messages from one node to another are lost.
+	blockedUntil map[[2]int]time.Time
+	messages     []message
+	grants       []time.Time
+	restarts     int
 }
 
 func newFaultSchedule(seed uint64, nodes int, limit tenant.Limit) *faultSchedule {
-	schedule := &faultSchedule{random: rand.New(rand.NewPCG(seed, 1)), now: start, limit: limit, cut: map[[2]int]time.Time{}}
+	schedule := &faultSchedule{random: rand.New(rand.NewPCG(seed, 1)), now: start, limit: limit, blockedUntil: map[[2]int]time.Time{}}
 	for range nodes {
 		schedule.coordinators = append(schedule.coordinators, nil)
 		schedule.lessors = append(schedule.lessors, nil)
-		schedule.suspects = append(schedule.suspects, make([]time.Time, nodes))
-		schedule.frozen = append(schedule.frozen, time.Time{})
+		schedule.suspectedUntil = append(schedule.suspectedUntil, make([]time.Time, nodes))
+		schedule.frozenUntil = append(schedule.frozenUntil, time.Time{})
 	}
 	for node := range nodes {
 		schedule.startNode(node)
@@ -75,28 +76,28 @@
 	until := schedule.now.Add(time.Duration(schedule.random.IntN(8000)) * time.Millisecond)
 	switch schedule.random.IntN(400) {
 	case 0:
-		schedule.frozen[node] = until
+		schedule.frozenUntil[node] = until
 	case 1: // One node is isolated.
 		for other := range nodes {
-			schedule.cut[[2]int{node, other}] = until
-			schedule.cut[[2]int{other, node}] = until
+			schedule.blockedUntil[[2]int{node, other}] = until
+			schedule.blockedUntil[[2]int{other, node}] = until
 		}
 	case 2: // A partition into halves.
 		for left := range nodes / 2 {
 			for right := nodes / 2; right < nodes; right++ {
-				schedule.cut[[2]int{left, right}] = until
-				schedule.cut[[2]int{right, left}] = until
+				schedule.blockedUntil[[2]int{left, right}] = until
+				schedule.blockedUntil[[2]int{right, left}] = until
 			}
 		}
 	case 3: // An asymmetric partition.
-		schedule.cut[[2]int{node, schedule.random.IntN(nodes)}] = until
+		schedule.blockedUntil[[2]int{node, schedule.random.IntN(nodes)}] = until
 	}
 }
 
 // preferredNode returns the first node that the requester does not suspect.
 func (schedule *faultSchedule) preferredNode(requester int) int {
 	for node := range schedule.coordinators {
-		if schedule.now.After(schedule.suspects[requester][node]) {
+		if schedule.now.After(schedule.suspectedUntil[requester][node]) {
 			return node
 		}
 	}
@@ -106,7 +107,7 @@
 func (schedule *faultSchedule) requestFrom(requester int) {
 	lessor := schedule.lessors[requester]
 	preferred := schedule.preferredNode(requester)
-	healthy := lessor.Coordinator() != "" && schedule.now.After(schedule.suspects[requester][nodeNumber(lessor.Coordinator())])
+	healthy := lessor.Coordinator() != "" && schedule.now.After(schedule.suspectedUntil[requester][nodeNumber(lessor.Coordinator())])
 	target, leaseStart := lessor.Target(fmt.Sprint(preferred), healthy, schedule.now)
 	request := &quota.Request{Node: fmt.Sprint(requester), Nodes: len(schedule.coordinators), LeaseStart: leaseStart, LeasedFor: lessor.LeasedFor(schedule.now), Tenant: "t", Limit: schedule.limit}
 	schedule.send(message{from: requester, to: nodeNumber(target), sent: schedule.now, request: request})
@@ -124,7 +125,7 @@
 		delay = time.Duration(schedule.random.IntN(4000)) * time.Millisecond
 	}
 	sent.at = schedule.now.Add(delay)
-	if schedule.now.After(schedule.cut[[2]int{sent.from, sent.to}]) {
+	if schedule.now.After(schedule.blockedUntil[[2]int{sent.from, sent.to}]) {
 		schedule.messages = append(schedule.messages, sent)
 	}
 }
@@ -133,7 +134,7 @@
 	waiting := schedule.messages
 	schedule.messages = nil
 	for _, pending := range waiting {
-		if pending.at.After(schedule.now) || schedule.now.Before(schedule.frozen[pending.to]) {
+		if pending.at.After(schedule.now) || schedule.now.Before(schedule.frozenUntil[pending.to]) {
 			schedule.messages = append(schedule.messages, pending)
 			continue
 		}
@@ -167,7 +168,7 @@
 			}
 		}
 		for node := range schedule.coordinators {
-			if schedule.now.After(schedule.frozen[node]) {
+			if schedule.now.After(schedule.frozenUntil[node]) {
 				schedule.requestFrom(node)
 				schedule.suspectOne(node)
 			}
@@ -180,9 +181,9 @@
 // suspectOne makes a node suspect an unreachable coordinator, and occasionally a reachable one.
 func (schedule *faultSchedule) suspectOne(node int) {
 	target := nodeNumber(schedule.lessors[node].Coordinator())
-	cut := schedule.now.Before(schedule.cut[[2]int{node, target}]) || schedule.now.Before(schedule.cut[[2]int{target, node}]) || schedule.now.Before(schedule.frozen[target])
-	if (cut && schedule.random.IntN(20) == 0) || schedule.random.IntN(1000) == 0 {
-		schedule.suspects[node][target] = schedule.now.Add(3 * time.Second)
+	unreachable := schedule.now.Before(schedule.blockedUntil[[2]int{node, target}]) || schedule.now.Before(schedule.blockedUntil[[2]int{target, node}]) || schedule.now.Before(schedule.frozenUntil[target])
+	if (unreachable && schedule.random.IntN(20) == 0) || schedule.random.IntN(1000) == 0 {
+		schedule.suspectedUntil[node][target] = schedule.now.Add(3 * time.Second)
 	}
 }
 
--- a/internal/quota/quota.go
+++ b/internal/quota/quota.go
@@ -4,9 +4,9 @@
 // Each of n nodes holds 1/n of every tenant's limit. It leases that share to one coordinator at
 // a time, for LeaseDuration from a time of the coordinator's own clock that the node has
 // observed. A Coordinator grants requests out of what is leased to it: the whole limit if all
-// nodes lease to it, and in a partition the share of the nodes there. A node leases to another
-// coordinator only after its lease to the former one has expired. The platform's log is not
-// used, so that limits hold, and are granted in full, while the log is unavailable.
+// nodes lease to it, and during a partition the shares of the nodes on its side. A node leases
+// to another coordinator only after its lease to the former one has expired. The platform's log
+// is not used, so that limits hold, and are granted in full, while the log is unavailable.
 //
 // A limit applies to a sliding window: in any window a tenant's requests are at most PerSecond
 // x Window + Burst, plus the configured tolerance. A coordinator does not know what a former
@@ -41,7 +41,7 @@
 type Tolerance struct {
 	// Window is the time window over which requests are counted, 0 if unknown.
 	Window time.Duration
-	// ExcessFraction of a window's limit, and in addition ExcessRequests, may run above it.
+	// A window's limit may be exceeded by ExcessFraction of it plus ExcessRequests.
 	ExcessFraction float64
 	ExcessRequests float64
 }
@@ -63,8 +63,8 @@
 }
 
 // envelope returns the envelope of a limit. It leaves capacity for a successor, which starts
-// empty and grants at the rate, and for the time in which shares may count twice after a
-// restart of all nodes. At least one request may run at once.
+// empty and grants at the rate, and for LeaseDuration after a restart of all nodes, in which
+// shares may count twice. At least one request may run at once.
 func (tolerance Tolerance) envelope(limit tenant.Limit) envelope {
 	window := tolerance.window()
 	most := (limit.PerSecond*window.Seconds()+limit.Burst)*(1+tolerance.ExcessFraction) + tolerance.ExcessRequests
