--- a/internal/load/aggregator.go
+++ b/internal/load/aggregator.go
@@ -57,15 +57,15 @@
 	return &Aggregator{zone: zone, nodes: map[string]contribution{}, aggregates: map[string]contribution{}}
 }
 
-// AddReport adds a node's report. The aggregator keeps the report.
+// AddReport adds a node's report. The caller must not modify the report afterwards.
 func (aggregator *Aggregator) AddReport(origin Origin, report Report, now time.Time) {
 	aggregator.mutex.Lock()
 	defer aggregator.mutex.Unlock()
 	keepNewest(aggregator.nodes, contribution{origin: origin, aggregate: Aggregate{Report: report, Nodes: 1}, receivedAt: now})
 }
 
-// AddAggregate adds the total that another aggregator received from its nodes. The aggregator
-// keeps the report.
+// AddAggregate adds the total of the nodes that report to another aggregator. The caller must
+// not modify it afterwards.
 func (aggregator *Aggregator) AddAggregate(origin Origin, aggregate Aggregate, now time.Time) {
 	aggregator.mutex.Lock()
 	defer aggregator.mutex.Unlock()
@@ -130,7 +130,7 @@
 // Total returns the total over all nodes, and how many nodes of the aggregator's zone it
 // includes. zones holds the number of nodes of each zone. When nodes move from one aggregator
 // to another, totals of one zone overlap; an older total then counts only for the nodes that
-// newer ones leave, so that load is not counted twice.
+// newer totals do not account for, so that load is not counted twice.
 func (aggregator *Aggregator) Total(zones map[string]int, now time.Time) (Aggregate, int) {
 	aggregator.mutex.Lock()
 	defer aggregator.mutex.Unlock()
--- a/internal/load/aggregator_test.go
+++ b/internal/load/aggregator_test.go
@@ -9,12 +9,12 @@
 	. "github.com/onsi/gomega"
 )
 
-// nodeOrigin is the origin of a message of a node in zone a.
+// nodeOrigin returns the origin of a message of a node in zone a.
 func nodeOrigin(node string, sequence int64) load.Origin {
 	return load.Origin{Node: node, Zone: "a", Sequence: sequence}
 }
 
-// aggregatorOrigin is the origin of a message of an aggregator of a zone.
+// aggregatorOrigin returns the origin of a message of an aggregator of a zone.
 func aggregatorOrigin(node, zone string, sequence int64) load.Origin {
 	return load.Origin{Node: node, Zone: zone, Sequence: sequence}
 }
--- a/internal/load/load.go
+++ b/internal/load/load.go
@@ -1,7 +1,7 @@
 // Package load holds the load of all nodes together: requests at each engine, calls queued for
 // engines, and running programs. Each node reports its own load to an aggregator node, which
-// answers with the total; that is the node's view. The view is only a hint, some hundred
-// milliseconds old. Guarantees such as budgets and at-most-once execution never depend on it.
+// answers with the total; that is the node's view. The view is some hundred milliseconds old, and
+// only a hint: guarantees such as budgets and at-most-once execution never depend on it.
 package load
 
 import (
@@ -114,8 +114,8 @@
 	}
 }
 
-// MaxViewAge is the age up to which a view is valid. Later, the programs started since outweigh
-// what it shows.
+// MaxViewAge is the age up to which a view is valid. An older one misses too many of the programs
+// that have started since.
 const MaxViewAge = time.Second
 
 // View is a node's view of the load of all nodes. It is safe for concurrent use.
--- a/internal/load/status.go
+++ b/internal/load/status.go
@@ -1,7 +1,7 @@
 package load
 
-// StatusPath is the path of a node's metrics address that serves its Status. StatusService is
-// the query parameter that restricts it to one service.
+// StatusPath is the path under a node's metrics address that serves its Status. StatusService is
+// the query parameter that restricts the Status to one service.
 const (
 	StatusPath    = "/load"
 	StatusService = "service"
@@ -62,7 +62,7 @@
 	// Waiting is over all nodes, WaitingLocally at this node.
 	Waiting        []PriorityCalls `json:"waiting,omitempty"`
 	WaitingLocally []PriorityCalls `json:"waiting_here,omitempty"`
-	// ToolCalls is the number of programs' calls there that are not turns.
+	// ToolCalls is the number of programs' calls to the service that are not turns.
 	ToolCalls *int `json:"tool_calls,omitempty"`
 }
 
