--- a/internal/spending/allowance.go
+++ b/internal/spending/allowance.go
@@ -28,12 +28,12 @@
 const claimPermille = 333
 
 // NewAllowance returns the allowance of a claim. Its MinBudget leaves room for one
-// turn of largest tokens beside the allowance.
-func NewAllowance(epoch, largest int64) Allowance {
+// turn of largestTurn tokens beside the allowance.
+func NewAllowance(epoch, largestTurn int64) Allowance {
 	return Allowance{
 		Epoch:     epoch,
 		Permille:  claimPermille,
-		MinBudget: largest*permilleBase/(permilleBase-claimPermille) + 1,
+		MinBudget: largestTurn*permilleBase/(permilleBase-claimPermille) + 1,
 	}
 }
 
@@ -43,23 +43,23 @@
 const minTurnsForSecondAllowance = 3
 
 // ClaimAllowance returns the allowance of a new claim, given the outstanding allowances
-// of former owners. With one outstanding, it returns a second allowance if second
-// reports that all nodes account for those; with two, none. Without a second allowance,
-// the owner that follows the loss of all nodes could grant nothing while the log is
-// unavailable.
+// of former owners. With one outstanding, it returns a second allowance if
+// secondSupported, that is if all nodes charge second allowances; with two, none. Without
+// a second allowance, the owner that follows the loss of all nodes could grant nothing
+// while the log is unavailable.
 //
 // A second allowance applies only to programs that its owner has named in the log.
 // Charging it to programs that begin under the next owner would leave them a third of
 // their budgets. Turns granted under it must end within it (see withinCeiling): only
 // one turn may overrun a budget, and the former owner may have granted that turn.
-func ClaimAllowance(epoch, largest int64, outstanding []Allowance, second bool) Allowance {
+func ClaimAllowance(epoch, largestTurn int64, outstanding []Allowance, secondSupported bool) Allowance {
 	switch {
-	case largest <= 0:
+	case largestTurn <= 0:
 		return Allowance{}
 	case len(outstanding) == 0:
-		return NewAllowance(epoch, largest)
-	case len(outstanding) == 1 && second:
-		return Allowance{Epoch: epoch, Permille: claimPermille, MinBudget: max(minTurnsForSecondAllowance*largest+1, outstanding[0].MinBudget), Second: true}
+		return NewAllowance(epoch, largestTurn)
+	case len(outstanding) == 1 && secondSupported:
+		return Allowance{Epoch: epoch, Permille: claimPermille, MinBudget: max(minTurnsForSecondAllowance*largestTurn+1, outstanding[0].MinBudget), Second: true}
 	}
 	return Allowance{}
 }
@@ -96,7 +96,7 @@
 	}
 	added = max(allowed-account.chargedAllowances, 0)
 	account.chargedAllowances += added
-	account.base += added
+	account.charged += added
 	account.uncertain += added
 	return added
 }
@@ -117,7 +117,7 @@
 		return false
 	}
 	granted := account.settled + account.reserved + account.expired
-	logged := account.base - account.chargedAllowances
+	logged := account.charged - account.chargedAllowances
 	return granted == 0 && logged <= account.budget && !account.imported && account.ceilingEpoch <= newestEpoch
 }
 
--- a/internal/spending/handover.go
+++ b/internal/spending/handover.go
@@ -34,7 +34,7 @@
 		}
 		exported := Account{
 			Program:   program,
-			Spent:     source.base + source.settled,
+			Spent:     source.charged + source.settled,
 			Uncertain: source.uncertain,
 			Ceiling:   source.ceiling,
 		}
@@ -52,7 +52,7 @@
 func (ledger *Ledger) ImportAccounts(accounts []Account, now time.Time) {
 	for _, exported := range accounts {
 		target := ledger.account(exported.Program)
-		target.base = exported.Spent
+		target.charged = exported.Spent
 		target.uncertain = exported.Uncertain
 		target.uncertainSince = now
 		target.settled = 0
--- a/internal/spending/spending.go
+++ b/internal/spending/spending.go
@@ -31,9 +31,9 @@
 	AwaitCeiling
 )
 
-// ceilingHeadroom is the share of the budget that a new ceiling adds beyond the turn that
-// needs it and another of the same size. A higher value needs fewer appends; a lower one
-// charges less when the owner is lost.
+// ceilingHeadroom is the share of the budget by which a new ceiling exceeds the turn that
+// needs it plus another turn of the same size. A higher value needs fewer appends; a lower
+// one charges less when the owner is lost.
 const ceilingHeadroom = 1.0 / 16
 
 // uncertaintyTimeout is how long an account returns Undetermined after the first time.
@@ -52,10 +52,10 @@
 
 // account is the state of one program.
 type account struct {
-	// base is the number of tokens charged for the time before this owner's takeover and
+	// charged is the number of tokens charged for the time before this owner's takeover and
 	// for turns that expired after it. uncertain is how many of them may not have been
 	// used.
-	base      int64
+	charged   int64
 	uncertain int64
 	// uncertainSince is when uncertain last grew; uncertainReportedAt is when Undetermined
 	// was first returned after that.
@@ -67,7 +67,7 @@
 	openTurns map[string]reservation
 	reserved  int64
 	// expired is the maximum of turns that expired without a settlement. It is included
-	// in base.
+	// in charged.
 	expired int64
 	// ceiling is the token ceiling that the log has acknowledged, requestedCeiling the
 	// one last requested from it.
@@ -79,7 +79,7 @@
 	// the log has acknowledged a ceiling of this owner.
 	ceilingEpoch        int64
 	ceilingAcknowledged bool
-	// chargedAllowances is the part of base charged for former owners' allowances. It is
+	// chargedAllowances is the part of charged that stands for former owners' allowances. It is
 	// not charged to accounts imported from the former owner.
 	chargedAllowances int64
 	imported          bool
@@ -91,11 +91,10 @@
 	expiresAt time.Time
 }
 
-func (account *account) total() int64 { return account.base + account.settled + account.reserved }
+func (account *account) total() int64 { return account.charged + account.settled + account.reserved }
 
-// knownSpent returns the tokens known to be spent.
 func (account *account) knownSpent() int64 {
-	return account.base - account.uncertain + account.settled
+	return account.charged - account.uncertain + account.settled
 }
 
 // Ledger holds the accounts of a shard. It is not safe for concurrent use.
@@ -114,7 +113,7 @@
 	ledger := &Ledger{accounts: make(map[tenant.Program]*account, len(ceilings)), pendingCeilings: map[tenant.Program]bool{}}
 	for program, ceiling := range ceilings {
 		ledger.accounts[program] = &account{
-			base:             ceiling.Tokens,
+			charged:          ceiling.Tokens,
 			uncertain:        ceiling.Tokens - ceiling.Settled,
 			uncertainSince:   now,
 			openTurns:        map[string]reservation{},
@@ -140,19 +139,19 @@
 // newTenantAccount returns a new account for a tenant's program. The spending recorded by
 // nodes without tenant support, under the program id alone, is charged to every tenant
 // with a program of that id. The receiver is nil if there is none.
-func (untenanted *account) newTenantAccount() *account {
+func (legacy *account) newTenantAccount() *account {
 	created := &account{openTurns: map[string]reservation{}}
-	if untenanted == nil {
+	if legacy == nil {
 		return created
 	}
-	created.base = untenanted.total()
-	created.uncertain = untenanted.uncertain + untenanted.reserved
-	created.uncertainSince = untenanted.uncertainSince
-	created.ceiling = untenanted.ceiling
-	created.requestedCeiling = untenanted.requestedCeiling
-	created.ceilingEpoch = untenanted.ceilingEpoch
-	created.chargedAllowances = untenanted.chargedAllowances
-	created.imported = untenanted.imported
+	created.charged = legacy.total()
+	created.uncertain = legacy.uncertain + legacy.reserved
+	created.uncertainSince = legacy.uncertainSince
+	created.ceiling = legacy.ceiling
+	created.requestedCeiling = legacy.requestedCeiling
+	created.ceilingEpoch = legacy.ceilingEpoch
+	created.chargedAllowances = legacy.chargedAllowances
+	created.imported = legacy.imported
 	return created
 }
 
@@ -287,7 +286,7 @@
 			if now.After(turn.expiresAt) {
 				delete(account.openTurns, requestID)
 				account.reserved -= turn.maxTokens
-				account.base += turn.maxTokens
+				account.charged += turn.maxTokens
 				account.expired += turn.maxTokens
 				account.uncertain += turn.maxTokens
 				account.uncertainSince = now
@@ -346,5 +345,5 @@
 	if account == nil {
 		return Balance{}
 	}
-	return Balance{Spent: account.base + account.settled, Uncertain: account.uncertain, Reserved: account.reserved, Ceiling: account.ceiling}
+	return Balance{Spent: account.charged + account.settled, Uncertain: account.uncertain, Reserved: account.reserved, Ceiling: account.ceiling}
 }
--- a/internal/spending/spending_test.go
+++ b/internal/spending/spending_test.go
@@ -76,7 +76,7 @@
 	})
 
 	// The uncertainty timeout must run from the first Undetermined verdict and not from the
-	// takeover, or a program that asks late is refused without having been told to retry.
+	// takeover, or a program whose first request is late is refused without a chance to retry.
 	It("returns Undetermined before it refuses, however late the first request is", func() {
 		ledger := spending.NewLedger(map[tenant.Program]spending.Ceiling{program: {Program: program, Tokens: 700, Settled: 100}}, start)
 		later := spending.ReserveRequest{Program: program, RequestID: "a", Budget: 500, MaxTokens: 288, ExpiresAt: start.Add(turnTimeout)}
