--- a/internal/ownership/claim.go
+++ b/internal/ownership/claim.go
@@ -49,11 +49,11 @@
 	manager.fire(shard, charts.OwnershipEventClaimWanted)
 	start := time.Now()
 	shard.claimStartedAt = start
-	largest := manager.largestTurnTokens
+	largestTurn := manager.largestTurnTokens
 	go func() {
 		ctx, cancel := context.WithTimeout(manager.context, claimTimeout)
 		defer cancel()
-		result, err := manager.takeOver(ctx, shard.number, largest)
+		result, err := manager.takeOver(ctx, shard.number, largestTurn)
 		manager.post(func() { manager.finishClaim(shard, result, err, time.Since(start)) })
 	}()
 }
@@ -93,12 +93,12 @@
 
 // takeOver reads the shard's partition to its end and appends a claim. If another node
 // appends in between, it reads on and retries.
-func (manager *Manager) takeOver(ctx context.Context, number int, largest int64) (claimResult, error) {
+func (manager *Manager) takeOver(ctx context.Context, number int, largestTurn int64) (claimResult, error) {
 	partition := durable.Partition{Topic: Topic, Number: number}
 	replay := newReplay(manager.log, partition)
 	var lastErr error
 	for range maxClaimAttempts {
-		result, err := manager.tryClaim(ctx, replay, largest)
+		result, err := manager.tryClaim(ctx, replay, largestTurn)
 		var elsewhere *ownedElsewhereError
 		if err == nil || errors.As(err, &elsewhere) {
 			return result, err
@@ -114,7 +114,7 @@
 	return claimResult{}, lastErr
 }
 
-func (manager *Manager) tryClaim(ctx context.Context, replay *replay, largest int64) (claimResult, error) {
+func (manager *Manager) tryClaim(ctx context.Context, replay *replay, largestTurn int64) (claimResult, error) {
 	err := replay.readToEnd(ctx)
 	if err != nil {
 		return claimResult{}, err
@@ -123,7 +123,7 @@
 		// An earlier attempt was appended although its response was lost.
 		return replay.claimResult(replay.owner), nil
 	}
-	if manager.ownerKeeps(ctx, replay) {
+	if manager.ownerKeepsShard(ctx, replay) {
 		return claimResult{}, &ownedElsewhereError{owner: Owner{Node: replay.owner.Node, Epoch: replay.owner.Epoch, Address: replay.owner.Address}}
 	}
 	epoch := max(replay.highestEpoch, replay.refusedEpoch) + 1
@@ -131,7 +131,7 @@
 	// even from another node. Random first numbers keep two claimants of the same epoch
 	// from colliding.
 	sequence := rand.Int64N(initialSequenceRange)
-	result, records := manager.buildClaim(replay, epoch, sequence, largest)
+	result, records := manager.buildClaim(replay, epoch, sequence, largestTurn)
 	expectedEnd := replay.nextOffset
 	fence := durable.Fence{Producer: producer, Epoch: epoch, Sequence: sequence}
 	replay.claimSent = true
@@ -149,20 +149,20 @@
 // buildClaim returns the records of a claim and the state to use once they are appended.
 // The accounts handed over by the former owner are appended with the claim, so that they
 // survive the loss of this node.
-func (manager *Manager) buildClaim(replay *replay, epoch, sequence, largest int64) (claimResult, [][]byte) {
+func (manager *Manager) buildClaim(replay *replay, epoch, sequence, largestTurn int64) (claimResult, [][]byte) {
 	outstanding := replay.allowances
 	closedEpoch := int64(0)
 	ledger := spending.NewLedger(replay.ceilings, time.Now())
 	var checkpoint []spending.Ceiling
-	if replay.yieldedEpoch != 0 && replay.yieldedEpoch == replay.owner.GetEpoch() {
-		closedEpoch = replay.yieldedEpoch
+	if replay.handoverEpoch != 0 && replay.handoverEpoch == replay.owner.GetEpoch() {
+		closedEpoch = replay.handoverEpoch
 		outstanding = withoutEpoch(outstanding, closedEpoch)
-		ledger.ImportAccounts(replay.yieldedAccounts, time.Now())
+		ledger.ImportAccounts(replay.handoverAccounts, time.Now())
 		checkpoint = ledger.Checkpoint()
 	}
 	allowance := spending.Allowance{}
 	if feature.Enabled(feature.Allowances) {
-		allowance = spending.ClaimAllowance(epoch, largest, outstanding, manager.dependencies.CountsSecondAllowance())
+		allowance = spending.ClaimAllowance(epoch, largestTurn, outstanding, manager.dependencies.CountsSecondAllowance())
 	}
 	ledger.SetAllowances(allowance, outstanding)
 	records := append([]*nodev1.SpendingRecord{encodeClaim(manager.self, epoch, sequence, allowance, closedEpoch)}, encodeCeilings(checkpoint)...)
@@ -170,11 +170,11 @@
 	return result, marshal(records...)
 }
 
-// ownerKeeps asks the owner named by the log whether it keeps the shard. An owner that
-// can't write hands its accounts over instead, which are stored in replay.
-func (manager *Manager) ownerKeeps(ctx context.Context, replay *replay) bool {
+// ownerKeepsShard asks the owner named by the log whether it keeps the shard. An owner that
+// can't write to the log hands over its accounts instead; replay then holds them.
+func (manager *Manager) ownerKeepsShard(ctx context.Context, replay *replay) bool {
 	owner := replay.owner
-	if owner == nil || owner.Incarnation == manager.self.Incarnation || replay.yieldedEpoch == owner.Epoch {
+	if owner == nil || owner.Incarnation == manager.self.Incarnation || replay.handoverEpoch == owner.Epoch {
 		return false
 	}
 	bounded, cancel := context.WithTimeout(ctx, handoverTimeout)
@@ -184,8 +184,8 @@
 		return false
 	}
 	if reply.Yielded {
-		replay.yieldedEpoch = owner.Epoch
-		replay.yieldedAccounts = decodeAccounts(reply.Accounts)
+		replay.handoverEpoch = owner.Epoch
+		replay.handoverAccounts = decodeAccounts(reply.Accounts)
 	}
 	return reply.Keeps
 }
--- a/internal/ownership/manager.go
+++ b/internal/ownership/manager.go
@@ -36,7 +36,7 @@
 // eventQueueSize is the capacity of the control goroutine's event queue.
 const eventQueueSize = 4096
 
-// NewManager returns a manager of a number of shards. It works until ctx ends. The
+// NewManager returns a manager of a number of shards, which stops when ctx ends. The
 // caller must call Run.
 func NewManager(ctx context.Context, log durable.Log, logger *zap.Logger, self Identity, shards int, dependencies Dependencies) *Manager {
 	manager := &Manager{
--- a/internal/ownership/replay.go
+++ b/internal/ownership/replay.go
@@ -28,9 +28,9 @@
 	allowances []spending.Allowance
 	// owner is the latest claim, nil if there is none.
 	owner *nodev1.Claim
-	// yieldedAccounts were handed over by the owner of yieldedEpoch.
-	yieldedAccounts []spending.Account
-	yieldedEpoch    int64
+	// handoverAccounts were handed over by the owner of handoverEpoch.
+	handoverAccounts []spending.Account
+	handoverEpoch    int64
 	// claimSent is true once this takeover has sent a claim.
 	claimSent bool
 }
--- a/internal/ownership/shard.go
+++ b/internal/ownership/shard.go
@@ -28,7 +28,8 @@
 	claimTimeout = 2500 * time.Millisecond
 	// maxClaimAttempts bounds the read and append attempts of a takeover.
 	maxClaimAttempts = 8
-	// claimRetryDelay follows a failed attempt, except one that lost to another append.
+	// claimRetryDelay is the delay after a failed attempt, except one that conflicted with
+	// another append.
 	claimRetryDelay = 40 * time.Millisecond
 	// appendTimeout bounds one attempt to append ceilings.
 	appendTimeout = 1200 * time.Millisecond
@@ -36,8 +37,8 @@
 	// maxAppendBackoff.
 	initialAppendBackoff = 30 * time.Millisecond
 	maxAppendBackoff     = 200 * time.Millisecond
-	// unresponsiveAfter is how long an append may be in flight before the owner reports
-	// that it can't write.
+	// unresponsiveAfter is how long an append or a claim may be in flight before the log
+	// counts as unresponsive.
 	unresponsiveAfter = 600 * time.Millisecond
 	// maxLogWait is how long a reservation waits for the log before its caller is told to
 	// retry.
