--- a/internal/membership/doc.go
+++ b/internal/membership/doc.go
@@ -1,8 +1,9 @@
-// Package membership decides, as pure functions of a list of processes, which
-// processes hold a shard, which one should lead it, and which one keeps a pool
-// of engines. Every process that has the same list decides the same.
+// Package membership assigns shards to processes, a preferred leader to each
+// shard, and engines to pools. All assignments are pure functions of the list of
+// processes or engines, so every process with the same list computes the same
+// result.
 //
-// All choices are by rendezvous hashing: each candidate gets a score from the
-// hash of the key and its name, and the highest wins. When a candidate leaves,
-// only what it had won moves.
+// Assignments use rendezvous hashing: each candidate is scored by a hash of the
+// key and its name, and the highest score wins. When a candidate leaves, only
+// the keys assigned to it move, apart from shifts caused by load limits.
 package membership
--- a/internal/membership/hash.go
+++ b/internal/membership/hash.go
@@ -7,15 +7,16 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// keySeparator stands between the parts of a hashed key; no name holds it.
+// keySeparator separates the parts of a hashed key. Names must not contain it.
 const keySeparator = "\x00"
 
-// score is a candidate's rendezvous score for a key.
+// score returns a candidate's rendezvous score for a key.
 func score(key, candidate string) uint64 {
 	return xxhash.Sum64String(key + keySeparator + candidate)
 }
 
-// weightedScore lets a candidate win in proportion to its weight.
+// weightedScore returns a rendezvous score under which a candidate ranks highest
+// with a probability proportional to its weight.
 func weightedScore(key, candidate string, weight int) float64 {
 	const fractionBits = 53
 	fraction := (float64(score(key, candidate)>>(64-fractionBits)) + 0.5) / (1 << fractionBits)
--- a/internal/membership/placement.go
+++ b/internal/membership/placement.go
@@ -7,38 +7,37 @@
 )
 
 const (
-	// homeMembers is how many of them are in the home region, where there are
-	// several regions; the last is in another region.
-	homeMembers = 2
-	// scatterWidth is the number of peers that a process should have on average.
-	// The limits on load keep every process at twice that or less.
+	// homeRegionMembers is the number of group members in the home region if there
+	// are several regions. The remaining member is in another region.
+	homeRegionMembers = 2
+	// scatterWidth is the target average number of peers of a process. The load
+	// limits keep every process at no more than twice that.
 	scatterWidth = 4
-	// minCopysets spreads the shards evenly in small fleets, whose processes are
-	// all peers of one another anyway.
+	// minCopysets keeps the shard distribution even in small clusters.
 	minCopysets = 16
-	// loadSlack is by how much a process's number of copysets may exceed the
-	// average, in quarters.
-	loadSlack = 1
-	quarters  = 4
+	// A process may be in loadSlackNumerator/loadSlackDenominator more copysets
+	// than the average of its zone.
+	loadSlackNumerator   = 1
+	loadSlackDenominator = 4
 )
 
-// Nearest returns the other regions of a region, the nearest first. Regions
-// that it leaves out are taken last.
-type Nearest func(region string) []string
+// NearestRegions returns the other regions in order of distance from a region,
+// nearest first. Regions missing from the result are used last.
+type NearestRegions func(region string) []string
 
-// Placement is the choice of processes for all shards.
+// Placement assigns every shard to a group of processes.
 //
-// Shards map to a number of copysets, and a copyset to its processes. All
-// shards of a copyset share their processes, so that a process has few peers,
-// and few sets of three processes lose a majority of some shard if they die at
-// once.
+// Each shard maps to a copyset, and each copyset to a group of processes. Using
+// a limited number of copysets gives each process few peers, and reduces the
+// probability that simultaneous failures cost some shard its majority.
 type Placement struct {
 	copysets [][]Process
 }
 
-// CopysetCount returns how many copysets suit a number of processes: the power
-// of two nearest to what gives them their scatter width. So it seldom changes,
-// and then splits or joins copysets.
+// CopysetCount returns the number of copysets for a number of processes: the
+// power of two nearest to the count that yields the target scatter width, and
+// at least minCopysets. Rounding to a power of two keeps the count stable, and
+// a change splits or merges copysets.
 func CopysetCount(processes int) int {
 	wanted := processes * scatterWidth / (GroupSize * (GroupSize - 1))
 	count := minCopysets
@@ -48,16 +47,16 @@
 	return count
 }
 
-// NewPlacement places copysets on processes. The number of copysets should stay
-// the same while processes come and go; see CopysetCount. nearest may be nil
-// where there is one region.
-func NewPlacement(copysets int, processes []Process, nearest Nearest) *Placement {
+// NewPlacement assigns copysets to processes. To limit data movement, the number
+// of copysets should not change each time a process joins or leaves; see
+// CopysetCount. nearest may be nil; the other regions are then ranked by score.
+func NewPlacement(copysets int, processes []Process, nearest NearestRegions) *Placement {
 	planner := newPlanner(sortedProcesses(processes), nearest)
 	slots := make([][]zoneSlot, copysets)
 	for number := range slots {
 		slots[number] = planner.chooseZones(numberedKey("copyset", uint32(number)))
 	}
-	planner.limitLoad(slots)
+	planner.setLoadLimits(slots)
 	placement := &Placement{copysets: make([][]Process, copysets)}
 	for number, zones := range slots {
 		key := numberedKey("copyset", uint32(number))
@@ -66,13 +65,13 @@
 	return placement
 }
 
-// GroupOf returns the processes that should hold a shard, fewer than GroupSize
-// only if there are no more. Those of the home region come first.
+// GroupOf returns the processes that should host a shard, those in the home
+// region first. It returns fewer than GroupSize only if there are fewer processes.
 func (p *Placement) GroupOf(shard uint32) []Process {
 	return slices.Clone(p.copysets[int(shard)%len(p.copysets)])
 }
 
-// LeaderOf returns the process that should lead a shard, one of its home
+// LeaderOf returns the preferred leader of a shard, a process in its home
 // region, or false if there are no processes.
 func (p *Placement) LeaderOf(shard uint32) (Process, bool) {
 	group := p.GroupOf(shard)
@@ -83,10 +82,11 @@
 	home := slices.DeleteFunc(group, func(process Process) bool {
 		return process.Region != region
 	})
-	return winner(numberedKey("leader", shard), home)
+	return highestScored(numberedKey("leader", shard), home)
 }
 
-// PeersOf returns the processes that share a copyset with a process, sorted.
+// PeersOf returns the sorted IDs of the processes that share a copyset with a
+// process.
 func (p *Placement) PeersOf(id string) []string {
 	peers := map[string]bool{}
 	for _, copyset := range p.copysets {
@@ -101,8 +101,8 @@
 	return slices.Sorted(maps.Keys(peers))
 }
 
-// byScore orders names by their weighted scores, the highest first.
-func byScore(key string, weights map[string]int) []string {
+// namesByScore sorts names by weighted score, highest first.
+func namesByScore(key string, weights map[string]int) []string {
 	names := slices.Sorted(maps.Keys(weights))
 	slices.SortStableFunc(names, func(left, right string) int {
 		return cmp.Compare(
--- a/internal/membership/placement_test.go
+++ b/internal/membership/placement_test.go
@@ -12,13 +12,13 @@
 
 const (
 	shards = 3900
-	// leaverStride picks 30 of 390 processes to leave in turn.
-	leaverStride = 13
-	leavers      = 30
+	// removalStride selects removalCount of the 390 processes, removed one at a time.
+	removalStride = 13
+	removalCount  = 30
 )
 
-// processesIn returns count processes, dealt out to the zones in turn. A zone
-// is named "region/zone".
+// processesIn returns count processes, assigned round-robin to zones given as
+// {region, zone} pairs.
 func processesIn(count int, zones ...[2]string) []membership.Process {
 	processes := []membership.Process{}
 	for number := range count {
@@ -59,8 +59,9 @@
 	return slices.Compact(zones)
 }
 
-// moved counts the members that shards lose from one placement to another.
-func moved(before, after *membership.Placement) int {
+// countMoved counts the group members removed between two placements, over all
+// shards.
+func countMoved(before, after *membership.Placement) int {
 	count := 0
 	for shard := range uint32(shards) {
 		kept := idsOf(after.GroupOf(shard))
@@ -74,14 +75,14 @@
 }
 
 var _ = Describe("A placement of shards", func() {
-	It("puts each group into three zones of one region", func() {
+	It("places each group in three zones if there is one region", func() {
 		placement := membership.NewPlacement(64, processesIn(60, threeZones()...), nil)
 		for shard := range uint32(shards) {
 			Expect(zonesOf(placement.GroupOf(shard))).To(HaveLen(membership.GroupSize))
 		}
 	})
 
-	It("puts two members into the home region and one into the nearest other", func() {
+	It("places two members in the home region and one in the nearest other region", func() {
 		placement := membership.NewPlacement(256, processesIn(390, sixZones()...), nearest)
 		for shard := range uint32(256) {
 			group := placement.GroupOf(shard)
@@ -94,7 +95,7 @@
 		}
 	})
 
-	It("gives a process few peers and an even share of the shards", func() {
+	It("bounds the number of peers and shards per process", func() {
 		processes := processesIn(390, threeZones()...)
 		placement := membership.NewPlacement(membership.CopysetCount(len(processes)), processes, nil)
 		hosted := map[string]int{}
@@ -117,33 +118,33 @@
 		Expect(largest).To(BeNumerically("<=", 2*shards*membership.GroupSize/390))
 	})
 
-	It("moves little more than a leaving process's own shards", func() {
+	It("moves at most twice a removed process's share of replicas on average", func() {
 		processes := processesIn(390, threeZones()...)
 		copysets := membership.CopysetCount(len(processes))
 		before := membership.NewPlacement(copysets, processes, nil)
 		total, worst := 0, 0
-		for left := 0; left < len(processes); left += leaverStride {
+		for left := 0; left < len(processes); left += removalStride {
 			after := membership.NewPlacement(copysets, slices.Delete(slices.Clone(processes), left, left+1), nil)
-			count := moved(before, after)
+			count := countMoved(before, after)
 			total += count
 			worst = max(worst, count)
 		}
 		share := shards * membership.GroupSize / 390
-		GinkgoWriter.Printf("a process leaves: %d members move on average, %d at worst; its share is %d\n",
-			total/leavers, worst, share)
-		Expect(total / leavers).To(BeNumerically("<=", 2*share))
+		GinkgoWriter.Printf("after removing one process: %d members moved on average, %d at most; average members per process: %d\n",
+			total/removalCount, worst, share)
+		Expect(total / removalCount).To(BeNumerically("<=", 2*share))
 	})
 
-	It("does not depend on the order of the list", func() {
+	It("does not depend on the order of the list or on duplicates", func() {
 		processes := processesIn(30, threeZones()...)
 		reversed := slices.Clone(processes)
 		slices.Reverse(reversed)
 		one := membership.NewPlacement(32, processes, nil)
 		other := membership.NewPlacement(32, append(reversed, processes[0]), nil)
-		Expect(moved(one, other)).To(BeZero())
+		Expect(countMoved(one, other)).To(BeZero())
 	})
 
-	It("uses what there is when zones or processes are too few", func() {
+	It("falls back to fewer zones and smaller groups in small clusters", func() {
 		two := membership.NewPlacement(8, processesIn(6, [2]string{"r", "a"}, [2]string{"r", "b"}), nil)
 		Expect(two.GroupOf(1)).To(HaveLen(3))
 		Expect(zonesOf(two.GroupOf(1))).To(HaveLen(2))
@@ -173,7 +174,7 @@
 		return pools
 	}
 
-	It("holds every engine once, at most 16 a pool, and few move", func() {
+	It("assigns every engine, respects the pool size limit and moves few engines on removal", func() {
 		before := poolOf(engines(100))
 		after := poolOf(engines(99))
 		Expect(before).To(HaveLen(100))
@@ -186,7 +187,7 @@
 		Expect(changed).To(BeNumerically("<=", 5))
 	})
 
-	It("keeps models and regions apart", func() {
+	It("separates models and regions", func() {
 		pools := membership.AssignPools([]membership.Engine{
 			{ID: "1", Model: "m", Region: "r"}, {ID: "2", Model: "n", Region: "r"}, {ID: "3", Model: "m", Region: "s"},
 		})
@@ -195,7 +196,7 @@
 })
 
 var _ = Describe("The shard of a program", func() {
-	It("is within the number of shards, and that of its sub-agents", func() {
+	It("is in range and shared with its sub-agents", func() {
 		shard := membership.ShardOf("program-1", 16)
 		Expect(shard).To(BeNumerically("<", 16))
 		Expect(membership.ShardOf("program-1.child", 16)).To(Equal(shard))
--- a/internal/membership/planner.go
+++ b/internal/membership/planner.go
@@ -5,66 +5,68 @@
 	"slices"
 )
 
-// zoneSlot is the place of one member of a copyset.
+// zoneSlot is the zone assigned to one member of a copyset.
 type zoneSlot struct {
 	region string
 	zone   string
 }
 
-// planner places copysets one after the other.
+// planner computes a placement one copyset at a time, tracking the number of
+// copysets per process.
 type planner struct {
-	processes []Process
-	nearest   Nearest
-	byZone    map[zoneSlot][]Process
-	regions   map[string]int
-	load      map[string]int
-	limit     map[zoneSlot]int
+	processes           []Process
+	nearest             NearestRegions
+	processesByZone     map[zoneSlot][]Process
+	regionProcessCounts map[string]int
+	load                map[string]int
+	loadLimit           map[zoneSlot]int
 }
 
-func newPlanner(processes []Process, nearest Nearest) *planner {
+func newPlanner(processes []Process, nearest NearestRegions) *planner {
 	p := &planner{
-		processes: processes,
-		nearest:   nearest,
-		byZone:    map[zoneSlot][]Process{},
-		regions:   map[string]int{},
-		load:      map[string]int{},
-		limit:     map[zoneSlot]int{},
+		processes:           processes,
+		nearest:             nearest,
+		processesByZone:     map[zoneSlot][]Process{},
+		regionProcessCounts: map[string]int{},
+		load:                map[string]int{},
+		loadLimit:           map[zoneSlot]int{},
 	}
 	for _, process := range processes {
 		slot := zoneSlot{region: process.Region, zone: process.Zone}
-		p.byZone[slot] = append(p.byZone[slot], process)
-		p.regions[process.Region]++
+		p.processesByZone[slot] = append(p.processesByZone[slot], process)
+		p.regionProcessCounts[process.Region]++
 	}
 	return p
 }
 
-// chooseZones spreads a copyset over zones first: three zones of the only
-// region, or two of its home region and one of the nearest other.
+// chooseZones picks the zones of a copyset: three zones if there is one region,
+// otherwise two in the home region and one in the nearest other region.
 func (p *planner) chooseZones(key string) []zoneSlot {
-	regions := byScore(key, p.regions)
+	regions := namesByScore(key, p.regionProcessCounts)
 	if len(regions) == 0 {
 		return nil
 	}
 	home := regions[0]
 	if len(regions) == 1 {
-		return firstOf(p.zonesOf(key, home), GroupSize)
+		return truncateSlots(p.zonesByScore(key, home), GroupSize)
 	}
-	slots := firstOf(p.zonesOf(key, home), homeMembers)
-	for _, region := range p.otherRegions(home, regions[1:]) {
+	slots := truncateSlots(p.zonesByScore(key, home), homeRegionMembers)
+	for _, region := range p.regionsByDistance(home, regions[1:]) {
 		wanted := GroupSize - len(slots)
-		slots = append(slots, firstOf(p.zonesOf(key, region), min(1, wanted))...)
+		slots = append(slots, truncateSlots(p.zonesByScore(key, region), min(1, wanted))...)
 	}
 	return slots
 }
 
-// otherRegions puts the nearest regions first, those of unknown distance last.
-func (p *planner) otherRegions(home string, others []string) []string {
+// regionsByDistance sorts regions by distance from home; regions of unknown
+// distance come last.
+func (p *planner) regionsByDistance(home string, others []string) []string {
 	if p.nearest == nil {
 		return others
 	}
 	ordered := []string{}
 	for _, region := range p.nearest(home) {
-		if region != home && p.regions[region] > 0 && !slices.Contains(ordered, region) {
+		if region != home && p.regionProcessCounts[region] > 0 && !slices.Contains(ordered, region) {
 			ordered = append(ordered, region)
 		}
 	}
@@ -76,28 +78,29 @@
 	return ordered
 }
 
-// zonesOf returns a region's zones in the order of their scores.
-func (p *planner) zonesOf(key, region string) []zoneSlot {
+// zonesByScore returns a region's zones sorted by score, weighted by their number
+// of processes.
+func (p *planner) zonesByScore(key, region string) []zoneSlot {
 	weights := map[string]int{}
-	for slot, processes := range p.byZone {
+	for slot, processes := range p.processesByZone {
 		if slot.region == region {
 			weights[slot.zone] = len(processes)
 		}
 	}
 	slots := []zoneSlot{}
-	for _, zone := range byScore(key, weights) {
+	for _, zone := range namesByScore(key, weights) {
 		slots = append(slots, zoneSlot{region: region, zone: zone})
 	}
 	return slots
 }
 
-func firstOf(slots []zoneSlot, count int) []zoneSlot {
+func truncateSlots(slots []zoneSlot, count int) []zoneSlot {
 	return slots[:min(count, len(slots))]
 }
 
-// limitLoad bounds the copysets of one process at a little over its zone's
-// average.
-func (p *planner) limitLoad(copysets [][]zoneSlot) {
+// setLoadLimits caps the number of copysets per process slightly above the
+// average of its zone.
+func (p *planner) setLoadLimits(copysets [][]zoneSlot) {
 	demand := map[zoneSlot]int{}
 	for _, slots := range copysets {
 		for _, slot := range slots {
@@ -105,18 +108,18 @@
 		}
 	}
 	for slot, wanted := range demand {
-		size := len(p.byZone[slot])
-		p.limit[slot] = (wanted*(quarters+loadSlack) + size*quarters - 1) / (size * quarters)
+		size := len(p.processesByZone[slot])
+		p.loadLimit[slot] = (wanted*(loadSlackDenominator+loadSlackNumerator) + size*loadSlackDenominator - 1) / (size * loadSlackDenominator)
 	}
 }
 
-// chooseProcesses takes the best process in each zone that has room. Where
-// there are too few zones, further processes of any zone fill the copyset up.
+// chooseProcesses picks the highest-scored process under its load limit in each
+// zone. If that yields too few, the least loaded processes of any zone are added.
 func (p *planner) chooseProcesses(key string, slots []zoneSlot) []Process {
 	chosen := []Process{}
 	for _, slot := range slots {
-		candidates := p.withRoom(slot)
-		if process, found := winner(key, candidates); found {
+		candidates := p.underLoadLimit(slot)
+		if process, found := highestScored(key, candidates); found {
 			p.load[process.ID]++
 			chosen = append(chosen, process)
 		}
@@ -124,7 +127,7 @@
 	if len(chosen) == GroupSize {
 		return chosen
 	}
-	for _, process := range p.leastLoaded(key) {
+	for _, process := range p.processesByLoad(key) {
 		if len(chosen) < GroupSize && !slices.Contains(chosen, process) {
 			p.load[process.ID]++
 			chosen = append(chosen, process)
@@ -133,14 +136,14 @@
 	return chosen
 }
 
-func (p *planner) withRoom(slot zoneSlot) []Process {
-	return slices.DeleteFunc(slices.Clone(p.byZone[slot]), func(process Process) bool {
-		return p.load[process.ID] >= p.limit[slot]
+func (p *planner) underLoadLimit(slot zoneSlot) []Process {
+	return slices.DeleteFunc(slices.Clone(p.processesByZone[slot]), func(process Process) bool {
+		return p.load[process.ID] >= p.loadLimit[slot]
 	})
 }
 
-// leastLoaded orders all processes by their load, and by score where equal.
-func (p *planner) leastLoaded(key string) []Process {
+// processesByLoad sorts all processes by load, ties by score.
+func (p *planner) processesByLoad(key string) []Process {
 	ordered := slices.Clone(p.processes)
 	slices.SortStableFunc(ordered, func(left, right Process) int {
 		order := cmp.Compare(p.load[left.ID], p.load[right.ID])
--- a/internal/membership/pool.go
+++ b/internal/membership/pool.go
@@ -7,78 +7,80 @@
 )
 
 const (
-	// MaxPoolEngines bounds the engines of one pool.
+	// MaxPoolEngines is the maximum number of engines in a pool.
 	MaxPoolEngines = 16
-	// targetPoolEngines leaves room, so that engines that come and go seldom
-	// push others into another pool.
+	// targetPoolEngines is below MaxPoolEngines so that engines joining or leaving
+	// rarely move other engines to another pool.
 	targetPoolEngines = 12
 )
 
-// Engine is a model engine to be put into a pool.
+// Engine is a model engine to be assigned to a pool.
 type Engine struct {
 	ID     string
 	Model  string
 	Region string
 }
 
-// Pool is engines of one model in one region that one keeper grants slots on.
+// Pool is a set of engines of one model in one region, whose slots are granted
+// by a single keeper.
 type Pool struct {
 	// Name is "model/region/number".
 	Name   string
 	Model  string
 	Region string
-	// Engines are ids, sorted.
+	// Engines holds sorted engine IDs.
 	Engines []string
 }
 
-// poolKind is what all engines of a pool have in common.
-type poolKind struct {
+// poolKey groups engines that can share a pool.
+type poolKey struct {
 	model  string
 	region string
 }
 
-// AssignPools puts each engine into a pool. Pools come in the order of their
-// model, region and number.
+// AssignPools assigns each engine to a pool. The pools are sorted by model,
+// region and number.
 func AssignPools(engines []Engine) []Pool {
-	byKind := map[poolKind][]string{}
+	idsByKey := map[poolKey][]string{}
 	for _, engine := range engines {
-		kind := poolKind{model: engine.Model, region: engine.Region}
-		byKind[kind] = append(byKind[kind], engine.ID)
+		key := poolKey{model: engine.Model, region: engine.Region}
+		idsByKey[key] = append(idsByKey[key], engine.ID)
 	}
-	kinds := make([]poolKind, 0, len(byKind))
-	for kind := range byKind {
-		kinds = append(kinds, kind)
+	keys := make([]poolKey, 0, len(idsByKey))
+	for key := range idsByKey {
+		keys = append(keys, key)
 	}
-	slices.SortFunc(kinds, func(left, right poolKind) int {
+	slices.SortFunc(keys, func(left, right poolKey) int {
 		return cmp.Or(cmp.Compare(left.model, right.model), cmp.Compare(left.region, right.region))
 	})
 	pools := []Pool{}
-	for _, kind := range kinds {
-		pools = append(pools, poolsOf(kind, byKind[kind])...)
+	for _, key := range keys {
+		pools = append(pools, fillPools(key, idsByKey[key])...)
 	}
 	return pools
 }
 
-// poolsOf fills the pools of one kind by rendezvous, none over its bound.
-func poolsOf(kind poolKind, engines []string) []Pool {
+// fillPools distributes the engines of one key over pools by rendezvous hashing,
+// at most MaxPoolEngines each.
+func fillPools(key poolKey, engines []string) []Pool {
 	slices.Sort(engines)
 	engines = slices.Compact(engines)
 	pools := make([]Pool, (len(engines)+targetPoolEngines-1)/targetPoolEngines)
 	for number := range pools {
 		pools[number] = Pool{
-			Name:   fmt.Sprintf("%s/%s/%d", kind.model, kind.region, number),
-			Model:  kind.model,
-			Region: kind.region,
+			Name:   fmt.Sprintf("%s/%s/%d", key.model, key.region, number),
+			Model:  key.model,
+			Region: key.region,
 		}
 	}
 	for _, engine := range engines {
-		best := bestPool(pools, engine)
+		best := highestScoredPool(pools, engine)
 		pools[best].Engines = append(pools[best].Engines, engine)
 	}
 	return slices.DeleteFunc(pools, func(pool Pool) bool { return len(pool.Engines) == 0 })
 }
 
-func bestPool(pools []Pool, engine string) int {
+func highestScoredPool(pools []Pool, engine string) int {
 	best := -1
 	for number, pool := range pools {
 		if len(pool.Engines) >= MaxPoolEngines {
--- a/internal/membership/preference.go
+++ b/internal/membership/preference.go
@@ -5,20 +5,20 @@
 	"slices"
 )
 
-// PoolsFor returns the pools of a model that a program's calls may go to, the
-// preferred one first: by rendezvous of the program, those of the region alone
-// where it has any. A program keeps its preference while pools come and go, so
-// that its cached prefixes are found again.
+// PoolsFor returns the names of the pools that can serve a program's calls to a
+// model, in order of preference. Only pools in the region are returned if there
+// are any. Rendezvous hashing of the root program keeps the order stable when
+// pools are added or removed, which preserves prefix cache locality.
 func PoolsFor(pools []Pool, model, region, programID string) []string {
-	near := poolsOfModel(pools, model, func(pool Pool) bool { return pool.Region == region })
-	if len(near) == 0 {
-		near = poolsOfModel(pools, model, func(Pool) bool { return true })
+	names := poolsOfModel(pools, model, func(pool Pool) bool { return pool.Region == region })
+	if len(names) == 0 {
+		names = poolsOfModel(pools, model, func(Pool) bool { return true })
 	}
-	key := rootOf(programID)
-	slices.SortStableFunc(near, func(left, right string) int {
+	key := rootID(programID)
+	slices.SortStableFunc(names, func(left, right string) int {
 		return cmp.Compare(score(key, right), score(key, left))
 	})
-	return near
+	return names
 }
 
 func poolsOfModel(pools []Pool, model string, wanted func(Pool) bool) []string {
--- a/internal/membership/winner.go
+++ b/internal/membership/ranking.go
@@ -5,7 +5,7 @@
 	"slices"
 )
 
-// sortedProcesses returns the processes in the order of their ids, each once.
+// sortedProcesses returns the processes sorted by ID, without duplicates.
 func sortedProcesses(processes []Process) []Process {
 	sorted := slices.Clone(processes)
 	slices.SortFunc(sorted, func(left, right Process) int {
@@ -16,9 +16,9 @@
 	})
 }
 
-// winner returns the process with the highest score for a key, or false if there
-// are none.
-func winner(key string, processes []Process) (Process, bool) {
+// highestScored returns the process with the highest score for a key, or false if
+// there are no processes.
+func highestScored(key string, processes []Process) (Process, bool) {
 	if len(processes) == 0 {
 		return Process{}, false
 	}
--- a/internal/membership/shard.go
+++ b/internal/membership/shard.go
@@ -6,19 +6,19 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// FamilySeparator stands between a root program's id and what its sub-agents'
-// ids add to it.
+// FamilySeparator separates a root program's ID from the suffix that identifies
+// one of its sub-agents.
 const FamilySeparator = "."
 
-// ShardOf returns the shard, from 0 to shards-1, of a program. A program and
-// its sub-agents share the shard of their root, the part of the id before the
+// ShardOf returns the shard of a program, in [0, shards). Sub-agents are on the
+// same shard as their root program, whose ID is the part of theirs before the
 // first separator.
 func ShardOf(programID string, shards uint32) uint32 {
-	return uint32(xxhash.Sum64String(rootOf(programID)) % uint64(shards))
+	return uint32(xxhash.Sum64String(rootID(programID)) % uint64(shards))
 }
 
-// rootOf returns the id of the program at the top of a family.
-func rootOf(programID string) string {
+// rootID returns the ID of the root program of a program or sub-agent.
+func rootID(programID string) string {
 	root, _, _ := strings.Cut(programID, FamilySeparator)
 	return root
 }
