--- a/internal/ledger/benchmark_test.go
+++ b/internal/ledger/benchmark_test.go
@@ -26,7 +26,7 @@
 	}
 }
 
-// BenchmarkTopUp is one request and its grant, with holderCount shards known.
+// BenchmarkTopUp measures one grant on an account with holderCount holders.
 func BenchmarkTopUp(b *testing.B) {
 	for _, holderCount := range []uint32{16, 256, 1024} {
 		b.Run(fmt.Sprintf("holders=%d", holderCount), func(b *testing.B) {
@@ -42,7 +42,7 @@
 	}
 }
 
-// BenchmarkAccountSize reports memory and snapshot bytes of an account.
+// BenchmarkAccountSize reports the heap and snapshot size of an account.
 func BenchmarkAccountSize(b *testing.B) {
 	for _, holderCount := range []uint32{16, 256, 1024} {
 		b.Run(fmt.Sprintf("holders=%d", holderCount), func(b *testing.B) {
--- a/internal/ledger/doc.go
+++ b/internal/ledger/doc.go
@@ -1,20 +1,21 @@
-// Package ledger keeps the budgets of tiers. A tier has one Account, held by
-// one shard; every shard that runs programs of the tier has an Escrow, a part
-// of the budget granted to it. A call's worst case is reserved from the escrow
-// before it is dispatched and settled after it.
+// Package ledger implements tier budgets with distributed escrow. A tier has one
+// Account, owned by one shard. Every shard that runs programs of the tier has an
+// Escrow, a portion of the budget granted to it by the account. A call's
+// worst-case cost is reserved from the escrow before dispatch and settled
+// afterwards.
 //
-// All state is replicated: it changes only by committed entries, and nothing
-// here has a clock, socket, lock or random source. Messages between account and
-// escrow may be lost, repeated or reordered; they carry totals since the
-// tier began, which only rise, so that an old or repeated one changes nothing
-// and no message id has to be remembered.
+// All state is replicated and changes only by applying committed log entries, so
+// the package uses no clock, I/O, locks or randomness. Messages between account
+// and escrow may be lost, duplicated or reordered. They carry cumulative totals,
+// which never decrease, so stale and duplicate messages have no effect and no
+// message IDs are needed.
 //
 // Invariants:
 //
 //   - returned + reserved + spent <= granted, in every escrow;
-//   - an account's granted total for a shard is never below the shard's own, and
-//     its returned total never above, so that the account's outstanding amount
-//     bounds what all shards together hold and have spent;
-//   - an account grants only what its budget has left, so that outstanding
-//     exceeds the budget only after the budget was lowered.
+//   - for each shard, the account's granted total is at least the escrow's, and
+//     its returned total at most the escrow's, so the account's outstanding
+//     amount bounds what all shards hold and have spent;
+//   - an account grants only what is available in its budget, so the outstanding
+//     amount exceeds the budget only after the budget was lowered.
 package ledger
--- a/internal/ledger/escrow.go
+++ b/internal/ledger/escrow.go
@@ -5,20 +5,20 @@
 	"github.com/magpielug/magpielug/internal/resultcode"
 )
 
-// Escrow is the part of a tier's budget that one shard holds. The zero value
-// holds nothing.
+// Escrow is the portion of a tier's budget held by one shard. The zero value is
+// an empty escrow.
 type Escrow struct {
-	// granted and returned are totals and only rise.
+	// granted and returned are cumulative totals, which never decrease.
 	granted  Micros
 	returned Micros
-	// reserved is held for calls that have no final answer.
+	// reserved is the sum of reservations for calls that are not yet settled.
 	reserved Micros
-	// spent is a total and only rises.
+	// spent is a cumulative total, which never decreases.
 	spent Micros
 }
 
-// RestoreEscrow returns the escrow of a snapshot's record, or an error where
-// the record breaks the escrow's invariant.
+// RestoreEscrow rebuilds an escrow from a snapshot record. It fails if the record
+// violates the escrow's invariant.
 func RestoreEscrow(record *shardv1.EscrowRecord) (*Escrow, *resultcode.Error) {
 	escrow := &Escrow{
 		granted:  Micros(record.GrantedMicros),
@@ -26,14 +26,15 @@
 		reserved: Micros(record.ReservedMicros),
 		spent:    Micros(record.SpentMicros),
 	}
-	if add(add(escrow.returned, escrow.reserved), escrow.spent) > escrow.granted {
+	if addSaturating(addSaturating(escrow.returned, escrow.reserved), escrow.spent) > escrow.granted {
 		return nil, resultcode.New(resultcode.Internal,
-			"escrow record of tier %s/%s holds more than was granted", record.Tenant, record.Tier)
+			"invalid escrow record for tier %s/%s: returned, reserved and spent amounts exceed the granted total",
+			record.Tenant, record.Tier)
 	}
 	return escrow, nil
 }
 
-// Record returns the escrow for a snapshot.
+// Record returns the escrow's snapshot record.
 func (escrow *Escrow) Record(tenant, tier string) *shardv1.EscrowRecord {
 	return &shardv1.EscrowRecord{
 		Tenant:         tenant,
@@ -45,42 +46,43 @@
 	}
 }
 
-// Granted returns the total that the account is known to have granted.
+// Granted returns the highest granted total received from the account.
 func (escrow *Escrow) Granted() Micros { return escrow.granted }
 
-// Returned returns the total that was given back.
+// Returned returns the total returned to the account.
 func (escrow *Escrow) Returned() Micros { return escrow.returned }
 
-// Reserved returns what is held for calls without a final answer.
+// Reserved returns the amount reserved for calls that are not yet settled.
 func (escrow *Escrow) Reserved() Micros { return escrow.reserved }
 
-// Spent returns the total that calls have cost.
+// Spent returns the total charged for calls.
 func (escrow *Escrow) Spent() Micros { return escrow.spent }
 
-// Available returns what can be reserved or given back.
+// Available returns the amount that can be reserved or returned.
 func (escrow *Escrow) Available() Micros {
 	return escrow.granted - escrow.returned - escrow.reserved - escrow.spent
 }
 
-// Reserve holds a call's worst case. It fails with BudgetExhausted, and changes
-// nothing, where the escrow does not cover it; a top-up may help.
+// Reserve reserves a call's worst-case cost. It fails with BudgetExhausted,
+// without effect, if the escrow does not cover it; a top-up may resolve that.
 func (escrow *Escrow) Reserve(worstCase Micros) *resultcode.Error {
 	if worstCase > escrow.Available() {
 		return resultcode.New(resultcode.BudgetExhausted,
-			"the call may cost %d micros, the shard's part of the tier's budget has %d", worstCase, escrow.Available())
+			"the call may cost %d micros, but the shard's escrow of the tier's budget has only %d available",
+			worstCase, escrow.Available())
 	}
 	escrow.reserved += worstCase
 	return nil
 }
 
-// Settle replaces a reservation by the call's cost and returns what is charged:
-// never more than was reserved, so that a back end that reports more than was
-// asked for can't carry a budget over its bound. A call whose outcome is
-// unknown is settled at its whole reservation.
+// Settle replaces a reservation by the call's cost and returns the charge. The
+// charge is capped at the reservation, so that a backend reporting excess usage
+// cannot exceed the budget. A call with an unknown outcome is settled at its full
+// reservation.
 func (escrow *Escrow) Settle(reserved, cost Micros) (Micros, *resultcode.Error) {
 	if reserved > escrow.reserved {
 		return 0, resultcode.New(resultcode.Internal,
-			"a reservation of %d micros is settled, only %d are held", reserved, escrow.reserved)
+			"cannot settle a reservation of %d micros: only %d are reserved", reserved, escrow.reserved)
 	}
 	charge := min(cost, reserved)
 	escrow.reserved -= reserved
@@ -88,14 +90,14 @@
 	return charge, nil
 }
 
-// Cancel frees the reservation of a call that did not run.
+// Cancel releases the reservation of a call that did not run.
 func (escrow *Escrow) Cancel(reserved Micros) *resultcode.Error {
 	_, failure := escrow.Settle(reserved, 0)
 	return failure
 }
 
-// RaiseGranted takes the account's granted total in and reports whether it is
-// news.
+// RaiseGranted raises the granted total and reports whether it changed. Stale
+// totals have no effect.
 func (escrow *Escrow) RaiseGranted(total Micros) bool {
 	if total <= escrow.granted {
 		return false
@@ -104,17 +106,17 @@
 	return true
 }
 
-// RaiseReturned gives the difference to the returned total up. It must be
-// committed before the account hears of it. It fails, and changes nothing,
-// where less than that is available, since a reservation came first. A total
-// that is not news succeeds and changes nothing.
+// RaiseReturned raises the returned total, giving up the difference. The change
+// must be committed before the account is notified. It fails with BudgetExhausted,
+// without effect, if the difference exceeds the available amount, for example
+// because of an intervening reservation. A total that is not higher has no effect.
 func (escrow *Escrow) RaiseReturned(total Micros) *resultcode.Error {
 	if total <= escrow.returned {
 		return nil
 	}
 	if total-escrow.returned > escrow.Available() {
 		return resultcode.New(resultcode.BudgetExhausted,
-			"%d micros are to be given back, %d are available", total-escrow.returned, escrow.Available())
+			"cannot return %d micros: only %d are available", total-escrow.returned, escrow.Available())
 	}
 	escrow.returned = total
 	return nil
--- a/internal/ledger/ledger_suite_test.go
+++ b/internal/ledger/ledger_suite_test.go
@@ -8,8 +8,8 @@
 	. "github.com/onsi/gomega"
 )
 
-// TestLedger runs the property tests on fixed schedules, so that the verdict is
-// the same each time. -rapid.checks raises their number.
+// TestLedger runs the property tests with a fixed seed for reproducible results.
+// -rapid.checks sets the number of generated cases.
 func TestLedger(t *testing.T) {
 	settings := map[string]string{"rapid.seed": "20261202", "rapid.steps": "150", "rapid.nofailfile": "true"}
 	for name, value := range settings {
--- a/internal/ledger/ledger_test.go
+++ b/internal/ledger/ledger_test.go
@@ -13,37 +13,37 @@
 )
 
 var _ = Describe("account and escrows over a faulty network", func() {
-	It("never holds or spends more than the budget, and loses none of it", func() {
+	It("never exceeds the budget and recovers all idle escrow", func() {
 		rapid.Check(GinkgoT(), func(t *rapid.T) {
 			net := newNetwork(t)
 			t.Repeat(map[string]func(*rapid.T){
-				"":                     net.check,
+				"":                     net.checkInvariants,
 				"reserve":              net.reserve,
 				"settle":               net.settle,
 				"topUp":                net.topUp,
 				"returnIdle":           net.returnIdle,
 				"deliver":              net.deliver,
 				"deliverAgain":         net.deliver,
-				"lose":                 net.lose,
+				"lose":                 net.drop,
 				"changeBudget":         net.changeBudget,
-				"replaceHolder":        net.replaceHolder,
-				"replaceAccountHolder": net.replaceAccountHolder,
+				"replaceHolder":        net.restoreEscrow,
+				"replaceAccountHolder": net.restoreAccount,
 			})
-			net.drain(t)
-			net.check(t)
+			net.settleAll(t)
+			net.checkInvariants(t)
 			var spent ledger.Micros
 			for _, escrow := range net.escrows {
 				spent += escrow.Spent()
 			}
 			if net.account.Outstanding() != spent {
-				t.Fatalf("outstanding %d after all came back, spent %d", net.account.Outstanding(), spent)
+				t.Fatalf("outstanding is %d after all idle escrow was returned, want the spent total %d", net.account.Outstanding(), spent)
 			}
 		})
 	})
 })
 
 var _ = Describe("account", func() {
-	It("answers a repeated request with the same total", func() {
+	It("returns the same total for a duplicate request", func() {
 		account := ledger.NewAccount(100)
 		Expect(account.Grant(7, 60)).To(BeEquivalentTo(60))
 		Expect(account.Grant(7, 60)).To(BeEquivalentTo(60))
@@ -52,7 +52,7 @@
 		Expect(account.Available()).To(BeZero())
 	})
 
-	It("does not grant again what an old request wanted and was given back", func() {
+	It("ignores a stale request after its grant was returned", func() {
 		account := ledger.NewAccount(100)
 		account.Grant(7, 60)
 		Expect(account.RaiseReturned(7, 60)).To(BeNil())
@@ -61,7 +61,7 @@
 		Expect(account.Holders()).To(BeEmpty())
 	})
 
-	It("stops granting when the budget is lowered below what is outstanding", func() {
+	It("stops granting when the budget is lowered below the outstanding amount", func() {
 		account := ledger.NewAccount(100)
 		account.Grant(7, 60)
 		account.SetBudget(50)
@@ -71,7 +71,7 @@
 		Expect(account.Grant(8, 30)).To(BeEquivalentTo(20))
 	})
 
-	It("refuses a return of more than was granted, and changes nothing", func() {
+	It("rejects a returned total above the granted total without effect", func() {
 		account := ledger.NewAccount(100)
 		account.Grant(7, 60)
 		Expect(account.RaiseReturned(7, 61).Code).To(Equal(resultcode.Internal))
@@ -79,7 +79,7 @@
 		Expect(account.Outstanding()).To(BeEquivalentTo(60))
 	})
 
-	It("refuses a record that breaks its invariants", func() {
+	It("rejects a snapshot record that violates its invariants", func() {
 		for _, holders := range [][]*shardv1.AccountHolder{
 			{{Shard: 1, GrantedMicros: 5, ReturnedMicros: 6}},
 			{{Shard: 1, GrantedMicros: 5}, {Shard: 1, GrantedMicros: 5}},
@@ -92,14 +92,14 @@
 })
 
 var _ = Describe("escrow", func() {
-	It("keeps its granted total when an older grant arrives late", func() {
+	It("keeps its granted total when a stale grant arrives", func() {
 		var escrow ledger.Escrow
 		Expect(escrow.RaiseGranted(100)).To(BeTrue())
 		Expect(escrow.RaiseGranted(60)).To(BeFalse())
 		Expect(escrow.Granted()).To(BeEquivalentTo(100))
 	})
 
-	It("refuses what it can't cover, and changes nothing", func() {
+	It("rejects operations that exceed the available or reserved amount without effect", func() {
 		var escrow ledger.Escrow
 		escrow.RaiseGranted(100)
 		Expect(escrow.Reserve(60)).To(BeNil())
@@ -111,7 +111,7 @@
 		Expect(escrow.Available()).To(BeEquivalentTo(40))
 	})
 
-	It("charges no more than was reserved", func() {
+	It("caps the charge at the reservation", func() {
 		var escrow ledger.Escrow
 		escrow.RaiseGranted(100)
 		Expect(escrow.Reserve(60)).To(BeNil())
@@ -121,14 +121,14 @@
 		Expect(escrow.Available()).To(BeEquivalentTo(40))
 	})
 
-	It("refuses a record that holds more than was granted", func() {
+	It("rejects a snapshot record whose amounts exceed the granted total", func() {
 		_, failure := ledger.RestoreEscrow(&shardv1.EscrowRecord{GrantedMicros: 5, SpentMicros: math.MaxUint64, ReservedMicros: 6})
 		Expect(failure).NotTo(BeNil())
 	})
 })
 
 var _ = Describe("top-up", func() {
-	It("asks below the low-water mark for the same total until it is answered", func() {
+	It("requests the same total below the low-water mark until it is granted", func() {
 		policy := ledger.TopUpPolicy{LowWater: 10, Chunk: 50}
 		var escrow ledger.Escrow
 		wanted, ask := policy.Wanted(&escrow, 20)
@@ -149,6 +149,6 @@
 	Entry("nothing", ledger.Price{Prompt: 7, Output: 7}, uint32(0), uint32(0), uint64(0)),
 	Entry("rounded up once", ledger.Price{Prompt: 1, Output: 1}, uint32(1), uint32(1), uint64(1)),
 	Entry("exact", ledger.Price{Prompt: 2000, Output: 3000}, uint32(500), uint32(1000), uint64(4000)),
-	Entry("product over the range", ledger.Price{Prompt: math.MaxUint64}, uint32(2), uint32(0), uint64(math.MaxUint64)),
-	Entry("sum over the range", ledger.Price{Prompt: math.MaxUint64, Output: math.MaxUint64}, uint32(1), uint32(1), uint64(math.MaxUint64)),
+	Entry("product overflows", ledger.Price{Prompt: math.MaxUint64}, uint32(2), uint32(0), uint64(math.MaxUint64)),
+	Entry("sum overflows", ledger.Price{Prompt: math.MaxUint64, Output: math.MaxUint64}, uint32(1), uint32(1), uint64(math.MaxUint64)),
 )
