--- a/internal/replication/archive_snapshot.go
+++ b/internal/replication/archive_snapshot.go
@@ -10,31 +10,31 @@
 	replicationv1 "github.com/magpielug/magpielug/api/replication/v1"
 )
 
-// ErrBadSnapshot says that a snapshot of the stream can't be used.
-var ErrBadSnapshot = errors.New("unusable snapshot of the stream")
+// ErrInvalidSnapshot means that an archive snapshot cannot be used.
+var ErrInvalidSnapshot = errors.New("invalid archive snapshot")
 
-// maximumSnapshotChunks bounds what a reader keeps of a snapshot that says it
-// has many parts.
-const maximumSnapshotChunks = 1 << 16
+// maxSnapshotChunks limits the number of chunks that a reader accepts for one
+// snapshot.
+const maxSnapshotChunks = 1 << 16
 
-var snapshotChecksums = crc32.MakeTable(crc32.Castagnoli)
+var castagnoliTable = crc32.MakeTable(crc32.Castagnoli)
 
-// ArchiveSnapshot is what reading a shard's stream from its start gives, up to
-// and without the record at Offset.
+// ArchiveSnapshot is the result of reading a shard's stream from its start up to,
+// but not including, the record at Offset.
 //
-// It holds nothing but a function of that part of the stream, which never
-// changes. So it is good for ever, whoever wrote it and wherever it stands: its
-// reader goes on at Offset and sees every later claim and entry that a reader
-// from the start sees.
+// It depends only on that immutable prefix of the stream, so it stays valid
+// regardless of who wrote it and where in the stream it is stored. A reader that
+// starts from it and continues at Offset reaches the same result as a reader from
+// the start.
 type ArchiveSnapshot struct {
 	Archive *Archive
-	// Offset is of the record to read next.
+	// Offset is the offset of the next record to read.
 	Offset uint64
-	// State is the state machine's with all entries up to Archive.Last applied.
+	// State is the state machine's state with all entries up to Archive.Last applied.
 	State []byte
 }
 
-// EncodeArchiveSnapshot renders a snapshot, for SplitArchiveSnapshot.
+// EncodeArchiveSnapshot encodes a snapshot for SplitArchiveSnapshot.
 func EncodeArchiveSnapshot(snapshot ArchiveSnapshot) ([]byte, error) {
 	archive := snapshot.Archive
 	return proto.Marshal(&replicationv1.ArchiveSnapshot{
@@ -54,15 +54,15 @@
 	})
 }
 
-// DecodeArchiveSnapshot reads a snapshot of a shard's stream. The error wraps
-// ErrBadSnapshot.
+// DecodeArchiveSnapshot decodes a snapshot of a shard's stream. The error wraps
+// ErrInvalidSnapshot.
 func DecodeArchiveSnapshot(shard uint32, encoded []byte) (ArchiveSnapshot, error) {
 	decoded := &replicationv1.ArchiveSnapshot{}
 	if err := proto.Unmarshal(encoded, decoded); err != nil {
-		return ArchiveSnapshot{}, fmt.Errorf("%w: %w", ErrBadSnapshot, err)
+		return ArchiveSnapshot{}, fmt.Errorf("%w: %w", ErrInvalidSnapshot, err)
 	}
 	if decoded.GetShard() != shard {
-		return ArchiveSnapshot{}, fmt.Errorf("%w: of shard %d", ErrBadSnapshot, decoded.GetShard())
+		return ArchiveSnapshot{}, fmt.Errorf("%w: it belongs to shard %d", ErrInvalidSnapshot, decoded.GetShard())
 	}
 	archive := &Archive{
 		shard:   shard,
@@ -81,9 +81,8 @@
 	return ArchiveSnapshot{Archive: archive, Offset: decoded.GetOffset(), State: decoded.GetState()}, nil
 }
 
-// SplitArchiveSnapshot renders an encoded snapshot as records of the shard's
-// stream of at most chunkBytes each, and a little more. The id must never have
-// been used for another snapshot.
+// SplitArchiveSnapshot splits an encoded snapshot into stream records with at most
+// chunkBytes of data each. The ID must be unique among all snapshots of the shard.
 func SplitArchiveSnapshot(shard uint32, id string, encoded []byte, chunkBytes int) ([][]byte, error) {
 	count := max(1, (len(encoded)+chunkBytes-1)/chunkBytes)
 	records := make([][]byte, count)
@@ -96,7 +95,7 @@
 				Number:     uint32(number),
 				Count:      uint32(count),
 				Data:       encoded[number*chunkBytes : end],
-				Checksum:   crc32.Checksum(encoded, snapshotChecksums),
+				Checksum:   crc32.Checksum(encoded, castagnoliTable),
 			}},
 		})
 		if err != nil {
@@ -107,23 +106,24 @@
 	return records, nil
 }
 
-// SnapshotCollector puts one snapshot together from the stream's records.
+// SnapshotCollector reassembles one snapshot from the records of a stream.
 type SnapshotCollector struct {
 	shard uint32
 	id    string
-	// count and checksum are those of the first part seen; 0 before it.
+	// count and checksum are taken from the first chunk; count is 0 before it.
 	count    uint32
 	checksum uint32
 	chunks   map[uint32][]byte
 }
 
-// NewSnapshotCollector returns a collector of the snapshot with an id.
+// NewSnapshotCollector returns a collector for the snapshot with the given ID.
 func NewSnapshotCollector(shard uint32, id string) *SnapshotCollector {
 	return &SnapshotCollector{shard: shard, id: id, chunks: make(map[uint32][]byte)}
 }
 
-// Take looks at one record of the stream and tells whether it is a part of the
-// snapshot; any other record does nothing. ErrBadSnapshot is final.
+// Take processes one stream record and reports whether it is a chunk of the
+// snapshot. Other records are ignored. After ErrInvalidSnapshot the snapshot cannot
+// be recovered.
 func (c *SnapshotCollector) Take(record []byte) (bool, error) {
 	decoded := &replicationv1.ArchiveRecord{}
 	if proto.Unmarshal(record, decoded) != nil || decoded.GetShard() != c.shard {
@@ -137,19 +137,19 @@
 		c.count = chunk.GetCount()
 		c.checksum = chunk.GetChecksum()
 	}
-	isPart := chunk.GetCount() == c.count &&
+	isConsistent := chunk.GetCount() == c.count &&
 		chunk.GetChecksum() == c.checksum &&
 		chunk.GetNumber() < c.count &&
-		c.count <= maximumSnapshotChunks
-	if !isPart {
-		return true, fmt.Errorf("%w: part %d of %d", ErrBadSnapshot, chunk.GetNumber(), chunk.GetCount())
+		c.count <= maxSnapshotChunks
+	if !isConsistent {
+		return true, fmt.Errorf("%w: inconsistent chunk %d of %d", ErrInvalidSnapshot, chunk.GetNumber(), chunk.GetCount())
 	}
 	c.chunks[chunk.GetNumber()] = chunk.GetData()
 	return true, nil
 }
 
-// Encoded returns the encoded snapshot once every part is there, and false until
-// then. The error wraps ErrBadSnapshot.
+// Encoded returns the encoded snapshot, or false while chunks are missing. The error
+// wraps ErrInvalidSnapshot.
 func (c *SnapshotCollector) Encoded() ([]byte, bool, error) {
 	if c.count == 0 || len(c.chunks) < int(c.count) {
 		return nil, false, nil
@@ -158,8 +158,8 @@
 	for number := range c.count {
 		encoded = append(encoded, c.chunks[number]...)
 	}
-	if crc32.Checksum(encoded, snapshotChecksums) != c.checksum {
-		return nil, false, fmt.Errorf("%w: checksum", ErrBadSnapshot)
+	if crc32.Checksum(encoded, castagnoliTable) != c.checksum {
+		return nil, false, fmt.Errorf("%w: checksum mismatch", ErrInvalidSnapshot)
 	}
 	return encoded, true, nil
 }
--- a/internal/replication/batcher.go
+++ b/internal/replication/batcher.go
@@ -8,11 +8,11 @@
 	replicationv1 "github.com/magpielug/magpielug/api/replication/v1"
 )
 
-// maxQueuedBytes bounds what waits for a peer that can't be reached. What waits
-// is dropped beyond it, which replicas take as lost.
+// maxQueuedBytes limits the messages queued for an unreachable peer. When it is
+// exceeded the queue is discarded, which replicas handle as message loss.
 const maxQueuedBytes = 4 << 20
 
-// messageQueue is what waits for one peer.
+// messageQueue holds the messages queued for one peer.
 type messageQueue struct {
 	messages []*replicationv1.Message
 	bytes    int
@@ -27,43 +27,43 @@
 	q.bytes += size
 }
 
-// Batcher merges all that one process's replicas send to another process into
-// one Batch, the heartbeats of all shards into one HeartbeatBatch. Where all of
-// them are spare there is none. It belongs to the goroutine that owns the
-// replicas.
+// Batcher combines all messages from one process's replicas to another process into
+// one Batch, and the heartbeats of all shards into one HeartbeatBatch. The
+// HeartbeatBatch is omitted if all heartbeats are optional. A Batcher must be used
+// only by the goroutine that owns the replicas.
 //
-// A host adds every Envelope of every Output, takes a Batch for each of Peers
-// once all replicas have ticked, and hands every Batch that arrives to Open and
-// the resulting messages to the replicas. The answers of those go into the
-// reply, again by Add and Take.
+// The host calls Add for every Envelope of every Output, calls Take for each of
+// Peers after all replicas have ticked, and passes every received Batch to Open and
+// the resulting messages to the replicas. Responses are sent with the reply, again
+// through Add and Take.
 type Batcher struct {
-	boot    Incarnation
-	queues  map[string]*messageQueue
-	sending map[string]*heartbeatSender
-	hearing map[string]*heartbeatReceiver
+	boot      Incarnation
+	queues    map[string]*messageQueue
+	senders   map[string]*heartbeatSender
+	receivers map[string]*heartbeatReceiver
 }
 
 // NewBatcher returns a batcher for one boot of a process.
 func NewBatcher(boot Incarnation) *Batcher {
 	return &Batcher{
-		boot:    boot,
-		queues:  map[string]*messageQueue{},
-		sending: map[string]*heartbeatSender{},
-		hearing: map[string]*heartbeatReceiver{},
+		boot:      boot,
+		queues:    map[string]*messageQueue{},
+		senders:   map[string]*heartbeatSender{},
+		receivers: map[string]*heartbeatReceiver{},
 	}
 }
 
-// Add queues a message for its process.
+// Add queues a message for its destination process.
 func (b *Batcher) Add(envelope Envelope) {
 	process := envelope.ToProcess
 	message := envelope.Message
 	switch body := message.GetBody().(type) {
 	case *replicationv1.Message_Heartbeat:
-		b.sender(process).add(message, body.Heartbeat, envelope.Spare)
+		b.sender(process).add(message, body.Heartbeat, envelope.Optional)
 		return
 	case *replicationv1.Message_HeartbeatResponse:
-		receiver := b.hearing[process]
-		if receiver != nil && receiver.answer(message, body.HeartbeatResponse) {
+		receiver := b.receivers[process]
+		if receiver != nil && receiver.recordResponse(message, body.HeartbeatResponse) {
 			return
 		}
 	}
@@ -76,27 +76,27 @@
 }
 
 func (b *Batcher) sender(process string) *heartbeatSender {
-	sender := b.sending[process]
+	sender := b.senders[process]
 	if sender == nil {
 		sender = &heartbeatSender{}
-		b.sending[process] = sender
+		b.senders[process] = sender
 	}
 	return sender
 }
 
-// Peers returns the processes that something is queued for, in a fixed order.
+// Peers returns the sorted processes that have something queued.
 func (b *Batcher) Peers() []string {
 	peers := []string{}
 	for process := range b.queues {
 		peers = append(peers, process)
 	}
-	for process, sender := range b.sending {
+	for process, sender := range b.senders {
 		if sender.isDue() {
 			peers = append(peers, process)
 		}
 	}
-	for process, receiver := range b.hearing {
-		if receiver.owesAck {
+	for process, receiver := range b.receivers {
+		if receiver.ackPending {
 			peers = append(peers, process)
 		}
 	}
@@ -104,7 +104,7 @@
 	return slices.Compact(peers)
 }
 
-// Take returns what is queued for a process and empties the queue.
+// Take returns and clears everything queued for a process.
 func (b *Batcher) Take(process string) *replicationv1.Batch {
 	batch := &replicationv1.Batch{
 		From:      string(b.boot),
@@ -114,17 +114,18 @@
 		batch.Messages = queue.messages
 		delete(b.queues, process)
 	}
-	if sender := b.sending[process]; sender != nil {
+	if sender := b.senders[process]; sender != nil {
 		batch.Heartbeats = sender.take()
 	}
-	if receiver := b.hearing[process]; receiver != nil {
+	if receiver := b.receivers[process]; receiver != nil {
 		batch.HeartbeatAck = receiver.takeAck()
 	}
 	return batch
 }
 
-// Open returns the messages for this process's replicas in a batch. A replica
-// that isn't there simply doesn't get its message.
+// Open returns a batch's messages for the replicas of this process. It returns nil
+// if the batch is for another process. The caller ignores messages for replicas
+// that do not exist.
 func (b *Batcher) Open(batch *replicationv1.Batch) []*replicationv1.Message {
 	from := Incarnation(batch.GetFrom())
 	process := from.Process()
@@ -133,24 +134,24 @@
 	}
 	messages := slices.Clone(batch.GetMessages())
 	if heartbeats := batch.GetHeartbeats(); heartbeats != nil {
-		receiver := b.hearing[process]
+		receiver := b.receivers[process]
 		if receiver == nil || receiver.boot != from {
 			receiver = &heartbeatReceiver{boot: from}
-			b.hearing[process] = receiver
+			b.receivers[process] = receiver
 		}
-		messages = append(messages, receiver.open(heartbeats)...)
+		messages = append(messages, receiver.unpack(heartbeats)...)
 	}
 	ack := batch.GetHeartbeatAck()
-	sender := b.sending[process]
+	sender := b.senders[process]
 	if ack != nil && sender != nil && ack.GetTo() == string(b.boot) {
-		messages = append(messages, sender.openAck(ack)...)
+		messages = append(messages, sender.unpackAck(ack)...)
 	}
 	return messages
 }
 
-// Forget drops all that is kept of a process that is gone.
+// Forget discards all state of a process that has left.
 func (b *Batcher) Forget(process string) {
 	delete(b.queues, process)
-	delete(b.sending, process)
-	delete(b.hearing, process)
+	delete(b.senders, process)
+	delete(b.receivers, process)
 }
--- a/internal/replication/batcher_test.go
+++ b/internal/replication/batcher_test.go
@@ -53,13 +53,13 @@
 		receiver = replication.NewBatcher("b#boot")
 	})
 
-	beat := func(sentAt int64, epoch uint64, shards ...uint32) *replicationv1.Batch {
+	sendHeartbeats := func(sentAt int64, epoch uint64, shards ...uint32) *replicationv1.Batch {
 		for _, shard := range shards {
 			sender.Add(heartbeat(shard, epoch, sentAt))
 		}
 		return sender.Take("b")
 	}
-	// answer opens a batch, lets the replicas of some shards respond, and
+	// answer opens a batch, lets all replicas but that of the silent shard respond, and
 	// returns the receiver's batch.
 	answer := func(batch *replicationv1.Batch, silent uint32) *replicationv1.Batch {
 		for _, message := range receiver.Open(batch) {
@@ -70,25 +70,25 @@
 		return receiver.Take("a")
 	}
 
-	It("sends an unchanged shard no more, and hears all that answered", func() {
-		Expect(shardsOf(sender.Open(answer(beat(1, 5, 1, 2, 3), 0)))).To(Equal([]uint32{1, 2, 3}))
-		second := beat(2, 5, 1, 2, 3)
+	It("omits unchanged shards and delivers the responses of all that accepted", func() {
+		Expect(shardsOf(sender.Open(answer(sendHeartbeats(1, 5, 1, 2, 3), 0)))).To(Equal([]uint32{1, 2, 3}))
+		second := sendHeartbeats(2, 5, 1, 2, 3)
 		Expect(second.GetHeartbeats().GetChanged()).To(BeEmpty())
 		reply := answer(second, 2)
 		Expect(reply.GetMessages()).To(BeEmpty())
-		heard := sender.Open(reply)
-		Expect(shardsOf(heard)).To(Equal([]uint32{1, 3}))
-		Expect(heard[0].GetHeartbeatResponse().GetSentAt()).To(BeEquivalentTo(2))
+		responses := sender.Open(reply)
+		Expect(shardsOf(responses)).To(Equal([]uint32{1, 3}))
+		Expect(responses[0].GetHeartbeatResponse().GetSentAt()).To(BeEquivalentTo(2))
 	})
 
-	It("repeats what a lost batch carried, and drops a shard led no more", func() {
-		sender.Open(answer(beat(1, 5, 1, 2), 0))
-		beat(2, 6, 1, 2)
-		Expect(shardsOf(receiver.Open(beat(3, 6, 2)))).To(Equal([]uint32{2}))
+	It("resends the changes of a lost batch and removes shards no longer led", func() {
+		sender.Open(answer(sendHeartbeats(1, 5, 1, 2), 0))
+		sendHeartbeats(2, 6, 1, 2)
+		Expect(shardsOf(receiver.Open(sendHeartbeats(3, 6, 2)))).To(Equal([]uint32{2}))
 	})
 
-	It("takes no acknowledgement for an epoch that came after it", func() {
-		reply := answer(beat(1, 5, 1, 2), 0)
+	It("does not apply an acknowledgement to a later epoch", func() {
+		reply := answer(sendHeartbeats(1, 5, 1, 2), 0)
 		sender.Add(heartbeat(1, 6, 2))
 		sender.Add(heartbeat(2, 5, 2))
 		sender.Take("b")
@@ -96,24 +96,24 @@
 	})
 
 	It("sends the full list to a receiver that has restarted", func() {
-		sender.Open(answer(beat(1, 5, 1, 2), 0))
+		sender.Open(answer(sendHeartbeats(1, 5, 1, 2), 0))
 		receiver = replication.NewBatcher("b#next")
-		Expect(sender.Open(answer(beat(2, 5, 1, 2), 0))).To(BeEmpty())
-		Expect(shardsOf(sender.Open(answer(beat(3, 5, 1, 2), 0)))).To(Equal([]uint32{1, 2}))
+		Expect(sender.Open(answer(sendHeartbeats(2, 5, 1, 2), 0))).To(BeEmpty())
+		Expect(shardsOf(sender.Open(answer(sendHeartbeats(3, 5, 1, 2), 0)))).To(Equal([]uint32{1, 2}))
 	})
 
-	It("sends no batch of spare heartbeats, and keeps their shards for the next one", func() {
-		sender.Open(answer(beat(1, 5, 1, 2, 3), 0))
-		spare := func(sentAt int64, shards ...uint32) {
+	It("sends no batch with only optional heartbeats and keeps their shards for the next one", func() {
+		sender.Open(answer(sendHeartbeats(1, 5, 1, 2, 3), 0))
+		optional := func(sentAt int64, shards ...uint32) {
 			for _, shard := range shards {
 				envelope := heartbeat(shard, 5, sentAt)
-				envelope.Spare = true
+				envelope.Optional = true
 				sender.Add(envelope)
 			}
 		}
-		spare(2, 1, 2, 3)
+		optional(2, 1, 2, 3)
 		Expect(sender.Peers()).To(BeEmpty())
-		spare(3, 1, 2)
+		optional(3, 1, 2)
 		sender.Add(heartbeat(1, 5, 3))
 		Expect(sender.Peers()).To(Equal([]string{"b"}))
 		batch := sender.Take("b")
@@ -122,7 +122,7 @@
 		Expect(shardsOf(receiver.Open(batch))).To(Equal([]uint32{1, 2}))
 	})
 
-	It("drops what waits for a peer that takes nothing, beyond a bound", func() {
+	It("limits the queue of an unreachable peer by discarding it", func() {
 		for index := range uint64(100) {
 			message := chunkMessage(index, 0, 1, make([]byte, 1<<20))
 			sender.Add(replication.Envelope{ToProcess: "b", Message: message})
@@ -132,9 +132,9 @@
 		Expect(waiting[len(waiting)-1].GetSnapshotChunk().GetIndex()).To(BeEquivalentTo(99))
 	})
 
-	It("ignores repeated and overtaken batches", func() {
-		first := beat(1, 5, 1)
-		second := beat(2, 5, 1)
+	It("ignores duplicate and out-of-order batches", func() {
+		first := sendHeartbeats(1, 5, 1)
+		second := sendHeartbeats(2, 5, 1)
 		Expect(receiver.Open(second)).To(HaveLen(1))
 		Expect(receiver.Open(first)).To(BeEmpty())
 		Expect(receiver.Open(second)).To(BeEmpty())
--- a/internal/replication/benchmark_test.go
+++ b/internal/replication/benchmark_test.go
@@ -13,19 +13,19 @@
 	"github.com/magpielug/magpielug/internal/replication"
 )
 
-// benchmarkEntryBytes is the size of a proposal in the figures.
+// benchmarkEntryBytes is the size of a proposal in the benchmarks.
 const benchmarkEntryBytes = 512
 
-// host is one process with replicas of many shards, on a network that loses
-// nothing and delivers within the tick.
+// host is a process with replicas of many shards, on a reliable network that delivers
+// within the tick.
 type host struct {
 	name     string
 	batcher  *replication.Batcher
 	replicas map[uint32]*replication.Replica
 }
 
-// fleet is three hosts that share all shards.
-type fleet struct {
+// cluster is three hosts, each with a replica of every shard.
+type cluster struct {
 	hosts     []*host
 	now       time.Duration
 	batches   int
@@ -33,76 +33,76 @@
 	committed int
 }
 
-func newFleet(shards int) *fleet {
+func newCluster(shards int) *cluster {
 	random := rand.New(rand.NewSource(1))
-	f := &fleet{now: time.Second}
+	c := &cluster{now: time.Second}
 	members := []replication.Member{}
 	for _, name := range []string{"10.0.0.1:7000", "10.0.1.1:7000", "10.0.2.1:7000"} {
 		registry := replication.NewRegistry(name, random)
 		members = append(members, replication.Member{Incarnation: registry.Boot(), Zone: name[:6]})
-		f.hosts = append(f.hosts, &host{
+		c.hosts = append(c.hosts, &host{
 			name:     name,
 			batcher:  replication.NewBatcher(registry.Boot()),
 			replicas: map[uint32]*replication.Replica{},
 		})
 	}
 	for shard := range uint32(shards) {
-		for position, host := range f.hosts {
+		for position, host := range c.hosts {
 			first := int(shard) % len(members)
 			group := replication.Group{
 				Shard:      shard,
 				Generation: 1,
 				Members:    append(slices.Clone(members[first:]), members[:first]...),
 			}
-			replica, err := replication.New(replication.DefaultConfig(), f.now, members[position], group, replication.Base{}, random)
+			replica, err := replication.New(replication.DefaultConfig(), c.now, members[position], group, replication.Base{}, random)
 			if err != nil {
 				panic(err)
 			}
 			host.replicas[shard] = replica
 		}
 	}
-	return f
+	return c
 }
 
-// tick lets every host tick, then delivers until nothing is left to send.
-func (f *fleet) tick() {
-	for _, host := range f.hosts {
+// tick ticks every host, then delivers messages until none are left.
+func (c *cluster) tick() {
+	for _, host := range c.hosts {
 		for _, replica := range host.replicas {
-			replica.Tick(f.now)
-			f.finish(host, replica)
+			replica.Tick(c.now)
+			c.finish(host, replica)
 		}
 	}
-	for f.exchange() {
+	for c.exchange() {
 	}
 }
 
-func (f *fleet) finish(host *host, replica *replication.Replica) {
-	output := replica.Ready(f.now)
+func (c *cluster) finish(host *host, replica *replication.Replica) {
+	output := replica.Ready(c.now)
 	for _, envelope := range output.Messages {
 		host.batcher.Add(envelope)
 	}
-	f.committed += len(output.Committed)
+	c.committed += len(output.Committed)
 	if replica.Role() == replication.RoleLeader {
 		replica.SetArchived(replica.CommittedIndex())
 	}
 }
 
-func (f *fleet) exchange() bool {
+func (c *cluster) exchange() bool {
 	sent := false
-	for _, host := range f.hosts {
+	for _, host := range c.hosts {
 		for _, peer := range host.batcher.Peers() {
 			batch := host.batcher.Take(peer)
-			f.batches++
-			f.bytes += proto.Size(batch)
+			c.batches++
+			c.bytes += proto.Size(batch)
 			sent = true
-			for _, other := range f.hosts {
+			for _, other := range c.hosts {
 				if other.name != peer {
 					continue
 				}
 				for _, message := range other.batcher.Open(batch) {
 					replica := other.replicas[message.GetShard()]
-					replica.Receive(f.now, message)
-					f.finish(other, replica)
+					replica.Receive(c.now, message)
+					c.finish(other, replica)
 				}
 			}
 		}
@@ -110,103 +110,103 @@
 	return sent
 }
 
-func (f *fleet) run(duration time.Duration) {
-	for end := f.now + duration; f.now < end; f.now += tickInterval {
-		f.tick()
+func (c *cluster) run(duration time.Duration) {
+	for end := c.now + duration; c.now < end; c.now += tickInterval {
+		c.tick()
 	}
 }
 
-func (f *fleet) leader(shard uint32) (*host, *replication.Replica) {
-	for _, host := range f.hosts {
-		if replica := host.replicas[shard]; replica.HoldsLease(f.now) {
+func (c *cluster) leader(shard uint32) (*host, *replication.Replica) {
+	for _, host := range c.hosts {
+		if replica := host.replicas[shard]; replica.HoldsLease(c.now) {
 			return host, replica
 		}
 	}
 	panic("no leader")
 }
 
-// BenchmarkIdle is the work and traffic of an idle process for one second.
+// BenchmarkIdle reports the work and traffic of an idle process per second.
 func BenchmarkIdle(b *testing.B) {
 	for _, shards := range []int{1, 10, 30} {
 		b.Run(fmt.Sprintf("shards=%d", shards), func(b *testing.B) {
-			f := newFleet(shards)
-			f.run(5 * time.Second)
-			f.batches, f.bytes = 0, 0
+			c := newCluster(shards)
+			c.run(5 * time.Second)
+			c.batches, c.bytes = 0, 0
 			b.ResetTimer()
 			for range b.N {
-				f.run(time.Second)
+				c.run(time.Second)
 			}
-			perProcess := float64(b.N * len(f.hosts))
-			b.ReportMetric(float64(f.batches)/perProcess, "batches/s/process")
-			b.ReportMetric(float64(f.bytes)/perProcess, "bytes/s/process")
+			perProcess := float64(b.N * len(c.hosts))
+			b.ReportMetric(float64(c.batches)/perProcess, "batches/s/process")
+			b.ReportMetric(float64(c.bytes)/perProcess, "bytes/s/process")
 			b.ReportMetric(float64(b.Elapsed().Nanoseconds())/perProcess, "ns/s/process")
 		})
 	}
 }
 
-// BenchmarkCommit is the work of all three replicas and batchers from Propose
-// until the leader commits and the members have answered.
+// BenchmarkCommit reports the work of all three replicas and batchers from Propose
+// until the leader commits and the members have responded.
 func BenchmarkCommit(b *testing.B) {
 	for _, together := range []int{1, 16} {
 		b.Run(fmt.Sprintf("together=%d", together), func(b *testing.B) {
-			f := newFleet(1)
-			f.run(5 * time.Second)
-			host, leader := f.leader(0)
-			f.batches, f.bytes, f.committed = 0, 0, 0
+			c := newCluster(1)
+			c.run(5 * time.Second)
+			host, leader := c.leader(0)
+			c.batches, c.bytes, c.committed = 0, 0, 0
 			data := make([]byte, benchmarkEntryBytes)
 			b.ReportAllocs()
 			b.ResetTimer()
 			for range b.N {
 				for range together {
-					if _, err := leader.Propose(f.now, data); err != nil {
+					if _, err := leader.Propose(c.now, data); err != nil {
 						b.Fatal(err)
 					}
 				}
-				f.finish(host, leader)
-				for f.exchange() {
+				c.finish(host, leader)
+				for c.exchange() {
 				}
-				f.finish(host, leader)
+				c.finish(host, leader)
 			}
 			entries := float64(b.N * together)
 			b.ReportMetric(float64(b.Elapsed().Nanoseconds())/entries, "ns/entry")
-			b.ReportMetric(float64(f.batches)/entries, "batches/entry")
-			b.ReportMetric(float64(f.bytes)/entries, "bytes/entry")
+			b.ReportMetric(float64(c.batches)/entries, "batches/entry")
+			b.ReportMetric(float64(c.bytes)/entries, "bytes/entry")
 		})
 	}
 }
 
-// BenchmarkMemory is the heap that a replica costs its process, idle and with
-// the entries kept for members that lag.
+// BenchmarkMemory reports the heap size of a replica, idle and with entries kept for
+// members that lag behind.
 func BenchmarkMemory(b *testing.B) {
 	const shards = 60
 	for _, entries := range []int{0, 1000} {
 		b.Run(fmt.Sprintf("entries=%d", entries), func(b *testing.B) {
 			for range b.N {
 				before := heapBytes()
-				f := newFleet(shards)
-				f.run(3 * time.Second)
-				f.fill(shards, entries)
-				replicas := float64(shards * len(f.hosts))
+				c := newCluster(shards)
+				c.run(3 * time.Second)
+				c.fill(shards, entries)
+				replicas := float64(shards * len(c.hosts))
 				b.ReportMetric(float64(heapBytes()-before)/replicas, "bytes/replica")
-				runtime.KeepAlive(f)
+				runtime.KeepAlive(c)
 			}
 		})
 	}
 }
 
-// fill commits entries in each shard. All three replicas share their data in
-// this process, so that it counts once in three.
-func (f *fleet) fill(shards, entries int) {
+// fill commits entries in each shard. The three replicas share the entries' data,
+// since they are in one process.
+func (c *cluster) fill(shards, entries int) {
 	for shard := range uint32(shards) {
-		host, leader := f.leader(shard)
+		host, leader := c.leader(shard)
 		for range entries {
-			_, _ = leader.Propose(f.now, make([]byte, benchmarkEntryBytes))
-			f.finish(host, leader)
-			for f.exchange() {
+			_, _ = leader.Propose(c.now, make([]byte, benchmarkEntryBytes))
+			c.finish(host, leader)
+			for c.exchange() {
 			}
 		}
 	}
-	f.run(time.Second)
+	c.run(time.Second)
 }
 
 func heapBytes() int64 {
@@ -217,8 +217,8 @@
 	return int64(stats.HeapAlloc)
 }
 
-// BenchmarkFailover is the virtual time from the death of a leader to the next
-// lease, over one seed an iteration.
+// BenchmarkFailover reports the virtual time from a leader's failure until another
+// replica holds the lease, with one seed per iteration.
 func BenchmarkFailover(b *testing.B) {
 	times := []time.Duration{}
 	for seed := range b.N {
@@ -232,31 +232,31 @@
 	b.ReportMetric(times[len(times)-1].Seconds(), "s-max")
 }
 
-// failoverTime kills the leader of a healthy group at a random moment, by a
-// pause that outlasts the run.
+// failoverTime stops the leader of a healthy group at a random time by a pause that
+// outlasts the run.
 func failoverTime(seed int64) time.Duration {
-	w := newWorld(seed, []string{"a", "b", "c"}, faultRates{})
-	killAt := 5*time.Second + time.Duration(w.random.Int63n(int64(time.Second)))
-	w.run(killAt)
-	killed := w.leaseHolder()
+	sim := newSimulation(seed, []string{"a", "b", "c"}, faultRates{})
+	killAt := 5*time.Second + time.Duration(sim.random.Int63n(int64(time.Second)))
+	sim.run(killAt)
+	killed := sim.leaseHolder()
 	if killed == nil {
 		return 0
 	}
 	killed.pausedUntil = time.Hour
-	for w.now < killAt+time.Minute {
-		w.run(w.now + time.Millisecond)
-		holder := w.leaseHolder()
+	for sim.now < killAt+time.Minute {
+		sim.run(sim.now + time.Millisecond)
+		holder := sim.leaseHolder()
 		if holder != nil && holder != killed {
-			return w.now - killAt
+			return sim.now - killAt
 		}
-		w.now = max(w.now, w.events[0].at)
+		sim.now = max(sim.now, sim.events[0].at)
 	}
 	return 0
 }
 
-func (w *world) leaseHolder() *process {
-	for _, node := range w.processes {
-		if node.replica.HoldsLease(node.clock(w.now)) {
+func (sim *simulation) leaseHolder() *process {
+	for _, node := range sim.processes {
+		if node.replica.HoldsLease(node.clock(sim.now)) {
 			return node
 		}
 	}
--- a/internal/replication/checker_test.go
+++ b/internal/replication/checker_test.go
@@ -8,18 +8,17 @@
 	"github.com/magpielug/magpielug/internal/replication"
 )
 
-// ballot is one incarnation's vote in one epoch.
-type ballot struct {
+// voteKey identifies one incarnation's vote in one epoch.
+type voteKey struct {
 	voter replication.Incarnation
 	epoch replication.Epoch
 }
 
-// checker holds what must be true of a whole schedule. The first thing that
-// isn't is kept as its failure.
+// checker checks the invariants throughout a schedule and keeps the first violation.
 type checker struct {
 	failure          string
 	leaders          map[replication.Epoch]replication.Incarnation
-	ballots          map[ballot]replication.Incarnation
+	votes            map[voteKey]replication.Incarnation
 	entries          map[uint64]replication.Entry
 	digests          map[uint64]uint64
 	committedMembers []replication.Member
@@ -33,7 +32,7 @@
 func newChecker() checker {
 	return checker{
 		leaders: map[replication.Epoch]replication.Incarnation{},
-		ballots: map[ballot]replication.Incarnation{},
+		votes:   map[voteKey]replication.Incarnation{},
 		entries: map[uint64]replication.Entry{},
 		digests: map[uint64]uint64{},
 	}
@@ -45,21 +44,21 @@
 	}
 }
 
-// inspect checks the leaders: one an epoch, one lease at any moment, and each
-// lease holder with all that was ever committed.
-func (c *checker) inspect(w *world) {
+// inspect checks that there is at most one leader per epoch and one lease at any time,
+// and that the lease holder knows all committed entries.
+func (c *checker) inspect(sim *simulation) {
 	holder := ""
-	for _, node := range w.processes {
+	for _, node := range sim.processes {
 		if node.replica.Role() == replication.RoleLeader {
 			c.inspectLeader(node)
 		}
-		if !node.replica.HoldsLease(node.clock(w.now)) {
+		if !node.replica.HoldsLease(node.clock(sim.now)) {
 			continue
 		}
-		c.check(holder == "", "%s and %s hold the lease at %s", holder, node.name, w.now)
+		c.check(holder == "", "%s and %s both hold the lease at %s", holder, node.name, sim.now)
 		holder = node.name
 		c.check(node.replica.CommittedIndex() >= c.lastIndex,
-			"lease holder %s is at %d, %d is committed", node.name, node.replica.CommittedIndex(), c.lastIndex)
+			"lease holder %s has commit index %d, but %d is committed", node.name, node.replica.CommittedIndex(), c.lastIndex)
 	}
 }
 
@@ -67,18 +66,18 @@
 	self := node.replica.Self().Incarnation
 	epoch := node.replica.Epoch()
 	other, known := c.leaders[epoch]
-	c.check(!known || other == self, "%s and %s lead in epoch %s", other, self, epoch)
+	c.check(!known || other == self, "%s and %s are both leader in epoch %s", other, self, epoch)
 	if !known {
 		c.leaders[epoch] = self
 		c.elections++
 	}
 }
 
-// inspectMessage checks votes: one candidate an incarnation and epoch, given
-// by the incarnation that the process has now.
+// inspectMessage checks that an incarnation votes for only one candidate per epoch,
+// and that messages are sent by the process's current incarnation.
 func (c *checker) inspectMessage(node *process, message *replicationv1.Message) {
 	from := replication.Incarnation(message.GetFrom())
-	c.check(from == node.replica.Self().Incarnation, "%s speaks as %s", node.name, from)
+	c.check(from == node.replica.Self().Incarnation, "%s sent a message from incarnation %s, which is not its own", node.name, from)
 	if request := message.GetVoteRequest(); request != nil && !request.GetPreVote() {
 		c.inspectVote(from, replication.Epoch(request.GetCandidateEpoch()), from)
 	}
@@ -92,21 +91,21 @@
 }
 
 func (c *checker) inspectVote(voter replication.Incarnation, epoch replication.Epoch, candidate replication.Incarnation) {
-	key := ballot{voter: voter, epoch: epoch}
-	other, known := c.ballots[key]
-	c.check(!known || other == candidate, "%s votes for %s and %s in epoch %s", voter, other, candidate, epoch)
-	c.ballots[key] = candidate
+	key := voteKey{voter: voter, epoch: epoch}
+	other, known := c.votes[key]
+	c.check(!known || other == candidate, "%s voted for both %s and %s in epoch %s", voter, other, candidate, epoch)
+	c.votes[key] = candidate
 }
 
-// inspectEntry checks that an index commits with one content only.
+// inspectEntry checks that only one entry is committed per index.
 func (c *checker) inspectEntry(node *process, entry replication.Entry) {
 	other, known := c.entries[entry.Index]
 	if known {
 		isSame := other.Epoch == entry.Epoch && bytes.Equal(other.Data, entry.Data)
-		c.check(isSame, "%s commits another entry %d", node.name, entry.Index)
+		c.check(isSame, "%s committed a different entry at index %d", node.name, entry.Index)
 		return
 	}
-	c.check(entry.Index == c.lastIndex+1, "%s commits %d after %d", node.name, entry.Index, c.lastIndex)
+	c.check(entry.Index == c.lastIndex+1, "%s committed index %d after %d", node.name, entry.Index, c.lastIndex)
 	c.entries[entry.Index] = entry
 	c.lastIndex = max(c.lastIndex, entry.Index)
 	if entry.Kind == replication.KindMembers {
@@ -121,6 +120,6 @@
 		return
 	}
 	digest, known := c.digests[node.state.index]
-	c.check(!known || digest == node.state.digest, "%s has another state at %d", node.name, node.state.index)
+	c.check(!known || digest == node.state.digest, "%s has a different state at index %d", node.name, node.state.index)
 	c.digests[node.state.index] = node.state.digest
 }
--- a/internal/replication/claim.go
+++ b/internal/replication/claim.go
@@ -9,20 +9,20 @@
 	replicationv1 "github.com/magpielug/magpielug/api/replication/v1"
 )
 
-// ErrMajorityLives says that the old group may still have a majority, so that
-// a rebuilt one could lose what it has committed.
-var ErrMajorityLives = errors.New("a majority of the group may be alive")
+// ErrMajorityMayBeAlive means that the previous group may still have a majority, so
+// that rebuilding could lose committed entries.
+var ErrMajorityMayBeAlive = errors.New("a majority of the previous group may be alive")
 
-// Claim founds a group of a shard.
+// Claim creates a generation of a shard's group.
 type Claim struct {
 	Shard      uint32
 	Generation uint32
 	Members    []Member
-	// ID tells the claimant's own record from others after a lost answer.
+	// ID identifies the claimant's own record if the append response was lost.
 	ID string
 }
 
-// EncodeClaim renders a claim as a record of the shard's stream.
+// EncodeClaim encodes a claim as a stream record.
 func EncodeClaim(claim Claim) ([]byte, error) {
 	return proto.Marshal(&replicationv1.ArchiveRecord{
 		Shard: claim.Shard,
@@ -34,8 +34,9 @@
 	})
 }
 
-// EncodeEntries renders committed entries of one generation as a record of the
-// shard's stream. Records may be appended again after a lost answer.
+// EncodeEntries encodes committed entries of one generation as a stream record.
+// Readers ignore duplicates, so a record may be appended again if the response was
+// lost.
 func EncodeEntries(shard, generation uint32, entries []Entry) ([]byte, error) {
 	encoded := make([]*replicationv1.Entry, len(entries))
 	for position, entry := range entries {
@@ -56,8 +57,8 @@
 	})
 }
 
-// Archive is what a shard's stream says, read record by record in the stream's
-// order. All readers that have read as far see the same.
+// Archive is the state derived from a shard's stream by reading its records in
+// order. Readers of the same prefix derive the same state.
 type Archive struct {
 	shard   uint32
 	claim   Claim
@@ -71,16 +72,16 @@
 	return &Archive{shard: shard}
 }
 
-// Read takes in the stream's next record and returns the entries that it adds
-// to the shard's history, for the state machine to apply in order.
+// Read processes the next record of the stream and returns the entries that it adds
+// to the shard's log, to be applied in order.
 //
-// A claim counts only if its generation is the next one: so of several claims
-// to one generation, the first in the stream wins. Entries of an earlier
-// generation after it don't count, nor ones that repeat or leave a gap.
+// A claim is accepted only if its generation follows the current one, so the first
+// of several claims to a generation wins. Entries of another generation, duplicates
+// and entries after a gap are ignored.
 func (a *Archive) Read(record []byte) ([]Entry, error) {
 	decoded := &replicationv1.ArchiveRecord{}
 	if err := proto.Unmarshal(record, decoded); err != nil {
-		return nil, fmt.Errorf("archive record: %w", err)
+		return nil, fmt.Errorf("decoding archive record: %w", err)
 	}
 	if decoded.GetShard() != a.shard {
 		return nil, nil
@@ -127,29 +128,28 @@
 	return added
 }
 
-// Claim returns the claim in force; its Generation is 0 if there is none yet.
+// Claim returns the current claim. Its Generation is 0 if there is none.
 func (a *Archive) Claim() Claim { return a.claim }
 
-// Base returns the last entry before the claim in force, from which its group
-// starts.
+// Base returns the last entry before the current claim, from which its group starts.
 func (a *Archive) Base() Base { return a.base }
 
-// Last returns the last entry of the stream so far.
+// Last returns the last entry read.
 func (a *Archive) Last() Base { return a.last }
 
-// Members returns the last group that the stream knows of. The group may have
-// changed since, as entries are archived after they are committed.
+// Members returns the latest group in the stream. The current group may differ,
+// since entries are archived after they are committed.
 func (a *Archive) Members() []Member { return a.members }
 
-// NextClaim returns the claim to append in order to found the shard's first
-// group, or to rebuild one. A rebuild needs the proof that a majority of the old
-// group's processes is gone, which isGone gives for one process: the platform
-// lists it no more, or it has answered in another boot, holds no voting replica
-// of the generation and has promised by Registry.Abstain to have none.
+// NextClaim returns the claim to append in order to create the shard's first group
+// or to rebuild one. A rebuild requires proof that a majority of the previous
+// group's processes is gone. isGone must return true only if the platform no longer
+// lists the process, or if the process has responded from a later boot, has no
+// voting replica of the generation and has called Registry.Abstain for it.
 //
-// The claimant gathers the proof, reads the stream to its end after that, waits
-// Config.RebuildDelay and appends the claim. What the old group had committed
-// but not archived is lost with its majority.
+// The claimant must obtain the proof, then read the stream to its end, wait for
+// Config.RebuildDelay and append the claim. Entries that were committed but not
+// archived are lost.
 func (a *Archive) NextClaim(id string, founders []Member, isGone func(process string) bool) (Claim, error) {
 	gone := 0
 	for _, member := range a.members {
@@ -158,7 +158,7 @@
 		}
 	}
 	if len(a.members) > 0 && gone < quorum(len(a.members)) {
-		return Claim{}, ErrMajorityLives
+		return Claim{}, ErrMajorityMayBeAlive
 	}
 	return Claim{
 		Shard:      a.shard,
--- a/internal/replication/claim_test.go
+++ b/internal/replication/claim_test.go
@@ -56,7 +56,7 @@
 		read(claimRecord(3, 1, "first", "a#1", "b#1", "c#1"))
 	})
 
-	It("gives a generation to the first claim in the stream", func() {
+	It("accepts the first claim to the next generation", func() {
 		read(claimRecord(3, 1, "late", "a#2", "b#2", "c#2"))
 		read(claimRecord(3, 3, "skipping", "a#3", "b#3", "c#3"))
 		read(claimRecord(4, 2, "other shard", "a#3", "b#3", "c#3"))
@@ -65,14 +65,14 @@
 		Expect(archive.Claim().ID).To(Equal("next"))
 	})
 
-	It("takes each entry once, in order and without gaps", func() {
+	It("returns each entry once, in order and without gaps", func() {
 		Expect(read(entriesRecord(3, 1, 1, 3))).To(Equal([]uint64{1, 2, 3}))
 		Expect(read(entriesRecord(3, 1, 2, 4))).To(Equal([]uint64{4}))
 		Expect(read(entriesRecord(3, 1, 6, 7))).To(BeEmpty())
 		Expect(archive.Last().Index).To(BeEquivalentTo(4))
 	})
 
-	It("voids what an overruled group archives after the claim", func() {
+	It("ignores entries of a superseded generation after the claim", func() {
 		read(entriesRecord(3, 1, 1, 3))
 		read(claimRecord(3, 2, "rebuilt", "a#4", "b#4", "c#4"))
 		Expect(read(entriesRecord(3, 1, 4, 5))).To(BeEmpty())
@@ -80,25 +80,25 @@
 		Expect(read(entriesRecord(3, 2, 4, 4))).To(Equal([]uint64{4}))
 	})
 
-	It("claims only once a majority of processes is proved gone", func() {
+	It("allows a claim only with a majority of processes gone", func() {
 		founders := namedMembers("a#5", "b#5", "d#5")
 		gone := map[string]bool{"a": true}
 		_, err := archive.NextClaim("x", founders, func(process string) bool { return gone[process] })
-		Expect(err).To(MatchError(replication.ErrMajorityLives))
+		Expect(err).To(MatchError(replication.ErrMajorityMayBeAlive))
 		gone["c"] = true
 		claim, err := archive.NextClaim("x", founders, func(process string) bool { return gone[process] })
 		Expect(err).NotTo(HaveOccurred())
 		Expect(claim.Generation).To(BeEquivalentTo(2))
 	})
 
-	It("refuses a record that is none", func() {
+	It("rejects a malformed record", func() {
 		_, err := archive.Read([]byte{0xff, 0xff})
 		Expect(err).To(HaveOccurred())
 	})
 })
 
 var _ = Describe("A process's registry", func() {
-	It("founds a replica once and honours an abstention", func() {
+	It("allows one founding replica per generation and none after an abstention", func() {
 		registry := replication.NewRegistry("a", rand.New(rand.NewSource(1)))
 		Expect(registry.Founder(1, 1)).To(Equal(registry.Boot()))
 		_, err := registry.Founder(1, 1)
--- a/internal/replication/config.go
+++ b/internal/replication/config.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Defaults of Config.
+// Default values for Config.
 const (
 	defaultHeartbeatInterval  = 250 * time.Millisecond
 	defaultLeaseDuration      = 900 * time.Millisecond
@@ -19,46 +19,47 @@
 	defaultMaxBacklogBytes    = 16 << 20
 )
 
-// minLeaseMargin is the least part of ElectionTimeoutMin by which the lease
-// must be shorter. With a tenth, the lease is exclusive as long as no two
-// clocks' rates differ by more than a tenth.
+// minLeaseMargin is the fraction of ElectionTimeoutMin by which the lease must be
+// shorter. The lease is exclusive as long as clock rates differ by no more than
+// this fraction.
 const minLeaseMargin = 0.1
 
-// ErrBadConfig says that a Config can't work or would not be safe.
-var ErrBadConfig = errors.New("bad replication config")
+// ErrInvalidConfig means that a Config is incomplete or would be unsafe.
+var ErrInvalidConfig = errors.New("invalid replication config")
 
-// Config holds the timing and the bounds of a replica. All replicas of a group
-// must have the same.
+// Config holds a replica's timing parameters and limits. All replicas of a group
+// must use the same values.
 type Config struct {
-	// HeartbeatInterval is how often a leader renews its lease. Heartbeats of
-	// all replicas of a process fall due at the same multiples of it.
+	// HeartbeatInterval is the interval at which a leader renews its lease. Heartbeats
+	// of all replicas in a process are aligned to multiples of it.
 	HeartbeatInterval time.Duration
-	// LeaseDuration counts from the sending of a heartbeat that a majority
-	// answers. At most 0.9 of ElectionTimeoutMin.
+	// LeaseDuration is counted from the sending of a message that a majority
+	// acknowledges. It must not exceed 0.9 of ElectionTimeoutMin.
 	LeaseDuration time.Duration
-	// ElectionTimeoutMin is for how long a replica that heard its leader gives
-	// no vote to another. It campaigns between this and ElectionTimeoutMax.
+	// ElectionTimeoutMin is the time after contact with the leader during which a
+	// replica grants no vote. The election timeout is random between this and
+	// ElectionTimeoutMax.
 	ElectionTimeoutMin time.Duration
 	ElectionTimeoutMax time.Duration
-	// GroupSize is the number of voting members up to which a leader takes in
-	// processes that ask to join.
+	// GroupSize is the target number of voting members. Below it, a leader admits any
+	// process that asks to join.
 	GroupSize int
-	// MaxAppendBytes bounds the entries of one append message; a single larger
-	// entry goes alone.
+	// MaxAppendBytes limits the entries of one append message. A larger single entry
+	// is sent alone.
 	MaxAppendBytes int
-	// MaxInflightEntries bounds the entries sent to a member and not yet acknowledged.
+	// MaxInflightEntries limits the unacknowledged entries sent to a member.
 	MaxInflightEntries int
-	// KeepEntries is how many applied and archived entries stay in memory for
-	// members that lag a little.
+	// KeepEntries is the number of applied and archived entries kept in memory for
+	// members that lag behind.
 	KeepEntries int
-	// SnapshotChunkBytes bounds one message of a snapshot.
+	// SnapshotChunkBytes limits the data in one snapshot message.
 	SnapshotChunkBytes int
-	// MaxBacklogBytes bounds the entries that are not yet archived; Propose
-	// refuses beyond it.
+	// MaxBacklogBytes limits the entries that are not yet archived. Propose fails
+	// beyond it.
 	MaxBacklogBytes int
 }
 
-// DefaultConfig returns the defaults.
+// DefaultConfig returns the default configuration.
 func DefaultConfig() Config {
 	return Config{
 		HeartbeatInterval:  defaultHeartbeatInterval,
@@ -74,7 +75,7 @@
 	}
 }
 
-// Validate returns ErrBadConfig if the lease would not be exclusive or a bound
+// Validate returns ErrInvalidConfig if the lease would not be exclusive or a limit
 // is missing.
 func (c Config) Validate() error {
 	longestLease := time.Duration(float64(c.ElectionTimeoutMin) * (1 - minLeaseMargin))
@@ -89,14 +90,14 @@
 		c.KeepEntries < 0,
 		c.SnapshotChunkBytes < 1,
 		c.MaxBacklogBytes < 1:
-		return ErrBadConfig
+		return ErrInvalidConfig
 	}
 	return nil
 }
 
-// RebuildDelay is how long a claimant must wait between the proof that a
-// majority of the old group's incarnations is gone and its claim: any lease
-// that they helped to renew has ended by then.
+// RebuildDelay is the time a claimant must wait between obtaining the proof that a
+// majority of the previous group is gone and appending its claim. Any lease renewed
+// by that majority has expired by then.
 func (c Config) RebuildDelay() time.Duration {
 	return c.ElectionTimeoutMin
 }
--- a/internal/replication/doc.go
+++ b/internal/replication/doc.go
@@ -1,20 +1,21 @@
-// Package replication is the pure core of a replicated shard: leader election,
-// log replication in memory, leader leases, single-member changes and
-// snapshots, after the Raft algorithm with pre-vote, quorum checks and leases.
+// Package replication implements the deterministic core of a replicated shard:
+// leader election, in-memory log replication, leader leases, single-member
+// membership changes and snapshots. It follows Raft with pre-vote, check-quorum
+// and leader leases.
 //
-// Nothing here reads a clock, opens a socket, locks or keeps a random source
-// of its own. The caller's control goroutine owns every Replica, passes the
-// time in and carries out the Output of Ready:
+// The package reads no clock, does no I/O, takes no locks and has no random
+// source of its own. The caller's control goroutine owns every Replica, passes
+// in the time and processes the Output of Ready:
 //
 //	replica.Receive(now, message) // any number of inputs
 //	index, err := replica.Propose(now, data)
 //	output := replica.Ready(now) // then send, restore and apply, in this order
 //
-// The time is a monotonic clock's reading since any fixed start of the process.
-// It must be read when the input is taken, not earlier: leases rest on it.
+// Times are readings of a monotonic clock. The clock must be read when the input
+// is processed, not earlier, since the safety of leases depends on it.
 //
-// Processes have no disk, so a replica that restarts has forgotten its votes
-// and entries. It takes part as a new Incarnation only, which counts for
-// nothing until the group commits its admission. Every safety argument of Raft
-// then holds with incarnations as the servers, each of which fails by stopping.
+// Processes have no persistent storage, so a restarted replica has lost its votes
+// and entries. It rejoins as a new Incarnation, which is not a member until the
+// group commits its admission. The safety properties of Raft then hold for
+// incarnations as servers with crash-stop failures.
 package replication
--- a/internal/replication/election.go
+++ b/internal/replication/election.go
@@ -7,63 +7,63 @@
 	"github.com/magpielug/magpielug/charts"
 )
 
-// ballot is what a candidate asks for.
-type ballot int
+// voteKind is the kind of vote that a candidate requests.
+type voteKind int
 
 const (
-	// preVote asks whether a vote would be given, so that a replica that was
-	// paused or cut off doesn't raise the epoch in vain.
-	preVote ballot = iota
-	// fullVote asks for the vote of the next epoch.
-	fullVote
-	// orderedVote does so at the order of the leader, which has given up its lease.
-	orderedVote
+	// preVote asks whether a vote would be granted, so that a replica that was paused
+	// or partitioned does not raise the epoch needlessly.
+	preVote voteKind = iota
+	// electionVote requests a vote in the next epoch.
+	electionVote
+	// transferVote requests a vote in the next epoch on behalf of the leader, which
+	// has given up its lease.
+	transferVote
 )
 
-// becomeFollower enters an epoch, or steps back within it, for a cause that the
-// chart names. The vote is forgotten only when the epoch rises.
-func (r *Replica) becomeFollower(now time.Duration, epoch Epoch, cause charts.ReplicaEvent) {
+// becomeFollower steps down, entering a higher epoch if given one. The vote is
+// cleared only if the epoch rises.
+func (r *Replica) becomeFollower(now time.Duration, epoch Epoch, event charts.ReplicaEvent) {
 	if epoch > r.epoch {
 		r.epoch = epoch
 		r.votedFor = ""
 	}
-	r.fire(cause)
+	r.applyEvent(event)
 	r.leader = ""
-	r.lead = nil
+	r.leaderState = nil
 	r.votes = nil
 	r.electionDeadline = now + r.electionDelay()
 }
 
-// followLeader takes note of a sign of life of the epoch's leader, and promises
-// it the time of a lease. It returns false if this replica itself leads the
-// epoch, so that the sign can't be genuine.
+// followLeader records contact with the leader of the epoch and extends the time in
+// which no vote is granted. It returns false if this replica is the leader itself.
 func (r *Replica) followLeader(now time.Duration, leader Incarnation) bool {
-	if !r.fire(charts.ReplicaEventLeaderSeen) {
+	if !r.applyEvent(charts.ReplicaEventLeaderSeen) {
 		return false
 	}
 	r.leader = leader
 	r.votes = nil
-	r.promiseEnd = max(r.promiseEnd, now+r.config.ElectionTimeoutMin)
+	r.noVoteBefore = max(r.noVoteBefore, now+r.config.ElectionTimeoutMin)
 	r.electionDeadline = now + r.electionDelay()
 	return true
 }
 
-// campaign asks the group for votes.
-func (r *Replica) campaign(now time.Duration, wanted ballot) {
+// campaign starts an election of the given kind.
+func (r *Replica) campaign(now time.Duration, kind voteKind) {
 	r.electionDeadline = now + r.electionDelay()
 	if findMember(r.members, r.self.Incarnation) < 0 {
 		return
 	}
-	cause := charts.ReplicaEventElectionTimeout
-	if wanted == orderedVote {
-		cause = charts.ReplicaEventCampaignOrdered
+	event := charts.ReplicaEventElectionTimeout
+	if kind == transferVote {
+		event = charts.ReplicaEventCampaignOrdered
 	}
-	r.fire(cause)
+	r.applyEvent(event)
 	r.leader = ""
-	r.ballot = wanted
+	r.voteKind = kind
 	r.votes = map[Incarnation]bool{r.self.Incarnation: true}
 	candidateEpoch := r.epoch.Next()
-	if wanted != preVote {
+	if kind != preVote {
 		r.epoch = candidateEpoch
 		r.votedFor = r.self.Incarnation
 	}
@@ -80,8 +80,8 @@
 			CandidateEpoch: uint64(candidateEpoch),
 			LastIndex:      r.log.lastIndex(),
 			LastEpoch:      uint64(r.log.lastEpoch()),
-			PreVote:        r.ballot == preVote,
-			ByTransfer:     r.ballot == orderedVote,
+			PreVote:        r.voteKind == preVote,
+			ByTransfer:     r.voteKind == transferVote,
 		}
 		r.send(member.Incarnation, &replicationv1.Message{
 			Body: &replicationv1.Message_VoteRequest{VoteRequest: request},
@@ -89,13 +89,13 @@
 	}
 }
 
-// receiveVoteRequest decides about a vote. While a leader may hold a lease the
-// request is ignored, its epoch too; only a campaign that the leader itself
-// has ordered, after giving up its lease, passes.
+// receiveVoteRequest handles a vote request. While a leader may hold a lease, the
+// request and its epoch are ignored unless the leader gave up its lease and
+// requested the election.
 func (r *Replica) receiveVoteRequest(now time.Duration, message *replicationv1.Message, request *replicationv1.VoteRequest) {
 	from := Incarnation(message.GetFrom())
-	if !request.GetByTransfer() && r.leaseMayHold(now) {
-		r.noticeRemoved(now, from, Epoch(message.GetEpoch()))
+	if !request.GetByTransfer() && r.leaseMayBeHeld(now) {
+		r.sendRetireNotice(now, from, Epoch(message.GetEpoch()))
 		return
 	}
 	candidateEpoch := Epoch(request.GetCandidateEpoch())
@@ -120,16 +120,17 @@
 	r.respondVote(from, candidateEpoch, false, granted)
 }
 
-// leaseMayHold tells whether a leader known here may hold a lease.
-func (r *Replica) leaseMayHold(now time.Duration) bool {
+// leaseMayBeHeld reports whether this replica or the leader it last heard from may
+// hold a lease.
+func (r *Replica) leaseMayBeHeld(now time.Duration) bool {
 	if r.role == RoleLeader {
 		return now < r.leaseEnd(now)
 	}
-	return now < r.promiseEnd
+	return now < r.noVoteBefore
 }
 
-// noticeRemoved answers a campaigner that the leader knows to be no member.
-func (r *Replica) noticeRemoved(now time.Duration, from Incarnation, epoch Epoch) {
+// sendRetireNotice tells a candidate to retire if it is known not to be a member.
+func (r *Replica) sendRetireNotice(now time.Duration, from Incarnation, epoch Epoch) {
 	isCertain := r.HoldsLease(now) && epoch <= r.epoch && r.membersIndex <= r.commit
 	if !isCertain || findMember(r.members, from) >= 0 {
 		return
@@ -139,8 +140,8 @@
 	})
 }
 
-// isUpToDate tells whether a candidate's log holds all that could be committed
-// as far as this replica's log shows.
+// isUpToDate reports whether a candidate's log is at least as up to date as this
+// replica's.
 func (r *Replica) isUpToDate(request *replicationv1.VoteRequest) bool {
 	lastEpoch := Epoch(request.GetLastEpoch())
 	if lastEpoch != r.log.lastEpoch() {
@@ -160,29 +161,29 @@
 	})
 }
 
-// receiveVoteResponse counts a vote for the campaign under way. The answer to a
-// pre-vote may come from an earlier epoch.
+// receiveVoteResponse counts a vote for the current campaign. A pre-vote response
+// may come from an earlier epoch.
 func (r *Replica) receiveVoteResponse(now time.Duration, message *replicationv1.Message, response *replicationv1.VoteResponse) {
 	if epoch := Epoch(message.GetEpoch()); epoch > r.epoch {
 		r.becomeFollower(now, epoch, charts.ReplicaEventHigherEpochSeen)
 		return
 	}
-	isPreVote := r.ballot == preVote
+	isPreVote := r.voteKind == preVote
 	if r.role != RoleCandidate || response.GetPreVote() != isPreVote || !response.GetGranted() {
 		return
 	}
-	campaigned := r.epoch
+	expectedEpoch := r.epoch
 	if isPreVote {
-		campaigned = r.epoch.Next()
+		expectedEpoch = r.epoch.Next()
 	}
-	if Epoch(response.GetCandidateEpoch()) != campaigned {
+	if Epoch(response.GetCandidateEpoch()) != expectedEpoch {
 		return
 	}
 	r.votes[Incarnation(message.GetFrom())] = true
 	r.countVotes(now)
 }
 
-// countVotes counts only the votes of incarnations in the group.
+// countVotes counts only votes of current group members.
 func (r *Replica) countVotes(now time.Duration) {
 	granted := 0
 	for _, member := range r.members {
@@ -193,19 +194,19 @@
 	if granted < quorum(len(r.members)) {
 		return
 	}
-	if r.ballot == preVote {
-		r.campaign(now, fullVote)
+	if r.voteKind == preVote {
+		r.campaign(now, electionVote)
 		return
 	}
 	r.becomeLeader(now)
 }
 
-// receiveTransferOrder campaigns at once at the leader's own order. The
-// campaign is for the very next epoch and passes by the voters' promises; any
-// leader since would have raised the voters' epochs beyond it.
+// receiveTransferOrder starts an election immediately. It bypasses the voters'
+// lease check, which is safe because it requests the next epoch: if another leader
+// has been elected since, voters are already beyond that epoch.
 func (r *Replica) receiveTransferOrder(now time.Duration, from Incarnation) {
 	if r.role != RoleFollower || (r.leader != "" && r.leader != from) {
 		return
 	}
-	r.campaign(now, orderedVote)
+	r.campaign(now, transferVote)
 }
--- a/internal/replication/follower.go
+++ b/internal/replication/follower.go
@@ -15,21 +15,21 @@
 	}
 }
 
-// receiveAppend adds the leader's entries if the log agrees with the leader's
-// up to the entry before them. Committed entries agree in any case.
+// receiveAppend appends the leader's entries if the logs match at the preceding
+// entry. Committed entries always match.
 func (r *Replica) receiveAppend(from Incarnation, request *replicationv1.AppendRequest) {
 	previous := request.GetPreviousIndex()
-	if !r.agreesAt(previous, Epoch(request.GetPreviousEpoch())) {
+	if !r.matchesLog(previous, Epoch(request.GetPreviousEpoch())) {
 		r.send(from, appendResponse(false, r.retryIndex(previous), request.GetSentAt()))
 		return
 	}
-	r.store(request.GetEntries())
+	r.storeEntries(request.GetEntries())
 	last := previous + uint64(len(request.GetEntries()))
-	r.learnCommit(min(request.GetCommit(), last), request.GetArchived())
+	r.updateCommit(min(request.GetCommit(), last), request.GetArchived())
 	r.send(from, appendResponse(true, max(last, r.commit), request.GetSentAt()))
 }
 
-func (r *Replica) agreesAt(index uint64, epoch Epoch) bool {
+func (r *Replica) matchesLog(index uint64, epoch Epoch) bool {
 	if index <= r.commit {
 		return true
 	}
@@ -37,8 +37,8 @@
 	return known && held == epoch
 }
 
-// retryIndex is where a leader should try whose entry before does not agree: it
-// skips the whole run of entries of the epoch that differs.
+// retryIndex returns the index from which the leader should retry after a mismatch.
+// It skips all entries of the conflicting epoch.
 func (r *Replica) retryIndex(previous uint64) uint64 {
 	if previous > r.log.lastIndex() {
 		return r.log.lastIndex() + 1
@@ -46,9 +46,9 @@
 	return r.log.firstIndexOfEpoch(previous, r.commit)
 }
 
-// store appends entries, and drops own ones only where they differ: a delayed
-// message must not cut off what was acknowledged since.
-func (r *Replica) store(entries []*replicationv1.Entry) {
+// storeEntries appends entries and truncates the log only at a conflict, since a
+// delayed message must not remove entries acknowledged later.
+func (r *Replica) storeEntries(entries []*replicationv1.Entry) {
 	membersTouched := false
 	for _, entry := range entries {
 		index := entry.GetIndex()
@@ -71,15 +71,15 @@
 	}
 }
 
-func (r *Replica) learnCommit(commit, archived uint64) {
+func (r *Replica) updateCommit(commit, archived uint64) {
 	r.commit = max(r.commit, min(commit, r.log.lastIndex()))
 	r.log.setArchived(min(archived, r.commit))
 }
 
-// receiveHeartbeat learns the commit, which the leader has kept within what it
-// knows this replica to hold.
+// receiveHeartbeat updates the commit index, which the leader limits to entries
+// that this replica is known to hold.
 func (r *Replica) receiveHeartbeat(from Incarnation, heartbeat *replicationv1.Heartbeat) {
-	r.learnCommit(heartbeat.GetCommit(), heartbeat.GetArchived())
+	r.updateCommit(heartbeat.GetCommit(), heartbeat.GetArchived())
 	response := &replicationv1.HeartbeatResponse{SentAt: heartbeat.GetSentAt()}
 	r.send(from, &replicationv1.Message{
 		Body: &replicationv1.Message_HeartbeatResponse{HeartbeatResponse: response},
--- a/internal/replication/group.go
+++ b/internal/replication/group.go
@@ -4,31 +4,32 @@
 	replicationv1 "github.com/magpielug/magpielug/api/replication/v1"
 )
 
-// Member is one voting replica of a group.
+// Member is a voting replica of a group.
 type Member struct {
 	Incarnation Incarnation
 	Zone        string
 }
 
-// Group is a shard's replicas as its host knows them when it makes its own.
+// Group is a shard's group as known to the host when it creates a replica.
 type Group struct {
 	Shard uint32
-	// Generation is the generation of the claim that founded the group.
+	// Generation is the generation of the claim that created the group.
 	Generation uint32
-	// Members are the founders of a group, or for a joining replica the members
-	// last heard of.
+	// Members holds the founding members, or the last known members for a replica
+	// that joins.
 	Members []Member
 }
 
-// Base is the point up to which a founder's host has restored the state from
-// the platform's log. All founders of a generation have the same base, since
-// they read the same stream up to the claim. It is zero for a joining replica.
+// Base is the log position up to which a founding member's host has restored the
+// state from the platform's log. It is the same for all founding members of a
+// generation, since they read the same stream up to the claim. It is zero for a
+// replica that joins.
 type Base struct {
 	Index uint64
 	Epoch Epoch
 }
 
-// quorum is the smallest count that is a majority of size.
+// quorum returns the size of the smallest majority.
 func quorum(size int) int {
 	return size/2 + 1
 }
@@ -43,7 +44,7 @@
 	return -1
 }
 
-// findProcess returns the position of the process's incarnation, or -1.
+// findProcess returns the position of a process's incarnation, or -1.
 func findProcess(members []Member, process string) int {
 	for position, member := range members {
 		if member.Incarnation.Process() == process {
@@ -69,7 +70,7 @@
 	return changed
 }
 
-// EncodeMembers converts members to their wire form.
+// EncodeMembers converts members to their wire format.
 func EncodeMembers(members []Member) []*replicationv1.Member {
 	encoded := make([]*replicationv1.Member, len(members))
 	for position, member := range members {
@@ -81,7 +82,7 @@
 	return encoded
 }
 
-// DecodeMembers converts members from their wire form.
+// DecodeMembers converts members from their wire format.
 func DecodeMembers(encoded []*replicationv1.Member) []Member {
 	members := make([]Member, len(encoded))
 	for position, member := range encoded {
--- a/internal/replication/heartbeat_receiver.go
+++ b/internal/replication/heartbeat_receiver.go
@@ -7,39 +7,39 @@
 	replicationv1 "github.com/magpielug/magpielug/api/replication/v1"
 )
 
-// heardShard is a shard that a peer leads with a member here.
-type heardShard struct {
+// receivedHeartbeat is the latest heartbeat of a shard that a peer leads.
+type receivedHeartbeat struct {
 	heartbeat *replicationv1.ShardHeartbeat
-	// answered says that the replica has accepted the latest heartbeat.
-	answered bool
+	// accepted means that the local replica has accepted the latest heartbeat.
+	accepted bool
 }
 
-// heartbeatReceiver keeps the list of heartbeats of one boot of a peer.
+// heartbeatReceiver tracks the heartbeats sent by one boot of a peer process.
 type heartbeatReceiver struct {
-	boot     Incarnation
-	sequence uint64
-	sentAt   int64
-	shards   []*heardShard
-	owesAck  bool
-	// lacksBase says that the list must be sent in full.
-	lacksBase bool
+	boot       Incarnation
+	sequence   uint64
+	sentAt     int64
+	shards     []*receivedHeartbeat
+	ackPending bool
+	// needsFullList means that the peer must send the full list of heartbeats.
+	needsFullList bool
 }
 
 func (h *heartbeatReceiver) find(shard uint32) (int, bool) {
-	return slices.BinarySearchFunc(h.shards, shard, func(heard *heardShard, wanted uint32) int {
-		return cmp.Compare(heard.heartbeat.GetShard(), wanted)
+	return slices.BinarySearchFunc(h.shards, shard, func(received *receivedHeartbeat, wanted uint32) int {
+		return cmp.Compare(received.heartbeat.GetShard(), wanted)
 	})
 }
 
-// open brings the list up to a batch and returns a heartbeat for each shard on
-// it. A repeated or overtaken batch is ignored.
-func (h *heartbeatReceiver) open(batch *replicationv1.HeartbeatBatch) []*replicationv1.Message {
+// unpack applies a batch to the list and returns a heartbeat message for each shard
+// in it. Duplicate and out-of-order batches are ignored.
+func (h *heartbeatReceiver) unpack(batch *replicationv1.HeartbeatBatch) []*replicationv1.Message {
 	if batch.GetSequence() <= h.sequence {
 		return nil
 	}
-	h.owesAck = true
-	h.lacksBase = batch.GetBaseSequence() > h.sequence
-	if h.lacksBase {
+	h.ackPending = true
+	h.needsFullList = batch.GetBaseSequence() > h.sequence
+	if h.needsFullList {
 		return nil
 	}
 	if batch.GetBaseSequence() == 0 {
@@ -55,7 +55,7 @@
 	for _, heartbeat := range batch.GetChanged() {
 		position, found := h.find(heartbeat.GetShard())
 		if !found {
-			h.shards = slices.Insert(h.shards, position, &heardShard{})
+			h.shards = slices.Insert(h.shards, position, &receivedHeartbeat{})
 		}
 		h.shards[position].heartbeat = heartbeat
 	}
@@ -64,9 +64,9 @@
 
 func (h *heartbeatReceiver) messages() []*replicationv1.Message {
 	messages := make([]*replicationv1.Message, len(h.shards))
-	for position, heard := range h.shards {
-		heard.answered = false
-		heartbeat := heard.heartbeat
+	for position, received := range h.shards {
+		received.accepted = false
+		heartbeat := received.heartbeat
 		messages[position] = &replicationv1.Message{
 			Shard: heartbeat.GetShard(),
 			Epoch: heartbeat.GetEpoch(),
@@ -84,40 +84,40 @@
 	return messages
 }
 
-// answer notes a replica's response to the latest batch and tells whether it
-// goes into the acknowledgement.
-func (h *heartbeatReceiver) answer(message *replicationv1.Message, response *replicationv1.HeartbeatResponse) bool {
+// recordResponse records a replica's response to the latest batch and reports
+// whether it is part of the batch acknowledgement.
+func (h *heartbeatReceiver) recordResponse(message *replicationv1.Message, response *replicationv1.HeartbeatResponse) bool {
 	position, found := h.find(message.GetShard())
-	if !found || !h.owesAck || response.GetSentAt() != h.sentAt {
+	if !found || !h.ackPending || response.GetSentAt() != h.sentAt {
 		return false
 	}
-	heard := h.shards[position]
-	isSame := heard.heartbeat.GetEpoch() == message.GetEpoch() &&
-		heard.heartbeat.GetFrom() == message.GetTo() &&
-		heard.heartbeat.GetTo() == message.GetFrom()
-	heard.answered = heard.answered || isSame
+	received := h.shards[position]
+	isSame := received.heartbeat.GetEpoch() == message.GetEpoch() &&
+		received.heartbeat.GetFrom() == message.GetTo() &&
+		received.heartbeat.GetTo() == message.GetFrom()
+	received.accepted = received.accepted || isSame
 	return isSame
 }
 
-// takeAck answers the latest batch. A shard counts as refused unless its
-// replica has answered, so that no lease rests on a replica that is not there.
+// takeAck returns the acknowledgement of the latest batch. Shards whose replica has
+// not responded are listed as refused, so that no lease depends on a missing replica.
 func (h *heartbeatReceiver) takeAck() *replicationv1.HeartbeatBatchAck {
-	if !h.owesAck {
+	if !h.ackPending {
 		return nil
 	}
-	h.owesAck = false
+	h.ackPending = false
 	ack := &replicationv1.HeartbeatBatchAck{
 		Sequence: h.sequence,
 		SentAt:   h.sentAt,
 		To:       string(h.boot),
 	}
-	if h.lacksBase {
+	if h.needsFullList {
 		ack.Resynchronise = true
 		return ack
 	}
-	for _, heard := range h.shards {
-		if !heard.answered {
-			ack.RefusedShards = append(ack.RefusedShards, heard.heartbeat.GetShard())
+	for _, received := range h.shards {
+		if !received.accepted {
+			ack.RefusedShards = append(ack.RefusedShards, received.heartbeat.GetShard())
 		}
 	}
 	return ack
--- a/internal/replication/heartbeat_sender.go
+++ b/internal/replication/heartbeat_sender.go
@@ -7,63 +7,64 @@
 	replicationv1 "github.com/magpielug/magpielug/api/replication/v1"
 )
 
-// sentShard is a shard's heartbeat as it stands towards one peer.
-type sentShard struct {
+// sentHeartbeat is the latest heartbeat of a shard sent to one peer.
+type sentHeartbeat struct {
 	heartbeat *replicationv1.ShardHeartbeat
-	// changedIn is the batch that first carried the present values, ledSince
-	// the one that first carried the present leader, member and epoch.
-	changedIn uint64
-	ledSince  uint64
-	// due says that the replica has sent its heartbeat since the last batch.
-	due bool
+	// changedIn is the sequence number of the batch that first carried the current
+	// values, leadershipSince that of the batch that first carried the current leader,
+	// member and epoch.
+	changedIn       uint64
+	leadershipSince uint64
+	// pending means that the replica has sent a heartbeat since the last batch.
+	pending bool
 }
 
-// removedShard is a shard that this process leads no more.
+// removedShard is a shard that this process no longer leads.
 type removedShard struct {
 	shard     uint32
 	removedIn uint64
 }
 
-// heartbeatSender keeps the heartbeats towards one peer process, and which
-// batch the peer has handled, so that only changes are sent.
+// heartbeatSender tracks the heartbeats sent to one peer process and the batches
+// acknowledged by it, so that only changes are sent.
 type heartbeatSender struct {
 	sequence     uint64
 	acknowledged uint64
 	sentAt       int64
-	// needed says that a heartbeat which is not spare waits for the next batch.
-	needed  bool
-	shards  []*sentShard
-	removed []removedShard
+	// required means that the next batch contains a heartbeat that is not optional.
+	required bool
+	shards   []*sentHeartbeat
+	removed  []removedShard
 }
 
 func (s *heartbeatSender) find(shard uint32) (int, bool) {
-	return slices.BinarySearchFunc(s.shards, shard, func(sent *sentShard, wanted uint32) int {
+	return slices.BinarySearchFunc(s.shards, shard, func(sent *sentHeartbeat, wanted uint32) int {
 		return cmp.Compare(sent.heartbeat.GetShard(), wanted)
 	})
 }
 
-// add takes in a replica's heartbeat for the next batch. A round of spare ones
-// alone is forgotten when the next round begins.
-func (s *heartbeatSender) add(message *replicationv1.Message, heartbeat *replicationv1.Heartbeat, spare bool) {
-	if !s.needed && heartbeat.GetSentAt() != s.sentAt {
+// add records a replica's heartbeat for the next batch. If only optional heartbeats
+// were added in a round, they are discarded when the next round begins.
+func (s *heartbeatSender) add(message *replicationv1.Message, heartbeat *replicationv1.Heartbeat, optional bool) {
+	if !s.required && heartbeat.GetSentAt() != s.sentAt {
 		s.beginRound(heartbeat.GetSentAt())
 	}
 	s.sentAt = min(s.sentAt, heartbeat.GetSentAt())
-	s.needed = s.needed || !spare
+	s.required = s.required || !optional
 	next := s.sequence + 1
 	position, found := s.find(message.GetShard())
 	if !found {
-		s.shards = slices.Insert(s.shards, position, &sentShard{})
+		s.shards = slices.Insert(s.shards, position, &sentHeartbeat{})
 	}
 	sent := s.shards[position]
-	sent.due = true
+	sent.pending = true
 	old := sent.heartbeat
 	isSameLeadership := found &&
 		old.GetEpoch() == message.GetEpoch() &&
 		old.GetFrom() == message.GetFrom() &&
 		old.GetTo() == message.GetTo()
 	if !isSameLeadership {
-		sent.ledSince = next
+		sent.leadershipSince = next
 	}
 	isSame := isSameLeadership &&
 		old.GetCommit() == heartbeat.GetCommit() &&
@@ -85,28 +86,28 @@
 func (s *heartbeatSender) beginRound(sentAt int64) {
 	s.sentAt = sentAt
 	for _, sent := range s.shards {
-		sent.due = false
+		sent.pending = false
 	}
 }
 
-func (s *heartbeatSender) isDue() bool { return s.needed }
+func (s *heartbeatSender) isDue() bool { return s.required }
 
-// take closes the next batch. Shards without a heartbeat since the last one are
-// led no more and leave the list.
+// take returns the next batch. Shards without a heartbeat since the last batch are
+// no longer led by this process and are removed from the list.
 func (s *heartbeatSender) take() *replicationv1.HeartbeatBatch {
 	if !s.isDue() {
 		return nil
 	}
-	s.needed = false
+	s.required = false
 	s.sequence++
-	s.dropStopped()
+	s.removeInactive()
 	batch := &replicationv1.HeartbeatBatch{
 		Sequence:     s.sequence,
 		BaseSequence: s.acknowledged,
 		SentAt:       s.sentAt,
 	}
 	for _, sent := range s.shards {
-		sent.due = false
+		sent.pending = false
 		if sent.changedIn > s.acknowledged {
 			batch.Changed = append(batch.Changed, sent.heartbeat)
 		}
@@ -120,10 +121,10 @@
 	return batch
 }
 
-func (s *heartbeatSender) dropStopped() {
+func (s *heartbeatSender) removeInactive() {
 	kept := s.shards[:0]
 	for _, sent := range s.shards {
-		if sent.due {
+		if sent.pending {
 			kept = append(kept, sent)
 			continue
 		}
@@ -136,10 +137,10 @@
 	s.shards = kept
 }
 
-// openAck turns a peer's acknowledgement into the responses of the replicas
-// that it stands for: those that were in the acknowledged batch, under the same
-// epoch as now.
-func (s *heartbeatSender) openAck(ack *replicationv1.HeartbeatBatchAck) []*replicationv1.Message {
+// unpackAck converts a batch acknowledgement into the responses of individual
+// replicas. It covers the shards that were in the acknowledged batch under the same
+// leadership as now.
+func (s *heartbeatSender) unpackAck(ack *replicationv1.HeartbeatBatchAck) []*replicationv1.Message {
 	sequence := ack.GetSequence()
 	if sequence > s.sequence {
 		return nil
@@ -155,7 +156,7 @@
 	messages := make([]*replicationv1.Message, 0, len(s.shards))
 	for _, sent := range s.shards {
 		shard := sent.heartbeat.GetShard()
-		if sent.ledSince > sequence || slices.Contains(ack.GetRefusedShards(), shard) {
+		if sent.leadershipSince > sequence || slices.Contains(ack.GetRefusedShards(), shard) {
 			continue
 		}
 		messages = append(messages, &replicationv1.Message{
--- a/internal/replication/leadership.go
+++ b/internal/replication/leadership.go
@@ -7,44 +7,44 @@
 	"github.com/magpielug/magpielug/charts"
 )
 
-// leadership is what a leader keeps for its epoch. It is dropped with the role.
-type leadership struct {
-	// startIndex is the entry that opened the epoch. Until it is committed the
-	// leader doesn't know what is.
-	startIndex uint64
-	electedAt  time.Duration
-	peers      []*progress
-	// heartbeatSlot is the last multiple of the interval that was served.
-	heartbeatSlot int64
-	// transferTo and transferEnd describe a hand-over that waits for its target.
-	transferTo  Incarnation
-	transferEnd time.Duration
+// leaderState is a leader's volatile state, discarded when it steps down.
+type leaderState struct {
+	// epochStartIndex is the index of the epoch's first entry. The leader knows the
+	// commit index only after this entry is committed.
+	epochStartIndex uint64
+	electedAt       time.Duration
+	peers           []*progress
+	// lastHeartbeatSlot is the number of the last heartbeat interval handled.
+	lastHeartbeatSlot int64
+	// transferTo and transferDeadline describe a pending leadership transfer.
+	transferTo       Incarnation
+	transferDeadline time.Duration
 }
 
-// progress is what a leader knows of a member or learner.
+// progress is the leader's view of a member or learner.
 type progress struct {
 	member  Member
 	learner bool
-	// match is the last entry known to agree, next the one to send.
-	match uint64
-	next  uint64
-	// probing holds back further entries until the member has answered.
+	// matchIndex is the last entry known to match, nextIndex the next one to send.
+	matchIndex uint64
+	nextIndex  uint64
+	// probing limits sending to one append until the member responds.
 	probing bool
-	// awaiting is set while an answer to a probe is due.
-	awaiting bool
-	lastSend time.Duration
-	// acknowledged is the leader's own sending time of the latest message that
-	// was answered; valid if heard.
-	acknowledged time.Duration
-	heard        bool
-	admittedAt   time.Duration
-	snapshot     *outgoingSnapshot
-	wantSnapshot bool
-	// byHost says that the host has asked for the admission.
-	byHost bool
+	// probeInFlight means that a probe is awaiting its response.
+	probeInFlight bool
+	lastSentAt    time.Duration
+	// lastAckedSendTime is the leader's send time of the latest acknowledged message.
+	// It is valid if hasAcked is set.
+	lastAckedSendTime time.Duration
+	hasAcked          bool
+	admittedAt        time.Duration
+	snapshot          *outgoingSnapshot
+	needsSnapshot     bool
+	// requestedByHost means that the host requested the admission with Admit.
+	requestedByHost bool
 }
 
-func (l *leadership) find(incarnation Incarnation) *progress {
+func (l *leaderState) find(incarnation Incarnation) *progress {
 	for _, peer := range l.peers {
 		if peer.member.Incarnation == incarnation {
 			return peer
@@ -53,16 +53,16 @@
 	return nil
 }
 
-func (l *leadership) wantsSnapshot() bool {
+func (l *leaderState) needsSnapshot() bool {
 	for _, peer := range l.peers {
-		if peer.wantSnapshot {
+		if peer.needsSnapshot {
 			return true
 		}
 	}
 	return false
 }
 
-func (l *leadership) remove(incarnation Incarnation) {
+func (l *leaderState) remove(incarnation Incarnation) {
 	kept := make([]*progress, 0, len(l.peers))
 	for _, peer := range l.peers {
 		if peer.member.Incarnation != incarnation {
@@ -72,37 +72,37 @@
 	l.peers = kept
 }
 
-// becomeLeader opens the epoch with an entry of its own.
+// becomeLeader takes the leader role and appends the first entry of the epoch.
 func (r *Replica) becomeLeader(now time.Duration) {
-	r.fire(charts.ReplicaEventElectionWon)
+	r.applyEvent(charts.ReplicaEventElectionWon)
 	r.leader = r.self.Incarnation
 	r.votes = nil
-	r.lead = &leadership{
-		startIndex:    r.log.lastIndex() + 1,
-		electedAt:     now,
-		heartbeatSlot: int64(now / r.config.HeartbeatInterval),
+	r.leaderState = &leaderState{
+		epochStartIndex:   r.log.lastIndex() + 1,
+		electedAt:         now,
+		lastHeartbeatSlot: int64(now / r.config.HeartbeatInterval),
 	}
 	r.syncPeers(now)
-	r.appendOwn(&replicationv1.Entry{Kind: KindEpochStart})
+	r.appendEntry(&replicationv1.Entry{Kind: KindEpochStart})
 }
 
-// syncPeers makes the peers follow the group in force. Learners stay.
+// syncPeers updates the peers to the current group. Learners are kept.
 func (r *Replica) syncPeers(now time.Duration) {
 	for _, member := range r.members {
 		if member.Incarnation == r.self.Incarnation {
 			continue
 		}
-		peer := r.lead.find(member.Incarnation)
+		peer := r.leaderState.find(member.Incarnation)
 		if peer == nil {
 			peer = newProgress(now, member, r.log.lastIndex()+1)
-			r.lead.peers = append(r.lead.peers, peer)
+			r.leaderState.peers = append(r.leaderState.peers, peer)
 		}
 		peer.learner = false
 	}
-	for _, peer := range r.lead.peers {
+	for _, peer := range r.leaderState.peers {
 		isMember := findMember(r.members, peer.member.Incarnation) >= 0
 		if !isMember && !peer.learner {
-			r.lead.remove(peer.member.Incarnation)
+			r.leaderState.remove(peer.member.Incarnation)
 		}
 	}
 }
@@ -110,63 +110,64 @@
 func newProgress(now time.Duration, member Member, next uint64) *progress {
 	return &progress{
 		member:     member,
-		next:       next,
+		nextIndex:  next,
 		probing:    true,
 		admittedAt: now,
 	}
 }
 
-func (r *Replica) appendOwn(entry *replicationv1.Entry) uint64 {
+func (r *Replica) appendEntry(entry *replicationv1.Entry) uint64 {
 	entry.Index = r.log.lastIndex() + 1
 	entry.Epoch = uint64(r.epoch)
 	r.log.append(entry)
 	return entry.GetIndex()
 }
 
-// Propose appends data to the log, if the replica leads under a lease. The
-// entry stands once it is committed under this epoch; if another epoch's entry
-// commits at the index, it was not and never will be. The data must not be
-// changed afterwards.
+// Propose appends data to the log if the replica leads with a valid lease. The
+// proposal succeeds when the entry commits with this epoch. If an entry of another
+// epoch commits at the index, the proposal has failed for good. The caller must not
+// modify data afterwards.
 func (r *Replica) Propose(now time.Duration, data []byte) (uint64, error) {
 	switch {
 	case r.role != RoleLeader:
 		return 0, ErrNotLeader
-	case r.lead.transferTo != "":
+	case r.leaderState.transferTo != "":
 		return 0, ErrTransferring
 	case !r.HoldsLease(now):
 		return 0, ErrNoLease
 	case r.log.backlogBytes+len(data) > r.config.MaxBacklogBytes:
 		return 0, ErrBacklogFull
 	}
-	return r.appendOwn(&replicationv1.Entry{Kind: KindCommand, Data: data}), nil
+	return r.appendEntry(&replicationv1.Entry{Kind: KindCommand, Data: data}), nil
 }
 
-// tickLeader sends what is due, and steps down when no majority is heard.
+// tickLeader sends due heartbeats and retransmissions, and steps down without
+// recent contact to a majority.
 func (r *Replica) tickLeader(now time.Duration) {
-	heard, ok := r.majorityHeard(now)
+	lastContact, ok := r.majorityAckTime(now)
 	if !ok {
-		heard = r.lead.electedAt
+		lastContact = r.leaderState.electedAt
 	}
-	if now-max(heard, r.lead.electedAt) > r.config.ElectionTimeoutMax {
+	if now-max(lastContact, r.leaderState.electedAt) > r.config.ElectionTimeoutMax {
 		r.becomeFollower(now, r.epoch, charts.ReplicaEventLeaseLost)
 		return
 	}
 	slot := int64(now / r.config.HeartbeatInterval)
-	if slot == r.lead.heartbeatSlot {
+	if slot == r.leaderState.lastHeartbeatSlot {
 		return
 	}
-	r.lead.heartbeatSlot = slot
-	r.dropSilentLearners(now)
-	for _, peer := range r.lead.peers {
+	r.leaderState.lastHeartbeatSlot = slot
+	r.removeUnresponsiveLearners(now)
+	for _, peer := range r.leaderState.peers {
 		r.sendHeartbeat(now, peer)
 		r.resend(now, peer)
 	}
 }
 
-// advanceCommit commits what a majority holds, if it is of this epoch; earlier
-// epochs' entries are committed with it. It commits nothing without the lease: an
-// answer can come so late that its sender has died since and the group has been
-// rebuilt without the entry (see Config.RebuildDelay).
+// advanceCommit commits entries replicated to a majority, if the last of them is of
+// the current epoch. It requires a valid lease: a response may arrive after its
+// sender has died and the group has been rebuilt without the entry (see
+// Config.RebuildDelay).
 func (r *Replica) advanceCommit(now time.Duration) {
 	if now >= r.leaseEnd(now) {
 		return
@@ -177,16 +178,16 @@
 			matches = append(matches, r.log.lastIndex())
 			continue
 		}
-		if peer := r.lead.find(member.Incarnation); peer != nil {
-			matches = append(matches, peer.match)
+		if peer := r.leaderState.find(member.Incarnation); peer != nil {
+			matches = append(matches, peer.matchIndex)
 		}
 	}
-	missing := quorum(len(r.members))
-	if len(matches) < missing {
+	majority := quorum(len(r.members))
+	if len(matches) < majority {
 		return
 	}
 	sortDescending(matches)
-	agreed := matches[missing-1]
+	agreed := matches[majority-1]
 	if epoch, known := r.log.epochAt(agreed); known && epoch == r.epoch {
 		r.commit = max(r.commit, agreed)
 	}
--- a/internal/replication/log.go
+++ b/internal/replication/log.go
@@ -4,20 +4,20 @@
 	replicationv1 "github.com/magpielug/magpielug/api/replication/v1"
 )
 
-// entryOverheadBytes is roughly what an entry costs in memory beside its data.
+// entryOverheadBytes is the approximate memory overhead of an entry.
 const entryOverheadBytes = 160
 
 // entryLog holds the entries after a compacted prefix. Entries are shared with
-// messages and never changed once appended.
+// messages and immutable once appended.
 type entryLog struct {
-	// previousIndex and previousEpoch are of the entry before entries[0].
+	// previousIndex and previousEpoch describe the entry before entries[0].
 	previousIndex uint64
 	previousEpoch Epoch
 	entries       []*replicationv1.Entry
-	// baseMembers is the group at previousIndex, set at baseMembersIndex.
+	// baseMembers is the group at previousIndex, set by the entry at baseMembersIndex.
 	baseMembers      []Member
 	baseMembersIndex uint64
-	// archived is the last entry that stands in the platform's log.
+	// archived is the index of the last entry stored in the platform's log.
 	archived     uint64
 	backlogBytes int
 }
@@ -37,7 +37,7 @@
 	return Epoch(l.entries[len(l.entries)-1].GetEpoch())
 }
 
-// epochAt returns the epoch of the entry at index, if it is known.
+// epochAt returns the epoch of the entry at index, or false if it is not known.
 func (l *entryLog) epochAt(index uint64) (Epoch, bool) {
 	if index == l.previousIndex {
 		return l.previousEpoch, true
@@ -48,7 +48,7 @@
 	return Epoch(l.at(index).GetEpoch()), true
 }
 
-// at returns the entry at an index that the log holds.
+// at returns the entry at index, which must be in the log.
 func (l *entryLog) at(index uint64) *replicationv1.Entry {
 	return l.entries[index-l.previousIndex-1]
 }
@@ -60,7 +60,7 @@
 	}
 }
 
-// truncateFrom drops the entries from index on.
+// truncateFrom removes the entries from index on.
 func (l *entryLog) truncateFrom(index uint64) {
 	keep := index - l.previousIndex - 1
 	for position := keep; position < uint64(len(l.entries)); position++ {
@@ -70,8 +70,8 @@
 	l.entries = l.entries[:keep]
 }
 
-// between returns the entries after one index up to another, the first in any
-// case and then as many as fit into maxBytes.
+// between returns the entries in (after, until], limited to maxBytes but at least
+// one.
 func (l *entryLog) between(after, until uint64, maxBytes int) []*replicationv1.Entry {
 	if after >= until {
 		return nil
@@ -90,7 +90,7 @@
 	return l.entries[first:end:end]
 }
 
-// setArchived records that entries up to index are archived.
+// setArchived marks the entries up to index as archived.
 func (l *entryLog) setArchived(index uint64) {
 	if index > l.lastIndex() {
 		index = l.lastIndex()
@@ -102,7 +102,7 @@
 	}
 }
 
-// compactTo drops the entries up to index, which must be applied and archived.
+// compactTo removes the entries up to index, which must be applied and archived.
 func (l *entryLog) compactTo(index uint64) {
 	if index <= l.previousIndex {
 		return
@@ -114,8 +114,8 @@
 	l.previousIndex = index
 }
 
-// membersAt returns the group that an index falls under and the index of the
-// entry that set it.
+// membersAt returns the group in effect at index and the index of the entry that set
+// it.
 func (l *entryLog) membersAt(index uint64) ([]Member, uint64) {
 	for position := index; position > l.previousIndex; position-- {
 		entry := l.at(position)
@@ -126,7 +126,7 @@
 	return l.baseMembers, l.baseMembersIndex
 }
 
-// nextMembers returns the first group that is set after an index, and the index
+// nextMembers returns the first group set after an index and the index of the entry
 // that sets it, or 0 if there is none.
 func (l *entryLog) nextMembers(after uint64) ([]Member, uint64) {
 	for index := max(after, l.previousIndex) + 1; index <= l.lastIndex(); index++ {
@@ -137,8 +137,8 @@
 	return nil, 0
 }
 
-// firstIndexOfEpoch returns the first index, above floor, of the run of
-// entries that have the same epoch as the one at index.
+// firstIndexOfEpoch returns the first index, above floor, of the contiguous entries
+// with the same epoch as the entry at index.
 func (l *entryLog) firstIndexOfEpoch(index, floor uint64) uint64 {
 	epoch, _ := l.epochAt(index)
 	for index-1 > floor {
--- a/internal/replication/members.go
+++ b/internal/replication/members.go
@@ -6,13 +6,13 @@
 	replicationv1 "github.com/magpielug/magpielug/api/replication/v1"
 )
 
-// silentLearnerTimeouts is after how many longest election timeouts a leader
-// forgets a learner that doesn't answer.
-const silentLearnerTimeouts = 4
+// learnerTimeoutFactor is the number of maximum election timeouts after which a
+// leader removes an unresponsive learner.
+const learnerTimeoutFactor = 4
 
-// Admit makes the leader take a member in: first as a learner, and once it has
-// caught up, by a committed change of the group. An older incarnation of the
-// same process is removed before that, by a change of its own.
+// Admit adds a member, first as a learner and, once it has caught up, as a voting
+// member by a committed membership change. An older incarnation of the same process
+// is removed before by a separate change.
 func (r *Replica) Admit(now time.Duration, member Member) error {
 	if r.role != RoleLeader {
 		return ErrNotLeader
@@ -21,12 +21,12 @@
 		return ErrUnknownMember
 	}
 	r.addLearner(now, member)
-	r.lead.find(member.Incarnation).byHost = true
+	r.leaderState.find(member.Incarnation).requestedByHost = true
 	return nil
 }
 
-// Remove proposes the group without a member. A leader can't remove itself; it
-// transfers the leadership first.
+// Remove proposes a membership change that removes a member. A leader cannot remove
+// itself; it must transfer the leadership first.
 func (r *Replica) Remove(now time.Duration, incarnation Incarnation) error {
 	if r.role != RoleLeader {
 		return ErrNotLeader
@@ -35,11 +35,11 @@
 		return ErrUnknownMember
 	}
 	members := withoutMember(r.members, incarnation)
-	if !r.mayChangeMembers() || !r.archivedAllows(members) {
+	if !r.canChangeMembers() || !r.isSafeForRebuild(members) {
 		return ErrChangePending
 	}
-	if !r.canLoseNewcomer(now, members) {
-		return ErrTooFewHeard
+	if !r.toleratesNewMemberFailure(now, members) {
+		return ErrTooFewActiveMembers
 	}
 	r.changeMembers(now, members)
 	return nil
@@ -54,19 +54,20 @@
 
 func (r *Replica) addLearner(now time.Duration, member Member) {
 	process := member.Incarnation.Process()
-	for _, peer := range r.lead.peers {
+	for _, peer := range r.leaderState.peers {
 		if peer.learner && peer.member.Incarnation.Process() == process {
-			r.lead.remove(peer.member.Incarnation)
+			r.leaderState.remove(peer.member.Incarnation)
 		}
 	}
 	peer := newProgress(now, member, r.log.lastIndex()+1)
 	peer.learner = true
-	r.lead.peers = append(r.lead.peers, peer)
+	r.leaderState.peers = append(r.leaderState.peers, peer)
 }
 
-// receiveJoinRequest takes in a process that lost its replica, or that fills a
-// group up. Others need an Admit by the host. A follower passes the request on,
-// once, since the joining process may not know the leader's.
+// receiveJoinRequest admits a learner that replaces an older incarnation of a
+// member's process, or that fills the group up to GroupSize. Other processes need
+// Admit by the host. A follower forwards the request once, since the joining process
+// may not know the leader.
 func (r *Replica) receiveJoinRequest(now time.Duration, from Incarnation, request *replicationv1.JoinRequest) {
 	member := Member{
 		Incarnation: Incarnation(request.GetMember().GetIncarnation()),
@@ -78,7 +79,7 @@
 		}
 		return
 	}
-	if !r.canAdmit(member) || r.lead.find(member.Incarnation) != nil {
+	if !r.canAdmit(member) || r.leaderState.find(member.Incarnation) != nil {
 		return
 	}
 	replaces := findProcess(r.members, member.Incarnation.Process()) >= 0
@@ -94,7 +95,7 @@
 	}
 }
 
-// tickLearner asks every process last known in the group to be taken in.
+// tickLearner periodically sends a join request to all known members.
 func (r *Replica) tickLearner(now time.Duration) {
 	if now < r.joinDeadline {
 		return
@@ -109,51 +110,52 @@
 	}
 }
 
-// archivedAllows keeps the platform's log enough to judge the group by. The log
-// may show any group from the last one known to be archived on, since the answer
-// to a later record may be lost. Whichever it shows: once a majority of its
-// processes is gone, the changed group must have no majority either. A change
-// that goes further waits for the archive.
-func (r *Replica) archivedAllows(changed []Member) bool {
-	shown, index := r.log.membersAt(r.log.archived)
+// isSafeForRebuild reports whether the archive suffices to decide about a rebuild
+// after a change of the group. The stream may contain any group from the last one
+// known to be archived on, since responses to later appends may be lost. For each of
+// them, losing a majority of its processes must imply that the changed group has no
+// majority either. Otherwise the change must wait until more is archived.
+func (r *Replica) isSafeForRebuild(changed []Member) bool {
+	recorded, index := r.log.membersAt(r.log.archived)
 	for {
-		if !impliesNoMajority(shown, changed) {
+		if !majorityLossCarriesOver(recorded, changed) {
 			return false
 		}
 		next, nextIndex := r.log.nextMembers(max(index, r.log.archived))
 		if nextIndex == 0 {
 			return true
 		}
-		shown, index = next, nextIndex
+		recorded, index = next, nextIndex
 	}
 }
 
-// impliesNoMajority tells whether the changed group can't have a majority alive
-// when a majority of the shown group's processes is gone. In the worst case as
-// many as can be of those gone are in the shown group alone.
-func impliesNoMajority(shown, changed []Member) bool {
+// majorityLossCarriesOver reports whether the loss of a majority of the recorded
+// group's processes implies that the changed group has no majority. It assumes the
+// worst case, in which as many of the lost processes as possible are not in the
+// changed group.
+func majorityLossCarriesOver(recorded, changed []Member) bool {
 	left := 0
-	for _, member := range shown {
+	for _, member := range recorded {
 		if findProcess(changed, member.Incarnation.Process()) < 0 {
 			left++
 		}
 	}
-	gone := max(0, quorum(len(shown))-left)
+	gone := max(0, quorum(len(recorded))-left)
 	return len(changed)-gone < quorum(len(changed))
 }
 
-// mayChangeMembers keeps two rules that single-member changes rest on: one
-// change at a time, and none before an entry of the leader's own epoch is
-// committed.
-func (r *Replica) mayChangeMembers() bool {
+// canChangeMembers enforces the rules of single-member changes: one change at a time,
+// and none before an entry of the leader's own epoch is committed.
+func (r *Replica) canChangeMembers() bool {
 	return r.membersIndex <= r.commit &&
-		r.commit >= r.lead.startIndex &&
-		r.lead.transferTo == ""
+		r.commit >= r.leaderState.epochStartIndex &&
+		r.leaderState.transferTo == ""
 }
 
-// changeMembers puts a group into force that differs from the last by one member.
+// changeMembers appends a group that differs from the current one by one member. It
+// takes effect immediately.
 func (r *Replica) changeMembers(now time.Duration, members []Member) {
-	r.appendOwn(&replicationv1.Entry{
+	r.appendEntry(&replicationv1.Entry{
 		Kind:    KindMembers,
 		Members: EncodeMembers(members),
 	})
@@ -161,19 +163,20 @@
 	r.syncPeers(now)
 }
 
-// advanceMembers takes the next step of an admission.
+// advanceMembers performs the next membership change that a learner's admission
+// needs.
 func (r *Replica) advanceMembers(now time.Duration) {
-	if !r.mayChangeMembers() {
+	if !r.canChangeMembers() {
 		return
 	}
-	for _, peer := range r.lead.peers {
+	for _, peer := range r.leaderState.peers {
 		if !peer.learner || !r.hasCaughtUp(now, peer) {
 			continue
 		}
 		members := r.membersAfterAdmission(peer)
 		isSafe := members != nil &&
-			r.archivedAllows(members) &&
-			r.canLoseNewcomer(now, members)
+			r.isSafeForRebuild(members) &&
+			r.toleratesNewMemberFailure(now, members)
 		if isSafe {
 			r.changeMembers(now, members)
 			return
@@ -181,59 +184,59 @@
 	}
 }
 
-// membersAfterAdmission returns the group after the next change that a
-// learner's admission needs, or nil if it may not join.
+// membersAfterAdmission returns the group after the next change needed to admit a
+// learner, or nil if it may not be admitted.
 func (r *Replica) membersAfterAdmission(learner *progress) []Member {
-	superseded := findProcess(r.members, learner.member.Incarnation.Process())
+	position := findProcess(r.members, learner.member.Incarnation.Process())
 	switch {
-	case superseded >= 0:
-		return withoutMember(r.members, r.members[superseded].Incarnation)
-	case learner.byHost || len(r.members) < r.config.GroupSize:
+	case position >= 0:
+		return withoutMember(r.members, r.members[position].Incarnation)
+	case learner.requestedByHost || len(r.members) < r.config.GroupSize:
 		return withMember(r.members, learner.member)
 	default:
 		return nil
 	}
 }
 
-// hasCaughtUp tells whether a learner holds all that is committed, and answers.
+// hasCaughtUp reports whether a learner is active and holds all committed entries.
 func (r *Replica) hasCaughtUp(now time.Duration, peer *progress) bool {
-	return peer.match >= r.commit && r.isHeard(now, peer)
+	return peer.matchIndex >= r.commit && r.isRecentlyActive(now, peer)
 }
 
-func (r *Replica) isHeard(now time.Duration, peer *progress) bool {
-	return peer.heard && now-peer.acknowledged < r.config.ElectionTimeoutMin
+func (r *Replica) isRecentlyActive(now time.Duration, peer *progress) bool {
+	return peer.hasAcked && now-peer.lastAckedSendTime < r.config.ElectionTimeoutMin
 }
 
-// canLoseNewcomer tells whether a changed group would still have a majority if
-// a member that the change adds died at once: the others heard of late must be
-// one. Else a group with a dead member could lose its majority by its own
-// change. A group of one can only grow by trusting the newcomer.
-func (r *Replica) canLoseNewcomer(now time.Duration, changed []Member) bool {
+// toleratesNewMemberFailure reports whether the recently active members, without any
+// that the change adds, are a majority of the changed group. Otherwise the failure
+// of a new member could cost the group its majority. A group of one has no choice
+// but to rely on the new member.
+func (r *Replica) toleratesNewMemberFailure(now time.Duration, changed []Member) bool {
 	if len(r.members) == 1 {
 		return true
 	}
-	heard := 0
+	active := 0
 	for _, member := range changed {
-		peer := r.lead.find(member.Incarnation)
+		peer := r.leaderState.find(member.Incarnation)
 		isSelf := member.Incarnation == r.self.Incarnation
-		if isSelf || (peer != nil && !peer.learner && r.isHeard(now, peer)) {
-			heard++
+		if isSelf || (peer != nil && !peer.learner && r.isRecentlyActive(now, peer)) {
+			active++
 		}
 	}
-	return heard >= quorum(len(changed))
+	return active >= quorum(len(changed))
 }
 
-func (r *Replica) dropSilentLearners(now time.Duration) {
-	limit := silentLearnerTimeouts * r.config.ElectionTimeoutMax
-	for _, peer := range r.lead.peers {
-		lastSign := max(peer.acknowledged, peer.admittedAt)
-		if peer.learner && now-lastSign > limit {
-			r.lead.remove(peer.member.Incarnation)
+func (r *Replica) removeUnresponsiveLearners(now time.Duration) {
+	limit := learnerTimeoutFactor * r.config.ElectionTimeoutMax
+	for _, peer := range r.leaderState.peers {
+		lastContact := max(peer.lastAckedSendTime, peer.admittedAt)
+		if peer.learner && now-lastContact > limit {
+			r.leaderState.remove(peer.member.Incarnation)
 		}
 	}
 }
 
-// retireIfRemoved ends a replica that a committed change has removed.
+// retireIfRemoved retires a replica that a committed change has removed.
 func (r *Replica) retireIfRemoved() {
 	isVoter := r.role == RoleFollower || r.role == RoleCandidate
 	if !isVoter || r.membersIndex > r.commit {
--- a/internal/replication/network_test.go
+++ b/internal/replication/network_test.go
@@ -8,24 +8,24 @@
 	replicationv1 "github.com/magpielug/magpielug/api/replication/v1"
 )
 
-// faultRates are the odds of one schedule.
+// faultRates holds the fault probabilities of one schedule.
 type faultRates struct {
 	drop      float64
 	duplicate float64
 	longDelay float64
-	// Faults of machines and zones a virtual second.
-	pause   float64
-	cut     float64
-	restart float64
-	order   float64
+	// Process and zone faults, per second of virtual time.
+	pause          float64
+	partition      float64
+	restart        float64
+	adminOperation float64
 }
 
-// event is something that happens at a virtual time.
+// event is a message delivery or a timer at a virtual time.
 type event struct {
 	at       time.Duration
 	sequence int
 	process  *process
-	// batch is delivered to the process; without one its timer fires.
+	// batch is delivered to the process. If it is nil, the process's timer fires.
 	batch *replicationv1.Batch
 	from  string
 }
@@ -48,16 +48,16 @@
 	return item
 }
 
-// network carries batches between processes with faults drawn from a seed.
+// network delivers batches between processes with random faults.
 type network struct {
 	random   *rand.Rand
 	rates    faultRates
 	now      time.Duration
 	events   eventQueue
 	sequence int
-	// cuts holds, for a pair of zones in one direction, the end of its cut.
-	cuts map[[2]string]time.Duration
-	sent int
+	// partitions holds the end of the partition for each pair of zones and direction.
+	partitions map[[2]string]time.Duration
+	sent       int
 }
 
 func (n *network) schedule(item *event) {
@@ -72,7 +72,7 @@
 	return item
 }
 
-// send delivers a batch never, once or twice, after delays that reorder.
+// send delivers a batch zero, one or two times, with random delays.
 func (n *network) send(from, to *process, batch *replicationv1.Batch) {
 	n.sent++
 	if n.random.Float64() < n.rates.drop {
@@ -99,22 +99,22 @@
 	return time.Duration(n.random.Int63n(int64(5 * time.Millisecond)))
 }
 
-// isCut tells whether what arrives now from a zone is lost.
-func (n *network) isCut(from, to string) bool {
-	return n.now < n.cuts[[2]string{from, to}]
+// isPartitioned reports whether messages arriving now from a zone are lost.
+func (n *network) isPartitioned(from, to string) bool {
+	return n.now < n.partitions[[2]string{from, to}]
 }
 
-// cutZones cuts two zones from one another, in one direction or both.
-func (n *network) cutZones(one, other string) {
+// partitionZones separates two zones in one direction or both.
+func (n *network) partitionZones(one, other string) {
 	end := n.now + time.Duration(n.random.Int63n(int64(5*time.Second)))
-	n.cuts[[2]string{one, other}] = end
+	n.partitions[[2]string{one, other}] = end
 	if n.random.Intn(3) > 0 {
-		n.cuts[[2]string{other, one}] = end
+		n.partitions[[2]string{other, one}] = end
 	}
 }
 
-// heal ends all faults.
+// heal ends all network faults.
 func (n *network) heal() {
 	n.rates = faultRates{}
-	clear(n.cuts)
+	clear(n.partitions)
 }
--- a/internal/replication/output.go
+++ b/internal/replication/output.go
@@ -7,45 +7,47 @@
 	"github.com/magpielug/magpielug/charts"
 )
 
-// Errors of proposals and orders. None of them has changed anything.
+// Errors of Replica methods. The replica is unchanged if one is returned.
 var (
-	// ErrNotLeader says that another replica leads, or none; see Leader.
+	// ErrNotLeader means that the replica is not the leader; see Leader.
 	ErrNotLeader = errors.New("not the leader")
-	// ErrNoLease says that the replica leads but can't be sure of it now.
-	ErrNoLease = errors.New("leader holds no lease")
-	// ErrBacklogFull says that too many bytes wait to be archived.
+	// ErrNoLease means that the leader does not hold a valid lease.
+	ErrNoLease = errors.New("leader does not hold a valid lease")
+	// ErrBacklogFull means that too many bytes are waiting to be archived.
 	ErrBacklogFull = errors.New("backlog of unarchived entries is full")
-	// ErrTransferring says that leadership is being handed over.
+	// ErrTransferring means that a leadership transfer is in progress.
 	ErrTransferring = errors.New("leadership is being transferred")
-	// ErrChangePending says that a member change is not yet committed.
-	ErrChangePending = errors.New("a member change is pending")
-	// ErrTooFewHeard says that a member change would leave the group without a
-	// majority of members heard of late.
-	ErrTooFewHeard = errors.New("too few members are heard")
-	// ErrUnknownMember says that an order names no member that it may name.
+	// ErrChangePending means that another membership change must be committed, or
+	// earlier ones archived, first.
+	ErrChangePending = errors.New("a membership change is not yet committed or archived")
+	// ErrTooFewActiveMembers means that a membership change would leave the group
+	// without a majority of recently active members.
+	ErrTooFewActiveMembers = errors.New("too few active members for the membership change")
+	// ErrUnknownMember means that the given member is not valid for the operation.
 	ErrUnknownMember = errors.New("unknown member")
-	// ErrNoSnapshotWanted says that no member waits for a snapshot.
-	ErrNoSnapshotWanted = errors.New("no snapshot wanted")
+	// ErrNoSnapshotWanted means that no member needs a snapshot.
+	ErrNoSnapshotWanted = errors.New("no member needs a snapshot")
 )
 
-// Role is a state of the replica chart, charts/replica.yaml.
+// Role is a state of the replica state chart, charts/replica.yaml.
 type Role = charts.ReplicaState
 
-// Roles of a replica.
+// Replica roles.
 const (
-	// RoleLearner receives entries and votes if asked, but is no member yet.
+	// RoleLearner receives entries and answers vote requests, but its vote does not
+	// count until it is a member.
 	RoleLearner   = charts.ReplicaStateLearner
 	RoleFollower  = charts.ReplicaStateFollower
 	RoleCandidate = charts.ReplicaStateCandidate
 	RoleLeader    = charts.ReplicaStateLeader
-	// RoleRetired takes no part any more; the host drops the replica.
+	// RoleRetired no longer participates; the host discards the replica.
 	RoleRetired = charts.ReplicaStateRetired
 )
 
-// EntryKind says what an entry holds.
+// EntryKind is the type of an entry.
 type EntryKind = replicationv1.EntryKind
 
-// Kinds of entries; the state machine acts on KindCommand and KindEpochStart.
+// Entry kinds. The state machine handles KindCommand and KindEpochStart.
 const (
 	KindCommand    = replicationv1.EntryKind_ENTRY_KIND_COMMAND
 	KindEpochStart = replicationv1.EntryKind_ENTRY_KIND_EPOCH_START
@@ -55,42 +57,43 @@
 // Entry is a committed entry of a shard's log.
 type Entry struct {
 	Index uint64
-	// Epoch is of the leader that proposed the entry. A proposer whose index
-	// commits with another epoch than its own knows that its entry is not run.
+	// Epoch is the epoch of the leader that proposed the entry. If the entry at a
+	// proposed index commits with another epoch, the proposal was not applied.
 	Epoch Epoch
 	Kind  EntryKind
 	Data  []byte
-	// Members is the group from here on, for KindMembers.
+	// Members is the group that takes effect with the entry, for KindMembers.
 	Members []Member
 }
 
-// Envelope is a message and the process to send it to.
+// Envelope is a message with its destination process.
 type Envelope struct {
 	ToProcess string
 	Message   *replicationv1.Message
-	// Spare marks a heartbeat that need not be sent: the member has answered an
-	// append of late, which renewed the lease and held its election off.
-	Spare bool
+	// Optional marks a heartbeat that may be omitted, because a recent response of the
+	// member has renewed the lease and the message it answers has reset the member's
+	// election timeout.
+	Optional bool
 }
 
-// RestoredState replaces the state machine's state.
+// RestoredState replaces the state of the state machine.
 type RestoredState struct {
 	Index uint64
 	State []byte
 }
 
-// Output is what the host has to do after a step, in the order of the fields.
+// Output lists what the host must do after a step, in the order of the fields.
 type Output struct {
-	// Messages may be lost, repeated and reordered on their way.
+	// Messages may be lost, duplicated or reordered in transit.
 	Messages []Envelope
 	// Restore, if set, replaces the state before Committed is applied.
 	Restore *RestoredState
-	// Committed holds entries to apply, in order and without gaps.
+	// Committed holds the entries to apply, in order and without gaps.
 	Committed []Entry
-	// SnapshotWanted asks for ProvideSnapshot once Committed is applied.
+	// SnapshotWanted requests ProvideSnapshot after Committed is applied.
 	SnapshotWanted bool
-	// RoleChanged says that Role, Epoch or Leader differ from the last Output.
+	// RoleChanged means that Role, Epoch or Leader differs from the last Output.
 	RoleChanged bool
-	// MembersChanged says that Members differ from the last Output.
+	// MembersChanged means that Members differs from the last Output.
 	MembersChanged bool
 }
--- a/internal/replication/rebuild_test.go
+++ b/internal/replication/rebuild_test.go
@@ -12,85 +12,86 @@
 
 const (
 	rebuildSchedules = 150
-	// deathTime is how long a killed process stays silent: to the end.
-	deathTime = 24 * time.Hour
-	// afterProof is for how long the old group is watched.
-	afterProof = 20 * time.Second
-	// archiveBytes is the most that one record of the stream holds here.
+	// killDuration outlasts the schedule.
+	killDuration = 24 * time.Hour
+	// observationTime is how long the previous group is observed after the claim.
+	observationTime = 20 * time.Second
+	// archiveBytes limits the size of an archive record in these tests.
 	archiveBytes = 4 << 10
 )
 
-func (w *world) archiveClaim(group replication.Group) {
+func (sim *simulation) archiveClaim(group replication.Group) {
 	record, err := replication.EncodeClaim(replication.Claim{
 		Shard: shardNumber, Generation: generation, Members: group.Members, ID: "first",
 	})
-	w.check(err == nil, "no claim: %v", err)
-	w.stream = append(w.stream, record)
+	sim.check(err == nil, "encoding claim: %v", err)
+	sim.stream = append(sim.stream, record)
 }
 
-// archive appends committed entries to the stream; one answer in four is lost.
-func (w *world) archive(node *process) {
+// archive appends committed entries to the stream. A quarter of the responses are
+// lost.
+func (sim *simulation) archive(node *process) {
 	entries := node.replica.CommittedEntries(node.replica.ArchivedIndex(), archiveBytes)
 	if len(entries) == 0 {
 		return
 	}
 	record, err := replication.EncodeEntries(shardNumber, generation, entries)
-	w.check(err == nil, "no record: %v", err)
-	w.stream = append(w.stream, record)
-	if w.random.Intn(4) > 0 {
+	sim.check(err == nil, "encoding entries: %v", err)
+	sim.stream = append(sim.stream, record)
+	if sim.random.Intn(4) > 0 {
 		node.replica.SetArchived(entries[len(entries)-1].Index)
 	}
 }
 
-// readStream reads the stream from its start and checks that it holds what was
-// committed, in order.
-func (w *world) readStream() *replication.Archive {
+// readStream reads the stream from its start and checks it against the committed
+// entries.
+func (sim *simulation) readStream() *replication.Archive {
 	archive := replication.NewArchive(shardNumber)
-	for _, record := range w.stream {
+	for _, record := range sim.stream {
 		entries, err := archive.Read(record)
-		w.check(err == nil, "bad record: %v", err)
+		sim.check(err == nil, "reading record: %v", err)
 		for _, entry := range entries {
-			w.check(entry.Epoch == w.entries[entry.Index].Epoch, "stream has another entry %d", entry.Index)
+			sim.check(entry.Epoch == sim.entries[entry.Index].Epoch, "stream has a different entry at index %d", entry.Index)
 		}
 	}
 	return archive
 }
 
-// killAndClaim kills random processes until the stream's reader may rebuild the
-// group, then watches that the old group commits no more.
-func killAndClaim(seed int64) (*world, bool) {
+// killAndRebuild kills random processes. If the stream then allows a claim, it checks
+// that the previous group commits nothing more.
+func killAndRebuild(seed int64) (*simulation, bool) {
 	random := rand.New(rand.NewSource(seed))
 	rates := drawRates(random)
-	rates.order = stormIntensity * random.Float64()
-	w := newWorld(seed, []string{"a", "b", "c", "d", "e"}, rates)
-	w.run(time.Duration(random.Int63n(int64(faultyTime))) + time.Second)
+	rates.adminOperation = highFaultIntensity * random.Float64()
+	sim := newSimulation(seed, []string{"a", "b", "c", "d", "e"}, rates)
+	sim.run(time.Duration(random.Int63n(int64(faultyTime))) + time.Second)
 	killed := map[string]bool{}
 	isGone := func(name string) bool { return killed[name] }
-	for _, victim := range random.Perm(len(w.processes))[:1+random.Intn(4)] {
-		node := w.processes[victim]
-		node.pausedUntil = w.now + deathTime
+	for _, victim := range random.Perm(len(sim.processes))[:1+random.Intn(4)] {
+		node := sim.processes[victim]
+		node.pausedUntil = sim.now + killDuration
 		killed[node.name] = true
-		w.run(w.now + time.Duration(random.Int63n(int64(2*time.Second))))
+		sim.run(sim.now + time.Duration(random.Int63n(int64(2*time.Second))))
 	}
-	_, err := w.readStream().NextClaim("rebuilt", nil, isGone)
+	_, err := sim.readStream().NextClaim("rebuilt", nil, isGone)
 	if err != nil {
-		return w, false
+		return sim, false
 	}
-	w.heal()
-	w.run(w.now + w.config.RebuildDelay())
-	committed := w.lastIndex
-	w.check(w.leaseHolder() == nil, "a lease is held after the rebuild's delay")
-	w.run(w.now + afterProof)
-	w.check(w.lastIndex == committed, "the old group commits after the proof")
-	return w, true
+	sim.heal()
+	sim.run(sim.now + sim.config.RebuildDelay())
+	committed := sim.lastIndex
+	sim.check(sim.leaseHolder() == nil, "a lease is held after the rebuild delay")
+	sim.run(sim.now + observationTime)
+	sim.check(sim.lastIndex == committed, "the previous group committed entries after the rebuild delay")
+	return sim, true
 }
 
-var _ = Describe("The rebuilding of a group", func() {
-	It("is claimed only when the old group can commit nothing more", func() {
+var _ = Describe("Rebuilding a group", func() {
+	It("is allowed only if the previous group can commit nothing more", func() {
 		claimed := 0
 		for seed := range int64(environmentNumber(schedulesEnvironment, rebuildSchedules)) {
-			w, claims := killAndClaim(seed)
-			Expect(w.failure).To(BeEmpty(), "seed %d", seed)
+			sim, claims := killAndRebuild(seed)
+			Expect(sim.failure).To(BeEmpty(), "seed %d", seed)
 			if claims {
 				claimed++
 			}
--- a/internal/replication/replica.go
+++ b/internal/replication/replica.go
@@ -9,7 +9,7 @@
 	"github.com/magpielug/magpielug/charts"
 )
 
-// Replica is one replica of a shard. It belongs to one goroutine.
+// Replica is one replica of a shard. It must be used by only one goroutine.
 type Replica struct {
 	config     Config
 	random     *rand.Rand
@@ -23,38 +23,38 @@
 	leader   Incarnation
 
 	log entryLog
-	// commit is the last entry known to be committed, emitted the last one
-	// handed to the host. They differ only between a step and its Ready.
+	// commit is the last index known to be committed, delivered the last one passed
+	// to the host. They differ only between an input and the next Ready.
 	commit       uint64
-	emitted      uint64
+	delivered    uint64
 	members      []Member
 	membersIndex uint64
 
-	// Until promiseEnd no vote is given, since the leader last heard may hold
-	// a lease. It is never shortened, whichever leader comes after.
-	promiseEnd       time.Duration
+	// No vote is granted before noVoteBefore, since the last known leader may hold a
+	// lease. It is never moved back, even if the leader changes.
+	noVoteBefore     time.Duration
 	electionDeadline time.Duration
 	joinDeadline     time.Duration
 	votes            map[Incarnation]bool
-	ballot           ballot
+	voteKind         voteKind
 
-	lead     *leadership
-	incoming *incomingSnapshot
+	leaderState      *leaderState
+	incomingSnapshot *incomingSnapshot
 
-	outbox        []Envelope
-	restore       *RestoredState
-	reportedRole  Role
-	reportedEpoch Epoch
-	reportedLead  Incarnation
-	reportedIndex uint64
+	outbox               []Envelope
+	pendingRestore       *RestoredState
+	reportedRole         Role
+	reportedEpoch        Epoch
+	reportedLeader       Incarnation
+	reportedMembersIndex uint64
 }
 
-// New makes a replica at the time now. A self that is among the group's members
-// founds the group; its host has restored the state machine up to base. Any
-// other self is a learner that asks the members' processes to be taken in.
+// New creates a replica at the time now. If self is one of the group's members, it is
+// a founding member whose host has restored the state machine up to base. Otherwise
+// it is a learner that asks the members' processes to join.
 //
-// The incarnation must come from the process's Registry, and random from a
-// source seeded differently at every start of the process.
+// The incarnation must come from the process's Registry, and random must be seeded
+// differently each time the process starts.
 func New(config Config, now time.Duration, self Member, group Group, base Base, random *rand.Rand) (*Replica, error) {
 	if err := config.Validate(); err != nil {
 		return nil, err
@@ -74,7 +74,7 @@
 		replica.log.baseMembers = replica.members
 		return replica, nil
 	}
-	replica.fire(charts.ReplicaEventMemberCommitted)
+	replica.applyEvent(charts.ReplicaEventMemberCommitted)
 	replica.log = entryLog{
 		previousIndex:    base.Index,
 		previousEpoch:    base.Epoch,
@@ -83,15 +83,15 @@
 		baseMembersIndex: base.Index,
 	}
 	replica.commit = base.Index
-	replica.emitted = base.Index
+	replica.delivered = base.Index
 	replica.membersIndex = base.Index
 	replica.electionDeadline = now + replica.firstElectionDelay()
 	return replica, nil
 }
 
-// fire takes the replica along its chart. It returns false for an event that
-// the chart refuses in the present role.
-func (r *Replica) fire(event charts.ReplicaEvent) bool {
+// applyEvent moves the replica to the next state of its state chart. It returns false
+// if the event is not valid in the current role.
+func (r *Replica) applyEvent(event charts.ReplicaEvent) bool {
 	next, refusal := charts.Replica.Next(r.role, event)
 	if refusal != nil {
 		return false
@@ -100,8 +100,8 @@
 	return true
 }
 
-// firstElectionDelay lets the first member named campaign at once: no leader of
-// the generation can hold a lease yet.
+// firstElectionDelay lets the first member of the group start an election immediately,
+// since no leader of the generation can hold a lease yet.
 func (r *Replica) firstElectionDelay() time.Duration {
 	if r.members[0].Incarnation == r.self.Incarnation {
 		return 0
@@ -114,19 +114,19 @@
 	return r.config.ElectionTimeoutMin + time.Duration(r.random.Int63n(int64(spread)))
 }
 
-// Shard returns the number of the shard.
+// Shard returns the shard number.
 func (r *Replica) Shard() uint32 { return r.shard }
 
-// Self returns the replica itself.
+// Self returns the replica's own member entry.
 func (r *Replica) Self() Member { return r.self }
 
-// Role returns the role in the replica's state chart.
+// Role returns the current role.
 func (r *Replica) Role() Role { return r.role }
 
-// Epoch returns the highest epoch the replica has taken part in.
+// Epoch returns the current epoch.
 func (r *Replica) Epoch() Epoch { return r.epoch }
 
-// Leader returns the leader of the epoch, or "" while it isn't known.
+// Leader returns the leader of the current epoch, or "" if it is not known.
 func (r *Replica) Leader() Incarnation { return r.leader }
 
 // Members returns the latest group in the log, committed or not.
@@ -135,23 +135,23 @@
 // CommittedIndex returns the last index known to be committed.
 func (r *Replica) CommittedIndex() uint64 { return r.commit }
 
-// ArchivedIndex returns the last index known to stand in the platform's log.
+// ArchivedIndex returns the last index known to be stored in the platform's log.
 func (r *Replica) ArchivedIndex() uint64 { return r.log.archived }
 
 // BacklogBytes returns the size of the entries that are not yet archived.
 func (r *Replica) BacklogBytes() int { return r.log.backlogBytes }
 
-// CommittedEntries returns committed entries after an index, as many as fit
-// into maxBytes and at least one, if the log still holds them. A new leader
-// takes from here, from ArchivedIndex on, what it has to archive.
+// CommittedEntries returns committed entries after an index, limited to maxBytes but
+// at least one. It returns nil if the log no longer holds them. The leader archives
+// the entries after ArchivedIndex.
 func (r *Replica) CommittedEntries(after uint64, maxBytes int) []Entry {
 	return r.entriesBetween(after, r.commit, maxBytes)
 }
 
-// TailEntries returns entries after an index, committed or not, as many as fit
-// into maxBytes and at least one, if the log still holds them. Only a host with
-// the proof that a majority of the generation's members is gone may archive
-// them: then no other entry can be committed in their place.
+// TailEntries returns entries after an index, committed or not, limited to maxBytes
+// but at least one. It returns nil if the log no longer holds them. A host may
+// archive them only with proof that a majority of the generation's members is gone,
+// since then no other entries can be committed in their place.
 func (r *Replica) TailEntries(after uint64, maxBytes int) []Entry {
 	return r.entriesBetween(after, r.log.lastIndex(), maxBytes)
 }
@@ -168,13 +168,13 @@
 	return entries
 }
 
-// SetArchived tells that committed entries up to index stand in the platform's
-// log. On the leader it spreads to the members.
+// SetArchived records that committed entries up to index are stored in the platform's
+// log. The leader propagates this to the members.
 func (r *Replica) SetArchived(index uint64) {
 	r.log.setArchived(min(index, r.commit))
 }
 
-// Tick takes note of the time. It is due several times a HeartbeatInterval.
+// Tick advances timers. It must be called several times per HeartbeatInterval.
 func (r *Replica) Tick(now time.Duration) {
 	switch r.role {
 	case RoleLeader:
@@ -188,18 +188,18 @@
 	}
 }
 
-// Retire ends the replica's part, for instance when the stream shows a claim of
-// a higher generation. It is as if its process had died.
+// Retire ends the replica's participation, for example when the stream contains a
+// claim of a higher generation.
 func (r *Replica) Retire() {
-	r.fire(charts.ReplicaEventRemoved)
+	r.applyEvent(charts.ReplicaEventRemoved)
 	r.leader = ""
-	r.lead = nil
-	r.incoming = nil
+	r.leaderState = nil
+	r.incomingSnapshot = nil
 	r.outbox = nil
 }
 
-// Receive takes in a message from another replica. What isn't meant for this
-// incarnation or comes from an earlier generation is ignored.
+// Receive processes a message from another replica. Messages for other incarnations
+// or from earlier generations are ignored.
 func (r *Replica) Receive(now time.Duration, message *replicationv1.Message) {
 	if r.role == RoleRetired || message.GetShard() != r.shard {
 		return
@@ -227,7 +227,7 @@
 	}
 }
 
-// receiveInEpoch handles the messages that count in their sender's epoch only.
+// receiveInEpoch processes messages that are valid only in their sender's epoch.
 func (r *Replica) receiveInEpoch(now time.Duration, message *replicationv1.Message) {
 	from := Incarnation(message.GetFrom())
 	epoch := Epoch(message.GetEpoch())
@@ -256,11 +256,11 @@
 	case *replicationv1.Message_RetireNotice:
 		r.Retire()
 	default:
-		r.receiveAcknowledgement(now, message)
+		r.receiveResponse(now, message)
 	}
 }
 
-// rejectOldEpoch tells a leader of an earlier epoch that it is one no more.
+// rejectOldEpoch makes the leader of an earlier epoch step down.
 func (r *Replica) rejectOldEpoch(message *replicationv1.Message) {
 	switch message.GetBody().(type) {
 	case *replicationv1.Message_AppendRequest,
@@ -282,18 +282,18 @@
 	r.outbox = append(r.outbox, Envelope{ToProcess: process, Message: message})
 }
 
-// Ready closes a step: it sends what is pending, and returns what the host has
-// to do. It may follow any number of inputs.
+// Ready completes a step: it prepares pending messages and returns what the host must
+// do. It may follow any number of inputs.
 func (r *Replica) Ready(now time.Duration) Output {
 	output := Output{}
 	if r.role == RoleLeader {
 		r.replicate(now)
-		output.SnapshotWanted = r.role == RoleLeader && r.lead.wantsSnapshot()
+		output.SnapshotWanted = r.role == RoleLeader && r.leaderState.needsSnapshot()
 	}
-	output.Restore = r.restore
+	output.Restore = r.pendingRestore
 	output.Committed = r.takeCommitted()
 	output.Messages = r.outbox
-	r.restore = nil
+	r.pendingRestore = nil
 	r.outbox = nil
 	r.compact()
 	r.retireIfRemoved()
@@ -302,21 +302,21 @@
 }
 
 func (r *Replica) takeCommitted() []Entry {
-	if r.emitted == r.commit {
+	if r.delivered == r.commit {
 		return nil
 	}
-	entries := make([]Entry, 0, r.commit-r.emitted)
-	for index := r.emitted + 1; index <= r.commit; index++ {
+	entries := make([]Entry, 0, r.commit-r.delivered)
+	for index := r.delivered + 1; index <= r.commit; index++ {
 		entries = append(entries, decodeEntry(r.log.at(index)))
 	}
-	r.emitted = r.commit
+	r.delivered = r.commit
 	return entries
 }
 
-// compact drops entries that are applied and archived, in strides so that the
-// copying stays cheap.
+// compact removes entries that are applied and archived. It does so in batches to
+// amortize the copying.
 func (r *Replica) compact() {
-	done := min(r.emitted, r.log.archived)
+	done := min(r.delivered, r.log.archived)
 	keep := uint64(r.config.KeepEntries)
 	if done > r.log.previousIndex+keep+keep {
 		r.log.compactTo(done - keep)
@@ -326,19 +326,19 @@
 func (r *Replica) reportChanges(output *Output) {
 	output.RoleChanged = r.role != r.reportedRole ||
 		r.epoch != r.reportedEpoch ||
-		r.leader != r.reportedLead
-	output.MembersChanged = r.membersIndex != r.reportedIndex
+		r.leader != r.reportedLeader
+	output.MembersChanged = r.membersIndex != r.reportedMembersIndex
 	r.reportedRole = r.role
 	r.reportedEpoch = r.epoch
-	r.reportedLead = r.leader
-	r.reportedIndex = r.membersIndex
+	r.reportedLeader = r.leader
+	r.reportedMembersIndex = r.membersIndex
 }
 
-// refreshMembers takes the latest group of the log into force.
+// refreshMembers puts the latest group in the log into effect.
 func (r *Replica) refreshMembers() {
 	r.members, r.membersIndex = r.log.membersAt(r.log.lastIndex())
 	isMember := findMember(r.members, r.self.Incarnation) >= 0
 	if isMember {
-		r.fire(charts.ReplicaEventMemberCommitted)
+		r.applyEvent(charts.ReplicaEventMemberCommitted)
 	}
 }
--- a/internal/replication/replicate.go
+++ b/internal/replication/replicate.go
@@ -6,8 +6,8 @@
 	replicationv1 "github.com/magpielug/magpielug/api/replication/v1"
 )
 
-// replicate sends new entries and advances the commit. Taking members in or
-// out may add entries, which go out in the same step.
+// replicate sends new entries and advances the commit index. Membership changes may
+// append entries, which are sent in the same step.
 func (r *Replica) replicate(now time.Duration) {
 	r.advanceCommit(now)
 	r.advanceMembers(now)
@@ -16,21 +16,21 @@
 	if r.role != RoleLeader {
 		return
 	}
-	for _, peer := range r.lead.peers {
+	for _, peer := range r.leaderState.peers {
 		r.sendEntries(now, peer)
 	}
 }
 
-// sendEntries sends a member all that its window allows.
+// sendEntries sends a member as many entries as its window allows.
 func (r *Replica) sendEntries(now time.Duration, peer *progress) {
-	for peer.snapshot == nil && !peer.wantSnapshot && !peer.awaiting {
-		if peer.next <= r.log.previousIndex {
-			peer.wantSnapshot = true
+	for peer.snapshot == nil && !peer.needsSnapshot && !peer.probeInFlight {
+		if peer.nextIndex <= r.log.previousIndex {
+			peer.needsSnapshot = true
 			return
 		}
 		last := r.log.lastIndex()
-		window := peer.match + uint64(r.config.MaxInflightEntries)
-		if !peer.probing && (peer.next > last || peer.next > window) {
+		window := peer.matchIndex + uint64(r.config.MaxInflightEntries)
+		if !peer.probing && (peer.nextIndex > last || peer.nextIndex > window) {
 			return
 		}
 		r.sendAppend(now, peer)
@@ -38,7 +38,7 @@
 }
 
 func (r *Replica) sendAppend(now time.Duration, peer *progress) {
-	previous := peer.next - 1
+	previous := peer.nextIndex - 1
 	previousEpoch, _ := r.log.epochAt(previous)
 	entries := r.log.between(previous, r.log.lastIndex(), r.config.MaxAppendBytes)
 	request := &replicationv1.AppendRequest{
@@ -52,98 +52,99 @@
 	r.send(peer.member.Incarnation, &replicationv1.Message{
 		Body: &replicationv1.Message_AppendRequest{AppendRequest: request},
 	})
-	peer.lastSend = now
+	peer.lastSentAt = now
 	if peer.probing {
-		peer.awaiting = true
+		peer.probeInFlight = true
 		return
 	}
-	peer.next += uint64(len(entries))
+	peer.nextIndex += uint64(len(entries))
 }
 
-// sendHeartbeat never tells a commit beyond what the member holds. It is spare
-// where an answer to a message sent within half an interval has come: then the
-// time between two answered messages stays within one and a half intervals and
-// an exchange.
+// sendHeartbeat limits the commit index to what the member is known to hold. The
+// heartbeat is optional if the member has acknowledged a message sent within the
+// last half interval. The time between two acknowledged messages is then at most 1.5
+// intervals plus a round trip.
 func (r *Replica) sendHeartbeat(now time.Duration, peer *progress) {
 	heartbeat := &replicationv1.Heartbeat{
-		Commit:   min(r.commit, peer.match),
-		Archived: min(r.log.archived, peer.match),
+		Commit:   min(r.commit, peer.matchIndex),
+		Archived: min(r.log.archived, peer.matchIndex),
 		SentAt:   int64(now),
 	}
 	r.send(peer.member.Incarnation, &replicationv1.Message{
 		Body: &replicationv1.Message_Heartbeat{Heartbeat: heartbeat},
 	})
 	sent := &r.outbox[len(r.outbox)-1]
-	sent.Spare = peer.heard && now-peer.acknowledged < r.config.HeartbeatInterval/2
+	sent.Optional = peer.hasAcked && now-peer.lastAckedSendTime < r.config.HeartbeatInterval/2
 }
 
-// resend starts again after the last entry known to agree, if no answer has
-// come since the last message.
+// resend restarts transmission after the last matching entry if the member has not
+// responded since the last message.
 func (r *Replica) resend(now time.Duration, peer *progress) {
-	if now-peer.lastSend < r.config.HeartbeatInterval {
+	if now-peer.lastSentAt < r.config.HeartbeatInterval {
 		return
 	}
 	if peer.snapshot != nil {
 		r.sendChunk(now, peer)
 		return
 	}
-	if !peer.probing && peer.match < r.log.lastIndex() {
-		peer.next = peer.match + 1
+	if !peer.probing && peer.matchIndex < r.log.lastIndex() {
+		peer.nextIndex = peer.matchIndex + 1
 		peer.probing = true
 	}
-	peer.awaiting = false
+	peer.probeInFlight = false
 }
 
-// receiveAcknowledgement handles a member's answers to its leader.
-func (r *Replica) receiveAcknowledgement(now time.Duration, message *replicationv1.Message) {
+// receiveResponse handles a member's response to its leader.
+func (r *Replica) receiveResponse(now time.Duration, message *replicationv1.Message) {
 	if r.role != RoleLeader {
 		return
 	}
-	peer := r.lead.find(Incarnation(message.GetFrom()))
+	peer := r.leaderState.find(Incarnation(message.GetFrom()))
 	if peer == nil {
 		return
 	}
 	switch body := message.GetBody().(type) {
 	case *replicationv1.Message_HeartbeatResponse:
-		peer.hear(body.HeartbeatResponse.GetSentAt())
+		peer.recordAck(body.HeartbeatResponse.GetSentAt())
 	case *replicationv1.Message_AppendResponse:
-		peer.hear(body.AppendResponse.GetSentAt())
+		peer.recordAck(body.AppendResponse.GetSentAt())
 		r.receiveAppendResponse(peer, body.AppendResponse)
 	case *replicationv1.Message_SnapshotAck:
-		peer.hear(body.SnapshotAck.GetSentAt())
+		peer.recordAck(body.SnapshotAck.GetSentAt())
 		r.receiveSnapshotAck(now, peer, body.SnapshotAck)
 	}
 }
 
-// hear takes an answer as the member's promise from the time of the question.
-func (p *progress) hear(sentAt int64) {
+// recordAck records the send time of an acknowledged message. The lease is counted
+// from it, since the member withholds votes for longer after receiving the message.
+func (p *progress) recordAck(sentAt int64) {
 	if sentAt > 0 {
-		p.heard = true
-		p.acknowledged = max(p.acknowledged, time.Duration(sentAt))
+		p.hasAcked = true
+		p.lastAckedSendTime = max(p.lastAckedSendTime, time.Duration(sentAt))
 	}
 }
 
 func (r *Replica) receiveAppendResponse(peer *progress, response *replicationv1.AppendResponse) {
 	index := response.GetIndex()
 	if !response.GetSuccess() {
-		if index > peer.match && index < peer.next {
-			peer.next = index
+		if index > peer.matchIndex && index < peer.nextIndex {
+			peer.nextIndex = index
 			peer.probing = true
-			peer.awaiting = false
+			peer.probeInFlight = false
 		}
 		return
 	}
 	if index > r.log.lastIndex() {
 		return
 	}
-	if index >= peer.match {
-		peer.match = index
-		peer.next = max(peer.next, index+1)
+	if index >= peer.matchIndex {
+		peer.matchIndex = index
+		peer.nextIndex = max(peer.nextIndex, index+1)
 		peer.probing = false
-		peer.awaiting = false
+		peer.probeInFlight = false
 	}
-	if peer.snapshot != nil && peer.match >= peer.snapshot.index {
+	if peer.snapshot != nil && peer.matchIndex >= peer.snapshot.index {
 		peer.snapshot = nil
-		peer.next = peer.match + 1
+		peer.nextIndex = peer.matchIndex + 1
 	}
 }
--- a/internal/replication/schedule_test.go
+++ b/internal/replication/schedule_test.go
@@ -14,16 +14,16 @@
 )
 
 const (
-	// schedulesEnvironment asks for a longer run, seedEnvironment for the first seed.
+	// schedulesEnvironment sets the number of schedules, seedEnvironment the first seed.
 	schedulesEnvironment = "REPLICATION_SCHEDULES"
 	seedEnvironment      = "REPLICATION_SEED"
 	defaultSchedules     = 150
-	stormIntensity       = 5
+	highFaultIntensity   = 5
 	faultyTime           = 25 * time.Second
-	healedTime           = 20 * time.Second
-	// settleTime lets the members apply all, with no new proposals.
+	recoveryTime         = 20 * time.Second
+	// settleTime lets the members apply all entries, without new proposals.
 	settleTime = 3 * time.Second
-	// finalProposals are made after the healing and must all commit.
+	// finalProposals are made after the network has healed and must all commit.
 	finalProposals = 3
 )
 
@@ -35,12 +35,12 @@
 	return number
 }
 
-// drawRates draws what goes wrong in a schedule, and how often. One in two is a
-// storm, in which leaders seldom last long.
+// drawRates chooses the fault rates of a schedule. Half of the schedules have high
+// rates, under which leaders seldom last long.
 func drawRates(random *rand.Rand) faultRates {
 	intensity := 1.0
 	if random.Intn(2) == 0 {
-		intensity = stormIntensity
+		intensity = highFaultIntensity
 	}
 	chance := func(highest float64) float64 {
 		if random.Intn(2) == 0 {
@@ -52,105 +52,105 @@
 		return intensity * chance(highest)
 	}
 	return faultRates{
-		drop:      chance(0.3),
-		duplicate: chance(0.3),
-		longDelay: chance(0.1),
-		pause:     often(0.4),
-		cut:       often(0.4),
-		restart:   chance(0.4),
-		order:     often(0.5),
+		drop:           chance(0.3),
+		duplicate:      chance(0.3),
+		longDelay:      chance(0.1),
+		pause:          often(0.4),
+		partition:      often(0.4),
+		restart:        chance(0.4),
+		adminOperation: often(0.5),
 	}
 }
 
-// act lets faults and the host's orders happen at a process's tick.
-func (w *world) act(node *process) {
+// injectFaults injects random faults and administrative operations at a process's tick.
+func (sim *simulation) injectFaults(node *process) {
 	happens := func(perSecond float64) bool {
-		return w.random.Float64() < perSecond*tickInterval.Seconds()
+		return sim.random.Float64() < perSecond*tickInterval.Seconds()
 	}
-	if happens(w.rates.cut) {
-		w.cutOff(node)
+	if happens(sim.rates.partition) {
+		sim.partitionProcess(node)
 	}
-	if happens(w.rates.pause) {
-		node.pausedUntil = w.now + time.Duration(w.random.Int63n(int64(3*time.Second)))
+	if happens(sim.rates.pause) {
+		node.pausedUntil = sim.now + time.Duration(sim.random.Int63n(int64(3*time.Second)))
 	}
-	if happens(w.rates.cut / 2) {
-		w.storeDownUntil = w.now + time.Duration(w.random.Int63n(int64(8*time.Second)))
+	if happens(sim.rates.partition / 2) {
+		sim.archiveDownUntil = sim.now + time.Duration(sim.random.Int63n(int64(8*time.Second)))
 	}
-	if happens(w.rates.restart) {
-		w.restart(node)
+	if happens(sim.rates.restart) {
+		sim.restart(node)
 	}
 	if node.replica.Role() != replication.RoleLeader {
 		return
 	}
-	if happens(w.rates.order) {
-		w.order(node)
+	if happens(sim.rates.adminOperation) {
+		sim.runAdminOperation(node)
 	}
-	if w.now >= w.storeDownUntil && w.random.Intn(2) == 0 {
-		w.archive(node)
+	if sim.now >= sim.archiveDownUntil && sim.random.Intn(2) == 0 {
+		sim.archive(node)
 	}
-	w.propose(node)
+	sim.propose(node)
 }
 
-// cutOff cuts a process's zone from one other or, half of the time, from all.
-func (w *world) cutOff(node *process) {
-	if w.random.Intn(2) == 0 {
-		w.cutZones(node.zone, w.processes[w.random.Intn(len(w.processes))].zone)
+// partitionProcess separates a process's zone from another or, half of the time, all.
+func (sim *simulation) partitionProcess(node *process) {
+	if sim.random.Intn(2) == 0 {
+		sim.partitionZones(node.zone, sim.processes[sim.random.Intn(len(sim.processes))].zone)
 		return
 	}
-	for _, other := range w.processes {
-		w.cutZones(node.zone, other.zone)
+	for _, other := range sim.processes {
+		sim.partitionZones(node.zone, other.zone)
 	}
 }
 
-// order is a transfer of the leadership, or a change of the group's processes.
-func (w *world) order(node *process) {
-	now := node.clock(w.now)
+// runAdminOperation requests a leadership transfer or a membership change.
+func (sim *simulation) runAdminOperation(node *process) {
+	now := node.clock(sim.now)
 	members := node.replica.Members()
-	other := w.processes[w.random.Intn(len(w.processes))]
-	switch w.random.Intn(3) {
+	other := sim.processes[sim.random.Intn(len(sim.processes))]
+	switch sim.random.Intn(3) {
 	case 0:
 		_ = node.replica.TransferLeadership(now, "")
 	case 1:
-		if len(members) == w.config.GroupSize {
+		if len(members) == sim.config.GroupSize {
 			_ = node.replica.Admit(now, other.replica.Self())
 		}
 	case 2:
-		if len(members) > w.config.GroupSize {
-			_ = node.replica.Remove(now, members[w.random.Intn(len(members))].Incarnation)
+		if len(members) > sim.config.GroupSize {
+			_ = node.replica.Remove(now, members[sim.random.Intn(len(members))].Incarnation)
 		}
 	}
 }
 
-func (w *world) propose(node *process) {
-	if w.quiet {
+func (sim *simulation) propose(node *process) {
+	if sim.proposalsStopped {
 		return
 	}
-	for range w.random.Intn(4) {
-		w.proposals++
-		data := fmt.Appendf(nil, "%s/%d", node.name, w.proposals)
-		_, _ = node.replica.Propose(node.clock(w.now), data)
+	for range sim.random.Intn(4) {
+		sim.proposals++
+		data := fmt.Appendf(nil, "%s/%d", node.name, sim.proposals)
+		_, _ = node.replica.Propose(node.clock(sim.now), data)
 	}
 }
 
-// converged tells whether every member has applied all that was committed.
-func (w *world) converged() bool {
+// converged reports whether every member has applied all committed entries.
+func (sim *simulation) converged() bool {
 	applied := 0
-	for _, member := range w.committedMembers {
-		for _, node := range w.processes {
-			if node.replica.Self().Incarnation == member.Incarnation && node.state.index == w.lastIndex {
+	for _, member := range sim.committedMembers {
+		for _, node := range sim.processes {
+			if node.replica.Self().Incarnation == member.Incarnation && node.state.index == sim.lastIndex {
 				applied++
 			}
 		}
 	}
-	return applied == len(w.committedMembers)
+	return applied == len(sim.committedMembers)
 }
 
-// proposeFinally proposes at the lease holder and returns the last index.
-func (w *world) proposeFinally() uint64 {
+// proposeAfterHealing proposes at the lease holder and returns the last index.
+func (sim *simulation) proposeAfterHealing() uint64 {
 	last := uint64(0)
-	for _, node := range w.processes {
+	for _, node := range sim.processes {
 		for range finalProposals {
-			index, err := node.replica.Propose(node.clock(w.now), []byte(node.name))
+			index, err := node.replica.Propose(node.clock(sim.now), []byte(node.name))
 			if err == nil {
 				last = index
 			}
@@ -159,40 +159,40 @@
 	return last
 }
 
-// playSchedule runs one schedule and returns its world with any failure.
-func playSchedule(seed int64) *world {
+// runSchedule runs one schedule and returns its simulation with any failure.
+func runSchedule(seed int64) *simulation {
 	random := rand.New(rand.NewSource(seed))
 	zones := []string{"a", "b", "c", "d"}[:3+random.Intn(2)]
-	w := newWorld(seed, zones, drawRates(random))
-	w.run(faultyTime)
-	w.heal()
-	w.storeDownUntil = 0
-	w.run(faultyTime + healedTime)
-	last := w.proposeFinally()
-	w.check(last > 0, "no lease holder after the healing")
-	w.run(faultyTime + healedTime + time.Second)
-	w.check(w.lastIndex >= last, "final proposals are not committed")
-	w.check(len(w.committedMembers) >= w.config.GroupSize, "group is left with %d members", len(w.committedMembers))
-	w.quiet = true
-	w.run(w.now + settleTime)
-	w.check(w.converged(), "members have not applied the same")
-	return w
+	sim := newSimulation(seed, zones, drawRates(random))
+	sim.run(faultyTime)
+	sim.heal()
+	sim.archiveDownUntil = 0
+	sim.run(faultyTime + recoveryTime)
+	last := sim.proposeAfterHealing()
+	sim.check(last > 0, "no lease holder after the network healed")
+	sim.run(faultyTime + recoveryTime + time.Second)
+	sim.check(sim.lastIndex >= last, "the final proposals are not committed")
+	sim.check(len(sim.committedMembers) >= sim.config.GroupSize, "the group has only %d members", len(sim.committedMembers))
+	sim.proposalsStopped = true
+	sim.run(sim.now + settleTime)
+	sim.check(sim.converged(), "not all members have applied all committed entries")
+	return sim
 }
 
 var _ = Describe("Replicas on a faulty network", func() {
-	It("keeps one leader an epoch, one lease and every committed entry", func() {
+	It("have one leader per epoch, one lease holder, and keep every committed entry", func() {
 		schedules := environmentNumber(schedulesEnvironment, defaultSchedules)
 		first := environmentNumber(seedEnvironment, 1)
 		start := time.Now()
 		totals := checker{}
 		for seed := first; seed < first+schedules; seed++ {
-			w := playSchedule(int64(seed))
-			Expect(w.failure).To(BeEmpty(), "seed %d", seed)
-			totals.lastIndex += w.lastIndex
-			totals.restarts += w.restarts
-			totals.elections += w.elections
-			totals.changes += w.changes
-			totals.snapshots += w.snapshots
+			sim := runSchedule(int64(seed))
+			Expect(sim.failure).To(BeEmpty(), "seed %d", seed)
+			totals.lastIndex += sim.lastIndex
+			totals.restarts += sim.restarts
+			totals.elections += sim.elections
+			totals.changes += sim.changes
+			totals.snapshots += sim.snapshots
 		}
 		GinkgoWriter.Printf("schedules %d in %s: %d entries, %d elections, %d restarts, %d member changes, %d snapshot chunks\n",
 			schedules, time.Since(start).Round(time.Millisecond),
--- a/internal/replication/snapshot.go
+++ b/internal/replication/snapshot.go
@@ -8,14 +8,14 @@
 	replicationv1 "github.com/magpielug/magpielug/api/replication/v1"
 )
 
-// outgoingSnapshot is a transfer to a member that lags behind the log.
+// outgoingSnapshot is a snapshot transfer to a member that lags behind the log.
 type outgoingSnapshot struct {
 	index   uint64
 	payload []byte
 	offset  uint64
 }
 
-// incomingSnapshot collects a transfer from the epoch's leader.
+// incomingSnapshot collects the chunks of a snapshot from the leader.
 type incomingSnapshot struct {
 	epoch Epoch
 	index uint64
@@ -23,42 +23,42 @@
 	data  []byte
 }
 
-// ProvideSnapshot hands over the state machine's state, with all entries of
-// every Output so far applied, for the members that an Output asked it for. It
-// is dropped once they have it.
+// ProvideSnapshot passes the state machine's state, with the entries of all previous
+// Outputs applied, for transfer to the members that need a snapshot. It is released
+// when they have received it.
 func (r *Replica) ProvideSnapshot(now time.Duration, state []byte) error {
-	if r.role != RoleLeader || !r.lead.wantsSnapshot() {
+	if r.role != RoleLeader || !r.leaderState.needsSnapshot() {
 		return ErrNoSnapshotWanted
 	}
 	payload, err := proto.Marshal(r.encodeSnapshot(state))
 	if err != nil {
 		return err
 	}
-	for _, peer := range r.lead.peers {
-		if !peer.wantSnapshot {
+	for _, peer := range r.leaderState.peers {
+		if !peer.needsSnapshot {
 			continue
 		}
-		peer.wantSnapshot = false
-		peer.snapshot = &outgoingSnapshot{index: r.emitted, payload: payload}
+		peer.needsSnapshot = false
+		peer.snapshot = &outgoingSnapshot{index: r.delivered, payload: payload}
 		r.sendChunk(now, peer)
 	}
 	return nil
 }
 
-// encodeSnapshot adds the entries that are not yet archived, since the receiver
-// may become the leader that has to archive them.
+// encodeSnapshot includes the entries that are not yet archived, since the receiver
+// may become the leader that must archive them.
 func (r *Replica) encodeSnapshot(state []byte) *replicationv1.Snapshot {
-	previous := min(r.log.archived, r.emitted)
+	previous := min(r.log.archived, r.delivered)
 	previousEpoch, _ := r.log.epochAt(previous)
-	epoch, _ := r.log.epochAt(r.emitted)
-	members, membersIndex := r.log.membersAt(r.emitted)
+	epoch, _ := r.log.epochAt(r.delivered)
+	members, membersIndex := r.log.membersAt(r.delivered)
 	return &replicationv1.Snapshot{
-		Index:         r.emitted,
+		Index:         r.delivered,
 		Epoch:         uint64(epoch),
 		Members:       EncodeMembers(members),
 		MembersIndex:  membersIndex,
 		State:         state,
-		Unarchived:    r.log.entries[previous-r.log.previousIndex : r.emitted-r.log.previousIndex],
+		Unarchived:    r.log.entries[previous-r.log.previousIndex : r.delivered-r.log.previousIndex],
 		PreviousIndex: previous,
 		PreviousEpoch: uint64(previousEpoch),
 	}
@@ -75,21 +75,21 @@
 		Data:   transfer.payload[transfer.offset:end],
 		SentAt: int64(now),
 	}
-	peer.lastSend = now
+	peer.lastSentAt = now
 	r.send(peer.member.Incarnation, &replicationv1.Message{
 		Body: &replicationv1.Message_SnapshotChunk{SnapshotChunk: chunk},
 	})
 }
 
-// receiveSnapshotAck sends the chunk that the member lacks next, which may be an
-// earlier one if it has lost what it had. Only the answer to the last chunk
-// sent tells what it has now.
+// receiveSnapshotAck sends the next chunk that the member needs, which may be an
+// earlier one if the member lost its data. Only the response to the last chunk sent
+// is considered.
 func (r *Replica) receiveSnapshotAck(now time.Duration, peer *progress, ack *replicationv1.SnapshotAck) {
 	transfer := peer.snapshot
 	isCurrent := transfer != nil &&
 		transfer.index == ack.GetIndex() &&
 		ack.GetReceived() < uint64(len(transfer.payload)) &&
-		time.Duration(ack.GetSentAt()) == peer.lastSend
+		time.Duration(ack.GetSentAt()) == peer.lastSentAt
 	if !isCurrent {
 		return
 	}
@@ -97,23 +97,23 @@
 	r.sendChunk(now, peer)
 }
 
-// receiveSnapshotChunk collects chunks in order, and installs the whole.
+// receiveSnapshotChunk collects chunks in order and installs the complete snapshot.
 func (r *Replica) receiveSnapshotChunk(now time.Duration, from Incarnation, chunk *replicationv1.SnapshotChunk) {
 	if chunk.GetIndex() <= r.commit {
-		r.incoming = nil
+		r.incomingSnapshot = nil
 		r.send(from, appendResponse(true, r.commit, chunk.GetSentAt()))
 		return
 	}
-	if r.incoming != nil && r.incoming.epoch == r.epoch && r.incoming.index > chunk.GetIndex() {
+	if r.incomingSnapshot != nil && r.incomingSnapshot.epoch == r.epoch && r.incomingSnapshot.index > chunk.GetIndex() {
 		return
 	}
 	r.collect(chunk)
-	if uint64(len(r.incoming.data)) < r.incoming.total {
+	if uint64(len(r.incomingSnapshot.data)) < r.incomingSnapshot.total {
 		r.acknowledgeChunk(from, chunk)
 		return
 	}
-	payload := r.incoming.data
-	r.incoming = nil
+	payload := r.incomingSnapshot.data
+	r.incomingSnapshot = nil
 	snapshot := &replicationv1.Snapshot{}
 	if err := proto.Unmarshal(payload, snapshot); err != nil || snapshot.GetIndex() != chunk.GetIndex() {
 		return
@@ -123,26 +123,26 @@
 }
 
 func (r *Replica) collect(chunk *replicationv1.SnapshotChunk) {
-	isSame := r.incoming != nil &&
-		r.incoming.epoch == r.epoch &&
-		r.incoming.index == chunk.GetIndex() &&
-		r.incoming.total == chunk.GetTotal()
+	isSame := r.incomingSnapshot != nil &&
+		r.incomingSnapshot.epoch == r.epoch &&
+		r.incomingSnapshot.index == chunk.GetIndex() &&
+		r.incomingSnapshot.total == chunk.GetTotal()
 	if !isSame {
-		r.incoming = &incomingSnapshot{
+		r.incomingSnapshot = &incomingSnapshot{
 			epoch: r.epoch,
 			index: chunk.GetIndex(),
 			total: chunk.GetTotal(),
 		}
 	}
-	if chunk.GetOffset() == uint64(len(r.incoming.data)) {
-		r.incoming.data = append(r.incoming.data, chunk.GetData()...)
+	if chunk.GetOffset() == uint64(len(r.incomingSnapshot.data)) {
+		r.incomingSnapshot.data = append(r.incomingSnapshot.data, chunk.GetData()...)
 	}
 }
 
 func (r *Replica) acknowledgeChunk(to Incarnation, chunk *replicationv1.SnapshotChunk) {
 	ack := &replicationv1.SnapshotAck{
 		Index:    chunk.GetIndex(),
-		Received: uint64(len(r.incoming.data)),
+		Received: uint64(len(r.incomingSnapshot.data)),
 		SentAt:   chunk.GetSentAt(),
 	}
 	r.send(to, &replicationv1.Message{
@@ -150,12 +150,12 @@
 	})
 }
 
-// install takes a snapshot's state. A log that holds the snapshot's entry keeps
-// what follows it, since the leader may count on it.
+// install replaces the log and state by a snapshot. If the log already contains the
+// snapshot's last entry, the log is kept, since the leader may rely on later entries.
 func (r *Replica) install(now time.Duration, snapshot *replicationv1.Snapshot) {
 	index := snapshot.GetIndex()
 	if held, known := r.log.epochAt(index); known && held == Epoch(snapshot.GetEpoch()) && index > 0 {
-		r.learnCommit(index, snapshot.GetPreviousIndex())
+		r.updateCommit(index, snapshot.GetPreviousIndex())
 		return
 	}
 	r.log = entryLog{
@@ -169,8 +169,8 @@
 		r.log.append(entry)
 	}
 	r.commit = index
-	r.emitted = index
-	r.restore = &RestoredState{Index: index, State: snapshot.GetState()}
+	r.delivered = index
+	r.pendingRestore = &RestoredState{Index: index, State: snapshot.GetState()}
 	r.electionDeadline = now + r.electionDelay()
 	r.refreshMembers()
 }
--- a/internal/replication/transfer.go
+++ b/internal/replication/transfer.go
@@ -7,9 +7,9 @@
 	"github.com/magpielug/magpielug/charts"
 )
 
-// TransferLeadership hands the leadership to a member, or to the one that has
-// caught up most if to is empty. Proposals are refused meanwhile. The transfer
-// is given up after ElectionTimeoutMax if the target doesn't catch up.
+// TransferLeadership transfers the leadership to a member, or to the most up-to-date
+// one if to is empty. Proposals are rejected until the transfer ends. It is aborted
+// after ElectionTimeoutMax if the target has not caught up.
 func (r *Replica) TransferLeadership(now time.Duration, to Incarnation) error {
 	if r.role != RoleLeader {
 		return ErrNotLeader
@@ -17,24 +17,24 @@
 	if to == "" {
 		to = r.bestTransferTarget()
 	}
-	peer := r.lead.find(to)
+	peer := r.leaderState.find(to)
 	if peer == nil || peer.learner {
 		return ErrUnknownMember
 	}
-	r.lead.transferTo = to
-	r.lead.transferEnd = now + r.config.ElectionTimeoutMax
+	r.leaderState.transferTo = to
+	r.leaderState.transferDeadline = now + r.config.ElectionTimeoutMax
 	return nil
 }
 
 func (r *Replica) bestTransferTarget() Incarnation {
 	var best *progress
-	for _, peer := range r.lead.peers {
+	for _, peer := range r.leaderState.peers {
 		if peer.learner {
 			continue
 		}
 		isBetter := best == nil ||
-			peer.match > best.match ||
-			(peer.match == best.match && peer.acknowledged > best.acknowledged)
+			peer.matchIndex > best.matchIndex ||
+			(peer.matchIndex == best.matchIndex && peer.lastAckedSendTime > best.lastAckedSendTime)
 		if isBetter {
 			best = peer
 		}
@@ -45,19 +45,19 @@
 	return best.member.Incarnation
 }
 
-// advanceTransfer steps down before it sends the order: the order makes voters
-// pass by their promise, so no lease may rest on it any more.
+// advanceTransfer steps down before it sends the transfer order: the order lets the
+// target bypass the voters' lease check, so the lease must be given up first.
 func (r *Replica) advanceTransfer(now time.Duration) {
-	target := r.lead.transferTo
+	target := r.leaderState.transferTo
 	if target == "" {
 		return
 	}
-	peer := r.lead.find(target)
-	if peer == nil || now >= r.lead.transferEnd {
-		r.lead.transferTo = ""
+	peer := r.leaderState.find(target)
+	if peer == nil || now >= r.leaderState.transferDeadline {
+		r.leaderState.transferTo = ""
 		return
 	}
-	if peer.match < r.log.lastIndex() {
+	if peer.matchIndex < r.log.lastIndex() {
 		return
 	}
 	r.becomeFollower(now, r.epoch, charts.ReplicaEventLeaseLost)
