--- a/internal/replication/rebuild_test.go
+++ b/internal/replication/rebuild_test.go
@@ -14,7 +14,7 @@
 	rebuildSchedules = 150
 	// killDuration outlasts the schedule.
 	killDuration = 24 * time.Hour
-	// observationTime is how long the previous group is observed after the claim.
+	// observationTime is how long the previous group is observed after the rebuild delay.
 	observationTime = 20 * time.Second
 	// archiveBytes limits the size of an archive record in these tests.
 	archiveBytes = 4 << 10
