--- a/internal/assignment/assignment.go
+++ b/internal/assignment/assignment.go
@@ -181,7 +181,7 @@
 		return ""
 	}
 	candidates = assigner.withoutFailures(session, candidates, now)
-	assigner.recordPrompt(session.PromptTokens)
+	assigner.updateMeanPromptTokens(session.PromptTokens)
 	requests := assigner.requestsByEngine(now)
 	engine, found := assigner.existing(session, candidates, requests)
 	if !found {
@@ -222,8 +222,8 @@
 	return candidate.Slots - spareSlots
 }
 
-// recordPrompt updates the average length of prompts.
-func (assigner *Assigner) recordPrompt(tokens int) {
+// updateMeanPromptTokens adds a prompt's length to the moving average.
+func (assigner *Assigner) updateMeanPromptTokens(tokens int) {
 	switch {
 	case tokens <= 0:
 	case assigner.meanPromptTokens == 0:
@@ -246,7 +246,7 @@
 // requestsByEngine returns the number of requests at the engines, including recently assigned
 // ones.
 func (assigner *Assigner) requestsByEngine(now time.Time) map[string]int {
-	sum := assigner.reportedByEngine(now)
+	sum := assigner.reportedRunning(now)
 	assigner.recentAssignments = slices.DeleteFunc(assigner.recentAssignments, func(placed recentAssignment) bool { return now.Sub(placed.at) > recentAssignmentTTL })
 	for _, placed := range assigner.recentAssignments {
 		sum[placed.engine]++
@@ -254,8 +254,9 @@
 	return sum
 }
 
-// reportedByEngine sums the valid reports.
-func (assigner *Assigner) reportedByEngine(now time.Time) map[string]int {
+// reportedRunning returns the running requests by engine, summed over the reports that have not
+// expired.
+func (assigner *Assigner) reportedRunning(now time.Time) map[string]int {
 	sum := map[string]int{}
 	for node, reported := range assigner.reports {
 		if now.Sub(reported.at) > reportTTL {
