--- a/internal/backend/breaker_test.go
+++ b/internal/backend/breaker_test.go
@@ -198,7 +198,8 @@
 	It("prefers repeatable requests as probes", func() {
 		sim := newBreakerSim(60, 44)
 		sim.repeatableShare = 0.5
-		// At this rate a node rarely receives no repeatable request while a probe is due.
+		// At this rate, a node usually receives a repeatable request before a due probe may use
+		// another one.
 		sim.interval = time.Millisecond
 		probes := map[bool]int{}
 		sim.answer = func(engine, _ string, at time.Duration) (backend.Outcome, time.Duration) {
--- a/internal/backend/directory.go
+++ b/internal/backend/directory.go
@@ -59,8 +59,8 @@
 	avoidUntil time.Time
 	// fullUntil is the end of the backoff after a refusal.
 	fullUntil time.Time
-	// The engine is suspected until noResponseUntil because a request got no response, and
-	// until reportedUntil because other nodes avoid it.
+	// noResponseUntil is when the suspicion caused by a request without a response ends,
+	// reportedUntil when the one caused by other nodes' reports ends.
 	noResponseUntil time.Time
 	reportedUntil   time.Time
 	// recentLatency holds the recent latency observations, unreported those not yet reported to
--- a/internal/backend/overload_simulation_test.go
+++ b/internal/backend/overload_simulation_test.go
@@ -321,8 +321,9 @@
 }
 
 const (
-	// maxAttemptsPerServed is the maximum number of attempts per served request: one, plus a
-	// tenth from the retry budget and as much from its minimum rate.
+	// maxAttemptsPerServed is the maximum number of attempts per served request: 1 for the first
+	// attempt, 0.1 for the retries that successes earn, and 0.1 for the retries that the budget
+	// allows regardless of successes.
 	maxAttemptsPerServed = 1.2
 	// maxAttemptsWithoutView is the maximum if nodes do not share their load, and each has to
 	// learn its limits from refusals.
--- a/internal/backend/speed.go
+++ b/internal/backend/speed.go
@@ -57,13 +57,13 @@
 	}
 	directory.mutex.Lock()
 	defer directory.mutex.Unlock()
-	speeds := map[string]float32{}
+	slowness := map[string]float32{}
 	for id, engine := range directory.engines {
 		if engine.longTermLatency.Weight > 0 {
-			speeds[id] = float32(engine.longTermLatency.longTermSlowness(now))
+			slowness[id] = float32(engine.longTermLatency.longTermSlowness(now))
 		}
 	}
-	return speeds
+	return slowness
 }
 
 // SetRemoteSpeeds sets the Speeds of another node. Engines without a valid value count as
--- a/internal/backend/wait_queue.go
+++ b/internal/backend/wait_queue.go
@@ -231,7 +231,7 @@
 	}
 	pending.pollScheduled = false
 	now := queue.now()
-	queue.wakeUpTo(pending, queue.wakeLimit(service, now))
+	queue.wakeAtMost(pending, queue.wakeLimit(service, now))
 	queue.schedulePoll(service, pending, now)
 }
 
@@ -254,7 +254,7 @@
 		return
 	}
 	if !queue.capacityAware() || queue.capacity.FreeCapacity(service, now) > 0 {
-		queue.wakeUpTo(pending, 1)
+		queue.wakeAtMost(pending, 1)
 	}
 	queue.schedulePoll(service, pending, now)
 }
@@ -271,14 +271,15 @@
 	queue.capacity.UpdateLoad(queue.counts(), now)
 	for service, pending := range queue.services {
 		if len(pending.requests) > 0 {
-			queue.wakeUpTo(pending, queue.capacity.FreeCapacity(service, now))
+			queue.wakeAtMost(pending, queue.capacity.FreeCapacity(service, now))
 			queue.schedulePoll(service, pending, now)
 		}
 	}
 }
 
-// wakeUpTo wakes up to limit requests that may be sent, in order. The caller holds the mutex.
-func (queue *WaitQueue) wakeUpTo(pending *serviceQueue, limit int) {
+// wakeAtMost wakes the first requests that may be sent, at most limit of them. The caller holds the
+// mutex.
+func (queue *WaitQueue) wakeAtMost(pending *serviceQueue, limit int) {
 	var skipped []*queuedRequest
 	for woken := 0; woken < limit && len(pending.requests) > 0; {
 		first := heap.Pop(&pending.requests).(*queuedRequest)
--- a/internal/backend/wait_queue_capacity_test.go
+++ b/internal/backend/wait_queue_capacity_test.go
@@ -13,7 +13,8 @@
 type fakeCapacity struct {
 	free    int
 	retryAt time.Time
-	updated map[load.QueueKey]int
+	// waiting is the argument of the last UpdateLoad.
+	waiting map[load.QueueKey]int
 }
 
 func (source *fakeCapacity) FreeCapacity(string, time.Time) int { return source.free }
@@ -21,7 +22,7 @@
 	return source.retryAt, !source.retryAt.IsZero()
 }
 func (source *fakeCapacity) UpdateLoad(waiting map[load.QueueKey]int, _ time.Time) {
-	source.updated = waiting
+	source.waiting = waiting
 }
 
 // manualQueue is a queue with a fixed clock. delays and timers are those of its scheduled
@@ -74,7 +75,7 @@
 	expect.Expect(queue.CountByPriority("s")).To(Equal(map[int]int{1: 5}), "no free capacity after a request has finished")
 	queue.source.free = 2
 	queue.WakeForLoadUpdate()
-	expect.Expect(queue.source.updated).To(Equal(map[load.QueueKey]int{{Service: "s", Priority: 1}: 5}))
+	expect.Expect(queue.source.waiting).To(Equal(map[load.QueueKey]int{{Service: "s", Priority: 1}: 5}))
 	expect.Expect(queue.CountByPriority("s")).To(Equal(map[int]int{1: 3}))
 	queue.WakeNext("s")
 	expect.Expect(queue.CountByPriority("s")).To(Equal(map[int]int{1: 2}))
