--- a/internal/forward/call.go
+++ b/internal/forward/call.go
@@ -31,7 +31,8 @@
 	// Key is the credential of the tenant that sends the call, empty if there is none or it
 	// cannot be parsed.
 	Key string
-	// Tenant is the name of that tenant, set when the key is looked up; empty if there is none.
+	// Tenant is the name of the tenant that Key identifies, set when Key is looked up; empty if
+	// there is none.
 	Tenant string
 
 	Received time.Time
--- a/internal/forward/service.go
+++ b/internal/forward/service.go
@@ -173,7 +173,8 @@
 	maxBufferedBytes = 1 << 20
 	// initialBufferBytes is the initial size of a response's buffer.
 	initialBufferBytes = 4 << 10
-	// relayBufferBytes is the read size for the remainder of a longer response.
+	// relayBufferBytes is the size of the reads that relay the rest of a response that is longer
+	// than its buffer.
 	relayBufferBytes = 16 << 10
 )
 
--- a/internal/forward/views.go
+++ b/internal/forward/views.go
@@ -27,9 +27,9 @@
 	ConfigurationAge() time.Duration
 }
 
-// AwaitFreshViews waits while the configuration and the list of engines predate a freeze, up to
-// freshViewTimeout. A node that has just resumed could otherwise send the request to an engine
-// that no longer exists, or accept a route or key that is no longer valid.
+// AwaitFreshViews waits until the configuration and the list of engines have been refreshed since
+// the process last froze, for at most freshViewTimeout. The node could otherwise send the request
+// to an engine that no longer exists, or accept a route or key that is no longer valid.
 func AwaitFreshViews(ctx context.Context, views Views, request string, logger *zap.Logger) {
 	if views == nil || views.Current() {
 		return
