--- a/internal/node/load_benchmark_test.go
+++ b/internal/node/load_benchmark_test.go
@@ -11,8 +11,8 @@
 	"github.com/magpielug/magpielug/internal/load"
 )
 
-// newTargetAggregator returns an aggregator at the target size, and the requests of its zone's
-// nodes.
+// newTargetAggregator returns the aggregator of a zone in a cluster of the target size (see
+// targetNodes), and one load report of each node of the zone.
 func newTargetAggregator() (*loadSharing, []*nodev1.ShareLoadRequest) {
 	node := &Node{settings: Settings{Name: "node-000", Zone: "zone-0"}, members: newMembers(), engines: backend.NewDirectory()}
 	list := targetList()
--- a/internal/node/load_message.go
+++ b/internal/node/load_message.go
@@ -10,8 +10,8 @@
 	"github.com/magpielug/magpielug/internal/load"
 )
 
-// countResolution is the unit, in requests, of the success and failure counts sent: a count of
-// thirty fits into one byte.
+// countResolution is the step, in requests, to which the decaying success and failure counts are
+// rounded in load messages. Counts below 32 then take one byte.
 const countResolution = 0.25
 
 // engineList is an engine list that sender and receiver share, so that load messages refer to
@@ -35,7 +35,7 @@
 
 var errListDigest = errors.New("engine list does not match its digest")
 
-// compressedNames returns the encoded list.
+// compressedNames returns the names in the format that readEngineList decodes.
 func (list engineList) compressedNames() []byte {
 	return compress([]byte(strings.Join(list.names, nameSeparator)))
 }
--- a/internal/node/members.go
+++ b/internal/node/members.go
@@ -40,8 +40,8 @@
 	ProtocolVersion uint32
 }
 
-// protocolSecondAllowance is the first protocol version with a second token allowance for a
-// shard's owner. It is the current version.
+// protocolSecondAllowance is the first protocol version in which a shard's owner may get a token
+// allowance while that of a former owner is outstanding. It is the current version.
 const protocolSecondAllowance = 1
 
 // members is the set of known nodes. It is safe for concurrent use.
@@ -146,16 +146,16 @@
 func (members *members) randomInZone(zone, excluded string) (Member, bool) {
 	members.mutex.RLock()
 	defer members.mutex.RUnlock()
-	var list []Member
+	var active []Member
 	for _, member := range members.byName {
 		if member.Zone == zone && member.Name != excluded && !member.Draining {
-			list = append(list, member)
+			active = append(active, member)
 		}
 	}
-	if len(list) == 0 {
+	if len(active) == 0 {
 		return Member{}, false
 	}
-	return list[rand.IntN(len(list))], true
+	return active[rand.IntN(len(active))], true
 }
 
 // nodesPerZone returns the number of nodes in each zone that are not draining.
--- a/internal/node/members_test.go
+++ b/internal/node/members_test.go
@@ -81,13 +81,13 @@
 			for number := range size {
 				nodes.put(Member{Name: "node-" + strconv.Itoa(number), Zone: "zone", Capacity: 800})
 			}
-			reading := 0
+			logReaders := 0
 			requests := map[string]int{}
 			for number := range size {
 				member, _ := nodes.get("node-" + strconv.Itoa(number))
 				sources := nodes.engineSources(member)
 				if len(sources) == 0 {
-					reading++
+					logReaders++
 					continue
 				}
 				requests[sources[0].Name]++
@@ -96,7 +96,7 @@
 					Expect(nodes.logReaderFor(source)).To(Equal(source), "sources are log readers")
 				}
 			}
-			Expect(reading).To(Equal(1), "of %d nodes", size)
+			Expect(logReaders).To(Equal(1), "of %d nodes", size)
 			for name, count := range requests {
 				Expect(count).To(BeNumerically("<=", 3*nodesPerReader+size/nodesPerReader), name)
 			}
--- a/internal/node/turns.go
+++ b/internal/node/turns.go
@@ -30,9 +30,9 @@
 	// maxUnownedReads bounds the partitions of other nodes' shards that a node reads concurrently.
 	// After the loss of all nodes, unbounded reads would saturate the links to the durable log.
 	maxUnownedReads = 1
-	// unownedReadWait is how long a request from another node waits for such a read to start.
-	// Incremental reads take milliseconds; if they take longer, the requester should try another
-	// node.
+	// unownedReadWait is how long a request from another node waits until the node may read a
+	// partition of a shard that it does not own. Reading only the new records takes milliseconds;
+	// while a longer read is in progress, the requester should try another node.
 	unownedReadWait = 50 * time.Millisecond
 )
 
--- a/internal/node/turns_test.go
+++ b/internal/node/turns_test.go
@@ -31,8 +31,9 @@
 	}
 }
 
-// newSoleReader returns the only known node, which owns no shards and reads them from a log.
-func newSoleReader(log durable.Log, shards int) (*Node, context.Context) {
+// newSingleNode returns a node that knows no other. It owns no shards, and reads their partitions
+// from the log.
+func newSingleNode(log durable.Log, shards int) (*Node, context.Context) {
 	ctx, cancel := context.WithCancel(context.Background())
 	DeferCleanup(cancel)
 	node := &Node{settings: Settings{Name: "self", Shards: shards}, members: newMembers(), turns: history.NewStore(1 << 20), unownedReads: make(chan struct{}, maxUnownedReads)}
@@ -49,7 +50,7 @@
 	// Guards against concurrent partition reads over a slow link after the loss of all nodes.
 	It("are read one at a time regardless of the number of requests", func() {
 		log := &blockingLog{Memory: durable.NewMemory(), release: make(chan struct{})}
-		node, ctx := newSoleReader(log, shards)
+		node, ctx := newSingleNode(log, shards)
 		done := make(chan error, 1)
 		go func() {
 			_, err := node.localPartialChain(ctx, 0, history.Key{ID: "turn"}, 0)
@@ -70,7 +71,7 @@
 	// A search for an unknown turn reads all shards at once on the only node.
 	It("are all read in turn for a search on the only node", func() {
 		log := &blockingLog{Memory: durable.NewMemory(), release: make(chan struct{})}
-		node, ctx := newSoleReader(log, shards)
+		node, ctx := newSingleNode(log, shards)
 		found := make(chan error, 1)
 		go func() {
 			defer GinkgoRecover()
