--- a/internal/reach/reach.go
+++ b/internal/reach/reach.go
@@ -14,8 +14,9 @@
 	// unreachableAfter is how long a zone must be silent to count as unreachable. Callers
 	// abandon a stream after two seconds without an event; this leaves time for a retry.
 	unreachableAfter = 700 * time.Millisecond
-	// minUnansweredProbes is the number of consecutive unanswered probes that is required as
-	// well, because zones without traffic between them may hear nothing of each other for long.
+	// minUnansweredProbes is the number of consecutive unanswered probes before which no zone
+	// counts as unreachable. Silence alone does not suffice, as there may be no traffic between
+	// two zones.
 	minUnansweredProbes = 2
 	// probeAfter is how long after its last response a suspected zone is probed.
 	probeAfter = 300 * time.Millisecond
