--- a/internal/shard/apply.go
+++ b/internal/shard/apply.go
@@ -5,31 +5,30 @@
 	"github.com/magpielug/magpielug/internal/resultcode"
 )
 
-// Outcome tells the leader what an entry did. Replicas that do not lead drop
-// it.
+// Outcome is the result of applying an entry. Only the leader uses it.
 type Outcome struct {
-	// Program the entry was about; nil where it is unknown.
+	// Program is the entry's program; nil if it does not exist.
 	Program *Program
-	// Call the entry was about; nil where it is about no call.
+	// Call is the entry's call; nil if the entry concerns no call.
 	Call *Call
-	// Duplicate is true where the entry repeats an earlier one and changed
-	// nothing.
+	// Duplicate is true if an earlier entry already had this effect, so that
+	// nothing changed.
 	Duplicate bool
-	// Cancelled are the calls that a program's end has closed and that may be
-	// running on a back end.
+	// Cancelled lists the open calls that the end of their program cancelled. They
+	// may be running on a back end.
 	Cancelled []*Call
-	// Ended are the programs that the entry has ended: the one it names first,
-	// then its sub-agents.
+	// Ended lists the programs that the entry ended: the named program, then its
+	// sub-agents.
 	Ended []*Program
-	// Err is why the entry changed nothing, nil where it took effect.
+	// Err is the reason why the entry was rejected; nil otherwise.
 	Err *resultcode.Error
 }
 
-func refused(code resultcode.Code, format string, arguments ...any) Outcome {
+func errorOutcome(code resultcode.Code, format string, arguments ...any) Outcome {
 	return Outcome{Err: resultcode.New(code, format, arguments...)}
 }
 
-// Apply carries out one committed entry.
+// Apply applies one committed entry.
 func (state *State) Apply(entry *shardv1.Entry) Outcome {
 	switch change := entry.Change.(type) {
 	case *shardv1.Entry_ProgramCreated:
--- a/internal/shard/apply_call.go
+++ b/internal/shard/apply_call.go
@@ -8,32 +8,31 @@
 	"github.com/magpielug/magpielug/internal/resultcode"
 )
 
-// acceptCall gives the call its place in the program's order and reserves its
-// worst case.
+// acceptCall assigns the call its turn number and reserves its worst-case cost.
 func (state *State) acceptCall(accepted *shardv1.CallAccepted) Outcome {
 	program := state.programs[accepted.ProgramId]
 	if program == nil {
-		return refused(resultcode.UnknownProgram, "no program %s", accepted.ProgramId)
+		return errorOutcome(resultcode.UnknownProgram, "no program %s", accepted.ProgramId)
 	}
 	if known := program.Call(accepted.RequestId); known != nil {
 		if !known.SameBody(accepted.Digest) {
-			return refused(resultcode.RequestIDReused, "request id %s was used with another body", accepted.RequestId)
+			return errorOutcome(resultcode.RequestIDReused, "request id %s was used with another body", accepted.RequestId)
 		}
 		return Outcome{Program: program, Call: known, Duplicate: true}
 	}
 	if program.Over() {
-		return refused(resultcode.ProgramOver, "program %s is over", accepted.ProgramId)
+		return errorOutcome(resultcode.ProgramOver, "program %s has ended", accepted.ProgramId)
 	}
 	limit := program.Created().TurnLimit
 	if limit > 0 && program.record.NextTurn >= limit {
-		return program.decline(accepted,
-			resultcode.New(resultcode.TurnLimitReached, "program %s has taken its %d turns", accepted.ProgramId, limit))
+		return program.rejectCall(accepted,
+			resultcode.New(resultcode.TurnLimitReached, "program %s has reached its limit of %d turns", accepted.ProgramId, limit))
 	}
 	reservation := program.WorstCase(accepted)
 	if failure := state.reserve(program, reservation); failure != nil {
-		return program.decline(accepted, failure)
+		return program.rejectCall(accepted, failure)
 	}
-	if failure := program.move(charts.ProgramEventCallAccepted); failure != nil {
+	if failure := program.applyEvent(charts.ProgramEventCallAccepted); failure != nil {
 		return Outcome{Program: program, Err: failure}
 	}
 	program.record.NextTurn++
@@ -49,9 +48,9 @@
 	return Outcome{Program: program, Call: call}
 }
 
-// decline records why a call was not accepted. BudgetExhausted is not recorded
-// here: the leader may still get escrow, or commits a CallDeclined.
-func (program *Program) decline(accepted *shardv1.CallAccepted, failure *resultcode.Error) Outcome {
+// rejectCall records why a call was not accepted. BudgetExhausted is not recorded:
+// the leader may obtain more escrow and retry, or else commits a CallDeclined.
+func (program *Program) rejectCall(accepted *shardv1.CallAccepted, failure *resultcode.Error) Outcome {
 	if failure.Code == resultcode.BudgetExhausted {
 		return Outcome{Program: program, Err: failure}
 	}
@@ -65,12 +64,12 @@
 	return Outcome{Program: program, Call: call, Err: failure}
 }
 
-// declineCall refuses a call that the leader will not accept. A call that an
-// earlier entry has accepted goes on: then this entry changes nothing.
+// declineCall records that the leader rejected a call. It has no effect on a call
+// that an earlier entry accepted.
 func (state *State) declineCall(declined *shardv1.CallDeclined) Outcome {
 	program := state.programs[declined.ProgramId]
 	if program == nil {
-		return refused(resultcode.UnknownProgram, "no program %s", declined.ProgramId)
+		return errorOutcome(resultcode.UnknownProgram, "no program %s", declined.ProgramId)
 	}
 	if known := program.Call(declined.RequestId); known != nil {
 		return Outcome{Program: program, Call: known, Duplicate: true}
@@ -78,8 +77,8 @@
 	return Outcome{Program: program, Call: program.recordDeclined(declined)}
 }
 
-// maximumDeclined bounds the refused calls that a program remembers. With more,
-// the oldest are forgotten.
+// maximumDeclined is how many rejected calls a program's record keeps; the oldest
+// are evicted first.
 const maximumDeclined = 64
 
 func (program *Program) recordDeclined(declined *shardv1.CallDeclined) *Call {
@@ -106,16 +105,17 @@
 	return call
 }
 
-// openCall finds a call for an entry about its current attempt. An entry about
-// an earlier attempt, or about a call that is over, changes nothing.
-func (state *State) openCall(programID, requestID string, attempt uint32) (*Call, Outcome) {
+// findOpenCall returns the call if attempt is its current attempt, or nil and the
+// outcome of the entry. An entry for an earlier attempt or a completed call is a
+// duplicate.
+func (state *State) findOpenCall(programID, requestID string, attempt uint32) (*Call, Outcome) {
 	program := state.programs[programID]
 	if program == nil {
-		return nil, refused(resultcode.UnknownProgram, "no program %s", programID)
+		return nil, errorOutcome(resultcode.UnknownProgram, "no program %s", programID)
 	}
 	call := program.Call(requestID)
 	if call == nil {
-		return nil, refused(resultcode.UnknownRequest, "no call %s", requestID)
+		return nil, errorOutcome(resultcode.UnknownRequest, "no call %s", requestID)
 	}
 	outcome := Outcome{Program: program, Call: call}
 	if call.Over() || call.record.Attempt != attempt {
@@ -126,11 +126,11 @@
 }
 
 func (state *State) intendCall(intended *shardv1.CallIntended) Outcome {
-	call, outcome := state.openCall(intended.ProgramId, intended.RequestId, intended.Attempt)
+	call, outcome := state.findOpenCall(intended.ProgramId, intended.RequestId, intended.Attempt)
 	if call == nil {
 		return outcome
 	}
-	if outcome.Err = call.move(charts.CallEventIntentCommitted); outcome.Err != nil {
+	if outcome.Err = call.applyEvent(charts.CallEventIntentCommitted); outcome.Err != nil {
 		return outcome
 	}
 	call.record.Intent = intended
@@ -138,7 +138,7 @@
 }
 
 func (state *State) requeueCall(requeued *shardv1.CallRequeued) Outcome {
-	call, outcome := state.openCall(requeued.ProgramId, requeued.RequestId, requeued.Attempt)
+	call, outcome := state.findOpenCall(requeued.ProgramId, requeued.RequestId, requeued.Attempt)
 	if call == nil {
 		return outcome
 	}
@@ -146,7 +146,7 @@
 	if requeued.NotRun {
 		event = charts.CallEventNotRun
 	}
-	if outcome.Err = call.move(event); outcome.Err != nil {
+	if outcome.Err = call.applyEvent(event); outcome.Err != nil {
 		return outcome
 	}
 	call.record.Attempt++
@@ -157,11 +157,11 @@
 }
 
 func (state *State) finishCall(finished *shardv1.CallFinished) Outcome {
-	call, outcome := state.openCall(finished.ProgramId, finished.RequestId, finished.Attempt)
+	call, outcome := state.findOpenCall(finished.ProgramId, finished.RequestId, finished.Attempt)
 	if call == nil {
 		return outcome
 	}
-	if outcome.Err = call.move(charts.CallEventFinish); outcome.Err != nil {
+	if outcome.Err = call.applyEvent(charts.CallEventFinish); outcome.Err != nil {
 		return outcome
 	}
 	accepted := call.record.Accepted
@@ -169,7 +169,7 @@
 	call.record.Finished = finished
 	state.settle(call, actual)
 	program := call.program
-	program.addTurn(storeTurn(&Turn{
+	program.addTurn(newStoredTurn(&Turn{
 		Number:       call.record.Turn,
 		RequestId:    accepted.RequestId,
 		Kind:         accepted.Kind,
@@ -182,25 +182,25 @@
 	delete(program.calls, accepted.RequestId)
 	program.record.HistoryTokens += EstimateTokens(accepted.Messages) + finished.OutputTokens + tokensPerMessage
 	program.root.record.AttainedService += serviceTokens(finished.PromptTokens, finished.CachedTokens, finished.OutputTokens)
-	program.close(call)
+	program.closeCall(call)
 	return outcome
 }
 
 func (state *State) endCall(ended *shardv1.CallEnded) Outcome {
-	call, outcome := state.openCall(ended.ProgramId, ended.RequestId, ended.Attempt)
+	call, outcome := state.findOpenCall(ended.ProgramId, ended.RequestId, ended.Attempt)
 	if call == nil {
 		return outcome
 	}
-	if outcome.Err = call.move(endEvent(resultcode.Code(ended.Code))); outcome.Err != nil {
+	if outcome.Err = call.applyEvent(endEvent(resultcode.Code(ended.Code))); outcome.Err != nil {
 		return outcome
 	}
-	state.closeWithoutResult(call, ended)
+	state.closeUnfinished(call, ended)
 	return outcome
 }
 
-// closeWithoutResult records why a call has no result. A call that may have run
-// is charged its whole reservation: the budget must hold whatever happened.
-func (state *State) closeWithoutResult(call *Call, ended *shardv1.CallEnded) {
+// closeUnfinished records why a call has no result. A call that may have run is
+// charged its full reservation, because its actual cost is unknown.
+func (state *State) closeUnfinished(call *Call, ended *shardv1.CallEnded) {
 	call.record.Ended = ended
 	charge := uint64(0)
 	if call.record.Intent != nil && call.state != charts.CallStateRefused {
@@ -208,10 +208,10 @@
 	}
 	state.settle(call, charge)
 	call.record.Accepted.Messages = nil
-	call.program.close(call)
+	call.program.closeCall(call)
 }
 
-func (program *Program) close(call *Call) {
+func (program *Program) closeCall(call *Call) {
 	requestID := call.RequestID()
 	program.record.Pending = slices.DeleteFunc(program.record.Pending, func(open string) bool {
 		return open == requestID
@@ -223,5 +223,5 @@
 	if program.liveChildren > 0 {
 		event = charts.ProgramEventCallsFinishedSubAgentsLive
 	}
-	program.move(event)
+	program.applyEvent(event)
 }
--- a/internal/shard/apply_program.go
+++ b/internal/shard/apply_program.go
@@ -11,7 +11,7 @@
 
 func (state *State) createProgram(created *shardv1.ProgramCreated) Outcome {
 	if known := state.programs[created.ProgramId]; known != nil {
-		return repeatedCreation(known, created)
+		return duplicateCreation(known, created)
 	}
 	program := &Program{
 		record:   &shardv1.ProgramRecord{Created: created},
@@ -23,12 +23,12 @@
 	if created.ParentId != "" {
 		parent := state.programs[created.ParentId]
 		if parent == nil || parent.Created().Tenant != created.Tenant {
-			return refused(resultcode.UnknownProgram, "no parent program %s", created.ParentId)
+			return errorOutcome(resultcode.UnknownProgram, "no parent program %s", created.ParentId)
 		}
 		if parent.Over() {
-			return refused(resultcode.ProgramOver, "parent program %s is over", created.ParentId)
+			return errorOutcome(resultcode.ProgramOver, "parent program %s has ended", created.ParentId)
 		}
-		if failure := parent.move(charts.ProgramEventSubAgentStarted); failure != nil {
+		if failure := parent.applyEvent(charts.ProgramEventSubAgentStarted); failure != nil {
 			return Outcome{Err: failure}
 		}
 		parent.children = append(parent.children, program)
@@ -39,13 +39,13 @@
 	return Outcome{Program: program}
 }
 
-func repeatedCreation(known *Program, created *shardv1.ProgramCreated) Outcome {
+func duplicateCreation(known *Program, created *shardv1.ProgramCreated) Outcome {
 	first := known.Created()
 	if first.Tenant != created.Tenant {
-		return refused(resultcode.UnknownProgram, "no program %s", created.ProgramId)
+		return errorOutcome(resultcode.UnknownProgram, "no program %s", created.ProgramId)
 	}
 	if first.Tier != created.Tier || first.Kind != created.Kind || first.ParentId != created.ParentId {
-		return refused(resultcode.RequestIDReused, "program %s was created otherwise", created.ProgramId)
+		return errorOutcome(resultcode.RequestIDReused, "program %s was created with another tier, kind or parent", created.ProgramId)
 	}
 	return Outcome{Program: known, Duplicate: true}
 }
@@ -53,7 +53,7 @@
 func (state *State) endProgram(ended *shardv1.ProgramEnded) Outcome {
 	program := state.programs[ended.ProgramId]
 	if program == nil {
-		return refused(resultcode.UnknownProgram, "no program %s", ended.ProgramId)
+		return errorOutcome(resultcode.UnknownProgram, "no program %s", ended.ProgramId)
 	}
 	outcome := Outcome{Program: program}
 	if program.Over() {
@@ -66,8 +66,8 @@
 	if ended.Stopped {
 		event = charts.ProgramEventStop
 	}
-	program.move(event)
-	state.childOver(program)
+	program.applyEvent(event)
+	state.notifyParent(program)
 	for _, child := range program.sortedChildren() {
 		if child.Over() {
 			continue
@@ -81,7 +81,7 @@
 	return outcome
 }
 
-// sortedChildren lists the program's own sub-agents in the order of their ids.
+// sortedChildren returns the program's direct sub-agents, ordered by id.
 func (program *Program) sortedChildren() []*Program {
 	children := slices.Clone(program.children)
 	slices.SortFunc(children, func(left, right *Program) int {
@@ -90,15 +90,15 @@
 	return children
 }
 
-// childOver tells the parent that one of its sub-agents is over.
-func (state *State) childOver(program *Program) {
+// notifyParent updates the parent's count of live sub-agents when one has ended.
+func (state *State) notifyParent(program *Program) {
 	parent := state.parent(program)
 	if parent == nil {
 		return
 	}
 	parent.liveChildren--
 	if parent.liveChildren == 0 {
-		parent.move(charts.ProgramEventSubAgentsEnded)
+		parent.applyEvent(charts.ProgramEventSubAgentsEnded)
 	}
 }
 
@@ -114,10 +114,10 @@
 	var cancelled []*Call
 	for _, requestID := range slices.Clone(program.record.Pending) {
 		call := program.calls[requestID]
-		if call.move(charts.CallEventCancel) != nil {
+		if call.applyEvent(charts.CallEventCancel) != nil {
 			continue
 		}
-		state.closeWithoutResult(call, &shardv1.CallEnded{
+		state.closeUnfinished(call, &shardv1.CallEnded{
 			ProgramId: program.ID(),
 			RequestId: requestID,
 			Attempt:   call.record.Attempt,
@@ -129,13 +129,13 @@
 	return cancelled
 }
 
-// forgetProgram drops a program that is over, together with its sub-agents.
+// forgetProgram deletes the records of an ended program and its sub-agents.
 func (state *State) forgetProgram(forgotten *shardv1.ProgramForgotten) Outcome {
 	program := state.programs[forgotten.ProgramId]
 	if program == nil || !program.Over() {
 		return Outcome{Program: program, Duplicate: true}
 	}
-	state.dropFamily(program)
+	state.deleteSubtree(program)
 	parent := state.parent(program)
 	if parent != nil {
 		parent.children = slices.DeleteFunc(parent.children, func(child *Program) bool { return child == program })
@@ -143,10 +143,10 @@
 	return Outcome{Program: program}
 }
 
-// dropFamily drops a program and all below it.
-func (state *State) dropFamily(program *Program) {
+// deleteSubtree deletes a program and all its descendants.
+func (state *State) deleteSubtree(program *Program) {
 	for _, child := range program.children {
-		state.dropFamily(child)
+		state.deleteSubtree(child)
 	}
 	delete(state.programs, program.ID())
 }
--- a/internal/shard/budget.go
+++ b/internal/shard/budget.go
@@ -6,13 +6,13 @@
 	"github.com/magpielug/magpielug/internal/resultcode"
 )
 
-// reserve holds amount against the caps of the program and its ancestors and
-// against the shard's escrow of the tier. It changes all or nothing.
+// reserve reserves amount micros from the caps of the program and its ancestors and
+// from the shard's escrow for the tier, or from none of them.
 func (state *State) reserve(program *Program, amount uint64) *resultcode.Error {
-	if short := state.shortOf(program, amount); short != nil {
+	if limiting := state.firstOverCap(program, amount); limiting != nil {
 		return resultcode.New(resultcode.ProgramCapReached,
-			"program %s has %d of %d micros left, the call may need %d",
-			short.ID(), short.left(), short.Created().CapMicros, amount)
+			"program %s has %d of %d micros left, the call may cost %d",
+			limiting.ID(), limiting.remainingCap(), limiting.Created().CapMicros, amount)
 	}
 	if failure := state.reserveEscrow(program, amount); failure != nil {
 		return failure
@@ -23,26 +23,26 @@
 	return nil
 }
 
-// Covers tells whether the caps of the program and its ancestors have room for
-// amount more, micro units.
+// Covers reports whether a reservation of amount micros fits into the caps of the
+// program and its ancestors.
 func (state *State) Covers(program *Program, amount uint64) bool {
-	return state.shortOf(program, amount) == nil
+	return state.firstOverCap(program, amount) == nil
 }
 
-// shortOf returns the first of the program and its ancestors whose cap does not
-// cover amount more, nil where all do.
-func (state *State) shortOf(program *Program, amount uint64) *Program {
+// firstOverCap returns the nearest of the program and its ancestors whose cap a
+// reservation of amount would exceed; nil if there is none.
+func (state *State) firstOverCap(program *Program, amount uint64) *Program {
 	for ancestor := program; ancestor != nil; ancestor = state.parent(ancestor) {
-		if !ancestor.covers(amount) {
+		if !ancestor.fitsCap(amount) {
 			return ancestor
 		}
 	}
 	return nil
 }
 
-// settle replaces a call's reservation by its charge. The charge never exceeds
-// the reservation, so a back end that reports more than was asked for can't
-// carry a budget over its bound.
+// settle replaces a call's reservation by its charge. The charge is limited to the
+// reservation, so that a back end that reports excessive usage cannot cause a budget
+// to be exceeded.
 func (state *State) settle(call *Call, actual uint64) {
 	reserved := call.record.ReservedMicros
 	charge := min(actual, reserved)
@@ -59,22 +59,22 @@
 	return state.programs[program.Created().ParentId]
 }
 
-// covers tells whether the program's cap has room for amount more. Cap 0 is no
-// bound.
-func (program *Program) covers(amount uint64) bool {
-	bound := program.Created().CapMicros
-	if bound == 0 {
+// fitsCap reports whether a reservation of amount fits into the program's cap. A cap
+// of 0 means no limit.
+func (program *Program) fitsCap(amount uint64) bool {
+	limit := program.Created().CapMicros
+	if limit == 0 {
 		return true
 	}
-	return amount <= program.left()
+	return amount <= program.remainingCap()
 }
 
-// left returns the part of the cap neither spent nor reserved.
-func (program *Program) left() uint64 {
+// remainingCap returns the micros of the cap that are neither spent nor reserved.
+func (program *Program) remainingCap() uint64 {
 	used, _ := bits.Add64(program.record.SpentMicros, program.record.ReservedMicros, 0)
-	bound := program.Created().CapMicros
-	if used >= bound {
+	limit := program.Created().CapMicros
+	if used >= limit {
 		return 0
 	}
-	return bound - used
+	return limit - used
 }
--- a/internal/shard/call.go
+++ b/internal/shard/call.go
@@ -10,52 +10,53 @@
 	"github.com/magpielug/magpielug/internal/resultcode"
 )
 
-// Call is one call's replicated record.
+// Call is the replicated record of one call.
 type Call struct {
 	program *Program
 	record  *shardv1.CallRecord
 	state   charts.CallState
 }
 
-// RequestID returns the caller-given id.
+// RequestID returns the id that the caller assigned.
 func (call *Call) RequestID() string { return call.record.Accepted.RequestId }
 
 // Program returns the call's program.
 func (call *Call) Program() *Program { return call.program }
 
-// Accepted returns the entry the call was accepted by. Of a call with a result
-// only the ids and the digest are kept: the rest stands in the stored turn.
+// Accepted returns the entry that accepted the call. For a finished call it holds
+// only the ids and the digest; the rest is in the stored turn.
 func (call *Call) Accepted() *shardv1.CallAccepted { return call.record.Accepted }
 
-// Intent returns the last committed intent, nil before the first.
+// Intent returns the committed dispatch intent of the current attempt; nil if there
+// is none.
 func (call *Call) Intent() *shardv1.CallIntended { return call.record.Intent }
 
-// Attempt returns the number of the attempt that is due or under way, from 1.
+// Attempt returns the number of the current attempt, from 1.
 func (call *Call) Attempt() uint32 { return call.record.Attempt }
 
-// State returns the call's state in the call chart.
+// State returns the call's state in the call state chart.
 func (call *Call) State() charts.CallState { return call.state }
 
-// Turn returns the call's place in the program's order, from 1.
+// Turn returns the call's position among the program's accepted calls, from 1; 0 for
+// a rejected call.
 func (call *Call) Turn() uint32 { return call.record.Turn }
 
-// Over tells whether the call has its final answer.
+// Over reports whether the call is in a final state.
 func (call *Call) Over() bool { return charts.Call.Final(call.state) }
 
-// SameBody tells whether digest is the one the call was accepted with.
+// SameBody reports whether digest equals the digest of the call's request body.
 func (call *Call) SameBody(digest []byte) bool {
 	return bytes.Equal(call.record.Accepted.Digest, digest)
 }
 
-// Finished returns the recorded result, nil where the call has none.
+// Finished returns the recorded result; nil if the call has none.
 func (call *Call) Finished() *shardv1.CallFinished { return call.record.Finished }
 
-// MayHaveRun tells whether an earlier attempt was lost that may have run. Such a
-// call must not be answered as not run.
+// MayHaveRun reports whether an earlier attempt of unknown outcome may have run. Such
+// a call must not be reported as not run.
 func (call *Call) MayHaveRun() bool { return call.record.MayHaveRun }
 
-// Partial returns the beginning of the answer that earlier attempts have given;
-// it is empty for a first attempt.
+// Partial returns the output that earlier attempts generated; empty if there is none.
 func (call *Call) Partial() *shardv1.Partial {
 	if call.record.Partial == nil {
 		return &shardv1.Partial{}
@@ -63,7 +64,7 @@
 	return call.record.Partial
 }
 
-// Usage returns what a finished call used.
+// Usage returns the token usage and cost of a finished call.
 func (call *Call) Usage() *schedulerv1.Usage {
 	finished := call.record.Finished
 	return &schedulerv1.Usage{
@@ -74,7 +75,8 @@
 	}
 }
 
-// Failure returns the recorded error of a call that ended without a result.
+// Failure returns the recorded error of a call that ended without a result; nil for
+// any other call.
 func (call *Call) Failure() *resultcode.Error {
 	ended := call.record.Ended
 	if ended == nil {
@@ -84,18 +86,18 @@
 	return failure.After(time.Duration(ended.RetryAfterMs) * time.Millisecond)
 }
 
-// Prompt returns the whole prompt of an open call, to be put together by its
-// reader.
+// Prompt returns the full prompt of an open call. Prompt.Parts assembles it.
 func (call *Call) Prompt() Prompt {
 	return Prompt{
-		history: call.program.turns,
-		added:   call.record.Accepted.Messages,
-		partial: call.Partial().Output,
+		history:       call.program.turns,
+		newMessages:   call.record.Accepted.Messages,
+		partialOutput: call.Partial().Output,
 	}
 }
 
-// finishedCall shows a stored turn as a call.
-func (program *Program) finishedCall(stored StoredTurn) *Call {
+// callFromTurn builds a finished call from its stored turn. A turn that cannot be
+// decoded gives a call with an Internal error.
+func (program *Program) callFromTurn(stored StoredTurn) *Call {
 	record := &shardv1.CallRecord{
 		Accepted: &shardv1.CallAccepted{
 			ProgramId: program.ID(),
@@ -104,11 +106,11 @@
 		},
 		Turn: stored.Number(),
 	}
-	shown := &Call{program: program, state: charts.CallStateDone, record: record}
+	call := &Call{program: program, state: charts.CallStateDone, record: record}
 	content, err := stored.Decode()
 	if err != nil {
 		record.Ended = &shardv1.CallEnded{Code: uint32(resultcode.Internal), Message: err.Error()}
-		return shown
+		return call
 	}
 	usage := content.Turn.Usage
 	record.CostMicros = usage.GetCostMicros()
@@ -120,5 +122,5 @@
 		OutputTokens: usage.GetOutputTokens(),
 		ChunkBytes:   content.ChunkBytes,
 	}
-	return shown
+	return call
 }
--- a/internal/shard/ledger.go
+++ b/internal/shard/ledger.go
@@ -10,7 +10,7 @@
 	"github.com/magpielug/magpielug/internal/resultcode"
 )
 
-// TierKey names a tier.
+// TierKey identifies a tier.
 type TierKey struct {
 	Tenant string
 	Tier   string
@@ -21,14 +21,14 @@
 	return cmp.Or(strings.Compare(key.Tenant, other.Tenant), strings.Compare(key.Tier, other.Tier))
 }
 
-// ledgerState is the money part of a shard: its own escrows, and the accounts
-// of the tiers whose name belongs to the shard.
+// ledgerState holds a shard's escrows, and the accounts of the tiers whose names map
+// to the shard.
 type ledgerState struct {
 	escrows  map[TierKey]*ledger.Escrow
 	accounts map[TierKey]*account
 }
 
-// account is a tier's account and the configuration its budget stands in.
+// account is a tier's account with the configuration version that set its budget.
 type account struct {
 	*ledger.Account
 	configurationVersion uint64
@@ -59,13 +59,13 @@
 	return found
 }
 
-// Tier names the program's tier.
+// Tier returns the key of the program's tier.
 func (program *Program) Tier() TierKey {
 	return TierKey{Tenant: program.Created().Tenant, Tier: program.Created().Tier}
 }
 
-// Escrow returns the shard's part of a tier's budget, empty where it has none.
-// Callers must not change it.
+// Escrow returns the part of a tier's budget granted to the shard; empty if there is
+// none. Callers must not modify it.
 func (state *State) Escrow(key TierKey) *ledger.Escrow {
 	if found := state.ledger.escrows[key]; found != nil {
 		return found
@@ -73,8 +73,8 @@
 	return &ledger.Escrow{}
 }
 
-// Account returns the account of a tier, empty where the shard holds none.
-// Callers must not change it.
+// Account returns the account of a tier; empty if the shard holds none. Callers must
+// not modify it.
 func (state *State) Account(key TierKey) *ledger.Account {
 	if found := state.ledger.accounts[key]; found != nil {
 		return found.Account
@@ -82,7 +82,7 @@
 	return ledger.NewAccount(0)
 }
 
-// Escrows lists the tiers that the shard holds escrow of, in a fixed order.
+// Escrows returns the tiers for which the shard has an escrow, ordered by key.
 func (state *State) Escrows() []TierKey {
 	keys := make([]TierKey, 0, len(state.ledger.escrows))
 	for key := range state.ledger.escrows {
@@ -97,19 +97,19 @@
 }
 
 func (state *State) settleEscrow(program *Program, reserved, charge uint64) {
-	// It fails only where the state itself is broken; the invariants of the
-	// ledger then hold the money back rather than pay twice.
+	// Settle fails only if the escrow is inconsistent. It then keeps the amount
+	// reserved, so that it is not spent twice.
 	_, _ = state.ledger.escrow(program.Tier()).Settle(ledger.Micros(reserved), ledger.Micros(charge))
 }
 
-// applyLedger carries out an entry about escrows and accounts.
+// applyLedger applies an entry that changes escrows or accounts.
 func (state *State) applyLedger(entry *shardv1.Entry) Outcome {
 	switch change := entry.Change.(type) {
 	case *shardv1.Entry_EscrowRaised:
 		raised := change.EscrowRaised
 		key := TierKey{Tenant: raised.Tenant, Tier: raised.Tier}
-		news := state.ledger.escrow(key).RaiseGranted(ledger.Micros(raised.GrantedTotalMicros))
-		return Outcome{Duplicate: !news}
+		changed := state.ledger.escrow(key).RaiseGranted(ledger.Micros(raised.GrantedTotalMicros))
+		return Outcome{Duplicate: !changed}
 	case *shardv1.Entry_EscrowReturned:
 		returned := change.EscrowReturned
 		key := TierKey{Tenant: returned.Tenant, Tier: returned.Tier}
@@ -122,12 +122,12 @@
 		failure := state.ledger.account(key).RaiseReturned(returned.Shard, ledger.Micros(returned.ReturnedTotalMicros))
 		return Outcome{Err: failure}
 	default:
-		return refused(resultcode.Internal, "an entry of unknown kind")
+		return errorOutcome(resultcode.Internal, "unknown entry type")
 	}
 }
 
-// grantAccount grants what the budget has left. A leader with an older
-// configuration than the account's can't bring an old budget back.
+// grantAccount grants up to the wanted total from the remaining budget. The budget of
+// a configuration older than the account's is ignored.
 func (state *State) grantAccount(granted *shardv1.AccountGranted) Outcome {
 	found := state.ledger.account(TierKey{Tenant: granted.Tenant, Tier: granted.Tier})
 	if granted.ConfigurationVersion >= found.configurationVersion {
@@ -156,7 +156,7 @@
 	})
 }
 
-// importLedger reads the ledger of a snapshot.
+// importLedger restores the ledger from a snapshot.
 func importLedger(snapshot *shardv1.Snapshot) (*ledgerState, error) {
 	ledgers := newLedgerState()
 	for _, record := range snapshot.Escrows {
--- a/internal/shard/shard_test.go
+++ b/internal/shard/shard_test.go
@@ -64,8 +64,8 @@
 	}}}
 }
 
-// anyEntry draws an entry over few programs and requests, so that repetitions
-// and entries about calls that have moved on are common.
+// anyEntry generates an entry. Few program and request ids make duplicate and
+// outdated entries likely.
 func anyEntry(t *rapid.T) *shardv1.Entry {
 	program := rapid.SampledFrom([]string{"p1", "p2", "p1.a", "p1.a.b"}).Draw(t, "program")
 	request := fmt.Sprintf("r%d", rapid.IntRange(0, 5).Draw(t, "request"))
@@ -95,7 +95,7 @@
 }
 
 var _ = Describe("shard state", func() {
-	It("is the same after any snapshot and keeps the money within its bounds", func() {
+	It("is the same after a snapshot and restore, and never exceeds caps and escrow", func() {
 		rapid.Check(GinkgoT(), func(t *rapid.T) {
 			state, copied := New(), New()
 			for range rapid.IntRange(1, 60).Draw(t, "length") {
@@ -107,12 +107,12 @@
 					copied.Apply(entry)
 				}
 				Expect(snapshotOf(copied)).To(Equal(snapshotOf(state)))
-				checkMoney(state)
+				checkBudgetBounds(state)
 			}
 		})
 	})
 
-	It("gives a finished call's record again, chunk by chunk", func() {
+	It("returns the stored result and chunk sizes of a finished call to a duplicate request", func() {
 		state := New()
 		for _, entry := range []*shardv1.Entry{escrow(1000), created("p1", ""), accepted("p1", "r1"), intended("p1", "r1", 1), finished("p1", "r1", 1, 5)} {
 			Expect(state.Apply(entry).Err).To(BeNil())
@@ -126,7 +126,7 @@
 		Expect(parts).To(Equal([]string{"\nuser: question of r1", "answer to r1", "\nuser: question of r2"}))
 	})
 
-	It("bounds the refused calls that a program remembers", func() {
+	It("limits the number of rejected calls kept per program", func() {
 		state := New()
 		state.Apply(created("p1", ""))
 		for number := range 3 * maximumDeclined {
@@ -139,7 +139,7 @@
 		Expect(late.Err.Code).To(Equal(resultcode.RequestIDReused), "its digest differs")
 	})
 
-	It("refuses a snapshot that it can't read and keeps its state", func() {
+	It("rejects an invalid snapshot and keeps its state", func() {
 		state := New()
 		state.Apply(created("p1", ""))
 		before := snapshotOf(state)
@@ -148,8 +148,8 @@
 	})
 })
 
-// checkMoney holds every program to its cap and the escrow to its grant.
-func checkMoney(state *State) {
+// checkBudgetBounds checks that no program exceeds its cap and no escrow its grant.
+func checkBudgetBounds(state *State) {
 	state.Programs(func(program *Program) bool {
 		Expect(program.Spent()+program.Reserved()).To(BeNumerically("<=", testCap), program.ID())
 		return true
--- a/internal/shard/snapshot.go
+++ b/internal/shard/snapshot.go
@@ -12,8 +12,8 @@
 	"github.com/magpielug/magpielug/charts"
 )
 
-// Snapshot encodes the whole state. The programs stand in the order of their
-// ids, so that equal states give equal bytes.
+// Snapshot encodes the state. Programs are sorted by id, so that equal states have
+// equal encodings.
 func (state *State) Snapshot() ([]byte, error) {
 	snapshot := &shardv1.Snapshot{}
 	for _, program := range state.programs {
@@ -48,8 +48,8 @@
 	return record
 }
 
-// Restore replaces the state by an encoded snapshot. A snapshot that can't be
-// read changes nothing.
+// Restore replaces the state by an encoded snapshot. If the snapshot is invalid, it
+// returns an error and leaves the state unchanged.
 func (state *State) Restore(data []byte) error {
 	snapshot := &shardv1.Snapshot{}
 	if err := proto.Unmarshal(data, snapshot); err != nil {
@@ -63,7 +63,7 @@
 		}
 		programs[program.ID()] = program
 	}
-	if err := linkFamilies(programs); err != nil {
+	if err := linkSubAgents(programs); err != nil {
 		return err
 	}
 	ledgers, err := importLedger(snapshot)
@@ -78,7 +78,7 @@
 func importProgram(record *shardv1.ProgramRecord) (*Program, error) {
 	programState, known := charts.Program.ParseState(record.State)
 	if !known {
-		return nil, eris.Errorf("snapshot: program state %q", record.State)
+		return nil, eris.Errorf("snapshot: unknown program state %q", record.State)
 	}
 	program := &Program{
 		record:   record,
@@ -89,7 +89,7 @@
 	for _, callRecord := range record.Calls {
 		callState, known := charts.Call.ParseState(callRecord.State)
 		if !known {
-			return nil, eris.Errorf("snapshot: call state %q", callRecord.State)
+			return nil, eris.Errorf("snapshot: unknown call state %q", callRecord.State)
 		}
 		call := &Call{program: program, record: callRecord, state: callState}
 		program.calls[call.RequestID()] = call
@@ -102,8 +102,8 @@
 	return program, nil
 }
 
-// linkFamilies sets each program's root and its sub-agents.
-func linkFamilies(programs map[string]*Program) error {
+// linkSubAgents sets the root and the direct sub-agents of each program.
+func linkSubAgents(programs map[string]*Program) error {
 	for _, program := range programs {
 		root, err := findRoot(programs, program)
 		if err != nil {
--- a/internal/shard/tokens.go
+++ b/internal/shard/tokens.go
@@ -5,16 +5,17 @@
 )
 
 const (
-	// bytesPerToken is low on purpose: an estimate has to bound the real count.
+	// bytesPerToken is a low estimate, so that the token count is not underestimated.
 	bytesPerToken = 3
-	// tokensPerMessage covers a message's role and separators.
+	// tokensPerMessage accounts for a message's role and separators.
 	tokensPerMessage = 8
-	// uncachedPromptWeight is the service of one computed prompt token relative
-	// to one generated token: a prompt is computed in parallel.
+	// uncachedPromptWeight is the service of one uncached prompt token relative to one
+	// output token; prompt tokens are computed in parallel.
 	uncachedPromptWeight = 0.1
 )
 
-// EstimateTokens bounds the prompt tokens of messages from above.
+// EstimateTokens returns a conservative (high) estimate of the prompt tokens of
+// messages.
 func EstimateTokens(messages []*schedulerv1.Message) uint32 {
 	total := 0
 	for _, message := range messages {
@@ -23,7 +24,7 @@
 	return uint32(total)
 }
 
-// serviceTokens is the service that a finished call has attained.
+// serviceTokens returns the attained service of a finished call, in weighted tokens.
 func serviceTokens(promptTokens, cachedTokens, outputTokens uint32) float64 {
 	uncached := float64(promptTokens) - float64(min(cachedTokens, promptTokens))
 	return uncached*uncachedPromptWeight + float64(outputTokens)
--- a/internal/shard/transition.go
+++ b/internal/shard/transition.go
@@ -5,8 +5,9 @@
 	"github.com/magpielug/magpielug/internal/resultcode"
 )
 
-// move takes the call along the call chart. A refused event changes nothing.
-func (call *Call) move(event charts.CallEvent) *resultcode.Error {
+// applyEvent moves the call to its next state in the state chart. An event that the
+// chart rejects changes nothing.
+func (call *Call) applyEvent(event charts.CallEvent) *resultcode.Error {
 	next, refusal := charts.Call.Next(call.state, event)
 	if refusal != nil {
 		return resultcode.New(refusal.Code, "call %s: %s", call.RequestID(), refusal.Error())
@@ -15,9 +16,9 @@
 	return nil
 }
 
-// move takes the program along the program chart. A refused event changes
-// nothing.
-func (program *Program) move(event charts.ProgramEvent) *resultcode.Error {
+// applyEvent moves the program to its next state in the state chart. An event that
+// the chart rejects changes nothing.
+func (program *Program) applyEvent(event charts.ProgramEvent) *resultcode.Error {
 	next, refusal := charts.Program.Next(program.state, event)
 	if refusal != nil {
 		return resultcode.New(refusal.Code, "program %s: %s", program.ID(), refusal.Error())
@@ -26,8 +27,8 @@
 	return nil
 }
 
-// endEvent names the chart's event for a call that ends with code. A code of
-// the 1000s or 2000s says that the call did not run.
+// endEvent returns the state chart event for a call that ends with code. Codes below
+// OutcomeUnknown mean that the call did not run.
 func endEvent(code resultcode.Code) charts.CallEvent {
 	switch code {
 	case resultcode.OutcomeUnknown:
--- a/internal/shard/turn.go
+++ b/internal/shard/turn.go
@@ -12,25 +12,23 @@
 // Turn is one finished call in a program's history.
 type Turn = schedulerv1.Turn
 
-// StoredTurn is one finished call as a replica keeps it: the content
-// compressed. It never changes, so that traffic goroutines can decode it while
-// the control goroutine goes on.
+// StoredTurn is the compressed record of one finished call. It is immutable, so any
+// goroutine can decode it concurrently with Apply.
 type StoredTurn struct {
 	record *shardv1.FinishedCall
 }
 
-// maximumTurnBytes bounds a decoded turn.
+// maximumTurnBytes is the maximum size of a decompressed turn.
 const maximumTurnBytes = 64 << 20
 
 var (
-	// Both are safe for concurrent use by EncodeAll and DecodeAll.
+	// EncodeAll and DecodeAll are safe for concurrent use.
 	turnEncoder, _ = zstd.NewWriter(nil, zstd.WithEncoderConcurrency(1), zstd.WithEncoderLevel(zstd.SpeedDefault))
 	turnDecoder, _ = zstd.NewReader(nil, zstd.WithDecoderConcurrency(0), zstd.WithDecoderMaxMemory(maximumTurnBytes))
 )
 
-// storeTurn compresses a finished call.
-func storeTurn(turn *Turn, digest []byte, chunkBytes []uint32) StoredTurn {
-	// Marshal fails only for text that is not UTF-8, which is refused before.
+func newStoredTurn(turn *Turn, digest []byte, chunkBytes []uint32) StoredTurn {
+	// Marshal fails only for invalid UTF-8, which is rejected earlier.
 	body, _ := proto.Marshal(&shardv1.TurnRecord{Turn: turn, ChunkBytes: chunkBytes})
 	return StoredTurn{record: &shardv1.FinishedCall{
 		RequestId: turn.RequestId,
@@ -40,16 +38,15 @@
 	}}
 }
 
-// RequestID returns the request id of the call.
 func (stored StoredTurn) RequestID() string { return stored.record.RequestId }
 
-// Number returns the call's place in the program's order, from 1.
+// Number returns the turn number of the call, from 1.
 func (stored StoredTurn) Number() uint32 { return stored.record.Number }
 
-// Bytes returns the size of the compressed content.
+// Bytes returns the size of the compressed turn.
 func (stored StoredTurn) Bytes() int { return len(stored.record.Body) }
 
-// Decode returns the content.
+// Decode decompresses and decodes the turn.
 func (stored StoredTurn) Decode() (*shardv1.TurnRecord, error) {
 	body, err := turnDecoder.DecodeAll(stored.record.Body, nil)
 	if err != nil {
@@ -62,18 +59,17 @@
 	return content, nil
 }
 
-// Prompt is a call's whole prompt before it is put together: the program's
-// stored turns and what the call adds. It never changes.
+// Prompt holds the parts of a call's prompt: the program's stored turns, the call's
+// own messages and the output of earlier attempts. It is immutable.
 type Prompt struct {
-	history []StoredTurn
-	added   []*schedulerv1.Message
-	partial string
+	history       []StoredTurn
+	newMessages   []*schedulerv1.Message
+	partialOutput string
 }
 
-// Parts puts the prompt together, one part a message: the history first, then
-// the call's own messages, then what earlier attempts have generated. An earlier
-// output is a part with its text unchanged, so that an engine finds its cached
-// blocks.
+// Parts assembles the prompt, one part per message: the history, the call's own
+// messages, and the output of earlier attempts. The output of a turn is its own part
+// with unchanged text, so that it matches the engine's cached blocks.
 func (prompt Prompt) Parts() ([]string, error) {
 	var parts []string
 	for _, stored := range prompt.history {
@@ -86,9 +82,9 @@
 			parts = append(parts, content.Turn.Output)
 		}
 	}
-	parts = appendMessages(parts, prompt.added)
-	if prompt.partial != "" {
-		parts = append(parts, prompt.partial)
+	parts = appendMessages(parts, prompt.newMessages)
+	if prompt.partialOutput != "" {
+		parts = append(parts, prompt.partialOutput)
 	}
 	return parts, nil
 }
--- a/internal/shard/worst_case.go
+++ b/internal/shard/worst_case.go
@@ -5,7 +5,7 @@
 	"github.com/magpielug/magpielug/internal/ledger"
 )
 
-// price is what the call's tier paid for 1000 tokens when it was accepted.
+// price returns the tier's token prices at the time when the call was accepted.
 func price(accepted *shardv1.CallAccepted) ledger.Price {
 	return ledger.Price{
 		Prompt: ledger.Micros(accepted.PromptPriceMicros),
@@ -13,14 +13,14 @@
 	}
 }
 
-// WorstCaseAlone bounds the cost of a call that has no history before it.
+// WorstCaseAlone returns the worst-case cost, in micros, of a call without history.
 func WorstCaseAlone(accepted *shardv1.CallAccepted) uint64 {
 	return uint64(price(accepted).Cost(EstimateTokens(accepted.Messages), accepted.MaxTokens))
 }
 
-// WorstCase bounds what a call would cost if it were accepted now, micro units:
-// the whole prompt uncached and every token that the caller allows. Calls before
-// it that are still open may lengthen the prompt by their messages and outputs.
+// WorstCase returns the worst-case cost, in micros, of a call accepted now: no prompt
+// token is cached and the output reaches MaxTokens. The messages and outputs of open
+// calls count as part of the prompt.
 func (program *Program) WorstCase(accepted *shardv1.CallAccepted) uint64 {
 	promptTokens := program.record.HistoryTokens + EstimateTokens(accepted.Messages)
 	for _, requestID := range program.record.Pending {
@@ -30,7 +30,7 @@
 	return uint64(price(accepted).Cost(promptTokens, accepted.MaxTokens))
 }
 
-// PromptTokens estimates the call's whole prompt.
+// PromptTokens returns an estimate of the tokens of the call's full prompt.
 func (call *Call) PromptTokens() uint32 {
 	return call.program.record.HistoryTokens + EstimateTokens(call.record.Accepted.Messages)
 }
