--- a/internal/configuration/fixture_test.go
+++ b/internal/configuration/fixture_test.go
@@ -14,72 +14,74 @@
 )
 
 const (
-	patience  = 30 * time.Second
-	testPoll  = 5 * time.Millisecond
-	testBound = 500 * time.Millisecond
+	eventuallyTimeout = 30 * time.Second
+	testPoll          = 5 * time.Millisecond
+	testBound         = 500 * time.Millisecond
 )
 
 var errRefused = errors.New("connection refused")
 
-// faultyLog is a log whose answers can be lost after or before the effect, and
-// which can be away for one node or all.
+// faultyLog is an in-memory log with injected faults: an append is lost before or
+// after it takes effect with probability lossRate, and the log can be made unavailable
+// to each node.
 type faultyLog struct {
-	mutex    sync.Mutex
-	random   *rand.Rand
-	records  [][]byte
-	lossRate float64
-	away     map[int]bool
+	mutex       sync.Mutex
+	random      *rand.Rand
+	records     [][]byte
+	lossRate    float64
+	unavailable map[int]bool
 }
 
 func newFaultyLog(seed uint64, lossRate float64) *faultyLog {
-	return &faultyLog{random: rand.New(rand.NewPCG(seed, 0)), lossRate: lossRate, away: map[int]bool{}}
+	return &faultyLog{random: rand.New(rand.NewPCG(seed, 0)), lossRate: lossRate, unavailable: map[int]bool{}}
 }
 
-func (log *faultyLog) setAway(node int, away bool) {
+func (log *faultyLog) setUnavailable(node int, unavailable bool) {
 	log.mutex.Lock()
 	defer log.mutex.Unlock()
-	log.away[node] = away
+	log.unavailable[node] = unavailable
 }
 
-// client is one node's way to the log.
-type client struct {
+// logClient is the log as one node accesses it.
+type logClient struct {
 	log  *faultyLog
 	node int
 }
 
-func (client client) Append(_ context.Context, _ string, data []byte) (uint64, error) {
+func (client logClient) Append(_ context.Context, _ string, data []byte) (uint64, error) {
 	log := client.log
 	log.mutex.Lock()
 	defer log.mutex.Unlock()
-	if log.away[client.node] {
+	if log.unavailable[client.node] {
 		return 0, errRefused
 	}
-	lost := log.random.Float64()
-	if lost < log.lossRate/2 {
-		return 0, fmt.Errorf("lost before: %w", outside.ErrOutcomeUnknown)
+	draw := log.random.Float64()
+	if draw < log.lossRate/2 {
+		return 0, fmt.Errorf("request lost before the append: %w", outside.ErrOutcomeUnknown)
 	}
 	log.records = append(log.records, data)
-	if lost < log.lossRate {
-		return 0, fmt.Errorf("lost after: %w", outside.ErrOutcomeUnknown)
+	if draw < log.lossRate {
+		return 0, fmt.Errorf("response lost after the append: %w", outside.ErrOutcomeUnknown)
 	}
 	return uint64(len(log.records) - 1), nil
 }
 
-func (client client) Read(_ context.Context, _ string, offset uint64, limit int) ([]outside.Record, error) {
+func (client logClient) Read(_ context.Context, _ string, offset uint64, limit int) ([]outside.Record, error) {
 	log := client.log
 	log.mutex.Lock()
 	defer log.mutex.Unlock()
-	if log.away[client.node] || log.random.Float64() < log.lossRate/2 {
+	if log.unavailable[client.node] || log.random.Float64() < log.lossRate/2 {
 		return nil, errRefused
 	}
 	var records []outside.Record
-	for at := offset; at < uint64(len(log.records)) && len(records) < limit; at++ {
-		records = append(records, outside.Record{Offset: at, Data: log.records[at]})
+	for next := offset; next < uint64(len(log.records)) && len(records) < limit; next++ {
+		records = append(records, outside.Record{Offset: next, Data: log.records[next]})
 	}
 	return records, nil
 }
 
-// node is one process: a reader, a publisher and the versions it has seen.
+// node is one process with its reader and publisher. seen records the versions that
+// its reader reported.
 type node struct {
 	number    int
 	zone      string
@@ -95,13 +97,13 @@
 	node.seen = append(node.seen, snapshot)
 }
 
-// cluster is a set of nodes, one zone each, that tell each other what they
-// know unless the link between them is cut.
+// cluster is a set of nodes, one per zone, that exchange versions and rounds unless
+// one of them is partitioned.
 type cluster struct {
-	log   *faultyLog
-	nodes []*node
-	mutex sync.Mutex
-	cut   map[int]bool
+	log         *faultyLog
+	nodes       []*node
+	mutex       sync.Mutex
+	partitioned map[int]bool
 }
 
 func startCluster(log *faultyLog, size int) *cluster {
@@ -111,39 +113,39 @@
 		cancel()
 		running.Wait()
 	})
-	made := &cluster{log: log, cut: map[int]bool{}}
+	started := &cluster{log: log, partitioned: map[int]bool{}}
 	var zones []string
 	for number := range size {
 		zones = append(zones, fmt.Sprint("zone-", number))
 	}
 	for number := range size {
-		made.addNode(number, zones)
+		started.addNode(number, zones)
 	}
-	for _, started := range made.nodes {
-		running.Go(func() { started.reader.Run(ctx) })
-		running.Go(func() { made.exchange(ctx, started) })
+	for _, member := range started.nodes {
+		running.Go(func() { member.reader.Run(ctx) })
+		running.Go(func() { started.exchange(ctx, member) })
 	}
-	return made
+	return started
 }
 
 func (cluster *cluster) addNode(number int, zones []string) {
-	made := &node{number: number, zone: zones[number]}
-	access := client{log: cluster.log, node: number}
-	made.reader = NewReader(ReaderOptions{
-		Log: access, Zone: made.zone, Poll: testPoll, FreshBound: testBound,
-		ReadTimeout: time.Second, Changed: made.changed,
+	added := &node{number: number, zone: zones[number]}
+	access := logClient{log: cluster.log, node: number}
+	added.reader = NewReader(ReaderOptions{
+		Log: access, Zone: added.zone, Poll: testPoll, FreshBound: testBound,
+		ReadTimeout: time.Second, Changed: added.changed,
 	})
-	made.reader.SetZones(zones)
-	made.publisher = NewPublisher(access, made.reader, 3*time.Second, time.Second)
-	cluster.nodes = append(cluster.nodes, made)
+	added.reader.SetZones(zones)
+	added.publisher = NewPublisher(access, added.reader, 3*time.Second, time.Second)
+	cluster.nodes = append(cluster.nodes, added)
 }
 
-// exchange hands other nodes' versions and rounds to one node.
+// exchange delivers the versions and rounds of the other nodes to receiver.
 func (cluster *cluster) exchange(ctx context.Context, receiver *node) {
 	for ctx.Err() == nil {
 		time.Sleep(testPoll)
 		for _, sender := range cluster.nodes {
-			if sender == receiver || cluster.isCut(sender) || cluster.isCut(receiver) {
+			if sender == receiver || cluster.isPartitioned(sender) || cluster.isPartitioned(receiver) {
 				continue
 			}
 			sent := time.Now()
@@ -156,20 +158,20 @@
 	}
 }
 
-func (cluster *cluster) isCut(node *node) bool {
+func (cluster *cluster) isPartitioned(node *node) bool {
 	cluster.mutex.Lock()
 	defer cluster.mutex.Unlock()
-	return cluster.cut[node.number]
+	return cluster.partitioned[node.number]
 }
 
-func (cluster *cluster) setCut(number int, cut bool) {
+func (cluster *cluster) setPartitioned(number int, partitioned bool) {
 	cluster.mutex.Lock()
 	defer cluster.mutex.Unlock()
-	cluster.cut[number] = cut
+	cluster.partitioned[number] = partitioned
 }
 
-// expectAgreement checks that all nodes reach the same version, that no node
-// went back, and that no version was seen with two contents.
+// expectAgreement checks that all nodes reach the same version, that no node's version
+// decreased, and that each version has the same content on all nodes.
 func (cluster *cluster) expectAgreement() {
 	newest := func() uint64 {
 		highest := uint64(0)
@@ -179,21 +181,21 @@
 		return highest
 	}
 	for _, node := range cluster.nodes {
-		Eventually(func() bool { return node.reader.Version() == newest() }, patience).Should(BeTrue())
+		Eventually(func() bool { return node.reader.Version() == newest() }, eventuallyTimeout).Should(BeTrue())
 	}
 	contents := map[uint64]string{}
 	for _, node := range cluster.nodes {
 		node.mutex.Lock()
-		before := uint64(0)
+		previous := uint64(0)
 		for _, snapshot := range node.seen {
-			Expect(snapshot.Version()).To(BeNumerically(">", before))
-			before = snapshot.Version()
-			mark := fmt.Sprint(snapshot.Configuration().GetDrainedBackEnds())
-			known, found := contents[before]
+			Expect(snapshot.Version()).To(BeNumerically(">", previous))
+			previous = snapshot.Version()
+			label := fmt.Sprint(snapshot.Configuration().GetDrainedBackEnds())
+			known, found := contents[previous]
 			if found {
-				Expect(mark).To(Equal(known))
+				Expect(label).To(Equal(known))
 			}
-			contents[before] = mark
+			contents[previous] = label
 		}
 		node.mutex.Unlock()
 	}
--- a/internal/configuration/freshness.go
+++ b/internal/configuration/freshness.go
@@ -2,29 +2,29 @@
 
 import "time"
 
-// freshness tells whether a process can be sure that it knows the newest
-// configuration. It is not safe for concurrent use.
+// freshness determines whether a process is certain to know the newest configuration
+// version. It is not safe for concurrent use.
 //
-// A process is fresh if within the bound it read the log to its end, or heard
-// from a majority of zones that they are at its version: a change is answered
-// as accepted only once a majority of zones holds it, and two majorities share
-// a zone. This takes the processes of one zone to hear each other: a zone is
-// counted at the highest version heard from any of its processes.
+// A process is fresh if within bound it read the log to its end, or a majority of zones
+// reported its version. The second condition suffices because a change is acknowledged
+// only when a majority of zones holds it, and any two majorities have a zone in common.
+// A zone counts with the highest version reported by any of its processes, so the
+// processes of one zone must exchange versions.
 type freshness struct {
 	bound   time.Duration
 	ownZone string
-	// zones counts the system's zones; peers of unknown zones add to it.
+	// zones holds the last report of each zone: those of setZones and those of peers.
 	zones map[string]*zoneReport
-	// logHeard is when the last read that reached the log's end was sent.
-	logHeard  time.Time
-	everHeard bool
+	// lastLogRead is the start time of the latest read that reached the log's end.
+	lastLogRead time.Time
+	hasReadLog  bool
 }
 
-// zoneReport is the newest word from a zone.
+// zoneReport is the highest version that a zone has reported, and when it last did.
 type zoneReport struct {
-	version uint64
-	heard   time.Time
-	known   bool
+	version    uint64
+	reportedAt time.Time
+	received   bool
 }
 
 func newFreshness(bound time.Duration, ownZone string) *freshness {
@@ -35,7 +35,7 @@
 	}
 }
 
-// setZones names the system's zones.
+// setZones replaces the set of zones, keeping the reports of those that remain.
 func (fresh *freshness) setZones(names []string) {
 	zones := map[string]*zoneReport{fresh.ownZone: {}}
 	for _, name := range names {
@@ -48,16 +48,16 @@
 	fresh.zones = zones
 }
 
-// heardLog notes a read that reached the end of the log and was sent at sent.
-func (fresh *freshness) heardLog(sent time.Time) {
-	if !fresh.everHeard || sent.After(fresh.logHeard) {
-		fresh.logHeard = sent
-		fresh.everHeard = true
+// recordLogRead records a read, started at sent, that reached the end of the log.
+func (fresh *freshness) recordLogRead(sent time.Time) {
+	if !fresh.hasReadLog || sent.After(fresh.lastLogRead) {
+		fresh.lastLogRead = sent
+		fresh.hasReadLog = true
 	}
 }
 
-// heardPeer notes the version that a process in zone had at sent.
-func (fresh *freshness) heardPeer(zone string, version uint64, sent time.Time) {
+// recordPeerVersion records that a process in zone had version at sent or later.
+func (fresh *freshness) recordPeerVersion(zone string, version uint64, sent time.Time) {
 	report, known := fresh.zones[zone]
 	if !known {
 		report = &zoneReport{}
@@ -66,18 +66,19 @@
 	if version < report.version {
 		return
 	}
-	*report = zoneReport{version: version, heard: sent, known: true}
+	*report = zoneReport{version: version, reportedAt: sent, received: true}
 }
 
-// isFresh tells whether version is certainly current at now.
+// isFresh reports whether version, this process's version, is certain to be the newest
+// at now.
 func (fresh *freshness) isFresh(version uint64, now time.Time) bool {
-	if fresh.everHeard && now.Sub(fresh.logHeard) <= fresh.bound {
+	if fresh.hasReadLog && now.Sub(fresh.lastLogRead) <= fresh.bound {
 		return true
 	}
 	agreeing := 0
 	for zone, report := range fresh.zones {
-		recent := report.known && now.Sub(report.heard) <= fresh.bound
-		if report.known && report.version > version {
+		recent := report.received && now.Sub(report.reportedAt) <= fresh.bound
+		if report.received && report.version > version {
 			return false
 		}
 		if zone == fresh.ownZone || (recent && report.version == version) {
@@ -87,12 +88,12 @@
 	return fresh.isMajority(agreeing) && len(fresh.zones) > 1
 }
 
-// isHeld tells whether a majority of zones has version or a later one. own is
-// this process's version.
+// isHeld reports whether a majority of zones has version or a later one. own is this
+// process's version.
 func (fresh *freshness) isHeld(version, own uint64) bool {
 	holding := 0
 	for zone, report := range fresh.zones {
-		if (zone == fresh.ownZone && own >= version) || (report.known && report.version >= version) {
+		if (zone == fresh.ownZone && own >= version) || (report.received && report.version >= version) {
 			holding++
 		}
 	}
--- a/internal/configuration/publish_test.go
+++ b/internal/configuration/publish_test.go
@@ -14,35 +14,34 @@
 	. "github.com/onsi/gomega"
 )
 
-func marked(mark string) *operatorv1.Configuration {
+func labelledConfiguration(mark string) *operatorv1.Configuration {
 	return &operatorv1.Configuration{DrainedBackEnds: []string{mark}}
 }
 
 func publish(node *node, id string, base uint64, mark string) (uint64, error) {
 	return node.publisher.Publish(context.Background(), &operatorv1.PublishRequest{
-		ChangeId: id, BaseVersion: base, Configuration: marked(mark),
+		ChangeId: id, BaseVersion: base, Configuration: labelledConfiguration(mark),
 	})
 }
 
-// attempt is one operator's publish, repeated with its change id while the
-// answer is unknown.
-type attempt struct {
-	base uint64
-	mark string
+// publishInput is the input of one publish, retries with the same change id included.
+type publishInput struct {
+	base  uint64
+	label string
 }
 
-type outcome struct {
+type publishOutput struct {
 	version uint64
 	code    resultcode.Code
 }
 
-// registerModel is the configuration as one register: a publish is accepted if
-// and only if its base is the version, and one whose answer stayed unknown may
-// have happened or not.
+// registerModel is the sequential specification: a publish is accepted if and only if
+// its base equals the current version. A publish of unknown outcome may or may not have
+// taken effect.
 var registerModel = porcupine.NondeterministicModel{
 	Init: func() []any { return []any{uint64(0)} },
 	Step: func(state, input, output any) []any {
-		version, tried, got := state.(uint64), input.(attempt), output.(outcome)
+		version, tried, got := state.(uint64), input.(publishInput), output.(publishOutput)
 		switch got.code {
 		case resultcode.OK:
 			if tried.base == version && got.version == version+1 {
@@ -64,16 +63,15 @@
 }
 
 var _ = Describe("Publisher", func() {
-	// Three short histories in place of a long one: each publish whose outcome stays
-	// unknown doubles what the checker may have to try, and a check that runs out of
-	// time is no verdict.
+	// The histories are short because each publish of unknown outcome can double the
+	// states that the linearizability checker explores.
 	for seed := uint64(11); seed <= 13; seed++ {
-		It(fmt.Sprintf("lets one of racing operators win each version, with answers lost, a node cut off and the log away, seed %d", seed), func() {
-			raceOperators(seed)
+		It(fmt.Sprintf("is linearizable for concurrent operators with lost responses, partitions and log outages, seed %d", seed), func() {
+			checkConcurrentPublishes(seed)
 		})
 	}
 
-	It("answers a repeated request alike at every node, and refuses its id for another content", func() {
+	It("returns the same result for a repeated request on every node, and rejects its change id with other content", func() {
 		cluster := startCluster(newFaultyLog(1, 0), 3)
 		version, err := publish(cluster.nodes[0], "a", 0, "x")
 		Expect(err).NotTo(HaveOccurred())
@@ -83,7 +81,7 @@
 		_, err = publish(cluster.nodes[1], "c", 1, "z")
 		Expect(err).NotTo(HaveOccurred())
 		for _, node := range cluster.nodes {
-			Eventually(node.reader.Version, patience).Should(BeEquivalentTo(2))
+			Eventually(node.reader.Version, eventuallyTimeout).Should(BeEquivalentTo(2))
 			version, err = publish(node, "a", 0, "x")
 			Expect(err).NotTo(HaveOccurred())
 			Expect(version).To(BeEquivalentTo(1))
@@ -95,40 +93,40 @@
 		Expect(cluster.log.records).To(HaveLen(2))
 	})
 
-	It("changes nothing while the log is away, goes on working, and hands the newest round to a node that starts then", func() {
+	It("rejects changes during a log outage, stays fresh, and passes the newest round to a node that starts meanwhile", func() {
 		log := newFaultyLog(2, 0)
-		log.setAway(2, true)
+		log.setUnavailable(2, true)
 		cluster := startCluster(log, 3)
 		_, err := publish(cluster.nodes[0], "a", 0, "x")
 		Expect(err).NotTo(HaveOccurred())
-		log.setAway(0, true)
-		log.setAway(1, true)
-		// Node 2 has never heard the log: it has its version from its peers.
-		Eventually(cluster.nodes[2].reader.Version, patience).Should(BeEquivalentTo(1))
+		log.setUnavailable(0, true)
+		log.setUnavailable(1, true)
+		// Node 2 has never read the log: its version comes from its peers.
+		Eventually(cluster.nodes[2].reader.Version, eventuallyTimeout).Should(BeEquivalentTo(1))
 		time.Sleep(2 * testBound)
 		for _, node := range cluster.nodes {
-			Eventually(node.reader.Fresh, patience).Should(BeTrue())
+			Eventually(node.reader.Fresh, eventuallyTimeout).Should(BeTrue())
 		}
 		_, err = publish(cluster.nodes[1], "b", 1, "y")
 		Expect(resultcode.CodeOf(err)).To(Equal(resultcode.LogUnavailable))
 		Expect(log.records).To(HaveLen(1))
-		cluster.setCut(2, true)
-		Eventually(cluster.nodes[2].reader.Fresh, patience).Should(BeFalse())
+		cluster.setPartitioned(2, true)
+		Eventually(cluster.nodes[2].reader.Fresh, eventuallyTimeout).Should(BeFalse())
 		Expect(cluster.nodes[0].reader.Fresh()).To(BeTrue())
 	})
 
-	It("does not call a change accepted until a majority of zones holds it", func() {
+	It("does not acknowledge a change until a majority of zones holds it", func() {
 		log := newFaultyLog(3, 0)
 		cluster := startCluster(log, 3)
 		for number := range 3 {
-			cluster.setCut(number, true)
+			cluster.setPartitioned(number, true)
 		}
-		log.setAway(1, true)
-		log.setAway(2, true)
+		log.setUnavailable(1, true)
+		log.setUnavailable(2, true)
 		_, err := publish(cluster.nodes[0], "a", 0, "x")
 		Expect(resultcode.CodeOf(err)).To(Equal(resultcode.PublishUnknown))
 		for number := range 3 {
-			cluster.setCut(number, false)
+			cluster.setPartitioned(number, false)
 		}
 		version, err := publish(cluster.nodes[0], "a", 0, "x")
 		Expect(err).NotTo(HaveOccurred())
@@ -136,18 +134,18 @@
 		Expect(log.records).To(HaveLen(1))
 	})
 
-	It("does not say that nothing changed after an append whose answer was lost", func() {
+	It("reports an unknown outcome, not a failure, after an append whose response was lost", func() {
 		log := newFaultyLog(5, 2)
 		cluster := startCluster(log, 1)
 		go func() {
-			time.Sleep(2 * appendRetry)
-			log.setAway(0, true)
+			time.Sleep(2 * appendRetryDelay)
+			log.setUnavailable(0, true)
 		}()
 		_, err := publish(cluster.nodes[0], "a", 0, "x")
 		Expect(resultcode.CodeOf(err)).To(Equal(resultcode.PublishUnknown))
 	})
 
-	It("refuses bad requests before the log sees them", func() {
+	It("rejects invalid requests without appending to the log", func() {
 		cluster := startCluster(newFaultyLog(4, 0), 1)
 		_, err := publish(cluster.nodes[0], "", 0, "x")
 		Expect(resultcode.CodeOf(err)).To(Equal(resultcode.BadRequest))
@@ -157,15 +155,16 @@
 	})
 })
 
-// race publishes on the version that a random node knows, at random nodes.
-func race(cluster *cluster, random *rand.Rand, id string, begin time.Time) (attempt, outcome, int64, int64) {
+// publishWithRetries publishes with the version of a random node as base, trying random
+// nodes while the outcome is unknown or the log unavailable.
+func publishWithRetries(cluster *cluster, random *rand.Rand, id string, begin time.Time) (publishInput, publishOutput, int64, int64) {
 	pick := func() *node { return cluster.nodes[random.IntN(len(cluster.nodes))] }
-	tried := attempt{base: pick().reader.Version(), mark: id}
+	tried := publishInput{base: pick().reader.Version(), label: id}
 	call := int64(time.Since(begin))
-	got := outcome{code: resultcode.PublishUnknown}
+	got := publishOutput{code: resultcode.PublishUnknown}
 	for range 4 {
-		version, err := publish(pick(), id, tried.base, tried.mark)
-		got = outcome{version: version, code: resultcode.CodeOf(err)}
+		version, err := publish(pick(), id, tried.base, tried.label)
+		got = publishOutput{version: version, code: resultcode.CodeOf(err)}
 		if got.code != resultcode.PublishUnknown && got.code != resultcode.LogUnavailable {
 			break
 		}
@@ -173,32 +172,32 @@
 	return tried, got, call, int64(time.Since(begin))
 }
 
-// disturb cuts one node off, takes the log away from all, and restores both.
-func disturb(cluster *cluster) {
+// injectFaults partitions each node in turn and then makes the log unavailable to all.
+func injectFaults(cluster *cluster) {
 	for number := range cluster.nodes {
-		cluster.setCut(number, true)
-		cluster.log.setAway(number, true)
+		cluster.setPartitioned(number, true)
+		cluster.log.setUnavailable(number, true)
 		time.Sleep(50 * time.Millisecond)
-		cluster.setCut(number, false)
-		cluster.log.setAway(number, false)
+		cluster.setPartitioned(number, false)
+		cluster.log.setUnavailable(number, false)
 	}
 	for number := range cluster.nodes {
-		cluster.log.setAway(number, true)
+		cluster.log.setUnavailable(number, true)
 	}
 	time.Sleep(100 * time.Millisecond)
 	for number := range cluster.nodes {
-		cluster.log.setAway(number, false)
+		cluster.log.setUnavailable(number, false)
 	}
 }
 
-// raceOperators lets operators publish at once amid faults and checks the history
-// of their answers against the register.
-func raceOperators(seed uint64) {
+// checkConcurrentPublishes runs concurrent operators under injected faults and checks
+// that the history of their results is linearizable.
+func checkConcurrentPublishes(seed uint64) {
 	const operators, rounds, leastVersion = 6, 8, 4
 	cluster := startCluster(newFaultyLog(seed, 0.4), 3)
 	var mutex sync.Mutex
 	var history []porcupine.Operation
-	var unsettled int
+	var unknownOutcomes int
 	begin := time.Now()
 	var running sync.WaitGroup
 	for operator := range operators {
@@ -206,10 +205,10 @@
 			defer GinkgoRecover()
 			random := rand.New(rand.NewPCG(uint64(operator), seed))
 			for round := range rounds {
-				tried, got, call, end := race(cluster, random, fmt.Sprintf("%d-%d", operator, round), begin)
+				tried, got, call, end := publishWithRetries(cluster, random, fmt.Sprintf("%d-%d", operator, round), begin)
 				mutex.Lock()
 				if got.code != resultcode.OK && got.code != resultcode.VersionConflict {
-					unsettled++
+					unknownOutcomes++
 					end = int64(time.Hour)
 				}
 				history = append(history, porcupine.Operation{ClientId: operator*rounds + round, Input: tried, Output: got, Call: call, Return: end})
@@ -217,11 +216,11 @@
 			}
 		})
 	}
-	disturb(cluster)
+	injectFaults(cluster)
 	running.Wait()
 	cluster.expectAgreement()
-	result := porcupine.CheckOperationsTimeout(registerModel.ToModel(), history, patience)
+	result := porcupine.CheckOperationsTimeout(registerModel.ToModel(), history, eventuallyTimeout)
 	Expect(result).To(Equal(porcupine.Ok))
-	AddReportEntry("publishes", fmt.Sprintf("%d, %d unsettled, version %d", len(history), unsettled, cluster.nodes[0].reader.Version()))
+	AddReportEntry("publishes", fmt.Sprintf("%d, %d of unknown outcome, version %d", len(history), unknownOutcomes, cluster.nodes[0].reader.Version()))
 	Expect(cluster.nodes[0].reader.Version()).To(BeNumerically(">=", leastVersion))
 }
--- a/internal/configuration/publisher.go
+++ b/internal/configuration/publisher.go
@@ -13,39 +13,37 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// settlePoll is how often an undecided change is looked for in the log.
-const settlePoll = 50 * time.Millisecond
+// decisionPollInterval is the interval between log reads while a change is undecided.
+const decisionPollInterval = 50 * time.Millisecond
 
-// appendRetry is how long an append of unknown outcome is looked for before the
-// change is appended again.
-const appendRetry = 250 * time.Millisecond
+// appendRetryDelay is the delay before an append of unknown outcome is repeated.
+const appendRetryDelay = 250 * time.Millisecond
 
-// unknownRetryAfter is when an operator may ask again for an unknown outcome.
+// unknownRetryAfter is the retry delay returned with retryable errors.
 const unknownRetryAfter = time.Second
 
-// Publisher offers changes to the stream and tells how they were decided.
+// Publisher appends changes to the stream and returns their results.
 type Publisher struct {
 	log    outside.Log
 	reader *Reader
-	// timeout bounds one publish.
-	timeout time.Duration
-	// appendTimeout bounds one append.
+	// timeout bounds one publish, appendTimeout one append.
+	timeout       time.Duration
 	appendTimeout time.Duration
 }
 
-// NewPublisher returns a publisher that settles its changes by reader, whose
-// Run must be running.
+// NewPublisher returns a publisher that learns the results of its changes from reader,
+// whose Run must be running. timeout bounds one publish, appendTimeout one append.
 func NewPublisher(log outside.Log, reader *Reader, timeout, appendTimeout time.Duration) *Publisher {
 	return &Publisher{log: log, reader: reader, timeout: timeout, appendTimeout: appendTimeout}
 }
 
-// Publish offers a configuration and returns its version once it stands in the
-// log and a majority of zones holds it. The same request again gets the same
-// answer, at any process.
+// Publish appends a configuration to the log and returns its version when the change is
+// accepted and a majority of zones holds it. It is idempotent: a repeated request
+// returns the same result from any process.
 //
-// Errors are *resultcode.Error: BadRequest, InvalidConfiguration,
-// VersionConflict, ChangeIDReused and LogUnavailable (nothing changed), and
-// PublishUnknown (it may yet be accepted: ask again with the same change id).
+// Errors are *resultcode.Error. BadRequest, InvalidConfiguration, VersionConflict,
+// ChangeIDReused, LogUnavailable and Internal mean that nothing changed. PublishUnknown
+// means that the change may still be accepted: retry with the same change id.
 func (publisher *Publisher) Publish(ctx context.Context, request *operatorv1.PublishRequest) (uint64, error) {
 	change, err := newChange(request)
 	if err != nil {
@@ -53,11 +51,11 @@
 	}
 	bounded, cancel := context.WithTimeout(ctx, publisher.timeout)
 	defer cancel()
-	publication := &publication{Publisher: publisher, change: change, begun: publisher.reader.options.Now()}
+	publication := &publication{Publisher: publisher, change: change, startedAt: publisher.reader.options.Now()}
 	return publication.run(bounded)
 }
 
-// newChange checks a request and encodes it as a record.
+// newChange validates a request and converts it to a change.
 func newChange(request *operatorv1.PublishRequest) (*configurationv1.Change, error) {
 	err := checkName("change_id", request.GetChangeId())
 	if err != nil {
@@ -69,7 +67,7 @@
 	}
 	content, err := proto.MarshalOptions{Deterministic: true}.Marshal(request.GetConfiguration())
 	if err != nil {
-		return nil, broken("configuration", "can't be encoded")
+		return nil, fieldError("configuration", "cannot be encoded")
 	}
 	return &configurationv1.Change{
 		ChangeId:    request.GetChangeId(),
@@ -78,73 +76,72 @@
 	}, nil
 }
 
-// publication is one publish under way.
+// publication is one publish in progress.
 type publication struct {
 	*Publisher
 	change *configurationv1.Change
-	// begun is when the publish began, on the reader's clock.
-	begun time.Time
-	// appended is true once the log has confirmed the change.
+	// startedAt is the start of the publish on the reader's clock.
+	startedAt time.Time
+	// appended is true when the log has confirmed an append of the change.
 	appended bool
-	// maybeAppended is true once an append may have taken effect.
+	// maybeAppended is true when an append may have taken effect.
 	maybeAppended bool
 	lastAppend    time.Time
 }
 
-// run appends and reads back until the change is decided and held, or ctx
-// ends. Appending again is safe: the register gives a repeated change its
-// first answer.
+// run appends the change and waits until it is decided and a majority of zones holds it,
+// or ctx ends. Repeated appends are safe: the register ignores a change that it has
+// already decided.
 func (publication *publication) run(ctx context.Context) (uint64, error) {
 	for {
-		seen := publication.reader.look(publication.change.GetChangeId())
-		if seen.decided != nil {
-			return publication.settle(ctx, seen)
+		status := publication.reader.changeStatus(publication.change.GetChangeId())
+		if status.decided != nil {
+			return publication.awaitMajority(ctx, status)
 		}
-		if publication.isLost(seen) {
-			return 0, conflict(seen.version)
+		if publication.cannotBeAccepted(status) {
+			return 0, versionConflict(status.version)
 		}
-		if publication.mayAppend(seen) {
+		if publication.shouldAppend(status) {
 			err := publication.append(ctx)
 			if err != nil {
 				return 0, err
 			}
 		}
-		err := publication.awaitProgress(ctx, seen)
+		err := publication.awaitProgress(ctx, status)
 		if err != nil {
-			return 0, publication.undecided()
+			return 0, publication.timeoutError()
 		}
 	}
 }
 
-// isLost tells whether the change, which is not decided up to what the reader
-// has read, can't be accepted after it either: the version is past its base
-// and only rises, or the base is above the version at the end of the log, and
-// then the change is never appended.
-func (publication *publication) isLost(seen state) bool {
+// cannotBeAccepted reports whether an undecided change can no longer be accepted. Either
+// the version, which never decreases, is above the change's base, or the base is above
+// the version at the end of the log, in which case the change is never appended.
+func (publication *publication) cannotBeAccepted(status changeStatus) bool {
 	base := publication.change.GetBaseVersion()
-	readToEnd := !seen.logHeard.Before(publication.begun)
-	return seen.version > base || (seen.version < base && readToEnd)
+	readToEnd := !status.lastLogRead.Before(publication.startedAt)
+	return status.version > base || (status.version < base && readToEnd)
 }
 
-// mayAppend tells whether to append now.
+// shouldAppend reports whether to append the change now.
 //
-// Invariant: a change is appended only by a process that has read its base
-// version. So its base is never above the version in force where it stands,
-// and once refused it stays refused, also after the register forgets it.
-func (publication *publication) mayAppend(seen state) bool {
-	if publication.appended || seen.version != publication.change.GetBaseVersion() {
+// Invariant: a change is appended only by a process that has read its base version. Its
+// base is therefore never above the version in force at its position in the log, and a
+// rejected change stays rejected after the register has discarded the decision.
+func (publication *publication) shouldAppend(status changeStatus) bool {
+	if publication.appended || status.version != publication.change.GetBaseVersion() {
 		return false
 	}
 	waited := publication.reader.options.Now().Sub(publication.lastAppend)
-	return !publication.maybeAppended || waited >= appendRetry
+	return !publication.maybeAppended || waited >= appendRetryDelay
 }
 
-// append tries once to append the change. It fails only if the change can't
-// stand in the log.
+// append appends the change once. It returns an error only if the change is certainly
+// not in the log.
 func (publication *publication) append(ctx context.Context) error {
 	record, err := proto.Marshal(publication.change)
 	if err != nil {
-		return resultcode.New(resultcode.Internal, "change can't be encoded")
+		return resultcode.New(resultcode.Internal, "configuration change cannot be encoded")
 	}
 	bounded, cancel := context.WithTimeout(ctx, publication.appendTimeout)
 	defer cancel()
@@ -157,57 +154,59 @@
 	case errors.Is(err, outside.ErrOutcomeUnknown), bounded.Err() != nil:
 		publication.maybeAppended = true
 	case !publication.maybeAppended:
-		return resultcode.New(resultcode.LogUnavailable, "the log did not take the change: %v", err).After(unknownRetryAfter)
+		return resultcode.New(resultcode.LogUnavailable, "append to the configuration log failed: %v", err).After(unknownRetryAfter)
 	}
 	return nil
 }
 
-// awaitProgress reads the log until the reader has moved on from seen, for at
-// most one poll.
-func (publication *publication) awaitProgress(ctx context.Context, seen state) error {
-	publication.reader.poke()
-	timer := time.NewTimer(settlePoll)
+// awaitProgress requests a log read and waits until the reader's state changes after
+// status was taken, for at most decisionPollInterval. It returns the error of ctx.
+func (publication *publication) awaitProgress(ctx context.Context, status changeStatus) error {
+	publication.reader.requestRead()
+	timer := time.NewTimer(decisionPollInterval)
 	defer timer.Stop()
 	select {
 	case <-ctx.Done():
 		return ctx.Err()
-	case <-seen.progress:
+	case <-status.progress:
 	case <-timer.C:
 	}
 	return ctx.Err()
 }
 
-// settle turns the decision into the answer.
-func (publication *publication) settle(ctx context.Context, seen state) (uint64, error) {
-	decided := seen.decided
+// awaitMajority returns the result of a decided change. For an accepted change it waits
+// until a majority of zones holds the version.
+func (publication *publication) awaitMajority(ctx context.Context, status changeStatus) (uint64, error) {
+	decided := status.decided
 	if !bytes.Equal(decided.GetDigest(), changeDigest(publication.change)) {
-		return 0, resultcode.New(resultcode.ChangeIDReused, "change id %s was used with another content", decided.GetChangeId())
+		return 0, resultcode.New(resultcode.ChangeIDReused, "change id %s was used with other content", decided.GetChangeId())
 	}
 	if decided.GetOutcome() != configurationv1.Outcome_OUTCOME_ACCEPTED {
-		return 0, conflict(seen.version)
+		return 0, versionConflict(status.version)
 	}
-	for !seen.held {
-		err := publication.awaitProgress(ctx, seen)
+	for !status.held {
+		err := publication.awaitProgress(ctx, status)
 		if err != nil {
-			return 0, unknown("version %d stands in the log and is not yet held by a majority of zones", decided.GetVersion())
+			return 0, outcomeUnknown("version %d is in the log but not yet held by a majority of zones", decided.GetVersion())
 		}
-		seen = publication.reader.look(decided.GetChangeId())
+		status = publication.reader.changeStatus(decided.GetChangeId())
 	}
 	return decided.GetVersion(), nil
 }
 
-// undecided is the answer when time is up before the change was read back.
-func (publication *publication) undecided() error {
+// timeoutError returns the error of a publish that timed out before the change was
+// decided.
+func (publication *publication) timeoutError() error {
 	if publication.maybeAppended {
-		return unknown("the change was sent and has not been read back")
+		return outcomeUnknown("the change may have been appended but was not read back in time")
 	}
 	return resultcode.New(resultcode.LogUnavailable, "the log does not answer").After(unknownRetryAfter)
 }
 
-func conflict(version uint64) error {
+func versionConflict(version uint64) error {
 	return resultcode.New(resultcode.VersionConflict, "version %d is in force", version)
 }
 
-func unknown(format string, arguments ...any) error {
+func outcomeUnknown(format string, arguments ...any) error {
 	return resultcode.New(resultcode.PublishUnknown, format, arguments...).After(unknownRetryAfter)
 }
--- a/internal/configuration/reader.go
+++ b/internal/configuration/reader.go
@@ -11,49 +11,49 @@
 	"go.uber.org/zap"
 )
 
-// Stream is the log stream that holds the changes.
+// Stream is the name of the log stream that holds the changes.
 const Stream = "configuration"
 
-// readLimit is the most records read at once.
+// readLimit is the maximum number of records per read.
 const readLimit = 64
 
-// ReaderOptions tunes a Reader.
+// ReaderOptions configures a Reader.
 type ReaderOptions struct {
 	Log outside.Log
-	// Zone is the process's own zone.
+	// Zone is the zone of the process.
 	Zone string
-	// Poll is how often the stream is read.
+	// Poll is the interval between reads of the stream.
 	Poll time.Duration
-	// FreshBound is how long the process stays fresh after it heard the log
-	// or a majority of zones.
+	// FreshBound is how long a read of the log's end, or a majority of zones that report
+	// this process's version, keeps the process fresh.
 	FreshBound time.Duration
 	// ReadTimeout bounds one read.
 	ReadTimeout time.Duration
-	// Changed is told of each new version, in rising order, on the reader's
-	// goroutine; optional.
+	// Changed is called with each new snapshot, in increasing order of versions, on the
+	// goroutine of Run; optional.
 	Changed func(snapshot *Snapshot)
 	// Logger is optional.
 	Logger *zap.Logger
-	// Now is the monotonic clock; nil takes time.Now.
+	// Now is a monotonic clock; nil means time.Now.
 	Now func() time.Time
 }
 
-// Reader follows the configuration stream on a goroutine of its own (Run),
-// which alone advances the register. All methods are safe for concurrent use.
+// Reader follows the configuration stream. Only Run advances the register. All methods
+// are safe for concurrent use.
 type Reader struct {
-	options ReaderOptions
-	current atomic.Pointer[Snapshot]
-	offers  chan *configurationv1.Round
-	pokes   chan struct{}
+	options      ReaderOptions
+	current      atomic.Pointer[Snapshot]
+	offers       chan *configurationv1.Round
+	readRequests chan struct{}
 
 	mutex    sync.Mutex
 	register *Register
 	fresh    *freshness
-	// progress is closed and replaced whenever register or fresh changes.
+	// progress is closed and replaced on each update of register or fresh.
 	progress chan struct{}
 }
 
-// NewReader returns a reader that knows nothing yet.
+// NewReader returns a reader at version 0.
 func NewReader(options ReaderOptions) *Reader {
 	if options.Now == nil {
 		options.Now = time.Now
@@ -62,68 +62,69 @@
 		options.Logger = zap.NewNop()
 	}
 	return &Reader{
-		options:  options,
-		offers:   make(chan *configurationv1.Round, 1),
-		pokes:    make(chan struct{}, 1),
-		register: NewRegister(),
-		fresh:    newFreshness(options.FreshBound, options.Zone),
-		progress: make(chan struct{}),
+		options:      options,
+		offers:       make(chan *configurationv1.Round, 1),
+		readRequests: make(chan struct{}, 1),
+		register:     NewRegister(),
+		fresh:        newFreshness(options.FreshBound, options.Zone),
+		progress:     make(chan struct{}),
 	}
 }
 
-// Current returns the configuration in force as far as this process knows, or
-// nil before the first.
+// Current returns the newest configuration that this process has read; nil at version 0.
 func (reader *Reader) Current() *Snapshot { return reader.current.Load() }
 
-// Version returns the version in force as far as this process knows.
+// Version returns the newest version that this process has read.
 func (reader *Reader) Version() uint64 {
 	reader.mutex.Lock()
 	defer reader.mutex.Unlock()
 	return reader.register.Version()
 }
 
-// Fresh tells whether the process is sure, within the bound, that it knows the
-// newest configuration.
+// Fresh reports whether this process is certain to have had the newest configuration at
+// some time within the freshness bound.
 func (reader *Reader) Fresh() bool {
 	reader.mutex.Lock()
 	defer reader.mutex.Unlock()
 	return reader.fresh.isFresh(reader.register.Version(), reader.options.Now())
 }
 
-// SetZones names the system's zones, as the machine list has them.
+// SetZones sets the zones of the system, as in the machine list.
 func (reader *Reader) SetZones(names []string) {
-	reader.change(func() { reader.fresh.setZones(names) })
+	reader.update(func() { reader.fresh.setZones(names) })
 }
 
-// PeerReported notes that a process of another zone told its version in answer
-// to a request sent at sent (this process's clock).
+// PeerReported records the version that a process in zone returned in response to a
+// request sent at sent, on this process's clock.
 func (reader *Reader) PeerReported(zone string, version uint64, sent time.Time) {
-	reader.change(func() { reader.fresh.heardPeer(zone, version, sent) })
+	reader.update(func() { reader.fresh.recordPeerVersion(zone, version, sent) })
 }
 
-// LogHeard returns when the last read that reached the stream's end was sent.
+// LogHeard returns the start time of the latest read that reached the stream's end; the
+// zero time if there is none.
 func (reader *Reader) LogHeard() time.Time {
 	reader.mutex.Lock()
 	defer reader.mutex.Unlock()
-	return reader.fresh.logHeard
+	return reader.fresh.lastLogRead
 }
 
-// PeerAhead notes that a process of another zone told a version in a request of
-// its own. A newer one than this process knows is read for at once.
+// PeerAhead requests an immediate read if version, sent by a peer in a request, is above
+// this process's version.
 func (reader *Reader) PeerAhead(version uint64) {
 	if version > reader.Version() {
-		reader.poke()
+		reader.requestRead()
 	}
 }
 
-// Round returns the state to hand to a peer that is behind.
+// Round returns the register state to send to a peer that is behind.
 func (reader *Reader) Round() *configurationv1.Round {
 	reader.mutex.Lock()
 	defer reader.mutex.Unlock()
 	return reader.register.Round()
 }
 
-// Offer hands in a peer's round. One that waits already is replaced if newer.
+// Offer submits a peer's round to Run. Of several pending rounds only the one with the
+// highest offset is kept.
 func (reader *Reader) Offer(round *configurationv1.Round) {
 	for {
 		select {
@@ -141,23 +142,23 @@
 	}
 }
 
-// poke asks for a read without waiting for the next poll.
-func (reader *Reader) poke() {
+// requestRead requests a read before the next poll.
+func (reader *Reader) requestRead() {
 	select {
-	case reader.pokes <- struct{}{}:
+	case reader.readRequests <- struct{}{}:
 	default:
 	}
 }
 
-// readResult is the answer to one read of the stream.
+// readResult is the result of one read of the stream.
 type readResult struct {
 	sent    time.Time
 	records []outside.Record
 	err     error
 }
 
-// Run follows the stream until ctx ends. A read that hangs holds up neither
-// peers' rounds nor the next poll's timing.
+// Run follows the stream until ctx ends. Reads run on another goroutine, so a read that
+// hangs does not block the adoption of peers' rounds.
 func (reader *Reader) Run(ctx context.Context) {
 	ticker := time.NewTicker(reader.options.Poll)
 	defer ticker.Stop()
@@ -176,13 +177,13 @@
 			return
 		case <-ticker.C:
 			read()
-		case <-reader.pokes:
+		case <-reader.readRequests:
 			read()
 		case round := <-reader.offers:
-			reader.adopt(round)
+			reader.adoptRound(round)
 		case result := <-results:
 			reading = false
-			if reader.apply(result) {
+			if reader.handleRead(result) {
 				read()
 			}
 		}
@@ -203,26 +204,26 @@
 	results <- readResult{sent: sent, records: records, err: err}
 }
 
-// apply steps the register over a read's records and tells whether more wait.
-func (reader *Reader) apply(result readResult) bool {
+// handleRead applies the records of a read and reports whether to read again at once.
+func (reader *Reader) handleRead(result readResult) bool {
 	if result.err != nil {
-		reader.options.Logger.Debug("configuration stream not read", zap.Error(result.err))
+		reader.options.Logger.Debug("reading the configuration stream failed", zap.Error(result.err))
 		return false
 	}
-	reader.step(result.records)
+	reader.applyRecords(result.records)
 	if len(result.records) > 0 {
 		return true
 	}
-	// Only an empty answer shows the stream's end; a full one may be cut short.
-	reader.change(func() { reader.fresh.heardLog(result.sent) })
+	// Only an empty response proves that the end of the stream was reached.
+	reader.update(func() { reader.fresh.recordLogRead(result.sent) })
 	return false
 }
 
-// step takes the records of one read together: a process that starts goes to the
-// newest version it has read at once, and shows none of those before it.
-func (reader *Reader) step(records []outside.Record) {
+// applyRecords applies the records of one read and then publishes only the newest
+// version, so that a starting process skips outdated versions.
+func (reader *Reader) applyRecords(records []outside.Record) {
 	var decisions []Decision
-	reader.change(func() {
+	reader.update(func() {
 		for _, record := range records {
 			decisions = append(decisions, reader.register.Step(record.Offset, record.Data))
 		}
@@ -231,7 +232,7 @@
 		reader.logDecision(decision)
 	}
 	if len(records) > 0 {
-		reader.publish()
+		reader.updateCurrent()
 	}
 }
 
@@ -245,22 +246,23 @@
 		zap.Uint64("version", decision.Version))
 }
 
-func (reader *Reader) adopt(round *configurationv1.Round) {
+func (reader *Reader) adoptRound(round *configurationv1.Round) {
 	_, err := decodeSnapshot(round.GetVersion(), round.GetContent())
 	if err != nil {
-		reader.options.Logger.Warn("peer's configuration not readable", zap.Error(err))
+		reader.options.Logger.Warn("cannot decode the configuration of a peer", zap.Error(err))
 		return
 	}
 	adopted := false
-	reader.change(func() { adopted = reader.register.Adopt(round) })
+	reader.update(func() { adopted = reader.register.Adopt(round) })
 	if adopted {
-		reader.options.Logger.Info("configuration taken from a peer", zap.Uint64("version", round.GetVersion()))
-		reader.publish()
+		reader.options.Logger.Info("adopted the configuration of a peer", zap.Uint64("version", round.GetVersion()))
+		reader.updateCurrent()
 	}
 }
 
-// publish makes the register's version the current one and tells the callback.
-func (reader *Reader) publish() {
+// updateCurrent makes the register's version the current snapshot and calls Changed, if
+// the version is new.
+func (reader *Reader) updateCurrent() {
 	reader.mutex.Lock()
 	version, content := reader.register.Version(), reader.register.Content()
 	reader.mutex.Unlock()
@@ -270,8 +272,8 @@
 	}
 	snapshot, err := decodeSnapshot(version, content)
 	if err != nil {
-		// Step and adopt let no content in that does not decode.
-		reader.options.Logger.Error("configuration not readable", zap.Error(err))
+		// Unreachable: Step and adoptRound reject content that cannot be decoded.
+		reader.options.Logger.Error("cannot decode the configuration", zap.Error(err))
 		return
 	}
 	reader.current.Store(snapshot)
@@ -280,37 +282,39 @@
 	}
 }
 
-// change runs alter under the lock and wakes all who wait for progress.
-func (reader *Reader) change(alter func()) {
+// update calls modify under the lock and wakes the waiters on progress.
+func (reader *Reader) update(modify func()) {
 	reader.mutex.Lock()
 	defer reader.mutex.Unlock()
-	alter()
+	modify()
 	close(reader.progress)
 	reader.progress = make(chan struct{})
 }
 
-// state is what a publisher waits on.
-type state struct {
+// changeStatus is the reader's state with regard to one change.
+type changeStatus struct {
 	version uint64
+	// decided is nil while the change is undecided.
 	decided *configurationv1.DecidedChange
-	held    bool
-	// logHeard is when the last read that reached the log's end was sent.
-	logHeard time.Time
-	progress <-chan struct{}
+	// held is true if a majority of zones holds the version of the decision.
+	held bool
+	// lastLogRead is the start time of the latest read that reached the log's end.
+	lastLogRead time.Time
+	progress    <-chan struct{}
 }
 
-// look returns the state with regard to one change: how it was decided, and
-// whether a majority of zones holds the version it made.
-func (reader *Reader) look(changeID string) state {
+// changeStatus returns the status of a change and the channel that the next update
+// closes.
+func (reader *Reader) changeStatus(changeID string) changeStatus {
 	reader.mutex.Lock()
 	defer reader.mutex.Unlock()
 	version := reader.register.Version()
 	decided := reader.register.Decided(changeID)
-	return state{
-		version:  version,
-		decided:  decided,
-		held:     decided != nil && reader.fresh.isHeld(decided.GetVersion(), version),
-		logHeard: reader.fresh.logHeard,
-		progress: reader.progress,
+	return changeStatus{
+		version:     version,
+		decided:     decided,
+		held:        decided != nil && reader.fresh.isHeld(decided.GetVersion(), version),
+		lastLogRead: reader.fresh.lastLogRead,
+		progress:    reader.progress,
 	}
 }
--- a/internal/configuration/register.go
+++ b/internal/configuration/register.go
@@ -1,6 +1,6 @@
-// Package configuration follows the operators' configuration through the
-// platform's log: which change is in force, whether that is certainly current,
-// and how a change is published.
+// Package configuration replicates the operators' configuration through the platform's
+// log. It reads and publishes changes and determines whether a process has the newest
+// version.
 package configuration
 
 import (
@@ -14,41 +14,41 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// decidedMemory is how many decided changes the register remembers. It is part
-// of the rule that every reader follows, so it must be alike in all processes.
-const decidedMemory = 256
+// maxDecided is the number of decided changes that the register stores. It affects
+// decisions, so it must be the same in all processes.
+const maxDecided = 256
 
-// Verdict is what the register says to one record.
+// Verdict is the register's decision on one record.
 type Verdict int
 
 // Verdicts.
 const (
-	// VerdictUnreadable is a record that is no Change, or one that was read
-	// before; it changes nothing.
+	// VerdictUnreadable is a record that cannot be decoded or was already read. It has
+	// no effect.
 	VerdictUnreadable Verdict = iota
-	// VerdictAccepted puts the record's content in force.
+	// VerdictAccepted is a change that takes effect with a new version.
 	VerdictAccepted
-	// VerdictConflict is a change whose base is not the version in force.
+	// VerdictConflict is a change whose base version is not the version in force.
 	VerdictConflict
-	// VerdictRepeated is a change decided before; its first answer stands.
+	// VerdictRepeated is a change that was already decided; the first decision stays.
 	VerdictRepeated
-	// VerdictReused is a change id that was decided with another content.
+	// VerdictReused is a change whose id was already decided with other content.
 	VerdictReused
 )
 
-// Decision is the register's answer to one record.
+// Decision is the result of applying one record.
 type Decision struct {
 	Verdict  Verdict
 	ChangeID string
-	// Version in force after the record.
+	// Version is the version in force after the record.
 	Version uint64
 }
 
-// Register is the configuration as the stream's order makes it. Its state
-// depends on the records before NextOffset alone, so any two readers that have
-// read equally far hold the same. It has no lock, clock or socket.
+// Register is the replicated state machine of the configuration. Its state depends only
+// on the records before NextOffset, so all readers at the same offset have the same
+// state. It is not safe for concurrent use.
 //
-// Invariant: the version only rises, by one for each accepted change.
+// Invariant: the version never decreases and rises by one with each accepted change.
 type Register struct {
 	nextOffset uint64
 	version    uint64
@@ -57,20 +57,20 @@
 	decided []*configurationv1.DecidedChange
 }
 
-// NewRegister returns the register before the stream's first record.
+// NewRegister returns the register at the start of the stream.
 func NewRegister() *Register { return &Register{} }
 
 // Version returns the version in force; 0 before the first accepted change.
 func (register *Register) Version() uint64 { return register.version }
 
-// NextOffset returns the offset of the first record not read.
+// NextOffset returns the offset of the first unread record.
 func (register *Register) NextOffset() uint64 { return register.nextOffset }
 
-// Content returns the encoded configuration in force. It must not be changed.
+// Content returns the encoded configuration in force. Callers must not modify it.
 func (register *Register) Content() []byte { return register.content }
 
-// Step reads the record at offset. Records must come in the stream's order;
-// one that was read before is skipped with the verdict VerdictUnreadable.
+// Step applies the record at offset. Records must be applied in stream order; one that
+// was already read is skipped with VerdictUnreadable.
 func (register *Register) Step(offset uint64, record []byte) Decision {
 	if offset < register.nextOffset {
 		return Decision{Verdict: VerdictUnreadable, Version: register.version}
@@ -78,17 +78,17 @@
 	register.nextOffset = offset + 1
 	var change configurationv1.Change
 	err := proto.Unmarshal(record, &change)
-	if err != nil || !readable(&change) {
+	if err != nil || !isDecodable(&change) {
 		return Decision{Verdict: VerdictUnreadable, Version: register.version}
 	}
 	verdict := register.decide(&change)
 	return Decision{Verdict: verdict, ChangeID: change.GetChangeId(), Version: register.version}
 }
 
-// readable tells whether a change has an id and a content that decodes.
-// Nothing else about the content is judged here: rules change between versions
-// of the program, and all readers must judge alike.
-func readable(change *configurationv1.Change) bool {
+// isDecodable reports whether a change has an id and its content can be decoded. It
+// applies no other validation rules: they differ between software versions, and all
+// readers must reach the same decision.
+func isDecodable(change *configurationv1.Change) bool {
 	if change.GetChangeId() == "" {
 		return false
 	}
@@ -104,29 +104,29 @@
 	case earlier != nil:
 		return VerdictReused
 	case change.GetBaseVersion() != register.version:
-		register.remember(change, digest, configurationv1.Outcome_OUTCOME_CONFLICT)
+		register.recordDecision(change, digest, configurationv1.Outcome_OUTCOME_CONFLICT)
 		return VerdictConflict
 	}
 	register.version++
 	register.content = change.GetContent()
-	register.remember(change, digest, configurationv1.Outcome_OUTCOME_ACCEPTED)
+	register.recordDecision(change, digest, configurationv1.Outcome_OUTCOME_ACCEPTED)
 	return VerdictAccepted
 }
 
-func (register *Register) remember(change *configurationv1.Change, digest []byte, outcome configurationv1.Outcome) {
+func (register *Register) recordDecision(change *configurationv1.Change, digest []byte, outcome configurationv1.Outcome) {
 	register.decided = append(register.decided, &configurationv1.DecidedChange{
 		ChangeId: change.GetChangeId(),
 		Digest:   digest,
 		Outcome:  outcome,
 		Version:  register.version,
 	})
-	if len(register.decided) > decidedMemory {
+	if len(register.decided) > maxDecided {
 		register.decided = slices.Clone(register.decided[1:])
 	}
 }
 
-// Decided returns what was decided on a change, or nil while it is not read or
-// no longer remembered.
+// Decided returns the decision on a change; nil if the change has not been read or its
+// decision has been discarded.
 func (register *Register) Decided(changeID string) *configurationv1.DecidedChange {
 	for _, candidate := range register.decided {
 		if candidate.GetChangeId() == changeID {
@@ -136,7 +136,7 @@
 	return nil
 }
 
-// Round returns the whole state for a peer.
+// Round returns the complete state, for transfer to a peer.
 func (register *Register) Round() *configurationv1.Round {
 	return &configurationv1.Round{
 		NextOffset: register.nextOffset,
@@ -146,11 +146,11 @@
 	}
 }
 
-// Adopt takes a peer's state where it has read further, and tells whether it
-// did. A round that would lower the version is refused.
+// Adopt replaces the state by a peer's if the peer has read further, and reports whether
+// it did. A round with a lower version is rejected.
 func (register *Register) Adopt(round *configurationv1.Round) bool {
-	further := round.GetNextOffset() > register.nextOffset
-	if !further || round.GetVersion() < register.version {
+	isAhead := round.GetNextOffset() > register.nextOffset
+	if !isAhead || round.GetVersion() < register.version {
 		return false
 	}
 	register.nextOffset = round.GetNextOffset()
@@ -160,7 +160,7 @@
 	return true
 }
 
-// changeDigest is the SHA-256 over base version and content.
+// changeDigest returns the SHA-256 digest of the base version and the content.
 func changeDigest(change *configurationv1.Change) []byte {
 	hash := sha256.New()
 	_ = binary.Write(hash, binary.BigEndian, change.GetBaseVersion())
@@ -168,7 +168,7 @@
 	return hash.Sum(nil)
 }
 
-// String names the verdict for logs.
+// String returns the name of the verdict as used in logs.
 func (verdict Verdict) String() string {
 	switch verdict {
 	case VerdictAccepted:
--- a/internal/configuration/register_test.go
+++ b/internal/configuration/register_test.go
@@ -17,44 +17,44 @@
 	return encoded
 }
 
-// record encodes a change whose content is told apart by mark.
-func record(id string, base uint64, mark string) []byte {
-	content := encode(&operatorv1.Configuration{DrainedBackEnds: []string{mark}})
+// encodeChange encodes a change whose content contains label.
+func encodeChange(id string, base uint64, label string) []byte {
+	content := encode(&operatorv1.Configuration{DrainedBackEnds: []string{label}})
 	return encode(&configurationv1.Change{ChangeId: id, BaseVersion: base, Content: content})
 }
 
 var _ = Describe("Register", func() {
-	It("decides by the stream's order alone", func() {
+	It("decides changes in stream order", func() {
 		register := NewRegister()
 		steps := []struct {
 			record  []byte
 			verdict Verdict
 			version uint64
 		}{
-			{record("a", 0, "1"), VerdictAccepted, 1},
-			{record("b", 0, "2"), VerdictConflict, 1},
-			{record("a", 0, "1"), VerdictRepeated, 1},
-			{record("a", 1, "3"), VerdictReused, 1},
+			{encodeChange("a", 0, "1"), VerdictAccepted, 1},
+			{encodeChange("b", 0, "2"), VerdictConflict, 1},
+			{encodeChange("a", 0, "1"), VerdictRepeated, 1},
+			{encodeChange("a", 1, "3"), VerdictReused, 1},
 			{[]byte("rubbish"), VerdictUnreadable, 1},
-			{record("", 1, "4"), VerdictUnreadable, 1},
+			{encodeChange("", 1, "4"), VerdictUnreadable, 1},
 			{encode(&configurationv1.Change{ChangeId: "c", BaseVersion: 1, Content: []byte("rubbish")}), VerdictUnreadable, 1},
-			{record("b", 1, "2"), VerdictReused, 1},
-			{record("d", 1, "5"), VerdictAccepted, 2},
+			{encodeChange("b", 1, "2"), VerdictReused, 1},
+			{encodeChange("d", 1, "5"), VerdictAccepted, 2},
 		}
 		for offset, step := range steps {
 			decision := register.Step(uint64(offset), step.record)
 			Expect(decision.Verdict).To(Equal(step.verdict), "record %d", offset)
 			Expect(decision.Version).To(Equal(step.version), "record %d", offset)
 		}
-		Expect(register.Step(0, record("e", 2, "6")).Verdict).To(Equal(VerdictUnreadable))
+		Expect(register.Step(0, encodeChange("e", 2, "6")).Verdict).To(Equal(VerdictUnreadable))
 		Expect(register.Version()).To(BeEquivalentTo(2))
 	})
 
-	It("never adopts what is older or would lower the version", func() {
+	It("does not adopt an older round or one with a lower version", func() {
 		register := NewRegister()
-		register.Step(0, record("a", 0, "1"))
+		register.Step(0, encodeChange("a", 0, "1"))
 		older := register.Round()
-		register.Step(1, record("b", 1, "2"))
+		register.Step(1, encodeChange("b", 1, "2"))
 		Expect(register.Adopt(older)).To(BeFalse())
 		lower := proto.CloneOf(older)
 		lower.NextOffset = 9
@@ -62,9 +62,9 @@
 		Expect(register.Version()).To(BeEquivalentTo(2))
 	})
 
-	It("is alike in all readers, however they read and adopt", func() {
+	It("is the same in all readers at the same offset, whether they read or adopt", func() {
 		rapid.Check(GinkgoTB(), func(t *rapid.T) {
-			stream := drawStream(t)
+			stream := generateStream(t)
 			readers := []*Register{NewRegister(), NewRegister(), NewRegister()}
 			for range rapid.IntRange(1, 3*len(stream)).Draw(t, "steps") {
 				reader := readers[rapid.IntRange(0, len(readers)-1).Draw(t, "reader")]
@@ -76,7 +76,7 @@
 					reader.Step(reader.NextOffset(), stream[reader.NextOffset()])
 				}
 				if reader.Version() < before {
-					t.Fatalf("version went back from %d to %d", before, reader.Version())
+					t.Fatalf("version decreased from %d to %d", before, reader.Version())
 				}
 			}
 			reference := NewRegister()
@@ -92,16 +92,16 @@
 	})
 })
 
-// drawStream makes a stream of racing, repeated and reused changes, longer
-// than the register's memory at times.
-func drawStream(t *rapid.T) [][]byte {
-	count := rapid.SampledFrom([]int{5, 40, 3 * decidedMemory}).Draw(t, "records")
+// generateStream generates a stream of conflicting, repeated and reused changes. Some
+// streams have more changes than the register stores decisions.
+func generateStream(t *rapid.T) [][]byte {
+	count := rapid.SampledFrom([]int{5, 40, 3 * maxDecided}).Draw(t, "records")
 	stream := make([][]byte, 0, count)
 	reference := NewRegister()
 	for offset := range count {
 		id := fmt.Sprint(rapid.IntRange(0, count/2+1).Draw(t, "id"))
 		base := reference.Version() - min(reference.Version(), uint64(rapid.IntRange(0, 1).Draw(t, "lag")))
-		next := record(id, base, fmt.Sprint(rapid.IntRange(0, 2).Draw(t, "mark")))
+		next := encodeChange(id, base, fmt.Sprint(rapid.IntRange(0, 2).Draw(t, "mark")))
 		if offset > 0 && rapid.IntRange(0, 4).Draw(t, "repeat") == 0 {
 			next = stream[rapid.IntRange(0, offset-1).Draw(t, "of")]
 		}
--- a/internal/configuration/snapshot.go
+++ b/internal/configuration/snapshot.go
@@ -10,7 +10,7 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// Snapshot is one version of the configuration with indexes. It never changes.
+// Snapshot is one version of the configuration with lookup indexes. It is immutable.
 type Snapshot struct {
 	version       uint64
 	configuration *operatorv1.Configuration
@@ -28,7 +28,7 @@
 	tier   *operatorv1.Tier
 }
 
-// NewSnapshot indexes a configuration, which must not be changed afterwards.
+// NewSnapshot indexes a configuration, which must not be modified afterwards.
 func NewSnapshot(version uint64, configuration *operatorv1.Configuration) *Snapshot {
 	snapshot := &Snapshot{
 		version:       version,
@@ -53,12 +53,12 @@
 	return snapshot
 }
 
-// decodeSnapshot indexes an encoded configuration.
+// decodeSnapshot decodes and indexes a configuration.
 func decodeSnapshot(version uint64, content []byte) (*Snapshot, error) {
 	configuration := &operatorv1.Configuration{}
 	err := proto.Unmarshal(content, configuration)
 	if err != nil {
-		return nil, fmt.Errorf("decode configuration %d: %w", version, err)
+		return nil, fmt.Errorf("decode configuration version %d: %w", version, err)
 	}
 	return NewSnapshot(version, configuration), nil
 }
@@ -72,14 +72,13 @@
 	}
 }
 
-// Version returns the configuration's version.
 func (snapshot *Snapshot) Version() uint64 { return snapshot.version }
 
-// Configuration returns the whole configuration. It must not be changed.
+// Configuration returns the complete configuration. Callers must not modify it.
 func (snapshot *Snapshot) Configuration() *operatorv1.Configuration { return snapshot.configuration }
 
-// TierByKey finds the tier of a caller's key. It compares SHA-256 digests with
-// all tiers in constant time, so that the time tells nothing about keys.
+// TierByKey returns the tier of a caller's API key. It compares the SHA-256 digest with
+// those of all tiers in constant time, so that its duration reveals nothing about keys.
 func (snapshot *Snapshot) TierByKey(key string) (*operatorv1.Tier, bool) {
 	digest := sha256.Sum256([]byte(key))
 	var found *operatorv1.Tier
@@ -92,25 +91,25 @@
 	return found, found != nil
 }
 
-// Tier finds a tenant's tier by name.
+// Tier returns a tenant's tier by name.
 func (snapshot *Snapshot) Tier(tenant, name string) (*operatorv1.Tier, bool) {
 	tier, found := snapshot.tiers[tierName{tenant, name}]
 	return tier, found
 }
 
-// Service finds a model or tool service by name.
+// Service returns a model or tool service by name.
 func (snapshot *Snapshot) Service(name string) (*operatorv1.Service, bool) {
 	service, found := snapshot.services[name]
 	return service, found
 }
 
-// Kind finds a program kind by name.
+// Kind returns a program kind by name.
 func (snapshot *Snapshot) Kind(name string) (*operatorv1.ProgramKind, bool) {
 	kind, found := snapshot.kinds[name]
 	return kind, found
 }
 
-// Policy returns the scheduling policies, never nil.
+// Policy returns the scheduling policy; empty, never nil, if none is configured.
 func (snapshot *Snapshot) Policy() *operatorv1.SchedulingPolicy {
 	policy := snapshot.configuration.GetScheduling()
 	if policy == nil {
@@ -119,5 +118,5 @@
 	return policy
 }
 
-// Drained tells whether operators have taken a back end out of work.
+// Drained reports whether operators have drained a back end.
 func (snapshot *Snapshot) Drained(backEnd string) bool { return snapshot.drained[backEnd] }
--- a/internal/configuration/validate.go
+++ b/internal/configuration/validate.go
@@ -14,31 +14,31 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// Bounds of a configuration.
+// Limits on a configuration.
 const (
-	maxNameLength     = 128
-	maxServices       = 1000
-	maxTiers          = 10000
-	maxKinds          = 1000
-	maxDrained        = 10000
-	maxAdapters       = 1000
-	maxContentBytes   = 1 << 20
-	maxWeight         = 1_000_000
-	maxPriceMicros    = 1_000_000_000_000
-	maxBudgetMicros   = 1_000_000_000_000_000_000
-	maxMillis         = 7 * 24 * 3600 * 1000
-	maxTurns          = 1_000_000
-	highestPercentage = 100
+	maxNameLength   = 128
+	maxServices     = 1000
+	maxTiers        = 10000
+	maxKinds        = 1000
+	maxDrained      = 10000
+	maxAdapters     = 1000
+	maxContentBytes = 1 << 20
+	maxWeight       = 1_000_000
+	maxPriceMicros  = 1_000_000_000_000
+	maxBudgetMicros = 1_000_000_000_000_000_000
+	maxMillis       = 7 * 24 * 3600 * 1000
+	maxTurns        = 1_000_000
+	maxPercentage   = 100
 )
 
-// Validate checks a configuration's own rules. The first broken one is a
+// Validate checks a configuration. The error for the first invalid field is a
 // *resultcode.Error with code InvalidConfiguration that names the field.
 func Validate(configuration *operatorv1.Configuration) error {
 	if configuration == nil {
-		return broken("configuration", "missing")
+		return fieldError("configuration", "missing")
 	}
 	if proto.Size(configuration) > maxContentBytes {
-		return broken("configuration", "over %d bytes encoded", maxContentBytes)
+		return fieldError("configuration", "over %d bytes encoded", maxContentBytes)
 	}
 	checks := []func(*operatorv1.Configuration) error{
 		checkCounts, checkServices, checkTiers, checkKinds, checkPolicy, checkDrained,
@@ -64,7 +64,7 @@
 	}
 	for _, counted := range counts {
 		if counted.count > counted.limit {
-			return broken(counted.field, "%d entries, at most %d", counted.count, counted.limit)
+			return fieldError(counted.field, "%d entries, at most %d", counted.count, counted.limit)
 		}
 	}
 	return nil
@@ -74,7 +74,7 @@
 	names := uniqueNames{}
 	for index, service := range configuration.GetServices() {
 		field := fmt.Sprintf("services[%d]", index)
-		err := names.add(field+".name", service.GetName())
+		err := names.addName(field+".name", service.GetName())
 		if err != nil {
 			return err
 		}
@@ -91,22 +91,22 @@
 	case operatorv1.ServiceKind_SERVICE_KIND_MODEL:
 	case operatorv1.ServiceKind_SERVICE_KIND_TOOL:
 		if len(service.GetAdapters()) > 0 {
-			return broken(field+".adapters", "only models have adapters")
+			return fieldError(field+".adapters", "only models have adapters")
 		}
 	default:
-		return broken(field+".kind", "must be SERVICE_KIND_MODEL or SERVICE_KIND_TOOL")
+		return fieldError(field+".kind", "must be SERVICE_KIND_MODEL or SERVICE_KIND_TOOL")
 	}
 	if len(service.GetAdapters()) > maxAdapters {
-		return broken(field+".adapters", "at most %d", maxAdapters)
+		return fieldError(field+".adapters", "at most %d", maxAdapters)
 	}
 	adapters := uniqueNames{}
 	for index, adapter := range service.GetAdapters() {
-		err := adapters.add(fmt.Sprintf("%s.adapters[%d]", field, index), adapter)
+		err := adapters.addName(fmt.Sprintf("%s.adapters[%d]", field, index), adapter)
 		if err != nil {
 			return err
 		}
 	}
-	return atMost(field+".call_deadline_ms", uint64(service.GetCallDeadlineMs()), maxMillis)
+	return checkAtMost(field+".call_deadline_ms", uint64(service.GetCallDeadlineMs()), maxMillis)
 }
 
 func checkTiers(configuration *operatorv1.Configuration) error {
@@ -120,7 +120,7 @@
 		}
 		earlier, taken := keys[tier.GetKeySha256()]
 		if taken {
-			return broken(field+".key_sha256", "is that of tiers[%d] too", earlier)
+			return fieldError(field+".key_sha256", "is the same as that of tiers[%d]", earlier)
 		}
 		keys[tier.GetKeySha256()] = index
 	}
@@ -141,20 +141,20 @@
 		return err
 	}
 	if !isDigest(tier.GetKeySha256()) {
-		return broken(field+".key_sha256", "must be 64 lower-case hexadecimal characters")
+		return fieldError(field+".key_sha256", "must be 64 lower-case hexadecimal characters")
 	}
 	return checkTierAmounts(field, tier)
 }
 
 func checkTierAmounts(field string, tier *operatorv1.Tier) error {
 	if tier.GetWeight() == 0 {
-		return broken(field+".weight", "must be above 0")
+		return fieldError(field+".weight", "must be above 0")
 	}
 	if tier.GetBudgetMicros() == 0 {
-		return broken(field+".budget_micros", "must be above 0")
+		return fieldError(field+".budget_micros", "must be above 0")
 	}
 	if tier.GetProgramCapMicros() == 0 || tier.GetProgramCapMicros() > tier.GetBudgetMicros() {
-		return broken(field+".program_cap_micros", "must be above 0 and at most budget_micros")
+		return fieldError(field+".program_cap_micros", "must be above 0 and at most budget_micros")
 	}
 	bounds := []struct {
 		name         string
@@ -167,7 +167,7 @@
 		{"queue_wait_bound_ms", uint64(tier.GetQueueWaitBoundMs()), maxMillis},
 	}
 	for _, bound := range bounds {
-		err := atMost(field+"."+bound.name, bound.value, bound.limit)
+		err := checkAtMost(field+"."+bound.name, bound.value, bound.limit)
 		if err != nil {
 			return err
 		}
@@ -187,7 +187,7 @@
 	names := uniqueNames{}
 	for index, kind := range configuration.GetProgramKinds() {
 		field := fmt.Sprintf("program_kinds[%d]", index)
-		err := names.add(field+".name", kind.GetName())
+		err := names.addName(field+".name", kind.GetName())
 		if err != nil {
 			return err
 		}
@@ -208,27 +208,27 @@
 	if err != nil {
 		return err
 	}
-	err = atMost(field+".turn_limit", uint64(kind.GetTurnLimit()), maxTurns)
+	err = checkAtMost(field+".turn_limit", uint64(kind.GetTurnLimit()), maxTurns)
 	if err != nil {
 		return err
 	}
-	return atMost(field+".tool_pause_limit_ms", uint64(kind.GetToolPauseLimitMs()), maxMillis)
+	return checkAtMost(field+".tool_pause_limit_ms", uint64(kind.GetToolPauseLimitMs()), maxMillis)
 }
 
-// checkReferences refuses an empty list, a repetition and an unknown name.
+// checkReferences rejects an empty list, a duplicate and an unknown name.
 func checkReferences(field string, references []string, known map[string]bool) error {
 	if len(references) == 0 {
-		return broken(field, "names none")
+		return fieldError(field, "must not be empty")
 	}
 	names := uniqueNames{}
 	for index, reference := range references {
 		entry := fmt.Sprintf("%s[%d]", field, index)
-		err := names.add(entry, reference)
+		err := names.addName(entry, reference)
 		if err != nil {
 			return err
 		}
 		if !known[reference] {
-			return broken(entry, "%q is not declared", reference)
+			return fieldError(entry, "%q is not declared", reference)
 		}
 	}
 	return nil
@@ -238,19 +238,19 @@
 	policy := configuration.GetScheduling()
 	_, err := queue.ByName(policy.GetQueue())
 	if err != nil {
-		return broken("scheduling.queue", "%v", err)
+		return fieldError("scheduling.queue", "%v", err)
 	}
-	err = atMost("scheduling.affinity_percent", uint64(policy.GetAffinityPercent()), highestPercentage)
+	err = checkAtMost("scheduling.affinity_percent", uint64(policy.GetAffinityPercent()), maxPercentage)
 	if err != nil {
 		return err
 	}
 	_, err = placement.ByName(policy.GetPlacement(), policy.GetAffinityPercent())
 	if err != nil {
-		return broken("scheduling.placement", "%v", err)
+		return fieldError("scheduling.placement", "%v", err)
 	}
 	_, err = cache.ByName(policy.GetCache())
 	if err != nil {
-		return broken("scheduling.cache", "%v", err)
+		return fieldError("scheduling.cache", "%v", err)
 	}
 	return nil
 }
@@ -258,7 +258,7 @@
 func checkDrained(configuration *operatorv1.Configuration) error {
 	names := uniqueNames{}
 	for index, backEnd := range configuration.GetDrainedBackEnds() {
-		err := names.add(fmt.Sprintf("drained_back_ends[%d]", index), backEnd)
+		err := names.addName(fmt.Sprintf("drained_back_ends[%d]", index), backEnd)
 		if err != nil {
 			return err
 		}
@@ -266,10 +266,10 @@
 	return nil
 }
 
-// uniqueNames collects the names of one list.
+// uniqueNames is the set of names found in one list.
 type uniqueNames map[string]bool
 
-func (names uniqueNames) add(field, name string) error {
+func (names uniqueNames) addName(field, name string) error {
 	err := checkName(field, name)
 	if err != nil {
 		return err
@@ -279,22 +279,22 @@
 
 func (names uniqueNames) addUnique(field, name string) error {
 	if names[name] {
-		return broken(field, "%q stands twice", name)
+		return fieldError(field, "%q is a duplicate", name)
 	}
 	names[name] = true
 	return nil
 }
 
-// checkName refuses empty, long and unprintable names.
+// checkName rejects names that are empty, too long or contain unprintable characters.
 func checkName(field, name string) error {
 	if name == "" {
-		return broken(field, "missing")
+		return fieldError(field, "missing")
 	}
 	if len(name) > maxNameLength {
-		return broken(field, "longer than %d bytes", maxNameLength)
+		return fieldError(field, "longer than %d bytes", maxNameLength)
 	}
 	if strings.IndexFunc(name, isUnprintable) >= 0 {
-		return broken(field, "%q has a space or a control character", name)
+		return fieldError(field, "%q contains a space, a control character or invalid UTF-8", name)
 	}
 	return nil
 }
@@ -308,13 +308,13 @@
 	return err == nil && len(decoded) == sha256.Size && strings.ToLower(text) == text
 }
 
-func atMost(field string, value, limit uint64) error {
+func checkAtMost(field string, value, limit uint64) error {
 	if value > limit {
-		return broken(field, "%d is above %d", value, limit)
+		return fieldError(field, "%d is above %d", value, limit)
 	}
 	return nil
 }
 
-func broken(field, format string, arguments ...any) error {
+func fieldError(field, format string, arguments ...any) error {
 	return resultcode.New(resultcode.InvalidConfiguration, "%s: %s", field, fmt.Sprintf(format, arguments...))
 }
