--- a/internal/configuration/publish_test.go
+++ b/internal/configuration/publish_test.go
@@ -157,10 +157,10 @@
 
 // publishWithRetries publishes with the version of a random node as base, trying random
 // nodes while the outcome is unknown or the log unavailable.
-func publishWithRetries(cluster *cluster, random *rand.Rand, id string, begin time.Time) (publishInput, publishOutput, int64, int64) {
+func publishWithRetries(cluster *cluster, random *rand.Rand, id string, start time.Time) (publishInput, publishOutput, int64, int64) {
 	pick := func() *node { return cluster.nodes[random.IntN(len(cluster.nodes))] }
 	tried := publishInput{base: pick().reader.Version(), label: id}
-	call := int64(time.Since(begin))
+	call := int64(time.Since(start))
 	got := publishOutput{code: resultcode.PublishUnknown}
 	for range 4 {
 		version, err := publish(pick(), id, tried.base, tried.label)
@@ -169,7 +169,7 @@
 			break
 		}
 	}
-	return tried, got, call, int64(time.Since(begin))
+	return tried, got, call, int64(time.Since(start))
 }
 
 // injectFaults partitions each node in turn and then makes the log unavailable to all.
@@ -198,14 +198,14 @@
 	var mutex sync.Mutex
 	var history []porcupine.Operation
 	var unknownOutcomes int
-	begin := time.Now()
+	start := time.Now()
 	var running sync.WaitGroup
 	for operator := range operators {
 		running.Go(func() {
 			defer GinkgoRecover()
 			random := rand.New(rand.NewPCG(uint64(operator), seed))
 			for round := range rounds {
-				tried, got, call, end := publishWithRetries(cluster, random, fmt.Sprintf("%d-%d", operator, round), begin)
+				tried, got, call, end := publishWithRetries(cluster, random, fmt.Sprintf("%d-%d", operator, round), start)
 				mutex.Lock()
 				if got.code != resultcode.OK && got.code != resultcode.VersionConflict {
 					unknownOutcomes++
