--- a/internal/outside/wire/wire.go
+++ b/internal/outside/wire/wire.go
@@ -1,6 +1,6 @@
-// Package wire declares the JSON bodies that magpielug's HTTP adapters and the
-// stand-ins of the platform exchange. The paths and shapes stand on one page in
-// docs/INTERFACES.md. Durations are whole milliseconds, byte strings base64.
+// Package wire declares the paths and JSON bodies of the HTTP interfaces to external
+// systems, as specified in docs/INTERFACES.md. Byte strings are encoded as base64.
+// Field names give the units of durations.
 package wire
 
 // Paths of a model engine.
@@ -36,13 +36,13 @@
 	ParameterVersion = "version"
 )
 
-// Names of server-sent events of a generation.
+// Types of server-sent events in a generation stream.
 const (
 	EventChunk = "chunk"
 	EventError = "error"
 )
 
-// ErrorCode names why a request failed.
+// ErrorCode is the reason why a request failed.
 type ErrorCode string
 
 // Error codes.
@@ -56,27 +56,27 @@
 	CodeWrongModel  ErrorCode = "wrong_model"
 	CodeOverloaded  ErrorCode = "overloaded"
 	CodeCancelled   ErrorCode = "cancelled"
-	// CodeExpired says that the request ran and its output is no longer kept.
+	// CodeExpired means that the request ran and its output is no longer stored.
 	CodeExpired  ErrorCode = "expired"
 	CodeInternal ErrorCode = "internal"
 )
 
-// Error is the body of every answer with a status of 400 or more.
+// Error is the body of a response with status 400 or above.
 type Error struct {
 	Code    ErrorCode `json:"code"`
 	Message string    `json:"message"`
-	// NotRun is true when the request had no effect.
+	// NotRun is true if the request had no effect.
 	NotRun bool `json:"not_run"`
 }
 
-// Fence is the lease under which an order is given.
+// Fence identifies the lease under which a command is sent.
 type Fence struct {
 	Holder string `json:"holder"`
 	Epoch  uint64 `json:"epoch"`
 }
 
-// GenerateRequest is the body of PathGenerate; the answer is a stream of
-// server-sent events, each EventChunk with a Chunk or EventError with an Error.
+// GenerateRequest is the request body of PathGenerate. The response is a stream of
+// server-sent events: EventChunk with a Chunk, or EventError with an Error.
 type GenerateRequest struct {
 	RequestID   string   `json:"request_id"`
 	Program     string   `json:"program"`
@@ -90,7 +90,7 @@
 	AttachOnly  bool     `json:"attach_only,omitempty"`
 }
 
-// Chunk is one item of a generation's stream.
+// Chunk is one chunk of a generation.
 type Chunk struct {
 	Sequence     uint64 `json:"sequence"`
 	Text         string `json:"text,omitempty"`
@@ -101,37 +101,38 @@
 	OutputTokens int    `json:"output_tokens,omitempty"`
 }
 
-// CancelRequest is the body of PathCancel.
+// CancelRequest is the request body of PathCancel.
 type CancelRequest struct {
 	RequestID string `json:"request_id"`
 	Fence     Fence  `json:"fence"`
 }
 
-// ProgramRequest is the body of PathRelease and PathExport.
+// ProgramRequest is the request body of PathRelease and PathExport.
 type ProgramRequest struct {
 	Program string `json:"program"`
 	Fence   Fence  `json:"fence"`
 }
 
-// BlocksAnswer tells how many blocks a release freed or an import took.
+// BlocksAnswer is the response body of PathRelease and PathImport: the number of blocks
+// freed or imported.
 type BlocksAnswer struct {
 	Blocks int `json:"blocks"`
 }
 
-// ExportAnswer is the answer of PathExport.
+// ExportAnswer is the response body of PathExport.
 type ExportAnswer struct {
 	Content []byte `json:"content"`
 }
 
-// ImportRequest is the body of PathImport.
+// ImportRequest is the request body of PathImport.
 type ImportRequest struct {
 	Program string `json:"program"`
 	Content []byte `json:"content"`
 	Fence   Fence  `json:"fence"`
 }
 
-// LoadRequest is the body of PathLoad; the answer says that the order stands,
-// the load report says when it is done.
+// LoadRequest is the request body of PathLoad. A successful response means that loading
+// was accepted; the load report shows when it is complete.
 type LoadRequest struct {
 	Model   string `json:"model"`
 	Adapter string `json:"adapter,omitempty"`
@@ -139,16 +140,16 @@
 	Fence   Fence  `json:"fence"`
 }
 
-// RoleRequest is the body of PathRole.
+// RoleRequest is the request body of PathRole.
 type RoleRequest struct {
 	Role  string `json:"role"`
 	Fence Fence  `json:"fence"`
 }
 
-// Empty is the answer of orders that tell nothing back.
+// Empty is the response body of commands without a result.
 type Empty struct{}
 
-// CacheEvent is one change of a program's cached blocks.
+// CacheEvent is one change to a program's cached blocks.
 type CacheEvent struct {
 	Sequence uint64 `json:"sequence"`
 	Kind     string `json:"kind"`
@@ -156,16 +157,15 @@
 	Blocks   int    `json:"blocks"`
 }
 
-// EventsAnswer is the answer of GET PathEvents.
+// EventsAnswer is the response body of GET PathEvents.
 type EventsAnswer struct {
 	Events []CacheEvent `json:"events"`
 }
 
-// LoadReport is the answer of GET PathReport. An engine that numbers the changes
-// of its cache gives the newest number as Sequence; asked with ParameterAfter it
-// may leave out of ProgramBlocks the programs that have not changed after that
-// number, and says so by repeating the number as Since. A program without blocks
-// is then named with 0.
+// LoadReport is the response body of GET PathReport. An engine that numbers its cache
+// changes returns the latest number as Sequence. For a request with ParameterAfter it may
+// restrict ProgramBlocks to the programs that changed after that number. It then returns
+// the number as Since, and lists programs that no longer have blocks with 0.
 type LoadReport struct {
 	Sequence       uint64         `json:"sequence,omitempty"`
 	Since          uint64         `json:"since,omitempty"`
@@ -193,14 +193,14 @@
 	BlockEvictions uint64         `json:"block_evictions"`
 }
 
-// AppendRequest is the body of PathLogAppend.
+// AppendRequest is the request body of PathLogAppend.
 type AppendRequest struct {
 	Stream string `json:"stream"`
 	Data   []byte `json:"data"`
 }
 
-// AppendAnswer tells the record's offset. A pointer tells 0 from a missing
-// field.
+// AppendAnswer is the response body of PathLogAppend. Offset is a pointer to distinguish 0
+// from a missing field.
 type AppendAnswer struct {
 	Offset *uint64 `json:"offset"`
 }
@@ -211,17 +211,17 @@
 	Data   []byte `json:"data"`
 }
 
-// ReadAnswer is the answer of GET PathLogRead.
+// ReadAnswer is the response body of GET PathLogRead.
 type ReadAnswer struct {
 	Records []Record `json:"records"`
 }
 
-// StreamsAnswer is the answer of GET PathLogStreams.
+// StreamsAnswer is the response body of GET PathLogStreams.
 type StreamsAnswer struct {
 	Streams []StreamState `json:"streams"`
 }
 
-// StreamState is a stream and the offset that its next record gets.
+// StreamState is a stream and the offset of its next record.
 type StreamState struct {
 	Stream string `json:"stream"`
 	Next   uint64 `json:"next"`
@@ -238,25 +238,25 @@
 	Service string `json:"service,omitempty"`
 }
 
-// MachinesAnswer is the answer of GET PathMachines.
+// MachinesAnswer is the response body of GET PathMachines.
 type MachinesAnswer struct {
 	Machines []Machine `json:"machines"`
 }
 
-// ReserveRequest is the body of PathWeightsReserve.
+// ReserveRequest is the request body of PathWeightsReserve.
 type ReserveRequest struct {
 	Model   string `json:"model"`
 	Version string `json:"version"`
 }
 
-// ReserveAnswer tells whether the caller may move the weights now, or when to
-// ask again.
+// ReserveAnswer is the response body of PathWeightsReserve. If Granted is false,
+// WaitMillis is the delay before the next attempt.
 type ReserveAnswer struct {
 	Granted    bool  `json:"granted"`
 	WaitMillis int64 `json:"wait_ms"`
 }
 
-// ToolRequest is the body of PathToolCall.
+// ToolRequest is the request body of PathToolCall.
 type ToolRequest struct {
 	RequestID  string `json:"request_id"`
 	Program    string `json:"program"`
@@ -265,8 +265,8 @@
 	Repeatable bool   `json:"repeatable"`
 }
 
-// ToolAnswer is a tool's output. A pointer tells an empty output from a missing
-// field.
+// ToolAnswer is the response body of PathToolCall. Output is a pointer to distinguish an
+// empty output from a missing field.
 type ToolAnswer struct {
 	Output *string `json:"output"`
 }
--- a/internal/outside/wire/wire_test.go
+++ b/internal/outside/wire/wire_test.go
@@ -14,10 +14,10 @@
 
 func TestWire(t *testing.T) {
 	RegisterFailHandler(Fail)
-	RunSpecs(t, "wire shapes")
+	RunSpecs(t, "wire bodies")
 }
 
-// names returns the JSON names of a type's fields, nested ones too.
+// names returns the JSON names of a type's fields, including nested ones.
 func names(shape reflect.Type) []string {
 	for shape.Kind() == reflect.Slice || shape.Kind() == reflect.Pointer {
 		shape = shape.Elem()
@@ -26,8 +26,8 @@
 	if shape.Kind() != reflect.Struct {
 		return nil
 	}
-	for place := range shape.NumField() {
-		field := shape.Field(place)
+	for index := range shape.NumField() {
+		field := shape.Field(index)
 		name, _, _ := strings.Cut(field.Tag.Get("json"), ",")
 		found = append(found, name)
 		found = append(found, names(field.Type)...)
