--- a/internal/outside/httpadapter/adapter_test.go
+++ b/internal/outside/httpadapter/adapter_test.go
@@ -22,12 +22,13 @@
 	longTimeout  = 20 * time.Second
 )
 
-// readGeneration reads a stream as Generate does and returns the items' numbers.
+// readGeneration reads a stream as Generate does and returns the sequence numbers of its
+// chunks.
 func readGeneration(body []byte, resumeAfter uint64) ([]uint64, error) {
 	var sequences []uint64
 	stream := generationStream{
-		events: newEventReader(bytes.NewReader(body), defaultMaxLineBytes),
-		next:   resumeAfter + 1,
+		events:       newEventReader(bytes.NewReader(body), defaultMaxLineBytes),
+		nextSequence: resumeAfter + 1,
 		receive: func(chunk outside.EngineChunk) error {
 			sequences = append(sequences, chunk.Sequence)
 			return nil
@@ -38,14 +39,14 @@
 	return sequences, stream.read(ctx, cancel, longTimeout)
 }
 
-// serve runs a back end that answers every request in one way.
+// serve runs a back end with the handler and returns its address.
 func serve(handler http.HandlerFunc) string {
 	server := httptest.NewServer(handler)
 	DeferCleanup(server.Close)
 	return strings.TrimPrefix(server.URL, "http://")
 }
 
-func answer(status int, body string) http.HandlerFunc {
+func respond(status int, body string) http.HandlerFunc {
 	return func(writer http.ResponseWriter, _ *http.Request) {
 		writer.WriteHeader(status)
 		_, _ = writer.Write([]byte(body))
@@ -59,13 +60,14 @@
 	return pool
 }
 
-// hold never answers, but for what it sends at once.
-func hold(begin string) http.HandlerFunc {
+// serveThenHang sends partial, if it is not empty, and then nothing until the request is
+// cancelled.
+func serveThenHang(partial string) http.HandlerFunc {
 	return func(writer http.ResponseWriter, request *http.Request) {
-		// The server sees the caller's end only once the body was read.
+		// The server detects a disconnected client only after reading the request body.
 		_, _ = bytes.NewBuffer(nil).ReadFrom(request.Body)
-		if begin != "" {
-			_, _ = writer.Write([]byte(begin))
+		if partial != "" {
+			_, _ = writer.Write([]byte(partial))
 			_ = http.NewResponseController(writer).Flush()
 		}
 		<-request.Context().Done()
@@ -77,12 +79,12 @@
 	return NewEngine(pool).Generate(context.Background(), address, request, func(outside.EngineChunk) error { return nil })
 }
 
-const firstItem = "event: chunk\ndata: {\"sequence\":1,\"text\":\"a\",\"tokens\":1}\n\n"
+const firstChunk = "event: chunk\ndata: {\"sequence\":1,\"text\":\"a\",\"tokens\":1}\n\n"
 
 var _ = Describe("Adapters", func() {
-	DescribeTable("tell what an answer means",
+	DescribeTable("classify error and malformed responses",
 		func(status int, body string, wanted, unwanted error) {
-			address := serve(answer(status, body))
+			address := serve(respond(status, body))
 			pool := newPool(Config{})
 			_, appended := NewLog(pool, address).Append(context.Background(), "s", nil)
 			_, called := NewTool(pool).Call(context.Background(), address, outside.ToolRequest{})
@@ -94,17 +96,17 @@
 				Expect(errors.As(err, &failure)).To(BeTrue())
 			}
 		},
-		Entry("refused", 503, `{"code":"unavailable","not_run":true}`, outside.ErrNotRun, outside.ErrOutcomeUnknown),
-		Entry("stale", 409, `{"code":"stale_fence","not_run":true}`, outside.ErrStaleFence, outside.ErrOutcomeUnknown),
-		Entry("failed within", 500, `{"code":"internal"}`, outside.ErrOutcomeUnknown, outside.ErrNotRun),
+		Entry("rejected", 503, `{"code":"unavailable","not_run":true}`, outside.ErrNotRun, outside.ErrOutcomeUnknown),
+		Entry("stale fence", 409, `{"code":"stale_fence","not_run":true}`, outside.ErrStaleFence, outside.ErrOutcomeUnknown),
+		Entry("internal error", 500, `{"code":"internal"}`, outside.ErrOutcomeUnknown, outside.ErrNotRun),
 		Entry("error without a body", 503, ``, outside.ErrOutcomeUnknown, outside.ErrNotRun),
-		Entry("error page", 502, `<html>`, outside.ErrMalformedAnswer, outside.ErrNotRun),
-		Entry("rubbish", 200, "\x00\xff{\n", outside.ErrMalformedAnswer, outside.ErrNotRun),
+		Entry("HTML error page", 502, `<html>`, outside.ErrMalformedAnswer, outside.ErrNotRun),
+		Entry("garbage", 200, "\x00\xff{\n", outside.ErrMalformedAnswer, outside.ErrNotRun),
 		Entry("wrong type", 200, "[]\n", outside.ErrMalformedAnswer, outside.ErrNotRun),
 		Entry("fields missing", 200, "{}\n", outside.ErrMalformedAnswer, outside.ErrNotRun),
 	)
 
-	It("say not run when nothing listens", func() {
+	It("report not run when the connection is refused", func() {
 		listener, err := net.Listen("tcp", "127.0.0.1:0")
 		Expect(err).NotTo(HaveOccurred())
 		address := listener.Addr().String()
@@ -114,7 +116,7 @@
 		Expect(generate(newPool(Config{}), address)).To(MatchError(outside.ErrNotRun))
 	})
 
-	It("say not run when the context was over before", func() {
+	It("report not run when the context was cancelled before the request", func() {
 		ctx, cancel := context.WithCancel(context.Background())
 		cancel()
 		_, err := NewLog(newPool(Config{}), "127.0.0.1:9").Append(ctx, "s", nil)
@@ -122,27 +124,27 @@
 		Expect(err).To(MatchError(context.Canceled))
 	})
 
-	It("say unknown when the connection is closed instead of an answer", func() {
+	It("report an unknown outcome when the connection is closed before the response", func() {
 		address := serve(func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) })
 		_, err := NewLog(newPool(Config{}), address).Append(context.Background(), "s", nil)
 		Expect(err).To(MatchError(outside.ErrOutcomeUnknown))
 		Expect(generate(newPool(Config{}), address)).To(MatchError(outside.ErrOutcomeUnknown))
 	})
 
-	It("end every wait by a bound, with the outcome unknown", func() {
+	It("report an unknown outcome when a request or stream times out", func() {
 		pool := newPool(Config{OrderTimeout: shortTimeout, ToolTimeout: shortTimeout, StreamIdleTimeout: shortTimeout})
-		silent := serve(hold(""))
+		silent := serve(serveThenHang(""))
 		_, err := NewLog(pool, silent).Append(context.Background(), "s", nil)
 		Expect(err).To(MatchError(outside.ErrOutcomeUnknown))
 		_, err = NewTool(pool).Call(context.Background(), silent, outside.ToolRequest{})
 		Expect(err).To(MatchError(outside.ErrOutcomeUnknown))
 		Expect(generate(pool, silent)).To(And(MatchError(errAcceptTimeout), MatchError(outside.ErrOutcomeUnknown)))
-		Expect(generate(pool, serve(hold(firstItem)))).To(And(MatchError(errStreamIdle), MatchError(outside.ErrOutcomeUnknown)))
+		Expect(generate(pool, serve(serveThenHang(firstChunk)))).To(And(MatchError(errStreamIdle), MatchError(outside.ErrOutcomeUnknown)))
 	})
 
-	It("do not count a slow receiver as an idle engine", func() {
+	It("do not count time in receive as idle time of the stream", func() {
 		pool := newPool(Config{StreamIdleTimeout: shortTimeout})
-		address := serve(answer(http.StatusOK, firstItem+"event: chunk\ndata: {\"sequence\":2,\"finish\":\"stop\"}\n\n"))
+		address := serve(respond(http.StatusOK, firstChunk+"event: chunk\ndata: {\"sequence\":2,\"finish\":\"stop\"}\n\n"))
 		err := NewEngine(pool).Generate(context.Background(), address, outside.GenerateRequest{RequestID: "r"}, func(outside.EngineChunk) error {
 			time.Sleep(2 * shortTimeout)
 			return nil
@@ -150,23 +152,23 @@
 		Expect(err).NotTo(HaveOccurred())
 	})
 
-	It("refuse log records with a gap", func() {
-		address := serve(answer(http.StatusOK, `{"records":[{"offset":3},{"offset":5}]}`))
+	It("reject log records with a gap", func() {
+		address := serve(respond(http.StatusOK, `{"records":[{"offset":3},{"offset":5}]}`))
 		_, err := NewLog(newPool(Config{}), address).Read(context.Background(), "s", 3, 10)
 		Expect(err).To(MatchError(outside.ErrMalformedAnswer))
 	})
 
-	It("bound the answer they hold", func() {
-		address := serve(answer(http.StatusOK, `{"output":"`+strings.Repeat("x", 100)+`"}`))
-		_, err := NewTool(newPool(Config{MaxAnswerBytes: 64})).Call(context.Background(), address, outside.ToolRequest{})
+	It("reject a response above the size limit", func() {
+		address := serve(respond(http.StatusOK, `{"output":"`+strings.Repeat("x", 100)+`"}`))
+		_, err := NewTool(newPool(Config{MaxResponseBytes: 64})).Call(context.Background(), address, outside.ToolRequest{})
 		Expect(err).To(MatchError(outside.ErrMalformedAnswer))
 	})
 
-	DescribeTable("check the order of a stream",
-		func(resumeAfter uint64, items string, wanted []uint64, failure error) {
+	DescribeTable("check the order of chunks",
+		func(resumeAfter uint64, chunks string, wanted []uint64, failure error) {
 			body := ""
-			for _, item := range strings.Fields(items) {
-				body += fmt.Sprintf("event: chunk\ndata: {%s}\n\n", item)
+			for _, chunk := range strings.Fields(chunks) {
+				body += fmt.Sprintf("event: chunk\ndata: {%s}\n\n", chunk)
 			}
 			sequences, err := readGeneration([]byte(body), resumeAfter)
 			Expect(sequences).To(Equal(wanted))
@@ -176,23 +178,23 @@
 			}
 			Expect(err).To(MatchError(failure))
 		},
-		Entry("whole", uint64(0), `"sequence":1 "sequence":2,"finish":"stop"`, []uint64{1, 2}, nil),
+		Entry("complete", uint64(0), `"sequence":1 "sequence":2,"finish":"stop"`, []uint64{1, 2}, nil),
 		Entry("resumed", uint64(4), `"sequence":5,"finish":"stop"`, []uint64{5}, nil),
 		Entry("finish repeated", uint64(5), `"sequence":5,"finish":"stop"`, []uint64{5}, nil),
 		Entry("gap", uint64(0), `"sequence":1 "sequence":3`, []uint64{1}, outside.ErrMalformedAnswer),
 		Entry("finish after a gap", uint64(0), `"sequence":1 "sequence":3,"finish":"stop"`, []uint64{1}, outside.ErrMalformedAnswer),
-		Entry("repeat", uint64(0), `"sequence":1 "sequence":1`, []uint64{1}, outside.ErrMalformedAnswer),
-		Entry("older finish after an item", uint64(0), `"sequence":1 "sequence":2 "sequence":1,"finish":"stop"`, []uint64{1, 2}, outside.ErrMalformedAnswer),
+		Entry("duplicate", uint64(0), `"sequence":1 "sequence":1`, []uint64{1}, outside.ErrMalformedAnswer),
+		Entry("older finish after a chunk", uint64(0), `"sequence":1 "sequence":2 "sequence":1,"finish":"stop"`, []uint64{1, 2}, outside.ErrMalformedAnswer),
 		Entry("negative tokens", uint64(0), `"sequence":1,"tokens":-1`, nil, outside.ErrMalformedAnswer),
 		Entry("no finish", uint64(0), `"sequence":1`, []uint64{1}, outside.ErrOutcomeUnknown),
 	)
 
-	It("refuse a bad source address", func() {
+	It("reject an invalid source address", func() {
 		_, err := NewClient(Config{SourceAddress: "x"})
 		Expect(err).To(HaveOccurred())
 	})
 
-	It("reads the machine list again only when its entity tag changes", func() {
+	It("read the machine list again only when its entity tag changes", func() {
 		tag, bodies := `W/"1"`, 0
 		address := serve(func(writer http.ResponseWriter, request *http.Request) {
 			writer.Header().Set("ETag", tag)
@@ -216,14 +218,14 @@
 		Expect(bodies).To(Equal(2))
 	})
 
-	It("reads the whole machine list from a platform without entity tags, and takes no 304 it did not ask for", func() {
+	It("read the full machine list from a platform without entity tags, and reject an unsolicited 304", func() {
 		statuses := []int{http.StatusOK, http.StatusOK, http.StatusNotModified}
-		asked := 0
+		requests := 0
 		address := serve(func(writer http.ResponseWriter, request *http.Request) {
 			Expect(request.Header).NotTo(HaveKey("If-None-Match"))
-			writer.WriteHeader(statuses[asked])
-			asked++
-			_, _ = fmt.Fprintf(writer, `{"machines":[{"id":"m%d","role":"engine"}]}`, asked)
+			writer.WriteHeader(statuses[requests])
+			requests++
+			_, _ = fmt.Fprintf(writer, `{"machines":[{"id":"m%d","role":"engine"}]}`, requests)
 		})
 		list := NewMachines(newPool(Config{}), address)
 		for _, id := range []string{"m1", "m2"} {
@@ -233,8 +235,8 @@
 		Expect(err).To(MatchError(outside.ErrOutcomeUnknown))
 	})
 
-	It("merges a load report's changes, and starts anew with an engine that was away or does not number them", func() {
-		answers := []struct {
+	It("merge the changes of a load report, and read the full report after an invalid one or without sequence numbers", func() {
+		responses := []struct {
 			status int
 			body   string
 			after  string
@@ -247,12 +249,12 @@
 			{200, `{"program_blocks":{"e":6}}`, ""},
 		}
 		wanted := []map[string]int{{"a": 1, "b": 2}, {"a": 1, "c": 3}, nil, {"d": 4}, {"e": 5}, {"e": 6}}
-		asked := 0
+		requests := 0
 		address := serve(func(writer http.ResponseWriter, request *http.Request) {
-			Expect(request.URL.Query().Get("after")).To(Equal(answers[asked].after))
-			writer.WriteHeader(answers[asked].status)
-			_, _ = writer.Write([]byte(answers[asked].body))
-			asked++
+			Expect(request.URL.Query().Get("after")).To(Equal(responses[requests].after))
+			writer.WriteHeader(responses[requests].status)
+			_, _ = writer.Write([]byte(responses[requests].body))
+			requests++
 		})
 		engine := NewEngine(newPool(Config{}))
 		for _, blocks := range wanted {
--- a/internal/outside/httpadapter/config.go
+++ b/internal/outside/httpadapter/config.go
@@ -1,8 +1,8 @@
-// Package httpadapter implements the interfaces of package platform over HTTP
-// and JSON, as docs/INTERFACES.md declares. Every failure is a *Failure whose
-// kind is one of the platform package's errors: a request that never reached
-// the back end, or was refused before any effect, is ErrNotRun; an older fence
-// is ErrStaleFence; everything else is ErrOutcomeUnknown.
+// Package httpadapter implements the interfaces of package outside over HTTP and JSON, as
+// specified in docs/INTERFACES.md. Errors are *Failure and wrap an error of package
+// outside: ErrNotRun for a request that did not reach the back end or was rejected before
+// any effect, ErrStaleFence (with ErrNotRun) for an outdated fence, and ErrOutcomeUnknown
+// for everything else.
 package httpadapter
 
 import (
@@ -12,66 +12,66 @@
 	"github.com/magpielug/magpielug/internal/httpclient"
 )
 
-// Defaults of Config.
+// Default values of Config.
 const (
-	defaultDialTimeout       = time.Second
-	defaultOrderTimeout      = 5 * time.Second
-	defaultToolTimeout       = 10 * time.Minute
-	defaultStreamIdleTimeout = 2 * time.Minute
-	defaultMaxLineBytes      = 256 << 10
-	defaultMaxAnswerBytes    = 64 << 20
-	defaultIdlePerAddress    = 256
+	defaultDialTimeout               = time.Second
+	defaultRequestTimeout            = 5 * time.Second
+	defaultToolTimeout               = 10 * time.Minute
+	defaultStreamIdleTimeout         = 2 * time.Minute
+	defaultMaxLineBytes              = 256 << 10
+	defaultMaxResponseBytes          = 64 << 20
+	defaultIdleConnectionsPerAddress = 256
 )
 
-// Config bounds what the adapters wait for and hold. Zero fields take
-// defaults.
+// Config holds the timeouts and limits of the adapters. Numeric fields that are not
+// positive take default values.
 type Config struct {
-	// SourceAddress is the local IP address that connections come from; empty
-	// leaves it to the system.
+	// SourceAddress is the local IP address of connections; empty means that the system
+	// chooses it.
 	SourceAddress string
-	// DialTimeout bounds the connecting.
+	// DialTimeout bounds the establishment of a connection.
 	DialTimeout time.Duration
-	// OrderTimeout bounds every exchange but generations and tool calls, and
-	// the wait for a generation's acceptance.
+	// OrderTimeout bounds every request except generations and tool calls, and the wait
+	// for the response header of a generation.
 	OrderTimeout time.Duration
-	// ToolTimeout bounds a tool call whose context has no earlier deadline.
+	// ToolTimeout bounds a tool call.
 	ToolTimeout time.Duration
-	// StreamIdleTimeout bounds the wait for a generation's next line.
+	// StreamIdleTimeout bounds the wait for the next event of a generation.
 	StreamIdleTimeout time.Duration
-	// MaxLineBytes bounds one line and one event of a generation's stream.
+	// MaxLineBytes bounds the size of a line, and of an event's data, in a generation's
+	// stream.
 	MaxLineBytes int
-	// MaxAnswerBytes bounds the body of any other answer.
-	MaxAnswerBytes int64
-	// IdlePerAddress is how many idle connections are kept to one back end.
+	// MaxResponseBytes bounds the body of any other successful response.
+	MaxResponseBytes int64
+	// IdlePerAddress is the maximum number of idle connections per address.
 	IdlePerAddress int
 }
 
 func (config Config) withDefaults() Config {
-	config.DialTimeout = positive(config.DialTimeout, defaultDialTimeout)
-	config.OrderTimeout = positive(config.OrderTimeout, defaultOrderTimeout)
-	config.ToolTimeout = positive(config.ToolTimeout, defaultToolTimeout)
-	config.StreamIdleTimeout = positive(config.StreamIdleTimeout, defaultStreamIdleTimeout)
-	config.MaxLineBytes = positive(config.MaxLineBytes, defaultMaxLineBytes)
-	config.MaxAnswerBytes = positive(config.MaxAnswerBytes, defaultMaxAnswerBytes)
-	config.IdlePerAddress = positive(config.IdlePerAddress, defaultIdlePerAddress)
+	config.DialTimeout = positiveOr(config.DialTimeout, defaultDialTimeout)
+	config.OrderTimeout = positiveOr(config.OrderTimeout, defaultRequestTimeout)
+	config.ToolTimeout = positiveOr(config.ToolTimeout, defaultToolTimeout)
+	config.StreamIdleTimeout = positiveOr(config.StreamIdleTimeout, defaultStreamIdleTimeout)
+	config.MaxLineBytes = positiveOr(config.MaxLineBytes, defaultMaxLineBytes)
+	config.MaxResponseBytes = positiveOr(config.MaxResponseBytes, defaultMaxResponseBytes)
+	config.IdlePerAddress = positiveOr(config.IdlePerAddress, defaultIdleConnectionsPerAddress)
 	return config
 }
 
-func positive[Number int | int64 | time.Duration](value, fallback Number) Number {
+func positiveOr[Number int | int64 | time.Duration](value, fallback Number) Number {
 	if value > 0 {
 		return value
 	}
 	return fallback
 }
 
-// Client is the connection pool that the adapters share. It is safe for
-// concurrent use.
+// Client is the HTTP client that the adapters share. It is safe for concurrent use.
 type Client struct {
 	config Config
 	http   *http.Client
 }
 
-// NewClient makes a pool; a bad SourceAddress is its only error.
+// NewClient returns a client. It fails only if SourceAddress is invalid.
 func NewClient(config Config) (*Client, error) {
 	config = config.withDefaults()
 	pool, err := httpclient.New(httpclient.Options{
--- a/internal/outside/httpadapter/engine.go
+++ b/internal/outside/httpadapter/engine.go
@@ -9,80 +9,80 @@
 	"github.com/magpielug/magpielug/internal/outside/wire"
 )
 
-// Engine is the adapter of model engines. It is safe for concurrent use.
+// Engine is the adapter for model engines. It is safe for concurrent use.
 type Engine struct {
 	pool    *Client
-	reports knownReports
+	reports cachedReports
 }
 
 var _ outside.Engine = (*Engine)(nil)
 
-// NewEngine makes the adapter on a connection pool.
+// NewEngine returns an adapter that uses pool.
 func NewEngine(pool *Client) *Engine { return &Engine{pool: pool} }
 
 func wireFence(fence outside.Fence) wire.Fence {
 	return wire.Fence{Holder: fence.Holder, Epoch: fence.Epoch}
 }
 
-// order posts an order to an engine.
-func order[Answer any](ctx context.Context, engine *Engine, address, path string, body any) (Answer, error) {
-	return post[Answer](ctx, engine.pool, address, path, engine.pool.config.OrderTimeout, body)
+// postCommand sends a command to an engine.
+func postCommand[Response any](ctx context.Context, engine *Engine, address, path string, body any) (Response, error) {
+	return post[Response](ctx, engine.pool, address, path, engine.pool.config.OrderTimeout, body)
 }
 
 // Cancel implements outside.Engine.
 func (client *Engine) Cancel(ctx context.Context, address, requestID string, fence outside.Fence) error {
-	_, err := order[wire.Empty](ctx, client, address, wire.PathCancel,
+	_, err := postCommand[wire.Empty](ctx, client, address, wire.PathCancel,
 		wire.CancelRequest{RequestID: requestID, Fence: wireFence(fence)})
 	return err
 }
 
 // Release implements outside.Engine.
 func (client *Engine) Release(ctx context.Context, address, program string, fence outside.Fence) error {
-	_, err := order[wire.BlocksAnswer](ctx, client, address, wire.PathRelease,
+	_, err := postCommand[wire.BlocksAnswer](ctx, client, address, wire.PathRelease,
 		wire.ProgramRequest{Program: program, Fence: wireFence(fence)})
 	return err
 }
 
 // Export implements outside.Engine.
 func (client *Engine) Export(ctx context.Context, address, program string, fence outside.Fence) ([]byte, error) {
-	answer, err := order[wire.ExportAnswer](ctx, client, address, wire.PathExport,
+	response, err := postCommand[wire.ExportAnswer](ctx, client, address, wire.PathExport,
 		wire.ProgramRequest{Program: program, Fence: wireFence(fence)})
-	return answer.Content, err
+	return response.Content, err
 }
 
 // Import implements outside.Engine.
 func (client *Engine) Import(ctx context.Context, address, program string, content []byte, fence outside.Fence) error {
-	_, err := order[wire.BlocksAnswer](ctx, client, address, wire.PathImport,
+	_, err := postCommand[wire.BlocksAnswer](ctx, client, address, wire.PathImport,
 		wire.ImportRequest{Program: program, Content: content, Fence: wireFence(fence)})
 	return err
 }
 
 // Load implements outside.Engine.
 func (client *Engine) Load(ctx context.Context, address, model, adapter, version string, fence outside.Fence) error {
-	_, err := order[wire.Empty](ctx, client, address, wire.PathLoad,
+	_, err := postCommand[wire.Empty](ctx, client, address, wire.PathLoad,
 		wire.LoadRequest{Model: model, Adapter: adapter, Version: version, Fence: wireFence(fence)})
 	return err
 }
 
 // SetRole implements outside.Engine.
 func (client *Engine) SetRole(ctx context.Context, address, role string, fence outside.Fence) error {
-	_, err := order[wire.Empty](ctx, client, address, wire.PathRole,
+	_, err := postCommand[wire.Empty](ctx, client, address, wire.PathRole,
 		wire.RoleRequest{Role: role, Fence: wireFence(fence)})
 	return err
 }
 
 // Events implements outside.Engine.
 func (client *Engine) Events(ctx context.Context, address string, after uint64, limit int) ([]outside.CacheEvent, error) {
-	answer, err := get[wire.EventsAnswer](ctx, client.pool, address, wire.PathEvents, url.Values{
+	response, err := get[wire.EventsAnswer](ctx, client.pool, address, wire.PathEvents, url.Values{
 		wire.ParameterAfter: {strconv.FormatUint(after, 10)},
 		wire.ParameterLimit: {strconv.Itoa(limit)},
 	})
 	if err != nil {
 		return nil, err
 	}
-	events := make([]outside.CacheEvent, len(answer.Events))
-	for place, event := range answer.Events {
-		events[place] = outside.CacheEvent(event)
+	events := make([]outside.CacheEvent, len(response.Events))
+	for index, event := range response.Events {
+		events[index] = outside.CacheEvent(event)
 	}
 	return events, nil
 }
--- a/internal/outside/httpadapter/eventstream.go
+++ b/internal/outside/httpadapter/eventstream.go
@@ -7,56 +7,55 @@
 	"io"
 )
 
-// Errors of an event stream that breaks its bounds or its form.
+// Errors of an event stream that exceeds its size limits or is malformed.
 var (
-	errLineTooLong  = errors.New("line of the event stream too long")
-	errEventTooLong = errors.New("event too long")
-	errUnknownField = errors.New("unknown field in the event stream")
+	errLineTooLong  = errors.New("event stream line exceeds the size limit")
+	errEventTooLong = errors.New("event data exceeds the size limit")
+	errUnknownField = errors.New("unknown field in event stream")
 )
 
-// readBuffer is the size of a stream's read buffer; longer lines are collected
-// apart.
-const readBuffer = 4 << 10
+// readBufferBytes is the size of a stream's read buffer. Longer lines are assembled in a
+// separate buffer.
+const readBufferBytes = 4 << 10
 
-// serverEvent is one server-sent event. Its data is valid until the next one is
-// read.
+// serverEvent is one server-sent event. Its data is valid until the next event is read.
 type serverEvent struct {
 	name string
 	data []byte
 }
 
-// eventReader decodes server-sent events (the field lines of the WHATWG HTML
-// standard, section 9.2) with a bound on the bytes it holds. Comments, ids and
-// retry fields are passed over. Other than the standard it refuses unknown
-// fields: they show that a back end sends rubbish.
+// eventReader decodes server-sent events (WHATWG HTML standard, section 9.2) with bounded
+// memory. It ignores comments and the fields id and retry. Unlike the standard, it rejects
+// unknown fields, because they indicate a malformed stream.
 type eventReader struct {
-	lines *bufio.Reader
-	limit int
-	data  []byte
-	long  []byte
+	lines          *bufio.Reader
+	limit          int
+	data           []byte
+	longLineBuffer []byte
 }
 
-// newEventReader reads events whose lines and data are at most limit bytes.
+// newEventReader returns a reader that limits each line, and the data of each event, to
+// limit bytes.
 func newEventReader(stream io.Reader, limit int) *eventReader {
-	return &eventReader{lines: bufio.NewReaderSize(stream, readBuffer), limit: limit}
+	return &eventReader{lines: bufio.NewReaderSize(stream, readBufferBytes), limit: limit}
 }
 
-// next returns the next event that has data. At the end of the stream it
-// returns io.EOF, or io.ErrUnexpectedEOF inside an event.
+// next returns the next event that has data. At the end of the stream it returns io.EOF,
+// or io.ErrUnexpectedEOF if the stream ends within an event.
 func (reader *eventReader) next() (serverEvent, error) {
 	name := ""
-	begun := false
+	hasData := false
 	reader.data = reader.data[:0]
 	for {
-		line, err := reader.line()
-		if err == io.EOF && begun {
+		line, err := reader.readLine()
+		if err == io.EOF && hasData {
 			return serverEvent{}, io.ErrUnexpectedEOF
 		}
 		if err != nil {
 			return serverEvent{}, err
 		}
 		if len(line) == 0 {
-			if begun {
+			if hasData {
 				return serverEvent{name: name, data: reader.data}, nil
 			}
 			name = ""
@@ -67,10 +66,10 @@
 		case "event":
 			name = string(value)
 		case "data":
-			if begun {
+			if hasData {
 				reader.data = append(reader.data, '\n')
 			}
-			begun = true
+			hasData = true
 			reader.data = append(reader.data, value...)
 			if len(reader.data) > reader.limit {
 				return serverEvent{}, errEventTooLong
@@ -82,12 +81,12 @@
 	}
 }
 
-// line returns the next line without its end, valid until the next call; a last
-// line without an end is the stream's cut and is dropped.
-func (reader *eventReader) line() ([]byte, error) {
+// readLine returns the next line without its line ending, valid until the next call. A
+// last line without a line ending is discarded with io.ErrUnexpectedEOF.
+func (reader *eventReader) readLine() ([]byte, error) {
 	line, err := reader.lines.ReadSlice('\n')
 	if errors.Is(err, bufio.ErrBufferFull) {
-		line, err = reader.longLine(line)
+		line, err = reader.readLongLine(line)
 	}
 	if err == io.EOF && len(line) > 0 {
 		return nil, io.ErrUnexpectedEOF
@@ -102,17 +101,17 @@
 	return bytes.TrimSuffix(line, []byte{'\r'}), nil
 }
 
-// longLine collects a line that is longer than the read buffer.
-func (reader *eventReader) longLine(begin []byte) ([]byte, error) {
-	reader.long = append(reader.long[:0], begin...)
+// readLongLine reads the rest of a line that is longer than the read buffer.
+func (reader *eventReader) readLongLine(start []byte) ([]byte, error) {
+	reader.longLineBuffer = append(reader.longLineBuffer[:0], start...)
 	for {
 		piece, err := reader.lines.ReadSlice('\n')
-		reader.long = append(reader.long, piece...)
-		if len(reader.long) > reader.limit {
+		reader.longLineBuffer = append(reader.longLineBuffer, piece...)
+		if len(reader.longLineBuffer) > reader.limit {
 			return nil, errLineTooLong
 		}
 		if !errors.Is(err, bufio.ErrBufferFull) {
-			return reader.long, err
+			return reader.longLineBuffer, err
 		}
 	}
 }
--- a/internal/outside/httpadapter/eventstream_test.go
+++ b/internal/outside/httpadapter/eventstream_test.go
@@ -13,7 +13,7 @@
 
 const testLineLimit = 64
 
-// readEvents decodes a whole stream.
+// readEvents decodes a stream up to its end or an error.
 func readEvents(stream string) (data []string, err error) {
 	reader := newEventReader(strings.NewReader(stream), testLineLimit)
 	for {
@@ -36,24 +36,24 @@
 	Entry("comments", ": accepted\n\n: more\nevent: a\ndata: x\n\n", []string{"a=x"}, io.EOF),
 	Entry("data of two lines", "data: x\ndata: y\n\n", []string{"=x\ny"}, io.EOF),
 	Entry("name without data", "event: a\n\ndata: x\n\n", []string{"=x"}, io.EOF),
-	Entry("cut inside an event", "event: a\ndata: x\n", nil, io.ErrUnexpectedEOF),
-	Entry("cut inside a line", "event: a\ndata: x\n\ndata", []string{"a=x"}, io.ErrUnexpectedEOF),
+	Entry("truncated within an event", "event: a\ndata: x\n", nil, io.ErrUnexpectedEOF),
+	Entry("truncated within a line", "event: a\ndata: x\n\ndata", []string{"a=x"}, io.ErrUnexpectedEOF),
 	Entry("unknown field", "rubbish\n", nil, errUnknownField),
 	Entry("long line", "data: "+strings.Repeat("x", testLineLimit)+"\n\n", nil, errLineTooLong),
-	Entry("line longer than the buffer", "data: "+strings.Repeat("x", 3*readBuffer)+"\n\n", nil, errLineTooLong),
-	Entry("endless line", strings.Repeat("x", 3*readBuffer), nil, errLineTooLong),
+	Entry("line longer than the buffer", "data: "+strings.Repeat("x", 3*readBufferBytes)+"\n\n", nil, errLineTooLong),
+	Entry("endless line", strings.Repeat("x", 3*readBufferBytes), nil, errLineTooLong),
 	Entry("long event", strings.Repeat("data: 0123456789\n", 10), nil, errEventTooLong),
 )
 
-var _ = It("Event stream takes a line longer than its buffer within the limit", func() {
-	long := strings.Repeat("x", 3*readBuffer)
-	reader := newEventReader(strings.NewReader("data: "+long+"\n\n"), 4*readBuffer)
+var _ = It("Event stream accepts a line longer than its buffer within the limit", func() {
+	long := strings.Repeat("x", 3*readBufferBytes)
+	reader := newEventReader(strings.NewReader("data: "+long+"\n\n"), 4*readBufferBytes)
 	event, err := reader.next()
 	Expect(err).NotTo(HaveOccurred())
 	Expect(string(event.data)).To(Equal(long))
 })
 
-// FuzzEventReader looks for panics, endless loops and events over the limit.
+// FuzzEventReader checks for panics, endless loops and events above the size limit.
 func FuzzEventReader(f *testing.F) {
 	f.Add([]byte("event: chunk\nid: 1\ndata: {\"sequence\":1}\n\n"))
 	f.Add([]byte(": accepted\n\nevent: error\r\ndata:{}\r\n\r\n"))
@@ -75,7 +75,7 @@
 	})
 }
 
-// FuzzGeneration looks for panics and for items out of order.
+// FuzzGeneration checks for panics, out-of-order chunks and untyped errors.
 func FuzzGeneration(f *testing.F) {
 	f.Add([]byte("event: chunk\ndata: {\"sequence\":1,\"text\":\"a\",\"tokens\":1}\n\nevent: chunk\ndata: {\"sequence\":2,\"finish\":\"stop\"}\n\n"))
 	f.Add([]byte("event: error\ndata: {\"code\":\"x\",\"not_run\":true}\n\n"))
@@ -83,14 +83,14 @@
 	f.Add([]byte("event: chunk\ndata: []\n\n"))
 	f.Fuzz(func(t *testing.T, body []byte) {
 		sequences, err := readGeneration(body, 0)
-		for place, sequence := range sequences {
-			if sequence != uint64(place)+1 {
-				t.Fatalf("items %v", sequences)
+		for index, sequence := range sequences {
+			if sequence != uint64(index)+1 {
+				t.Fatalf("out-of-order chunks %v", sequences)
 			}
 		}
 		var failure *Failure
 		if err != nil && !errors.As(err, &failure) {
-			t.Fatalf("untyped error %v", err)
+			t.Fatalf("error is not a *Failure: %v", err)
 		}
 	})
 }
--- a/internal/outside/httpadapter/exchange.go
+++ b/internal/outside/httpadapter/exchange.go
@@ -16,154 +16,153 @@
 	"github.com/magpielug/magpielug/internal/outside/wire"
 )
 
-// errAnswerTooLong says that a body passed its bound.
-var errAnswerTooLong = errors.New("answer too long")
+var errResponseTooLong = errors.New("response exceeds the size limit")
+var errMissingField = errors.New("required field missing in response")
 
-// errFieldMissing says that an answer lacks what it must hold.
-var errFieldMissing = errors.New("a field of the answer is missing")
-
-// maxErrorBytes bounds the body of an error answer.
+// maxErrorBytes bounds the body of an error response.
 const maxErrorBytes = 64 << 10
 
-// post sends a JSON body and decodes the JSON answer within the timeout.
-func post[Answer any](ctx context.Context, client *Client, address, path string, timeout time.Duration, body any) (Answer, error) {
-	var answer Answer
-	place := target{operation: path, address: address}
+// post sends a JSON body and decodes the JSON response within the timeout.
+func post[Response any](ctx context.Context, client *Client, address, path string, timeout time.Duration, body any) (Response, error) {
+	var response Response
+	target := endpoint{operation: path, address: address}
 	encoded, err := json.Marshal(body)
 	if err != nil {
-		return answer, place.notRun(err)
+		return response, target.notRun(err)
 	}
-	answered, err := exchange[Answer](ctx, client, place, timeout, question{method: http.MethodPost, body: encoded})
-	return answered.answer, err
+	result, err := exchange[Response](ctx, client, target, timeout, requestSpec{method: http.MethodPost, body: encoded})
+	return result.body, err
 }
 
-// get asks with a query and decodes the JSON answer.
-func get[Answer any](ctx context.Context, client *Client, address, path string, query url.Values) (Answer, error) {
-	answered, err := getChanged[Answer](ctx, client, address, path, query, "")
-	return answered.answer, err
+// get sends a GET request with a query and decodes the JSON response.
+func get[Response any](ctx context.Context, client *Client, address, path string, query url.Values) (Response, error) {
+	result, err := getIfChanged[Response](ctx, client, address, path, query, "")
+	return result.body, err
 }
 
-// getChanged asks with a query for an answer other than the one of an entity
-// tag (RFC 9110, If-None-Match); an empty tag asks for any.
-func getChanged[Answer any](ctx context.Context, client *Client, address, path string, query url.Values, tag string) (tagged[Answer], error) {
-	place := target{operation: path, address: address}
-	asked := question{method: http.MethodGet, query: query.Encode(), tag: tag}
-	return exchange[Answer](ctx, client, place, client.config.OrderTimeout, asked)
+// getIfChanged is get as a conditional request (RFC 9110, If-None-Match) with an entity
+// tag; an empty tag makes it unconditional.
+func getIfChanged[Response any](ctx context.Context, client *Client, address, path string, query url.Values, tag string) (taggedResponse[Response], error) {
+	target := endpoint{operation: path, address: address}
+	spec := requestSpec{method: http.MethodGet, query: query.Encode(), tag: tag}
+	return exchange[Response](ctx, client, target, client.config.OrderTimeout, spec)
 }
 
-// question is what one exchange asks.
-type question struct {
+// requestSpec describes one HTTP request.
+type requestSpec struct {
 	method string
 	query  string
 	body   []byte
-	// tag is the entity tag of the answer that the asker has, empty for none.
+	// tag is the entity tag of the cached response; empty if there is none.
 	tag string
 }
 
-// tagged is an answer with its entity tag, empty where the back end gives none.
-type tagged[Answer any] struct {
-	answer Answer
-	tag    string
-	// unchanged is true where the asker's answer still holds; answer is empty.
+// taggedResponse is a decoded response with its entity tag; the tag is empty if the back
+// end sends none.
+type taggedResponse[Response any] struct {
+	body Response
+	tag  string
+	// unchanged is true if the cached response is still valid; body is then empty.
 	unchanged bool
 }
 
-func exchange[Answer any](ctx context.Context, client *Client, place target, timeout time.Duration, asked question) (tagged[Answer], error) {
-	var answered tagged[Answer]
+func exchange[Response any](ctx context.Context, client *Client, target endpoint, timeout time.Duration, spec requestSpec) (taggedResponse[Response], error) {
+	var result taggedResponse[Response]
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	response, err := client.send(ctx, place, asked)
+	response, err := client.send(ctx, target, spec)
 	if err != nil {
-		return answered, err
+		return result, err
 	}
 	defer drain(response.Body)
 	if response.StatusCode == http.StatusNotModified {
-		return tagged[Answer]{tag: asked.tag, unchanged: true}, nil
+		return taggedResponse[Response]{tag: spec.tag, unchanged: true}, nil
 	}
-	content, err := readBounded(response.Body, client.config.MaxAnswerBytes)
-	if errors.Is(err, errAnswerTooLong) {
-		return answered, place.malformed(err)
+	content, err := readBounded(response.Body, client.config.MaxResponseBytes)
+	if errors.Is(err, errResponseTooLong) {
+		return result, target.malformed(err)
 	}
 	if err != nil {
-		return answered, place.unknown(err)
+		return result, target.outcomeUnknown(err)
 	}
-	if err := json.Unmarshal(content, &answered.answer); err != nil {
-		return answered, place.malformed(err)
+	if err := json.Unmarshal(content, &result.body); err != nil {
+		return result, target.malformed(err)
 	}
-	answered.tag = response.Header.Get(headerTag)
-	return answered, nil
+	result.tag = response.Header.Get(headerETag)
+	return result, nil
 }
 
-// Headers of conditional requests.
+// HTTP headers of conditional requests.
 const (
-	headerTag      = "ETag"
-	headerKnownTag = "If-None-Match"
+	headerETag        = "ETag"
+	headerIfNoneMatch = "If-None-Match"
 )
 
-// send returns an answer of status 200, or 304 to a question with a tag; any
-// other is a *Failure.
-func (client *Client) send(ctx context.Context, place target, asked question) (*http.Response, error) {
-	// Until a connection is at hand nothing can have been sent.
+// send returns a response with status 200, or 304 if spec has a tag. Any other status is
+// a *Failure.
+func (client *Client) send(ctx context.Context, target endpoint, spec requestSpec) (*http.Response, error) {
+	// Nothing has been sent while there is no connection.
 	var connected atomic.Bool
 	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
 		GotConn: func(httptrace.GotConnInfo) { connected.Store(true) },
 	})
-	address := url.URL{Scheme: "http", Host: place.address, Path: place.operation, RawQuery: asked.query}
-	request, err := http.NewRequestWithContext(ctx, asked.method, address.String(), bytes.NewReader(asked.body))
+	address := url.URL{Scheme: "http", Host: target.address, Path: target.operation, RawQuery: spec.query}
+	request, err := http.NewRequestWithContext(ctx, spec.method, address.String(), bytes.NewReader(spec.body))
 	if err != nil {
-		return nil, place.notRun(err)
+		return nil, target.notRun(err)
 	}
-	if asked.method == http.MethodPost {
+	if spec.method == http.MethodPost {
 		request.Header.Set("Content-Type", "application/json")
 	}
-	if asked.tag != "" {
-		request.Header.Set(headerKnownTag, asked.tag)
+	if spec.tag != "" {
+		request.Header.Set(headerIfNoneMatch, spec.tag)
 	}
 	response, err := client.http.Do(request)
 	if cause := context.Cause(ctx); err != nil && cause != nil {
 		err = cause
 	}
 	if err != nil && !connected.Load() {
-		return nil, place.notRun(err)
+		return nil, target.notRun(err)
 	}
 	if err != nil {
-		return nil, place.unknown(err)
+		return nil, target.outcomeUnknown(err)
 	}
-	unchanged := asked.tag != "" && response.StatusCode == http.StatusNotModified
+	unchanged := spec.tag != "" && response.StatusCode == http.StatusNotModified
 	if response.StatusCode != http.StatusOK && !unchanged {
 		defer drain(response.Body)
-		return nil, readRefusal(place, response)
+		return nil, readErrorResponse(target, response)
 	}
 	return response, nil
 }
 
-// readRefusal turns an answer with an error status into a failure.
-func readRefusal(place target, response *http.Response) *Failure {
+// readErrorResponse converts a response with an error status to a failure.
+func readErrorResponse(target endpoint, response *http.Response) *Failure {
 	content, err := readBounded(response.Body, maxErrorBytes)
 	if err != nil {
-		return place.unknown(fmt.Errorf("status %d: %w", response.StatusCode, err))
+		return target.outcomeUnknown(fmt.Errorf("status %d: %w", response.StatusCode, err))
 	}
-	var told wire.Error
-	if err := json.Unmarshal(content, &told); err != nil {
-		return place.malformed(fmt.Errorf("status %d: %w", response.StatusCode, err))
+	var wireError wire.Error
+	if err := json.Unmarshal(content, &wireError); err != nil {
+		return target.malformed(fmt.Errorf("status %d: %w", response.StatusCode, err))
 	}
-	return place.refused(response.StatusCode, told)
+	return target.errorResponse(response.StatusCode, wireError)
 }
 
-// readBounded reads a whole body of at most limit bytes.
+// readBounded reads a body. It returns errResponseTooLong if the body is longer than limit
+// bytes.
 func readBounded(body io.Reader, limit int64) ([]byte, error) {
 	content, err := io.ReadAll(io.LimitReader(body, limit+1))
 	if err != nil {
 		return nil, err
 	}
 	if int64(len(content)) > limit {
-		return nil, errAnswerTooLong
+		return nil, errResponseTooLong
 	}
 	return content, nil
 }
 
-// drain reads a short rest of a body, so that its connection can be used again,
-// and closes it.
+// drain reads and discards up to maxErrorBytes of a body, so that its connection can be
+// reused, and closes it.
 func drain(body io.ReadCloser) {
 	_, _ = io.CopyN(io.Discard, body, maxErrorBytes)
 	_ = body.Close()
--- a/internal/outside/httpadapter/failure.go
+++ b/internal/outside/httpadapter/failure.go
@@ -7,69 +7,70 @@
 	"github.com/magpielug/magpielug/internal/outside/wire"
 )
 
-// Failure is every error of the adapters, but for those of a caller's own
+// Failure is the type of all errors of the adapters, except those returned by a caller's
 // receive function.
 type Failure struct {
-	// Operation is the path asked for, Address the back end's.
+	// Operation is the request path, Address the address of the back end.
 	Operation string
 	Address   string
-	// Status and Code are the back end's answer, 0 and empty without one.
+	// Status and Code are those of the back end's error response; 0 and empty if there
+	// is none.
 	Status int
 	Code   wire.ErrorCode
-	// Kinds are the platform package's errors that the failure is.
+	// Kinds are the errors of package outside that classify the failure.
 	Kinds []error
-	// Cause is what was seen.
+	// Cause is the underlying error.
 	Cause error
 }
 
-// Error tells the operation, kind and cause on one line.
+// Error returns the operation, address, first kind and cause.
 func (failure *Failure) Error() string {
 	return fmt.Sprintf("%s at %s: %v: %v", failure.Operation, failure.Address, failure.Kinds[0], failure.Cause)
 }
 
-// Unwrap lets errors.Is find the kinds and the cause.
+// Unwrap returns the kinds and the cause.
 func (failure *Failure) Unwrap() []error {
 	return append(append([]error{}, failure.Kinds...), failure.Cause)
 }
 
-// target names one exchange for its failures.
-type target struct {
+// endpoint identifies the target of a request in its failures.
+type endpoint struct {
 	operation string
 	address   string
 }
 
-func (place target) failure(cause error, kinds ...error) *Failure {
-	return &Failure{Operation: place.operation, Address: place.address, Kinds: kinds, Cause: cause}
+func (target endpoint) failure(cause error, kinds ...error) *Failure {
+	return &Failure{Operation: target.operation, Address: target.address, Kinds: kinds, Cause: cause}
 }
 
-// notRun is the failure of a request that was never sent.
-func (place target) notRun(cause error) *Failure {
-	return place.failure(cause, outside.ErrNotRun)
+// notRun returns the failure of a request that had no effect.
+func (target endpoint) notRun(cause error) *Failure {
+	return target.failure(cause, outside.ErrNotRun)
 }
 
-// unknown is the failure of a request whose answer was lost.
-func (place target) unknown(cause error) *Failure {
-	return place.failure(cause, outside.ErrOutcomeUnknown)
+// outcomeUnknown returns the failure of a request that may have taken effect.
+func (target endpoint) outcomeUnknown(cause error) *Failure {
+	return target.failure(cause, outside.ErrOutcomeUnknown)
 }
 
-// malformed is the failure of an answer that can't be understood.
-func (place target) malformed(cause error) *Failure {
-	return place.failure(cause, outside.ErrOutcomeUnknown, outside.ErrMalformedAnswer)
+// malformed returns the failure of a request whose response is invalid.
+func (target endpoint) malformed(cause error) *Failure {
+	return target.failure(cause, outside.ErrOutcomeUnknown, outside.ErrMalformedAnswer)
 }
 
-// refused is the failure that a back end told.
-func (place target) refused(status int, told wire.Error) *Failure {
-	cause := fmt.Errorf("status %d %s: %s", status, told.Code, told.Message)
+// errorResponse converts a back end's error response to a failure.
+func (target endpoint) errorResponse(status int, wireError wire.Error) *Failure {
+	cause := fmt.Errorf("status %d %s: %s", status, wireError.Code, wireError.Message)
 	var failure *Failure
 	switch {
-	case told.Code == wire.CodeStaleFence:
-		failure = place.failure(cause, outside.ErrStaleFence, outside.ErrNotRun)
-	case told.NotRun:
-		failure = place.notRun(cause)
+	case wireError.Code == wire.CodeStaleFence:
+		failure = target.failure(cause, outside.ErrStaleFence, outside.ErrNotRun)
+	case wireError.NotRun:
+		failure = target.notRun(cause)
 	default:
-		failure = place.unknown(cause)
+		failure = target.outcomeUnknown(cause)
 	}
 	failure.Status = status
-	failure.Code = told.Code
+	failure.Code = wireError.Code
 	return failure
 }
--- a/internal/outside/httpadapter/generate.go
+++ b/internal/outside/httpadapter/generate.go
@@ -13,15 +13,15 @@
 	"github.com/magpielug/magpielug/internal/outside/wire"
 )
 
-// errAcceptTimeout and errStreamIdle tell which wait for an engine ended.
+// Causes of a timeout of a generation.
 var (
-	errAcceptTimeout = errors.New("the engine did not accept the request in time")
-	errStreamIdle    = errors.New("the engine's stream was idle too long")
+	errAcceptTimeout = errors.New("engine did not accept the request in time")
+	errStreamIdle    = errors.New("no event from the engine within the idle timeout")
 )
 
 // Generate implements outside.Engine.
 func (client *Engine) Generate(ctx context.Context, address string, request outside.GenerateRequest, receive func(outside.EngineChunk) error) error {
-	place := target{operation: wire.PathGenerate, address: address}
+	target := endpoint{operation: wire.PathGenerate, address: address}
 	encoded, err := json.Marshal(wire.GenerateRequest{
 		RequestID:   request.RequestID,
 		Program:     request.Program,
@@ -35,48 +35,48 @@
 		AttachOnly:  request.AttachOnly,
 	})
 	if err != nil {
-		return place.notRun(err)
+		return target.notRun(err)
 	}
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
 	accept := time.AfterFunc(client.pool.config.OrderTimeout, func() { cancel(errAcceptTimeout) })
-	response, err := client.pool.send(ctx, place, question{method: http.MethodPost, body: encoded})
+	response, err := client.pool.send(ctx, target, requestSpec{method: http.MethodPost, body: encoded})
 	accept.Stop()
 	if err != nil {
 		return err
 	}
 	defer func() { _ = response.Body.Close() }()
 	stream := generationStream{
-		place:   place,
-		events:  newEventReader(response.Body, client.pool.config.MaxLineBytes),
-		next:    request.ResumeAfter + 1,
-		receive: receive,
+		endpoint:     target,
+		events:       newEventReader(response.Body, client.pool.config.MaxLineBytes),
+		nextSequence: request.ResumeAfter + 1,
+		receive:      receive,
 	}
 	return stream.read(ctx, cancel, client.pool.config.StreamIdleTimeout)
 }
 
-// generationStream checks and hands on the items of one generation.
+// generationStream validates the chunks of one generation and passes them to receive.
 type generationStream struct {
-	place  target
-	events *eventReader
-	// next is the sequence number that the next item must have.
-	next uint64
-	// begun is true once an item has come.
-	begun   bool
+	endpoint endpoint
+	events   *eventReader
+	// nextSequence is the expected sequence number of the next chunk.
+	nextSequence uint64
+	// started is true after the first chunk.
+	started bool
 	receive func(outside.EngineChunk) error
 }
 
-// read hands on items until the finish. The idle timer ends the connection, and
-// with it a blocked read.
+// read passes on chunks up to the finish. The idle timer cancels ctx, which unblocks a
+// pending read.
 func (stream *generationStream) read(ctx context.Context, cancel context.CancelCauseFunc, idle time.Duration) error {
 	timer := time.AfterFunc(idle, func() { cancel(errStreamIdle) })
 	defer timer.Stop()
 	for {
 		event, err := stream.events.next()
 		if err != nil {
-			return stream.broken(ctx, err)
+			return stream.streamError(ctx, err)
 		}
-		// The time that receive takes is not the engine's.
+		// The idle timeout excludes the time spent in receive.
 		timer.Stop()
 		finished, err := stream.handle(event)
 		if finished || err != nil {
@@ -86,47 +86,47 @@
 	}
 }
 
-// broken is the failure of a stream that ended before its finish.
-func (stream *generationStream) broken(ctx context.Context, err error) *Failure {
+// streamError returns the failure of a stream that ended before its finish.
+func (stream *generationStream) streamError(ctx context.Context, err error) *Failure {
 	switch err {
 	case errLineTooLong, errEventTooLong, errUnknownField:
-		return stream.place.malformed(err)
+		return stream.endpoint.malformed(err)
 	}
 	if cause := context.Cause(ctx); cause != nil {
-		return stream.place.unknown(cause)
+		return stream.endpoint.outcomeUnknown(cause)
 	}
 	if err == io.EOF {
 		err = io.ErrUnexpectedEOF
 	}
-	return stream.place.unknown(err)
+	return stream.endpoint.outcomeUnknown(err)
 }
 
-// handle decodes one event and hands it on; finished is true after the last.
+// handle processes one event. finished is true after the last chunk.
 func (stream *generationStream) handle(event serverEvent) (finished bool, err error) {
 	switch event.name {
 	case wire.EventChunk:
 		return stream.handleChunk(event.data)
 	case wire.EventError:
-		var told wire.Error
-		if err := json.Unmarshal(event.data, &told); err != nil {
-			return false, stream.place.malformed(err)
+		var wireError wire.Error
+		if err := json.Unmarshal(event.data, &wireError); err != nil {
+			return false, stream.endpoint.malformed(err)
 		}
-		return false, stream.place.refused(http.StatusOK, told)
+		return false, stream.endpoint.errorResponse(http.StatusOK, wireError)
 	default:
-		return false, stream.place.malformed(fmt.Errorf("unknown event %q", event.name))
+		return false, stream.endpoint.malformed(fmt.Errorf("unknown event type %q", event.name))
 	}
 }
 
 func (stream *generationStream) handleChunk(data []byte) (finished bool, err error) {
 	var chunk wire.Chunk
 	if err := json.Unmarshal(data, &chunk); err != nil {
-		return false, stream.place.malformed(err)
+		return false, stream.endpoint.malformed(err)
 	}
-	if err := stream.check(chunk); err != nil {
-		return false, stream.place.malformed(err)
+	if err := stream.checkChunk(chunk); err != nil {
+		return false, stream.endpoint.malformed(err)
 	}
-	stream.next = chunk.Sequence + 1
-	stream.begun = true
+	stream.nextSequence = chunk.Sequence + 1
+	stream.started = true
 	err = stream.receive(outside.EngineChunk{
 		Sequence:     chunk.Sequence,
 		Text:         chunk.Text,
@@ -139,15 +139,15 @@
 	return chunk.Finish != "", err
 }
 
-// check refuses gaps and repeats. Only the finish may come again, alone: an
-// engine repeats it to a stream that resumes after it.
-func (stream *generationStream) check(chunk wire.Chunk) error {
+// checkChunk rejects gaps and duplicates. The only duplicate allowed is a finish as the
+// first chunk: an engine sends it again to a stream that resumes after it.
+func (stream *generationStream) checkChunk(chunk wire.Chunk) error {
 	if chunk.Tokens < 0 || chunk.PromptTokens < 0 || chunk.CachedTokens < 0 || chunk.OutputTokens < 0 {
-		return errors.New("negative number of tokens")
+		return errors.New("negative token count in chunk")
 	}
-	repeated := !stream.begun && chunk.Finish != "" && chunk.Sequence > 0 && chunk.Sequence < stream.next
-	if chunk.Sequence != stream.next && !repeated {
-		return fmt.Errorf("item %d came where %d was due", chunk.Sequence, stream.next)
+	repeated := !stream.started && chunk.Finish != "" && chunk.Sequence > 0 && chunk.Sequence < stream.nextSequence
+	if chunk.Sequence != stream.nextSequence && !repeated {
+		return fmt.Errorf("out-of-order chunk: got sequence %d, expected %d", chunk.Sequence, stream.nextSequence)
 	}
 	return nil
 }
--- a/internal/outside/httpadapter/report.go
+++ b/internal/outside/httpadapter/report.go
@@ -13,77 +13,75 @@
 	"github.com/magpielug/magpielug/internal/outside/wire"
 )
 
-// errOtherBase says that a report names changes since a number that was not
-// asked for.
-var errOtherBase = errors.New("changes since another number than the one asked for")
+var errUnexpectedBase = errors.New("load report has changes since a sequence number that was not requested")
 
-// knownReports holds the last load report of each engine asked, so that only
-// what has changed since is sent and decoded.
-type knownReports struct {
+// cachedReports holds the last load report of each engine by address, so that engines
+// need to send only changes.
+type cachedReports struct {
 	lock      sync.Mutex
-	byAddress map[string]knownReport
+	byAddress map[string]cachedReport
 }
 
-// knownReport is never changed.
-type knownReport struct {
+// cachedReport is immutable.
+type cachedReport struct {
 	tag      string
 	sequence uint64
 	report   outside.LoadReport
 }
 
-func (known *knownReports) of(address string) knownReport {
+func (known *cachedReports) get(address string) cachedReport {
 	known.lock.Lock()
 	defer known.lock.Unlock()
 	return known.byAddress[address]
 }
 
-func (known *knownReports) keep(address string, last knownReport) {
+func (known *cachedReports) put(address string, last cachedReport) {
 	known.lock.Lock()
 	defer known.lock.Unlock()
 	if known.byAddress == nil {
-		known.byAddress = make(map[string]knownReport)
+		known.byAddress = make(map[string]cachedReport)
 	}
 	known.byAddress[address] = last
 }
 
-// forget drops the report of an engine that did not answer. It may be gone, or
+// remove deletes the report of an engine after a failed request, because the engine may
 // have restarted.
-func (known *knownReports) forget(address string) {
+func (known *cachedReports) remove(address string) {
 	known.lock.Lock()
 	defer known.lock.Unlock()
 	delete(known.byAddress, address)
 }
 
-// Report implements outside.Engine. The report is always whole; it must not be
-// changed by its reader. Where the engine gives entity tags or numbers the
-// changes of its cache, only what has changed is sent.
+// Report implements outside.Engine. If the engine supports entity tags or sequence numbers
+// of cache changes, it sends only changes, and Report merges them into the last report.
+// The report is complete; callers must not modify it.
 func (client *Engine) Report(ctx context.Context, address string) (outside.LoadReport, error) {
-	last := client.reports.of(address)
+	last := client.reports.get(address)
 	query := url.Values{}
 	if last.sequence > 0 {
 		query.Set(wire.ParameterAfter, strconv.FormatUint(last.sequence, 10))
 	}
-	answered, err := getChanged[wire.LoadReport](ctx, client.pool, address, wire.PathReport, query, last.tag)
-	if err == nil && answered.unchanged {
+	result, err := getIfChanged[wire.LoadReport](ctx, client.pool, address, wire.PathReport, query, last.tag)
+	if err == nil && result.unchanged {
 		return last.report, nil
 	}
-	if err == nil && answered.answer.Since > 0 && answered.answer.Since != last.sequence {
-		err = target{operation: wire.PathReport, address: address}.malformed(errOtherBase)
+	if err == nil && result.body.Since > 0 && result.body.Since != last.sequence {
+		err = endpoint{operation: wire.PathReport, address: address}.malformed(errUnexpectedBase)
 	}
 	if err != nil {
-		client.reports.forget(address)
+		client.reports.remove(address)
 		return outside.LoadReport{}, err
 	}
-	report := reportOf(answered.answer)
-	if answered.answer.Since > 0 {
-		report.ProgramBlocks = mergeBlocks(last.report.ProgramBlocks, answered.answer.ProgramBlocks)
+	report := loadReport(result.body)
+	if result.body.Since > 0 {
+		report.ProgramBlocks = mergeBlocks(last.report.ProgramBlocks, result.body.ProgramBlocks)
 	}
-	client.reports.keep(address, knownReport{tag: answered.tag, sequence: answered.answer.Sequence, report: report})
+	client.reports.put(address, cachedReport{tag: result.tag, sequence: result.body.Sequence, report: report})
 	return report, nil
 }
 
-// mergeBlocks returns the blocks by program after the changes. A program with no
-// block left is not in it.
+// mergeBlocks returns the blocks by program after changes, without the programs that have
+// no blocks.
 func mergeBlocks(before, changes map[string]int) map[string]int {
 	if len(changes) == 0 {
 		return before
@@ -101,23 +99,23 @@
 	return merged
 }
 
-func reportOf(answer wire.LoadReport) outside.LoadReport {
+func loadReport(response wire.LoadReport) outside.LoadReport {
 	return outside.LoadReport{
-		Engine:        answer.Engine,
-		Model:         answer.Model,
-		Version:       answer.Version,
-		Loading:       answer.Loading,
-		Adapters:      answer.Adapters,
-		Role:          answer.Role,
-		Leaving:       answer.Leaving,
-		Running:       answer.Running,
-		Waiting:       answer.Waiting,
-		RunningLimit:  answer.RunningLimit,
-		BlocksTotal:   answer.BlocksTotal,
-		BlocksUsed:    answer.BlocksUsed,
-		BlockTokens:   answer.BlockTokens,
-		StepDuration:  time.Duration(answer.StepMicros) * time.Microsecond,
-		FenceEpoch:    answer.FenceEpoch,
-		ProgramBlocks: answer.ProgramBlocks,
+		Engine:        response.Engine,
+		Model:         response.Model,
+		Version:       response.Version,
+		Loading:       response.Loading,
+		Adapters:      response.Adapters,
+		Role:          response.Role,
+		Leaving:       response.Leaving,
+		Running:       response.Running,
+		Waiting:       response.Waiting,
+		RunningLimit:  response.RunningLimit,
+		BlocksTotal:   response.BlocksTotal,
+		BlocksUsed:    response.BlocksUsed,
+		BlockTokens:   response.BlockTokens,
+		StepDuration:  time.Duration(response.StepMicros) * time.Microsecond,
+		FenceEpoch:    response.FenceEpoch,
+		ProgramBlocks: response.ProgramBlocks,
 	}
 }
--- a/internal/outside/httpadapter/services.go
+++ b/internal/outside/httpadapter/services.go
@@ -12,33 +12,33 @@
 	"github.com/magpielug/magpielug/internal/outside/wire"
 )
 
-// Log is the adapter of the append-only log service.
+// Log is the adapter for the append-only log service.
 type Log struct {
 	pool    *Client
 	address string
 }
 
-// Machines is the adapter of the machine list. It is safe for concurrent use.
+// Machines is the adapter for the machine list. It is safe for concurrent use.
 type Machines struct {
 	pool    *Client
 	address string
-	// last is the list read last, with its entity tag.
+	// last is the most recent list with its entity tag; nil before the first.
 	last atomic.Pointer[taggedMachines]
 }
 
-// taggedMachines is never changed.
+// taggedMachines is immutable.
 type taggedMachines struct {
 	tag      string
 	machines []outside.Machine
 }
 
-// Weights is the adapter of the weight store.
+// Weights is the adapter for the weight store.
 type Weights struct {
 	pool    *Client
 	address string
 }
 
-// Tool is the adapter of application and tool services.
+// Tool is the adapter for application and tool services.
 type Tool struct{ pool *Client }
 
 var (
@@ -48,39 +48,39 @@
 	_ outside.Tool     = (*Tool)(nil)
 )
 
-// NewLog makes the adapter of the log service at address (host:port).
+// NewLog returns an adapter for the log service at address (host:port).
 func NewLog(pool *Client, address string) *Log { return &Log{pool: pool, address: address} }
 
-// NewMachines makes the adapter of the machine list at address.
+// NewMachines returns an adapter for the machine list at address (host:port).
 func NewMachines(pool *Client, address string) *Machines {
 	return &Machines{pool: pool, address: address}
 }
 
-// NewWeights makes the adapter of the weight store at address.
+// NewWeights returns an adapter for the weight store at address (host:port).
 func NewWeights(pool *Client, address string) *Weights {
 	return &Weights{pool: pool, address: address}
 }
 
-// NewTool makes the adapter of tool services.
+// NewTool returns an adapter for tool services.
 func NewTool(pool *Client) *Tool { return &Tool{pool: pool} }
 
 // Append implements outside.Log.
 func (client *Log) Append(ctx context.Context, stream string, data []byte) (uint64, error) {
-	answer, err := post[wire.AppendAnswer](ctx, client.pool, client.address, wire.PathLogAppend,
+	response, err := post[wire.AppendAnswer](ctx, client.pool, client.address, wire.PathLogAppend,
 		client.pool.config.OrderTimeout, wire.AppendRequest{Stream: stream, Data: data})
 	if err != nil {
 		return 0, err
 	}
-	if answer.Offset == nil {
-		return 0, target{operation: wire.PathLogAppend, address: client.address}.malformed(errFieldMissing)
+	if response.Offset == nil {
+		return 0, endpoint{operation: wire.PathLogAppend, address: client.address}.malformed(errMissingField)
 	}
-	return *answer.Offset, nil
+	return *response.Offset, nil
 }
 
-// Read implements outside.Log. An answer whose offsets are not those asked
-// for, in order, is malformed.
+// Read implements outside.Log. A response is malformed unless its offsets are consecutive
+// and start at offset.
 func (client *Log) Read(ctx context.Context, stream string, offset uint64, limit int) ([]outside.Record, error) {
-	answer, err := get[wire.ReadAnswer](ctx, client.pool, client.address, wire.PathLogRead, url.Values{
+	response, err := get[wire.ReadAnswer](ctx, client.pool, client.address, wire.PathLogRead, url.Values{
 		wire.ParameterStream: {stream},
 		wire.ParameterOffset: {strconv.FormatUint(offset, 10)},
 		wire.ParameterLimit:  {strconv.Itoa(limit)},
@@ -88,49 +88,48 @@
 	if err != nil {
 		return nil, err
 	}
-	at := target{operation: wire.PathLogRead, address: client.address}
-	if answer.Records == nil {
-		return nil, at.malformed(errFieldMissing)
+	target := endpoint{operation: wire.PathLogRead, address: client.address}
+	if response.Records == nil {
+		return nil, target.malformed(errMissingField)
 	}
-	records := make([]outside.Record, len(answer.Records))
-	for place, record := range answer.Records {
-		due := offset + uint64(place)
-		if record.Offset != due {
-			return nil, at.malformed(fmt.Errorf("record %d came where %d was due", record.Offset, due))
+	records := make([]outside.Record, len(response.Records))
+	for index, record := range response.Records {
+		expected := offset + uint64(index)
+		if record.Offset != expected {
+			return nil, target.malformed(fmt.Errorf("out-of-order log record: got offset %d, expected %d", record.Offset, expected))
 		}
-		records[place] = outside.Record{Offset: record.Offset, Data: record.Data}
+		records[index] = outside.Record{Offset: record.Offset, Data: record.Data}
 	}
 	return records, nil
 }
 
-// List implements outside.Machines. A list that has not changed since the last
-// read is neither sent nor decoded, where the platform gives entity tags: then
-// the same slice is returned, which must not be changed.
+// List implements outside.Machines. If the platform supports entity tags, an unchanged
+// list is not sent again and List returns the same slice. Callers must not modify it.
 func (client *Machines) List(ctx context.Context) ([]outside.Machine, error) {
 	last := client.last.Load()
-	known := ""
+	tag := ""
 	if last != nil {
-		known = last.tag
+		tag = last.tag
 	}
-	answered, err := getChanged[wire.MachinesAnswer](ctx, client.pool, client.address, wire.PathMachines, nil, known)
+	result, err := getIfChanged[wire.MachinesAnswer](ctx, client.pool, client.address, wire.PathMachines, nil, tag)
 	if err != nil {
 		return nil, err
 	}
-	if answered.unchanged {
+	if result.unchanged {
 		return last.machines, nil
 	}
-	if answered.answer.Machines == nil {
-		return nil, target{operation: wire.PathMachines, address: client.address}.malformed(errFieldMissing)
+	if result.body.Machines == nil {
+		return nil, endpoint{operation: wire.PathMachines, address: client.address}.malformed(errMissingField)
 	}
-	machines := machinesOf(answered.answer)
-	client.last.Store(&taggedMachines{tag: answered.tag, machines: machines})
+	machines := machineList(result.body)
+	client.last.Store(&taggedMachines{tag: result.tag, machines: machines})
 	return machines, nil
 }
 
-func machinesOf(answer wire.MachinesAnswer) []outside.Machine {
-	machines := make([]outside.Machine, len(answer.Machines))
-	for place, machine := range answer.Machines {
-		machines[place] = outside.Machine{
+func machineList(response wire.MachinesAnswer) []outside.Machine {
+	machines := make([]outside.Machine, len(response.Machines))
+	for index, machine := range response.Machines {
+		machines[index] = outside.Machine{
 			ID:      machine.ID,
 			Role:    outside.MachineRole(machine.Role),
 			Region:  machine.Region,
@@ -145,23 +144,23 @@
 
 // Reserve implements outside.Weights.
 func (client *Weights) Reserve(ctx context.Context, model, version string) (granted bool, wait time.Duration, err error) {
-	answer, err := post[wire.ReserveAnswer](ctx, client.pool, client.address, wire.PathWeightsReserve,
+	response, err := post[wire.ReserveAnswer](ctx, client.pool, client.address, wire.PathWeightsReserve,
 		client.pool.config.OrderTimeout, wire.ReserveRequest{Model: model, Version: version})
 	if err != nil {
 		return false, 0, err
 	}
-	return answer.Granted, time.Duration(answer.WaitMillis) * time.Millisecond, nil
+	return response.Granted, time.Duration(response.WaitMillis) * time.Millisecond, nil
 }
 
 // Call implements outside.Tool.
 func (client *Tool) Call(ctx context.Context, address string, request outside.ToolRequest) (string, error) {
-	answer, err := post[wire.ToolAnswer](ctx, client.pool, address, wire.PathToolCall,
+	response, err := post[wire.ToolAnswer](ctx, client.pool, address, wire.PathToolCall,
 		client.pool.config.ToolTimeout, wire.ToolRequest(request))
 	if err != nil {
 		return "", err
 	}
-	if answer.Output == nil {
-		return "", target{operation: wire.PathToolCall, address: address}.malformed(errFieldMissing)
+	if response.Output == nil {
+		return "", endpoint{operation: wire.PathToolCall, address: address}.malformed(errMissingField)
 	}
-	return *answer.Output, nil
+	return *response.Output, nil
 }
