--- a/internal/shard/state.go
+++ b/internal/shard/state.go
@@ -61,6 +61,7 @@
 	liveChildren int
 }
 
+// ID returns the program's id.
 func (program *Program) ID() string { return program.record.Created.ProgramId }
 
 // Created returns the entry that created the program. Callers must not modify it.
--- a/internal/shard/turn.go
+++ b/internal/shard/turn.go
@@ -38,6 +38,7 @@
 	}}
 }
 
+// RequestID returns the request id of the call.
 func (stored StoredTurn) RequestID() string { return stored.record.RequestId }
 
 // Number returns the turn number of the call, from 1.
