--- a/internal/configuration/freshness.go
+++ b/internal/configuration/freshness.go
@@ -5,15 +5,17 @@
 // freshness determines whether a process is certain to know the newest configuration
 // version. It is not safe for concurrent use.
 //
-// A process is fresh if within bound it read the log to its end, or a majority of zones
-// reported its version. The second condition suffices because a change is acknowledged
-// only when a majority of zones holds it, and any two majorities have a zone in common.
+// A process is fresh if within bound it read the log to its end, or a majority of zones,
+// its own included, reported its version and no zone has reported a later one. The second
+// condition suffices because a change is acknowledged only when a majority of zones holds
+// it, and any two majorities have a zone in common.
 // A zone counts with the highest version reported by any of its processes, so the
 // processes of one zone must exchange versions.
 type freshness struct {
 	bound   time.Duration
 	ownZone string
-	// zones holds the last report of each zone: those of setZones and those of peers.
+	// zones holds the last report by zone, for the zones of setZones and those that peers
+	// reported.
 	zones map[string]*zoneReport
 	// lastLogRead is the start time of the latest read that reached the log's end.
 	lastLogRead time.Time
--- a/internal/configuration/snapshot.go
+++ b/internal/configuration/snapshot.go
@@ -72,6 +72,7 @@
 	}
 }
 
+// Version returns the configuration's version.
 func (snapshot *Snapshot) Version() uint64 { return snapshot.version }
 
 // Configuration returns the complete configuration. Callers must not modify it.
