--- a/internal/scheduler/account.go
+++ b/internal/scheduler/account.go
@@ -9,20 +9,20 @@
 	"github.com/magpielug/magpielug/internal/shard"
 )
 
-// The account's side of a tier's budget: the leader of the shard that the
-// tier's name belongs to.
+// The granting side of escrow. The leader of the shard that holds a tier's account grants parts
+// of the tier's budget to the other shards and recalls them.
 
-// maximumHops bounds how often a request is passed on to a leader.
+// maximumHops bounds how often an escrow request is forwarded.
 const maximumHops = 2
 
-// recallInterval is the least time between two recalls of a tier's escrow.
+// recallInterval is the minimum time between two recalls of a tier's escrow.
 const recallInterval = time.Second
 
 func tierOfRequest(request *schedulerv1.EscrowRequest) shard.TierKey {
 	return shard.TierKey{Tenant: request.Tenant, Tier: request.Tier}
 }
 
-// requestEscrow brings a request to the leader of the account's shard.
+// requestEscrow routes a request to the leader of the shard that holds the tier's account.
 func (core *Core) requestEscrow(request *schedulerv1.EscrowRequest) {
 	number := core.shardOfAccount(tierOfRequest(request))
 	if host := core.hosts[number]; host != nil && host.leads() {
@@ -35,12 +35,12 @@
 	}
 }
 
-// escrowRequested commits a grant, and what the shard has given back.
+// escrowRequested commits the total that the shard has returned and then the grant.
 func (core *Core) escrowRequested(request *schedulerv1.EscrowRequest) {
 	key := tierOfRequest(request)
 	host := core.hosts[core.shardOfAccount(key)]
 	if host == nil || !host.leads() {
-		core.passEscrowRequest(request)
+		core.forwardEscrowRequest(request)
 		return
 	}
 	if core.configuration == nil {
@@ -66,8 +66,8 @@
 	}}}, grantWaiter{request: request})
 }
 
-// passEscrowRequest sends a request on to the leader that this process knows.
-func (core *Core) passEscrowRequest(request *schedulerv1.EscrowRequest) {
+// forwardEscrowRequest forwards a request to the last known leader of the account's shard.
+func (core *Core) forwardEscrowRequest(request *schedulerv1.EscrowRequest) {
 	process := core.leaderProcess(core.shardOfAccount(tierOfRequest(request)))
 	if request.Hops >= maximumHops || process == "" {
 		return
@@ -77,7 +77,7 @@
 	batch.EscrowRequests = append(batch.EscrowRequests, request)
 }
 
-// grantWaiter answers the shard once its grant is applied.
+// grantWaiter replies to the requesting shard once the grant is applied.
 type grantWaiter struct{ request *schedulerv1.EscrowRequest }
 
 func (waiting grantWaiter) applied(host *host, _ shard.Outcome) {
@@ -100,10 +100,9 @@
 
 func (grantWaiter) abandoned(*host) {}
 
-// recallEscrow asks every other holder to give back what it does not need, and
-// tells whether that may help. What the last recall has not brought within
-// recallInterval, another one would not bring either.
-func (host *host) recallEscrow(key shard.TierKey, needy uint32) bool {
+// recallEscrow asks all other holders to return escrow that they do not need. It reports false
+// if there are none, or if the last recall was less than recallInterval ago.
+func (host *host) recallEscrow(key shard.TierKey, requester uint32) bool {
 	last, recalled := host.recalledAt[key]
 	if recalled && host.core.now-last < recallInterval {
 		return false
@@ -111,7 +110,7 @@
 	host.recalledAt[key] = host.core.now
 	recalling := false
 	for _, holder := range host.state.Account(key).Holders() {
-		if holder == needy {
+		if holder == requester {
 			continue
 		}
 		recalling = true
--- a/internal/scheduler/archive.go
+++ b/internal/scheduler/archive.go
@@ -8,16 +8,14 @@
 	"github.com/magpielug/magpielug/internal/shard"
 )
 
-// maximumArchiveBytes bounds the entries of one archive record.
+// maximumArchiveBytes bounds the entries in one archive record.
 const maximumArchiveBytes = 1 << 20
 
-// newCallShare is the part of a shard's backlog bound that new calls may fill.
-// The rest is for the entries that calls under way still need: without it they
-// could not end while the log is away.
+// newCallShare is the fraction of a shard's backlog limit that new calls may fill. The remainder
+// is reserved for the entries that open calls need to complete during a log outage.
 const newCallShare = 0.75
 
-// backlogFull tells whether so much waits for the log that no new call may be
-// accepted.
+// backlogFull reports whether the unarchived backlog is too large to accept new calls.
 func (host *host) backlogFull() bool {
 	core := host.core
 	bound := float64(core.config.Replication.MaxBacklogBytes) * newCallShare
@@ -34,11 +32,10 @@
 	return total >= core.config.BacklogBytes
 }
 
-// archiveEntries appends what is committed and not yet archived to the shard's
-// stream, one append at a time. A record that was lost, or whose answer was
-// lost, is appended again: readers pass over what they have.
-func (core *Core) archiveEntries(host *host, home *home) {
-	if home.appending {
+// archiveEntries appends committed but unarchived entries to the shard's stream, one append at a
+// time. An append that fails or is not acknowledged is repeated; readers skip duplicates.
+func (core *Core) archiveEntries(host *host, assignment *assignment) {
+	if assignment.appending {
 		return
 	}
 	entries := host.replica.CommittedEntries(host.replica.ArchivedIndex(), maximumArchiveBytes)
@@ -50,34 +47,33 @@
 		core.log("archive_unencodable", host.number, "", "", err.Error())
 		return
 	}
-	home.appending = true
-	home.appendingBytes = len(data)
+	assignment.appending = true
+	assignment.appendingBytes = len(data)
 	core.emit(AppendStream{Shard: host.number, Data: data, UpTo: entries[len(entries)-1].Index})
 }
 
 func (core *Core) streamAppended(event StreamAppended) {
-	home := core.homes[event.Shard]
-	if home == nil {
+	assignment := core.assignments[event.Shard]
+	if assignment == nil {
 		return
 	}
-	home.appending = false
-	if event.UpTo == 0 || home.rebuild != nil {
-		// A claim, or a tail: what stands in the stream decides.
-		home.atEnd = false
+	assignment.appending = false
+	if event.UpTo == 0 || assignment.rebuild != nil {
+		// For a claim or a tail, the result is read back from the stream.
+		assignment.atEnd = false
 		return
 	}
 	host := core.hosts[event.Shard]
-	if host != nil && event.Stands && host.leads() {
-		home.archivedBytes += home.appendingBytes
-		home.logSlow = false
+	if host != nil && event.Acknowledged && host.leads() {
+		assignment.archivedBytes += assignment.appendingBytes
+		assignment.logSlow = false
 		host.replica.SetArchived(event.UpTo)
-		host.touch()
-		host.sendNowArchived(home)
+		host.markDirty()
+		host.sendArchivedIntents(assignment)
 	}
 }
 
-// applyArchived takes an entry of the stream into a state that no replica
-// drives yet.
+// applyArchived applies an archived entry to a state that no replica updates yet.
 func applyArchived(state *shard.State, entry replication.Entry) {
 	if entry.Kind != replication.KindCommand {
 		return
--- a/internal/scheduler/archive_benchmark_test.go
+++ b/internal/scheduler/archive_benchmark_test.go
@@ -15,33 +15,33 @@
 )
 
 const (
-	// recordedTurns is the calls of one program; recordedWords is the words of a
-	// prompt and of an answer.
+	// recordedTurns is the number of calls per program; recordedWords is the number of words in
+	// each prompt and output.
 	recordedTurns    = 10
 	recordedWords    = 200
 	recordedSnapshot = 4 << 20
 )
 
-// recorder writes a shard's stream as a leader does, one record a call.
+// recorder writes a shard's stream as a leader does, with one record per call.
 type recorder struct {
 	log    *testLog
 	random *rand.Rand
 	index  uint64
 	bytes  int
-	// unsnapshotted is what was written since the last snapshot, whose size is
-	// size; snapshots counts them.
+	// unsnapshotted is the number of bytes written since the last snapshot, size the size of
+	// that snapshot, and snapshots the number of snapshots written.
 	unsnapshotted int
 	size          int
 	snapshots     int
 }
 
 func newRecorder() *recorder {
-	made := &recorder{log: newTestLog(nil), random: rand.New(rand.NewSource(1))}
+	created := &recorder{log: newTestLog(nil), random: rand.New(rand.NewSource(1))}
 	claim, err := replication.EncodeClaim(replication.Claim{
 		Generation: 1, ID: "first", Members: []replication.Member{{Incarnation: "s0#1", Zone: "z0"}},
 	})
-	made.append(claim, err)
-	return made
+	created.append(claim, err)
+	return created
 }
 
 func (recorder *recorder) append(record []byte, err error) {
@@ -74,8 +74,8 @@
 	recorder.append(replication.EncodeEntries(0, 1, entries))
 }
 
-// call records the number-th call of the shard, and its program where it is the
-// first of one.
+// call records the shard's call with this number, and creates its program if it is the program's
+// first call.
 func (recorder *recorder) call(number int) {
 	program := fmt.Sprintf("p%06d", number/recordedTurns)
 	if number%recordedTurns == 0 {
@@ -105,23 +105,23 @@
 	)
 }
 
-// snapshot puts a snapshot into the stream where a leader would.
+// snapshot writes a snapshot when a leader would.
 func (recorder *recorder) snapshot() {
 	if recorder.unsnapshotted < max(recordedSnapshot, recorder.size) {
 		return
 	}
 	recorder.snapshots++
-	made := snapshotStream(context.Background(), recorder.log, SnapshotStream{
-		ID: fmt.Sprint(recorder.snapshots), Bytes: maximumSnapshotWait,
+	created := snapshotStream(context.Background(), recorder.log, SnapshotStream{
+		ID: fmt.Sprint(recorder.snapshots), Bytes: maximumSnapshotDueBytes,
 	})
-	if !made.Written {
-		panic(made.Failure)
+	if !created.Written {
+		panic(created.Failure)
 	}
-	recorder.size = made.Size
+	recorder.size = created.Size
 	recorder.unsnapshotted = 0
 }
 
-// BenchmarkOpenStream is reading a shard's stream back, after a number of calls.
+// BenchmarkOpenStream measures reading a shard's stream after a number of calls.
 func BenchmarkOpenStream(b *testing.B) {
 	for _, calls := range []int{1_000, 10_000, 40_000} {
 		for _, snapshots := range []bool{false, true} {
@@ -152,8 +152,8 @@
 	}
 }
 
-// BenchmarkStateSnapshot is what a leader's control goroutine spends on the state
-// for a joining member.
+// BenchmarkStateSnapshot measures the time that a leader's control goroutine needs to encode the
+// state for a joining member.
 func BenchmarkStateSnapshot(b *testing.B) {
 	for _, programs := range []int{100, 1_000} {
 		b.Run(fmt.Sprintf("programs=%d/turns=%d", programs, recordedTurns), func(b *testing.B) {
--- a/internal/scheduler/call_handler.go
+++ b/internal/scheduler/call_handler.go
@@ -16,14 +16,14 @@
 )
 
 const (
-	// CallPath takes a CallRequest and streams CallEvents.
+	// CallPath is the path that accepts a CallRequest and streams CallEvents.
 	CallPath = "/internal/v1/call"
-	// aliveInterval is how often a stream with nothing to say sends an empty
-	// event, so that a gateway can tell a quiet call from a frozen process.
-	aliveInterval = time.Second
+	// keepaliveInterval is the interval between empty events on an idle stream. They let a
+	// gateway distinguish a slow call from a frozen process.
+	keepaliveInterval = time.Second
 )
 
-// Handler serves the schedulers' whole internal interface.
+// Handler serves the scheduler's internal HTTP interface.
 func (scheduler *Scheduler) Handler() http.Handler {
 	mux := http.NewServeMux()
 	programs := schedulerv1.NewProgramsServer(scheduler)
@@ -34,27 +34,27 @@
 	return mux
 }
 
-// serveCall streams one call. Errors are events: the status is always 200 once
-// the body could be read.
+// serveCall streams one call. Once the request body is read, the status is always 200 and errors
+// are sent as events.
 func (scheduler *Scheduler) serveCall(writer http.ResponseWriter, request *http.Request) {
-	asked := &schedulerv1.CallRequest{}
+	callRequest := &schedulerv1.CallRequest{}
 	body, err := io.ReadAll(request.Body)
 	if err == nil {
-		err = proto.Unmarshal(body, asked)
+		err = proto.Unmarshal(body, callRequest)
 	}
 	if err != nil {
 		http.Error(writer, err.Error(), http.StatusBadRequest)
 		return
 	}
 	events := &eventWriter{writer: writer}
-	if scheduler.arrivals.Expired(request.Header, time.Since(scheduler.begun)) {
-		events.fail(wireError(resultcode.New(resultcode.NoLeader, "the request was held up on its way")))
+	if scheduler.receiver.Expired(request.Header, time.Since(scheduler.startedAt)) {
+		events.fail(wireError(resultcode.New(resultcode.NoLeader, "the request was delayed in transit and has expired")))
 		return
 	}
-	// A call may wait for escrow: the gateway must not take that for silence.
-	answer, err := scheduler.loop.askWhile(request.Context(), func(ask AskID) Event {
-		return CallAsked{Ask: ask, Request: asked}
-	}, events.alive)
+	// The call may wait for escrow; keepalives prevent the gateway from timing out.
+	answer, err := scheduler.loop.askWithKeepalive(request.Context(), func(replyTo ReplyID) Event {
+		return CallRequested{ReplyTo: replyTo, Request: callRequest}
+	}, events.keepalive)
 	switch {
 	case err != nil:
 		events.fail(unavailable())
@@ -62,22 +62,21 @@
 		events.fail(answer.failure)
 	default:
 		events.accept(answer.turn)
-		follow(request.Context(), events, answer.buffer, asked.ResumeAfter)
+		follow(request.Context(), events, answer.buffer, callRequest.ResumeAfter)
 	}
 }
 
-// follow relays the buffer from the caller's sequence number on, until the end
-// or until the caller is gone. A buffer that ends with no answer ends the
-// stream with no final event.
+// follow relays the buffer's chunks after the given sequence number until the call ends or the
+// client disconnects. If the buffer is abandoned, the stream ends without a final event.
 func follow(ctx context.Context, events *eventWriter, buffer *stream.Buffer, after uint64) {
-	quiet := time.NewTimer(aliveInterval)
-	defer quiet.Stop()
+	idleTimer := time.NewTimer(keepaliveInterval)
+	defer idleTimer.Stop()
 	for {
-		view, err := buffer.Next(ctx, quiet.C, after)
-		quiet.Reset(aliveInterval)
+		view, err := buffer.Next(ctx, idleTimer.C, after)
+		idleTimer.Reset(keepaliveInterval)
 		switch {
 		case errors.Is(err, stream.ErrQuiet):
-			if events.alive() != nil {
+			if events.keepalive() != nil {
 				return
 			}
 			continue
@@ -113,7 +112,7 @@
 	events.flush()
 }
 
-func (events *eventWriter) alive() error {
+func (events *eventWriter) keepalive() error {
 	if err := events.write(&schedulerv1.CallEvent{}); err != nil {
 		return err
 	}
@@ -130,8 +129,7 @@
 	return events.flush()
 }
 
-// end writes the final event, if the view has one, and tells whether the
-// stream is over.
+// end writes the final event, if there is one, and reports whether the stream is complete.
 func (events *eventWriter) end(view stream.View) bool {
 	switch {
 	case view.Finished != nil:
--- a/internal/scheduler/late_call_test.go
+++ b/internal/scheduler/call_handler_test.go
@@ -14,14 +14,14 @@
 	"github.com/magpielug/magpielug/internal/resultcode"
 )
 
-var _ = Describe("a call that the network held back", func() {
-	It("is not taken, since its gateway has given it up", func() {
-		scheduler := &Scheduler{begun: time.Now(), arrivals: arrival.NewReceiver()}
+var _ = Describe("a call that was delayed by the network", func() {
+	It("is rejected because its gateway has given up", func() {
+		scheduler := &Scheduler{startedAt: time.Now(), receiver: arrival.NewReceiver()}
 		held := httptest.NewRequest(http.MethodPost, CallPath, http.NoBody)
 		arrival.NewSender().Stamp(held.Header, 2*time.Second)
-		// The same stamp came at once on another request.
-		Expect(scheduler.arrivals.Expired(held.Header, time.Since(scheduler.begun))).To(BeFalse())
-		scheduler.begun = scheduler.begun.Add(-8 * time.Second)
+		// A request with the same stamp that arrives in time is accepted.
+		Expect(scheduler.receiver.Expired(held.Header, time.Since(scheduler.startedAt))).To(BeFalse())
+		scheduler.startedAt = scheduler.startedAt.Add(-8 * time.Second)
 		recorder := httptest.NewRecorder()
 		scheduler.serveCall(recorder, held)
 		event := &schedulerv1.CallEvent{}
--- a/internal/scheduler/call_ask.go
+++ b/internal/scheduler/call_request.go
@@ -12,57 +12,57 @@
 
 const staleRetryAfter = time.Second
 
-// callAsked joins a known call, or checks a new one and offers it to the group.
-// Every answer given here says that nothing was run or changed.
-func (core *Core) callAsked(event CallAsked) {
+// callRequested attaches the caller to a known call, or checks and proposes a new one. An error
+// returned from here means that nothing was run or changed.
+func (core *Core) callRequested(event CallRequested) {
 	request := event.Request
 	host := core.leadingHost(request.ProgramId)
 	if host == nil {
-		core.declineNotLeader(event.Ask, request.ProgramId)
+		core.declineNotLeader(event.ReplyTo, request.ProgramId)
 		return
 	}
 	program := host.state.Program(request.ProgramId)
 	if program != nil {
 		if program.Created().Tenant != request.Caller.GetTenant() {
-			core.decline(event.Ask, unknownProgram(request.ProgramId))
+			core.decline(event.ReplyTo, unknownProgram(request.ProgramId))
 			return
 		}
 		if call := program.Call(request.RequestId); call != nil {
-			core.joinCall(event.Ask, host, call, request)
+			core.joinCall(event.ReplyTo, host, call, request)
 			return
 		}
 	}
 	if failure := core.checkNewCall(program, request); failure != nil {
-		core.decline(event.Ask, failure)
+		core.decline(event.ReplyTo, failure)
 		return
 	}
 	if host.backlogFull() {
-		core.decline(event.Ask, resultcode.New(resultcode.ArchiveBacklogFull,
-			"the log has been away for too long").After(archiveRetryAfter))
+		core.decline(event.ReplyTo, resultcode.New(resultcode.ArchiveBacklogFull,
+			"the archive backlog is full").After(archiveRetryAfter))
 		return
 	}
 	if failure := core.checkTarget(program, request); failure != nil {
-		host.declineCall(event.Ask, request, failure)
+		host.declineCall(event.ReplyTo, request, failure)
 		return
 	}
-	host.acceptCall(event.Ask, request)
+	host.acceptCall(event.ReplyTo, request)
 }
 
-// joinCall lets a repeated request follow the call it repeats.
-func (core *Core) joinCall(ask AskID, host *host, call *shard.Call, request *schedulerv1.CallRequest) {
+// joinCall attaches a repeated request to the original call.
+func (core *Core) joinCall(replyTo ReplyID, host *host, call *shard.Call, request *schedulerv1.CallRequest) {
 	if !request.AttachOnly && !call.SameBody(request.Digest) {
-		core.decline(ask, resultcode.New(resultcode.RequestIDReused,
+		core.decline(replyTo, resultcode.New(resultcode.RequestIDReused,
 			"request id %s was used with another body", request.RequestId))
 		return
 	}
-	core.emit(Follow{Ask: ask, Turn: call.Turn(), Buffer: host.bufferOf(call)})
+	core.emit(Follow{ReplyTo: replyTo, Turn: call.Turn(), Buffer: host.bufferOf(call)})
 }
 
 func unknownProgram(programID string) *resultcode.Error {
 	return resultcode.New(resultcode.UnknownProgram, "no program %s", programID)
 }
 
-// checkNewCall refuses what can be refused before anything is proposed.
+// checkNewCall makes the checks whose failure is not recorded.
 func (core *Core) checkNewCall(program *shard.Program, request *schedulerv1.CallRequest) *resultcode.Error {
 	if request.AttachOnly {
 		return resultcode.New(resultcode.UnknownRequest, "no call %s", request.RequestId)
@@ -70,7 +70,7 @@
 	if program == nil && !request.SingleCall {
 		return unknownProgram(request.ProgramId)
 	}
-	if core.configuration == nil || !core.fresh {
+	if core.configuration == nil || !core.configurationCurrent {
 		return resultcode.New(resultcode.ConfigurationStale,
 			"the configuration may not be current").After(staleRetryAfter)
 	}
@@ -80,8 +80,7 @@
 	return nil
 }
 
-// checkTarget holds a call to the services that exist and that its program may
-// call.
+// checkTarget checks that the service exists and that the program may call it.
 func (core *Core) checkTarget(program *shard.Program, request *schedulerv1.CallRequest) *resultcode.Error {
 	service, found := core.configuration.Service(request.Target)
 	if !found || service.Kind != serviceKind(request.Kind) {
@@ -100,7 +99,7 @@
 	return operatorv1.ServiceKind_SERVICE_KIND_MODEL
 }
 
-// checkKind holds a program to the services that its kind may call.
+// checkKind checks that the program's kind allows the service.
 func (core *Core) checkKind(program *shard.Program, target string) *resultcode.Error {
 	if program == nil || program.Created().Kind == "" {
 		return nil
@@ -117,25 +116,25 @@
 	return resultcode.New(resultcode.KindNotAllowed, "kind %s may not call %s", kind.Name, target)
 }
 
-// acceptCall proposes the call, once the shard's escrow of the tier covers it.
-func (host *host) acceptCall(ask AskID, request *schedulerv1.CallRequest) {
+// acceptCall proposes the call, or parks it if the shard's escrow does not cover it yet.
+func (host *host) acceptCall(replyTo ReplyID, request *schedulerv1.CallRequest) {
 	tier, found := host.core.configuration.Tier(request.Caller.Tenant, request.Caller.Tier)
 	if !found {
-		host.core.decline(ask, resultcode.New(resultcode.BadKey, "no tier %s", request.Caller.Tier))
+		host.core.decline(replyTo, resultcode.New(resultcode.BadKey, "no tier %s", request.Caller.Tier))
 		return
 	}
 	accepted := acceptedCall(request, tier)
 	worstCase := host.worstCase(request.ProgramId, accepted)
 	if worstCase > tier.BudgetMicros {
-		host.declineCall(ask, request, budgetExhausted(worstCase))
+		host.declineCall(replyTo, request, budgetExhausted(worstCase))
 		return
 	}
 	if !host.coversCall(tierKey(tier), worstCase) {
-		host.parkCall(parkedCall{ask: ask, request: request, worstCase: worstCase, since: host.core.now})
+		host.parkCall(parkedCall{replyTo: replyTo, request: request, worstCase: worstCase, since: host.core.now})
 		return
 	}
-	if failure := host.proposeCall(ask, request, tier, accepted, worstCase); failure != nil {
-		host.core.declineProposal(ask, host.number, failure)
+	if failure := host.proposeCall(replyTo, request, tier, accepted, worstCase); failure != nil {
+		host.core.declineProposal(replyTo, host.number, failure)
 	}
 }
 
@@ -155,9 +154,8 @@
 	}
 }
 
-// proposeCall proposes the call, and before it the program where the call makes
-// one of its own.
-func (host *host) proposeCall(ask AskID, request *schedulerv1.CallRequest, tier *operatorv1.Tier, accepted *shardv1.CallAccepted, worstCase uint64) *resultcode.Error {
+// proposeCall proposes the call, preceded by its program if it is a single call without one.
+func (host *host) proposeCall(replyTo ReplyID, request *schedulerv1.CallRequest, tier *operatorv1.Tier, accepted *shardv1.CallAccepted, worstCase uint64) *resultcode.Error {
 	if request.SingleCall && host.state.Program(request.ProgramId) == nil {
 		entry := &shardv1.Entry{Change: &shardv1.Entry_ProgramCreated{ProgramCreated: &shardv1.ProgramCreated{
 			ProgramId:  request.ProgramId,
@@ -170,32 +168,32 @@
 			return failure
 		}
 	}
-	waiting := acceptWaiter{ask: ask, request: request, tier: tierKey(tier), worstCase: worstCase}
+	waiting := acceptWaiter{replyTo: replyTo, request: request, tier: tierKey(tier), worstCase: worstCase}
 	entry := &shardv1.Entry{Change: &shardv1.Entry_CallAccepted{CallAccepted: accepted}}
 	if failure := host.propose(entry, waiting); failure != nil {
 		return failure
 	}
-	host.need(waiting.tier).proposed += worstCase
+	host.escrowDemand(waiting.tier).proposed += worstCase
 	return nil
 }
 
-// acceptWaiter answers the caller once the call has its place in the order.
+// acceptWaiter replies to the caller once the call is applied.
 type acceptWaiter struct {
-	ask       AskID
+	replyTo   ReplyID
 	request   *schedulerv1.CallRequest
 	tier      shard.TierKey
 	worstCase uint64
 }
 
 func (waiting acceptWaiter) applied(host *host, outcome shard.Outcome) {
-	host.need(waiting.tier).proposed -= waiting.worstCase
+	host.escrowDemand(waiting.tier).proposed -= waiting.worstCase
 	if outcome.Err != nil {
 		waiting.refused(host, outcome.Err)
 		return
 	}
 	call := outcome.Call
 	if outcome.Duplicate {
-		host.core.emit(Follow{Ask: waiting.ask, Turn: call.Turn(), Buffer: host.bufferOf(call)})
+		host.core.emit(Follow{ReplyTo: waiting.replyTo, Turn: call.Turn(), Buffer: host.bufferOf(call)})
 		return
 	}
 	host.core.counters.Accepted++
@@ -203,31 +201,29 @@
 	if waiting.request.DeadlineMs > 0 {
 		live.deadline = host.core.now + time.Duration(waiting.request.DeadlineMs)*time.Millisecond
 	}
-	delete(host.quietSince, call.Program().ID())
-	live.decide("accepted", "it has its place in the program's order")
-	host.core.emit(Follow{Ask: waiting.ask, Turn: call.Turn(), Buffer: live.buffer})
+	delete(host.idleSince, call.Program().ID())
+	live.recordDecision("accepted", "added to the program's call queue")
+	host.core.emit(Follow{ReplyTo: waiting.replyTo, Turn: call.Turn(), Buffer: live.buffer})
 	host.advance(call.Program())
 	host.topUp(waiting.tier)
 }
 
-// refused parks a call that lost a race for the shard's escrow, and declines
-// any other.
+// refused parks a call that no longer fits into the shard's escrow, and declines all others.
 func (waiting acceptWaiter) refused(host *host, failure *resultcode.Error) {
 	if failure.Code != resultcode.BudgetExhausted {
 		host.core.counters.Ended[failure.Code]++
-		host.core.decline(waiting.ask, failure)
-		host.stopIfSpent(waiting.request, failure)
+		host.core.decline(waiting.replyTo, failure)
+		host.stopIfExhausted(waiting.request, failure)
 		return
 	}
 	host.parkCall(parkedCall{
-		ask: waiting.ask, request: waiting.request, worstCase: waiting.worstCase, since: host.core.now,
+		replyTo: waiting.replyTo, request: waiting.request, worstCase: waiting.worstCase, since: host.core.now,
 	})
 }
 
-// stopIfSpent stops a program that has taken all its turns, or whose cap does not
-// cover even one token more: what is left of a loop without end would hold cache
-// for nothing.
-func (host *host) stopIfSpent(request *schedulerv1.CallRequest, failure *resultcode.Error) {
+// stopIfExhausted stops a program that has used all its turns, or whose cap does not cover one
+// more token, so that it does not keep cache allocated.
+func (host *host) stopIfExhausted(request *schedulerv1.CallRequest, failure *resultcode.Error) {
 	program := host.state.Program(request.ProgramId)
 	tier, found := host.core.configuration.Tier(request.Caller.Tenant, request.Caller.Tier)
 	if program == nil || program.Over() || program.OpenCalls() > 0 || !found {
@@ -243,21 +239,22 @@
 	host.proposeEnd(ended, ignoredWaiter{})
 }
 
-// abandoned lets the caller ask the next leader: the acceptance may stand.
+// abandoned ends the caller's stream without an answer, so that the caller retries at the next
+// leader: the call may or may not be committed.
 func (waiting acceptWaiter) abandoned(host *host) {
-	host.core.emit(Follow{Ask: waiting.ask, Buffer: droppedBuffer()})
+	host.core.emit(Follow{ReplyTo: waiting.replyTo, Buffer: abandonedBuffer()})
 }
 
-// ignoredWaiter is for entries whose outcome nobody waits for.
+// ignoredWaiter ignores the outcome.
 type ignoredWaiter struct{}
 
 func (ignoredWaiter) applied(*host, shard.Outcome) {}
 func (ignoredWaiter) abandoned(*host)              {}
 
-// declineCall refuses a call for good. The refusal is committed before it is
-// answered: the same request may have reached another leader before, or may
-// come late, and must not run once its caller was told that it did not.
-func (host *host) declineCall(ask AskID, request *schedulerv1.CallRequest, failure *resultcode.Error) {
+// declineCall commits the refusal before replying. Another copy of the request may reach a
+// different leader, or arrive late, and must not run after the caller was told that the call did
+// not run.
+func (host *host) declineCall(replyTo ReplyID, request *schedulerv1.CallRequest, failure *resultcode.Error) {
 	if request.SingleCall {
 		host.declineSingleCall(request)
 	}
@@ -269,12 +266,12 @@
 		Message:      failure.Message,
 		RetryAfterMs: millisecondsOf(failure.RetryAfter),
 	}}}
-	if failure := host.propose(entry, declineWaiter{ask: ask}); failure != nil {
-		host.core.declineProposal(ask, host.number, failure)
+	if failure := host.propose(entry, declineWaiter{replyTo: replyTo}); failure != nil {
+		host.core.declineProposal(replyTo, host.number, failure)
 	}
 }
 
-// declineSingleCall makes the program that remembers a single call's refusal.
+// declineSingleCall creates the program that records a single call's refusal.
 func (host *host) declineSingleCall(request *schedulerv1.CallRequest) {
 	host.propose(&shardv1.Entry{Change: &shardv1.Entry_ProgramCreated{ProgramCreated: &shardv1.ProgramCreated{
 		ProgramId:  request.ProgramId,
@@ -284,19 +281,19 @@
 	}}}, ignoredWaiter{})
 }
 
-// declineWaiter answers a refused call, or lets its caller follow the call that
-// an earlier entry has accepted.
-type declineWaiter struct{ ask AskID }
+// declineWaiter replies to a declined call, or attaches the caller to the call if an earlier
+// entry has accepted it.
+type declineWaiter struct{ replyTo ReplyID }
 
 func (waiting declineWaiter) applied(host *host, outcome shard.Outcome) {
 	if outcome.Err != nil {
-		host.core.decline(waiting.ask, outcome.Err)
+		host.core.decline(waiting.replyTo, outcome.Err)
 		return
 	}
 	if !outcome.Duplicate {
 		host.core.counters.Ended[outcome.Call.Failure().Code]++
 	}
-	host.core.emit(Follow{Ask: waiting.ask, Turn: outcome.Call.Turn(), Buffer: host.bufferOf(outcome.Call)})
+	host.core.emit(Follow{ReplyTo: waiting.replyTo, Turn: outcome.Call.Turn(), Buffer: host.bufferOf(outcome.Call)})
 	program := outcome.Program
 	if program.Created().SingleCall && program.OpenCalls() == 0 && !program.Over() {
 		host.proposeEnd(&shardv1.ProgramEnded{ProgramId: program.ID()}, ignoredWaiter{})
@@ -304,27 +301,27 @@
 }
 
 func (waiting declineWaiter) abandoned(host *host) {
-	host.core.emit(Follow{Ask: waiting.ask, Buffer: droppedBuffer()})
+	host.core.emit(Follow{ReplyTo: waiting.replyTo, Buffer: abandonedBuffer()})
 }
 
-func (core *Core) decline(ask AskID, failure *resultcode.Error) {
-	core.emit(Decline{Ask: ask, Error: wireError(failure)})
+func (core *Core) decline(replyTo ReplyID, failure *resultcode.Error) {
+	core.emit(Decline{ReplyTo: replyTo, Error: wireError(failure)})
 }
 
-// declineNotLeader sends the asker on to the leader, where that is known.
-func (core *Core) declineNotLeader(ask AskID, programID string) {
-	core.emit(Decline{Ask: ask, Error: core.notLeader(core.shardOf(programID))})
+// declineNotLeader redirects the caller to the leader, if it is known.
+func (core *Core) declineNotLeader(replyTo ReplyID, programID string) {
+	core.emit(Decline{ReplyTo: replyTo, Error: core.notLeader(core.shardOf(programID))})
 }
 
-func (core *Core) declineProposal(ask AskID, shardNumber uint32, failure *resultcode.Error) {
+func (core *Core) declineProposal(replyTo ReplyID, shardNumber uint32, failure *resultcode.Error) {
 	if failure.Code == resultcode.NotLeader {
-		core.emit(Decline{Ask: ask, Error: core.notLeader(shardNumber)})
+		core.emit(Decline{ReplyTo: replyTo, Error: core.notLeader(shardNumber)})
 		return
 	}
-	core.decline(ask, failure)
+	core.decline(replyTo, failure)
 }
 
-// notLeader is the answer of a process that does not lead the shard now.
+// notLeader returns the NotLeader error, with the leader's address if it is known.
 func (core *Core) notLeader(shardNumber uint32) *schedulerv1.Error {
 	leader := core.directory.leaders[shardNumber]
 	answer := &schedulerv1.Error{
--- a/internal/scheduler/call_run.go
+++ b/internal/scheduler/call_run.go
@@ -13,27 +13,26 @@
 
 const noBackEndRetryAfter = 2 * time.Second
 
-func droppedBuffer() *stream.Buffer {
+func abandonedBuffer() *stream.Buffer {
 	buffer := stream.New()
 	buffer.Drop()
 	return buffer
 }
 
-// resumeCalls takes up every open call when this replica becomes the leader.
-// A call with a committed intent may be running: it is attached to, never sent
-// anew.
+// resumeCalls takes over all open calls when this replica becomes the leader. A call with a
+// committed intent may be running: it is attached to and never sent again.
 func (host *host) resumeCalls() {
 	for _, program := range host.sortedPrograms() {
 		if program.Over() {
-			host.overSince[program.ID()] = host.core.now
+			host.endedSince[program.ID()] = host.core.now
 			continue
 		}
 		if program.OpenCalls() == 0 {
-			host.quietSince[program.ID()] = host.core.now
+			host.idleSince[program.ID()] = host.core.now
 			continue
 		}
 		for _, call := range program.Open() {
-			host.track(call).decide("resumed", "this process leads the shard now")
+			host.track(call).recordDecision("resumed", "this process is the shard's new leader")
 		}
 		host.resumeHead(program)
 	}
@@ -47,11 +46,11 @@
 	}
 	head.phase = phaseRunning
 	if head.isTool() {
-		host.runEnded(head, RunEnded{Run: head.run(), End: RunLost, Detail: "the leader was lost"})
+		host.runEnded(head, RunEnded{Run: head.run(), End: RunLost, Detail: "the leader that ran the tool call was lost"})
 		return
 	}
 	head.pool = host.core.poolOfEngine(head.call.Intent().BackEnd)
-	head.decide("attached", "the intent was committed under an earlier leader")
+	head.recordDecision("attached", "the intent was committed under an earlier leader")
 	host.runModel(head, true)
 }
 
@@ -59,7 +58,7 @@
 	return live.call.Accepted().Kind == schedulerv1.CallKind_CALL_KIND_TOOL
 }
 
-// advance starts the program's next call once the one before it has ended.
+// advance starts the program's next call if it is not started yet.
 func (host *host) advance(program *shard.Program) {
 	head := program.Head()
 	if head == nil {
@@ -70,7 +69,7 @@
 		return
 	}
 	if host.core.stopping {
-		// The next leader starts it.
+		// The next leader starts the call.
 		return
 	}
 	if live.isTool() {
@@ -80,27 +79,27 @@
 	host.offer(live)
 }
 
-// intend commits that the call is about to be sent. Only an applied intent is
-// acted on.
-func (host *host) intend(live *liveCall, intent *shardv1.CallIntended) {
+// proposeIntent proposes the intent to send a call. The call is sent only after the intent is
+// applied.
+func (host *host) proposeIntent(live *liveCall, intent *shardv1.CallIntended) {
 	intent.ProgramId = live.id().program
 	intent.RequestId = live.id().requestID
 	intent.Attempt = live.call.Attempt()
-	live.phase = phaseIntending
+	live.phase = phaseCommittingIntent
 	live.grantedAt = host.core.now
 	entry := &shardv1.Entry{Change: &shardv1.Entry_CallIntended{CallIntended: intent}}
 	host.proposeFor(live, entry)
 }
 
-// proposeFor proposes an entry about an open call. Where that fails, leadership
-// is over or in doubt, and the tick tries again.
+// proposeFor proposes an entry about an open call. If that fails, leadership is lost or
+// uncertain, and the next tick tries again.
 func (host *host) proposeFor(live *liveCall, entry *shardv1.Entry) {
 	if failure := host.propose(entry, callWaiter{id: live.id()}); failure != nil {
 		live.retry = entry
 	}
 }
 
-// callWaiter goes on with a call once an entry about it is applied.
+// callWaiter continues a call once an entry about it is applied.
 type callWaiter struct{ id callID }
 
 func (waiting callWaiter) applied(host *host, outcome shard.Outcome) {
@@ -115,8 +114,8 @@
 	switch {
 	case live.call.Over():
 		host.closeCall(live)
-	case live.call.State() == charts.CallStateDispatched && live.phase == phaseIntending:
-		host.sendArchived(live)
+	case live.call.State() == charts.CallStateDispatched && live.phase == phaseCommittingIntent:
+		host.sendWhenArchived(live)
 	case live.call.State() == charts.CallStateQueued:
 		live.phase = phaseWaiting
 		host.advance(live.call.Program())
@@ -125,7 +124,7 @@
 
 func (callWaiter) abandoned(*host) {}
 
-// runEnded takes the end of a run in and proposes what follows from it.
+// runEnded handles the end of a run and proposes the result.
 func (core *Core) runEnded(event RunEnded) {
 	host := core.hosts[core.shardOf(event.Run.Program)]
 	if host == nil || !host.serving {
@@ -145,7 +144,7 @@
 	case RunCompleted:
 		host.finish(live, event)
 	case RunNotRun:
-		host.runAgain(live, true, event.Detail)
+		host.requeue(live, true, event.Detail)
 	case RunTimedOut:
 		host.runTimedOut(live, event)
 	case RunLost, RunAbandoned:
@@ -153,11 +152,11 @@
 	}
 }
 
-// finish commits the whole answer before the caller is told that it is whole.
+// finish commits the complete output before the caller's stream is completed.
 func (host *host) finish(live *liveCall, event RunEnded) {
 	live.phase = phaseClosing
 	output, chunkBytes := live.buffer.Content()
-	live.decide("finished", event.FinishReason)
+	live.recordDecision("finished", event.FinishReason)
 	host.proposeFor(live, &shardv1.Entry{Change: &shardv1.Entry_CallFinished{CallFinished: &shardv1.CallFinished{
 		ProgramId:    live.id().program,
 		RequestId:    live.id().requestID,
@@ -173,31 +172,30 @@
 
 func (host *host) runLost(live *liveCall, event RunEnded) {
 	if live.call.Accepted().Repeatable {
-		host.runAgain(live, false, event.Detail)
+		host.requeue(live, false, event.Detail)
 		return
 	}
-	host.end(live, resultcode.New(resultcode.OutcomeUnknown,
-		"the call was sent and its outcome is lost: %s", event.Detail))
+	host.fail(live, resultcode.New(resultcode.OutcomeUnknown,
+		"the call was sent and its outcome is unknown: %s", event.Detail))
 }
 
 func (host *host) runTimedOut(live *liveCall, event RunEnded) {
 	if live.isTool() && live.call.Accepted().Repeatable {
-		host.end(live, resultcode.New(resultcode.ToolTimeout, "no answer by the deadline"))
+		host.fail(live, resultcode.New(resultcode.ToolTimeout, "the tool did not answer before the deadline"))
 		return
 	}
 	host.runLost(live, event)
 }
 
-// runAgain puts the call back into the queue, as often as the bound on
-// attempts allows.
-func (host *host) runAgain(live *liveCall, notRun bool, detail string) {
+// requeue puts the call back into the queue, or fails it if MaximumAttempts is reached.
+func (host *host) requeue(live *liveCall, notRun bool, detail string) {
 	if live.call.Attempt() >= host.core.config.MaximumAttempts {
-		host.end(live, resultcode.New(resultcode.EngineFailed,
-			"%d attempts failed, the last: %s", live.call.Attempt(), detail).After(noBackEndRetryAfter))
+		host.fail(live, resultcode.New(resultcode.EngineFailed,
+			"%d attempts failed; last error: %s", live.call.Attempt(), detail).After(noBackEndRetryAfter))
 		return
 	}
 	live.phase = phaseClosing
-	live.decide("queued again", detail)
+	live.recordDecision("queued again", detail)
 	host.core.counters.Requeued++
 	output, chunkBytes := live.buffer.Content()
 	partial := &shardv1.Partial{
@@ -214,20 +212,20 @@
 	}}})
 }
 
-// refuse commits that the call did not run and never will. A call of which an
-// earlier attempt may have run is given up as failed instead.
+// refuse commits that the call did not run and never will. If an earlier attempt may have run,
+// the call is committed as failed instead.
 func (host *host) refuse(live *liveCall, failure *resultcode.Error) {
 	if live.call.MayHaveRun() {
 		failure = resultcode.New(resultcode.EngineFailed,
-			"an attempt was lost and the next one got no slot: %s", failure.Message).After(failure.RetryAfter)
+			"an attempt was lost and the next one was refused: %s", failure.Message).After(failure.RetryAfter)
 	}
-	host.end(live, failure)
+	host.fail(live, failure)
 }
 
-// end commits that the call has no result.
-func (host *host) end(live *liveCall, failure *resultcode.Error) {
+// fail commits that the call has no result.
+func (host *host) fail(live *liveCall, failure *resultcode.Error) {
 	live.phase = phaseClosing
-	live.decide("ended", failure.Error())
+	live.recordDecision("ended", failure.Error())
 	host.proposeFor(live, &shardv1.Entry{Change: &shardv1.Entry_CallEnded{CallEnded: &shardv1.CallEnded{
 		ProgramId:    live.id().program,
 		RequestId:    live.id().requestID,
@@ -238,8 +236,7 @@
 	}}})
 }
 
-// closeCall answers the followers of a call that is over, and goes on with the
-// program.
+// closeCall completes the streams of a call that is over, and starts the program's next call.
 func (host *host) closeCall(live *liveCall) {
 	call := live.call
 	if failure := call.Failure(); failure != nil {
@@ -250,7 +247,7 @@
 		live.buffer.Finish(call.Finished().FinishReason, call.Usage())
 	}
 	delete(host.calls, live.id())
-	host.rememberDecisions(live)
+	host.retainDecisions(live)
 	program := call.Program()
 	if program.Over() {
 		return
@@ -259,7 +256,7 @@
 		host.advance(program)
 		return
 	}
-	host.quietSince[program.ID()] = host.core.now
+	host.idleSince[program.ID()] = host.core.now
 	if program.Created().SingleCall {
 		host.proposeEnd(&shardv1.ProgramEnded{ProgramId: program.ID()}, ignoredWaiter{})
 		return
@@ -267,7 +264,7 @@
 	host.pauseProgram(program, live.pool)
 }
 
-// retryEntries proposes again what could not be proposed before.
+// retryEntries proposes again the entries whose proposal failed.
 func (host *host) retryEntries() {
 	for _, live := range host.sortedCalls() {
 		if live.retry == nil {
@@ -279,7 +276,7 @@
 	}
 }
 
-// firstChunkArrived tells the keeper that the prompt phase is over.
+// firstChunkArrived reports the end of the prefill phase to the keeper.
 func (core *Core) firstChunkArrived(run RunKey) {
 	host := core.hosts[core.shardOf(run.Program)]
 	if host == nil || !host.serving {
@@ -289,7 +286,7 @@
 	if live == nil || live.run() != run || live.pool == "" {
 		return
 	}
-	live.begun = true
+	live.firstChunkSeen = true
 	core.requestKeeper(live.pool, host.number, &schedulerv1.KeeperRequest{
 		Request: &schedulerv1.KeeperRequest_FirstToken{FirstToken: live.wireKey()},
 	})
--- a/internal/scheduler/call_send.go
+++ b/internal/scheduler/call_send.go
@@ -9,37 +9,36 @@
 	"github.com/magpielug/magpielug/internal/resultcode"
 )
 
-// startTool commits the intent of a tool call at the least busy back end.
+// startTool selects a back end for a tool call and proposes the intent.
 func (host *host) startTool(live *liveCall) {
 	accepted := live.call.Accepted()
-	machine, found := host.core.pickTool(accepted.Target)
+	machine, found := host.core.selectTool(accepted.Target)
 	if !found {
 		host.refuse(live, resultcode.New(resultcode.NoBackEnd,
-			"no back end of %s takes work", accepted.Target).After(noBackEndRetryAfter))
+			"no back end of %s accepts work", accepted.Target).After(noBackEndRetryAfter))
 		return
 	}
-	live.decide("placed", "tool back end "+machine.ID)
-	host.intend(live, &shardv1.CallIntended{BackEnd: machine.ID, Address: machine.Address})
+	live.recordDecision("placed", "tool back end "+machine.ID)
+	host.proposeIntent(live, &shardv1.CallIntended{BackEnd: machine.ID, Address: machine.Address})
 }
 
-// send starts the run, if the lease covers this moment and the machine list is
-// not from before a freeze: a leader that was paused may have been replaced, and
-// its successor answers for the intent. A back end that has left since it was
-// chosen gets nothing; the call is queued again.
+// send starts the run if this leader holds the lease and the machine list is not older than the
+// last freeze; otherwise the run waits. A paused leader may have been replaced by one that is
+// now responsible for the intent. If the back end is no longer available, the call is requeued.
 func (host *host) send(live *liveCall) {
-	if !host.replica.HoldsLease(host.core.now) || !host.core.listCurrent() {
+	if !host.replica.HoldsLease(host.core.now) || !host.core.machineListCurrent() {
 		host.unsent = append(host.unsent, live.run())
 		return
 	}
 	live.phase = phaseRunning
 	live.sentAt = host.core.now
-	live.begun = false
-	if host.core.leftSince(live) {
-		host.runEnded(live, RunEnded{Run: live.run(), End: RunNotRun, Detail: "the back end left before the call was sent"})
+	live.firstChunkSeen = false
+	if host.core.backEndUnavailable(live) {
+		host.runEnded(live, RunEnded{Run: live.run(), End: RunNotRun, Detail: "the back end became unavailable before the call was sent"})
 		return
 	}
 	host.core.log("call_sent", host.number, live.id().program, live.id().requestID,
-		fmt.Sprintf("back_end=%s list_age=%s granted_ago=%s", live.call.Intent().BackEnd, host.core.now-host.core.listAskedAt, host.core.now-live.grantedAt))
+		fmt.Sprintf("back_end=%s list_age=%s granted_ago=%s", live.call.Intent().BackEnd, host.core.now-host.core.listRequestedAt, host.core.now-live.grantedAt))
 	if live.isTool() {
 		host.runTool(live)
 		return
@@ -47,13 +46,13 @@
 	host.runModel(live, false)
 }
 
-// sendUnsent starts runs that waited for the lease or the machine list.
+// sendUnsent retries the runs that waited for the lease or the machine list.
 func (host *host) sendUnsent() {
 	waiting := host.unsent
 	host.unsent = nil
 	for _, run := range waiting {
 		live := host.calls[callID{program: run.Program, requestID: run.RequestID}]
-		if live != nil && live.run() == run && live.phase == phaseIntending {
+		if live != nil && live.run() == run && live.phase == phaseCommittingIntent {
 			host.send(live)
 		}
 	}
@@ -110,7 +109,7 @@
 	})
 }
 
-// callDeadline is how long one call of the service may take.
+// callDeadline returns the time limit of one call to the service.
 func (core *Core) callDeadline(service string) time.Duration {
 	declared, found := core.configuration.Service(service)
 	if !found || declared.CallDeadlineMs == 0 {
@@ -119,8 +118,8 @@
 	return time.Duration(declared.CallDeadlineMs) * time.Millisecond
 }
 
-// backEndRequestID names a run at its back end. Attempts after the first have
-// names of their own: the back end may have sealed the earlier one.
+// backEndRequestID names a run at its back end. Each attempt has its own name because the back
+// end may refuse the name of an earlier one.
 func backEndRequestID(run RunKey) string {
 	name := run.Program + "/" + run.RequestID
 	if run.Attempt == 1 {
--- a/internal/scheduler/client_test.go
+++ b/internal/scheduler/client_test.go
@@ -12,40 +12,39 @@
 )
 
 const (
-	clientPoll   = 5 * time.Millisecond
-	answerBound  = time.Second
-	clientGiveUp = 60 * time.Second
+	clientPollInterval = 5 * time.Millisecond
+	answerTimeout      = time.Second
+	clientTimeout      = 60 * time.Second
 )
 
-// testClient runs one program's calls one after the other, like a caller behind
-// a gateway: it asks any process, follows hints, and asks again with the same
-// request id when it gets no answer.
+// testClient runs one program's calls in sequence, as a caller behind a gateway does: it asks
+// any process, follows leader hints, and repeats the request id if it gets no answer.
 type testClient struct {
 	cluster *testCluster
 	program string
 	turns   int
-	// adapters has every third call use an adapter.
+	// adapters makes every third call use an adapter.
 	adapters bool
-	// think is the longest pause before a call.
-	think   time.Duration
-	results []testResult
-	wakeAt  time.Duration
-	// current call
-	request *schedulerv1.CallRequest
-	begun   time.Duration
-	process string
-	// node is the start of the process that was asked.
-	node     *testNode
-	ask      AskID
-	asked    time.Duration
-	buffer   *stream.Buffer
-	created  bool
-	hint     string
-	finished bool
+	// maximumThinkTime bounds the random pause before a call.
+	maximumThinkTime time.Duration
+	results          []testResult
+	resumeAt         time.Duration
+	// The fields below describe the current call.
+	request   *schedulerv1.CallRequest
+	startedAt time.Duration
+	process   string
+	// node is the process instance that was asked.
+	node         *testNode
+	pendingReply ReplyID
+	askedAt      time.Duration
+	buffer       *stream.Buffer
+	created      bool
+	hint         string
+	finished     bool
 }
 
-// testResult is the final answer to one call; code 0 is success, and gaveUp
-// leaves the outcome open.
+// testResult is the final answer to one call. Code 0 is success; gaveUp means that the outcome
+// is unknown.
 type testResult struct {
 	request *schedulerv1.CallRequest
 	code    resultcode.Code
@@ -55,7 +54,7 @@
 
 func (cluster *testCluster) addClient(program string, turns int) *testClient {
 	client := &testClient{cluster: cluster, program: program, turns: turns}
-	cluster.after(clientPoll, client.step)
+	cluster.after(clientPollInterval, client.step)
 	return client
 }
 
@@ -64,20 +63,20 @@
 		return
 	}
 	client.advance()
-	client.cluster.after(clientPoll, client.step)
+	client.cluster.after(clientPollInterval, client.step)
 }
 
 func (client *testClient) advance() {
 	switch {
 	case client.request == nil && len(client.results) == client.turns:
 		client.finished = true
-	case client.cluster.now < client.wakeAt:
+	case client.cluster.now < client.resumeAt:
 	case client.request == nil:
 		client.next()
 	case client.buffer != nil:
 		client.followBuffer()
-	case client.ask != 0:
-		client.takeAnswer()
+	case client.pendingReply != 0:
+		client.handleReply()
 	default:
 		client.send()
 	}
@@ -90,12 +89,12 @@
 	if client.adapters && number%3 == 0 {
 		client.request.Adapter = testAdapter
 	}
-	client.begun = client.cluster.now
+	client.startedAt = client.cluster.now
 }
 
-// send asks the hinted process, or any that lives.
+// send asks the hinted process, or a random one.
 func (client *testClient) send() {
-	if client.cluster.now-client.begun > clientGiveUp {
+	if client.cluster.now-client.startedAt > clientTimeout {
 		client.finish(testResult{gaveUp: true})
 		return
 	}
@@ -105,53 +104,52 @@
 		client.process = client.hint
 		client.hint = ""
 	}
-	client.cluster.nextAsk++
-	client.ask = client.cluster.nextAsk
-	client.asked = client.cluster.now
+	client.cluster.lastReplyID++
+	client.pendingReply = client.cluster.lastReplyID
+	client.askedAt = client.cluster.now
 	node := client.cluster.nodes[client.process]
 	client.node = node
 	if !client.created {
-		node.step(CreateAsked{Ask: client.ask, Request: &schedulerv1.CreateProgramRequest{
+		node.step(CreateRequested{ReplyTo: client.pendingReply, Request: &schedulerv1.CreateProgramRequest{
 			ProgramId: client.program, Kind: "dispute", Caller: client.request.Caller,
 		}})
 		return
 	}
-	node.step(CallAsked{Ask: client.ask, Request: client.request})
+	node.step(CallRequested{ReplyTo: client.pendingReply, Request: client.request})
 }
 
-func (client *testClient) takeAnswer() {
-	answer, found := client.cluster.answers[client.ask]
+func (client *testClient) handleReply() {
+	answer, found := client.cluster.answers[client.pendingReply]
 	if !found {
-		if client.cluster.now-client.asked > answerBound {
-			client.ask = 0
+		if client.cluster.now-client.askedAt > answerTimeout {
+			client.pendingReply = 0
 		}
 		return
 	}
-	client.ask = 0
+	client.pendingReply = 0
 	if !client.created {
 		reply := answer.message.(*schedulerv1.ProgramReply)
 		client.created = reply.Error == nil
-		client.takeHint(reply.Error)
+		client.followHint(reply.Error)
 		return
 	}
 	if answer.failure != nil {
-		client.takeFailure(answer.failure)
+		client.handleFailure(answer.failure)
 		return
 	}
 	client.buffer = answer.buffer
 }
 
-func (client *testClient) takeHint(failure *schedulerv1.Error) {
+func (client *testClient) followHint(failure *schedulerv1.Error) {
 	if failure != nil {
 		client.hint = failure.LeaderAddress
 	}
 }
 
-// takeFailure goes on after codes that a gateway hides, and takes any other as
-// the final answer.
-func (client *testClient) takeFailure(failure *schedulerv1.Error) {
-	if hiddenByGateway(failure) {
-		client.takeHint(failure)
+// handleFailure retries after errors that a gateway hides, and records all others as final.
+func (client *testClient) handleFailure(failure *schedulerv1.Error) {
+	if retriedByGateway(failure) {
+		client.followHint(failure)
 		return
 	}
 	client.finish(testResult{code: resultcode.Code(failure.Code)})
@@ -174,15 +172,15 @@
 func (client *testClient) finish(result testResult) {
 	result.request = client.request
 	client.results = append(client.results, result)
-	if client.think > 0 {
-		client.wakeAt = client.cluster.now + time.Duration(client.cluster.random.Int63n(int64(client.think)))
+	if client.maximumThinkTime > 0 {
+		client.resumeAt = client.cluster.now + time.Duration(client.cluster.random.Int63n(int64(client.maximumThinkTime)))
 	}
 	client.request = nil
 	client.buffer = nil
-	client.ask = 0
+	client.pendingReply = 0
 }
 
-// violations checks what must hold for the client's calls.
+// violations lists the guarantees that the client's calls violate.
 func (client *testClient) violations() []string {
 	var found []string
 	for _, result := range client.results {
@@ -196,21 +194,21 @@
 	runs := client.cluster.runsOf(name)
 	var found []string
 	if !result.request.Repeatable && runs > 1 {
-		found = append(found, fmt.Sprintf("%s is not repeatable and ran %d times", name, runs))
+		found = append(found, fmt.Sprintf("%s is not repeatable but ran %d times", name, runs))
 	}
 	notRun := result.code != 0 && result.code < resultcode.OutcomeUnknown
 	if notRun && runs > 0 {
-		found = append(found, fmt.Sprintf("%s was answered %s (not run) and ran %d times", name, result.code, runs))
+		found = append(found, fmt.Sprintf("%s was answered with %s (not run) but ran %d times", name, result.code, runs))
 	}
-	if result.code == 0 && !result.gaveUp && !client.wholeAnswer(name, result.text) {
-		found = append(found, fmt.Sprintf("%s got the answer %q", name, result.text))
+	if result.code == 0 && !result.gaveUp && !client.completeAnswer(name, result.text) {
+		found = append(found, fmt.Sprintf("%s got an incomplete answer: %q", name, result.text))
 	}
 	return found
 }
 
-// wholeAnswer tells whether the text is one run's whole output, or a lost run's
-// beginning with the next run's output after it.
-func (client *testClient) wholeAnswer(name, text string) bool {
+// completeAnswer reports whether the text is the complete output of one run, possibly preceded by
+// the partial output of lost runs.
+func (client *testClient) completeAnswer(name, text string) bool {
 	words := strings.Fields(text)
 	if len(words) < client.cluster.callSteps {
 		return false
@@ -226,17 +224,17 @@
 	return !slices.ContainsFunc(words, func(word string) bool { return !strings.HasPrefix(word, name) })
 }
 
-// historyViolations compares the recorded history with the caller's view: every
-// answered call stands in it once, in the order in which it was made.
+// historyViolations checks that every answered call is in the recorded history, in the order in
+// which the calls were made.
 func (client *testClient) historyViolations() []string {
 	leader := client.cluster.leader(client.program)
 	if leader == "" {
-		return []string{client.program + " has no leader at the end"}
+		return []string{client.program + " has no leader at the end of the run"}
 	}
 	host := client.cluster.nodes[leader].core.leadingHost(client.program)
 	program := host.state.Program(client.program)
 	if program == nil {
-		return []string{client.program + " is lost"}
+		return []string{client.program + " has no record"}
 	}
 	var recorded []string
 	for _, turn := range program.Turns() {
@@ -244,7 +242,7 @@
 	}
 	var found []string
 	if !slices.IsSorted(recorded) {
-		found = append(found, fmt.Sprintf("%s has the history %v", client.program, recorded))
+		found = append(found, fmt.Sprintf("%s has an unordered history: %v", client.program, recorded))
 	}
 	for _, result := range client.results {
 		answered := result.code == 0 && !result.gaveUp
--- a/internal/scheduler/cluster_test.go
+++ b/internal/scheduler/cluster_test.go
@@ -26,8 +26,8 @@
 	testLatency = time.Millisecond
 )
 
-// testCluster runs several cores on a virtual clock and network, with an engine
-// and a log of its own. The same seed gives the same run.
+// testCluster runs several cores on a virtual clock and network, with simulated engines and a
+// simulated log. Equal seeds give equal runs.
 type testCluster struct {
 	now    time.Duration
 	order  uint64
@@ -35,50 +35,50 @@
 	queue  testQueue
 	nodes  map[string]*testNode
 	log    *testLog
-	// replacements counts the times that all processes were replaced at once.
+	// replacements counts how often all processes were replaced at once.
 	replacements int
 	machines     []outside.Machine
-	// runs counts starts at back ends by request id.
+	// runs counts the starts at back ends by request id.
 	runs map[string]int
-	// running holds the generations an engine knows.
+	// running holds the generations that the engines know, by request id.
 	running map[string]*testGeneration
 	sealed  map[string]bool
-	// engines are the engines by their address.
+	// engines holds the engines by address.
 	engines map[string]*testEngine
-	// cut tells whether a message from one process to another is lost.
-	cut       func(from, to string) bool
-	callSteps int
-	// toolsDown are the addresses of tool back ends that refuse connections;
-	// lastTool is when each last got a call.
-	toolsDown map[string]bool
-	lastTool  map[string]time.Duration
-	// runDelay is how late calls come to the engines, listDelay how long a reading of the
-	// machine list takes.
+	// partitioned reports whether messages between two processes are dropped.
+	partitioned func(from, to string) bool
+	callSteps   int
+	// toolsDown holds the addresses of tool back ends that refuse connections, lastToolCall the
+	// time of each one's last call.
+	toolsDown    map[string]bool
+	lastToolCall map[string]time.Duration
+	// runDelay is the additional latency of calls to engines, listDelay that of reading the
+	// machine list.
 	runDelay  time.Duration
 	listDelay time.Duration
-	// cutsSending has a call that is no more followed by its leader not come to its engine
-	// where it was on its way; who attaches comes without delay.
-	cutsSending bool
-	// backlog bounds a shard's unarchived entries; 0 takes the default.
+	// dropUnattachedSends drops calls in transit whose leader has stopped following them. Attach
+	// requests are then delivered without runDelay.
+	dropUnattachedSends bool
+	// backlog bounds a shard's unarchived entries in bytes; 0 uses the default.
 	backlog int
-	// budget of the one tier, micro units.
-	budget  uint64
-	answers map[AskID]callAnswer
-	nextAsk AskID
+	// budget is the tier's budget in micros.
+	budget      uint64
+	answers     map[ReplyID]replyValue
+	lastReplyID ReplyID
 }
 
 type testNode struct {
-	cluster *testCluster
-	core    *Core
-	name    string
-	dead    bool
-	paused  bool
-	held    []func()
-	// peerOf tells whose batch an ask answers.
-	peerOf map[AskID]string
-	polled []EngineAddress
-	stops  map[RunKey]bool
-	epoch  int
+	cluster  *testCluster
+	core     *Core
+	name     string
+	dead     bool
+	paused   bool
+	deferred []func()
+	// replyPeers holds the peer whose batch a reply belongs to.
+	replyPeers map[ReplyID]string
+	polled     []EngineAddress
+	stops      map[RunKey]bool
+	epoch      int
 }
 
 type testGeneration struct {
@@ -86,7 +86,7 @@
 	engine  string
 	chunks  int
 	done    bool
-	// lost is true once the engine has crashed and forgotten it.
+	// lost is true once the engine has crashed and lost the generation.
 	lost bool
 }
 
@@ -115,16 +115,16 @@
 
 func newTestCluster(seed int64, schedulers int) *testCluster {
 	cluster := &testCluster{
-		random:    rand.New(rand.NewSource(seed)),
-		nodes:     make(map[string]*testNode),
-		runs:      make(map[string]int),
-		running:   make(map[string]*testGeneration),
-		sealed:    make(map[string]bool),
-		engines:   make(map[string]*testEngine),
-		answers:   make(map[AskID]callAnswer),
-		cut:       func(string, string) bool { return false },
-		callSteps: 5,
-		budget:    1 << 40,
+		random:      rand.New(rand.NewSource(seed)),
+		nodes:       make(map[string]*testNode),
+		runs:        make(map[string]int),
+		running:     make(map[string]*testGeneration),
+		sealed:      make(map[string]bool),
+		engines:     make(map[string]*testEngine),
+		answers:     make(map[ReplyID]replyValue),
+		partitioned: func(string, string) bool { return false },
+		callSteps:   5,
+		budget:      1 << 40,
 	}
 	cluster.log = newTestLog(cluster.random)
 	for number := range schedulers {
@@ -171,7 +171,7 @@
 	}
 }
 
-// start starts a process, or starts it anew with nothing remembered.
+// start starts a process, or restarts it without any state.
 func (cluster *testCluster) start(name string) *testNode {
 	epoch := 0
 	if before := cluster.nodes[name]; before != nil {
@@ -180,9 +180,9 @@
 	}
 	node := &testNode{
 		cluster: cluster, name: name, epoch: epoch,
-		core:   NewCore(cluster.config(name), rand.New(rand.NewSource(cluster.random.Int63()))),
-		peerOf: make(map[AskID]string),
-		stops:  make(map[RunKey]bool),
+		core:       NewCore(cluster.config(name), rand.New(rand.NewSource(cluster.random.Int63()))),
+		replyPeers: make(map[ReplyID]string),
+		stops:      make(map[RunKey]bool),
 	}
 	cluster.nodes[name] = node
 	node.step(MachinesListed{Machines: cluster.machines})
@@ -200,25 +200,25 @@
 	node.cluster.after(10*time.Millisecond, node.tick)
 }
 
-// step runs now, or once the process is woken.
+// step handles the event now, or after the process is resumed.
 func (node *testNode) step(event Event) {
 	if node.dead {
 		return
 	}
 	if node.paused {
-		node.held = append(node.held, func() { node.step(event) })
+		node.deferred = append(node.deferred, func() { node.step(event) })
 		return
 	}
 	effects := append([]Effect(nil), node.core.Step(node.cluster.now, event)...)
 	for _, effect := range effects {
-		node.carryOut(effect)
+		node.execute(effect)
 	}
 }
 
-func (node *testNode) wake() {
+func (node *testNode) resume() {
 	node.paused = false
-	held := node.held
-	node.held = nil
+	held := node.deferred
+	node.deferred = nil
 	for _, run := range held {
 		run()
 	}
@@ -229,12 +229,13 @@
 	heap.Push(&cluster.queue, testTimer{at: cluster.now + wait, order: cluster.order, run: run})
 }
 
-// runFor lets virtual time pass.
+// runFor advances virtual time.
 func (cluster *testCluster) runFor(duration time.Duration) {
 	cluster.runUntil(duration, func() bool { return false })
 }
 
-// runUntil lets time pass until done says so, and tells whether it did.
+// runUntil advances virtual time until done returns true, and reports whether it did within the
+// bound.
 func (cluster *testCluster) runUntil(bound time.Duration, done func() bool) bool {
 	end := cluster.now + bound
 	for !done() {
@@ -249,25 +250,25 @@
 	return true
 }
 
-func (node *testNode) carryOut(effect Effect) {
+func (node *testNode) execute(effect Effect) {
 	cluster := node.cluster
 	switch effect := effect.(type) {
 	case SendPeer:
 		node.deliver(effect.Process, proto.Clone(effect.Batch).(*schedulerv1.PeerBatch), true)
-	case Answer:
+	case Reply:
 		if batch, isBatch := effect.Message.(*schedulerv1.PeerBatch); isBatch {
-			node.deliver(node.peerOf[effect.Ask], proto.Clone(batch).(*schedulerv1.PeerBatch), false)
+			node.deliver(node.replyPeers[effect.To], proto.Clone(batch).(*schedulerv1.PeerBatch), false)
 			return
 		}
-		cluster.answers[effect.Ask] = callAnswer{message: effect.Message}
+		cluster.answers[effect.To] = replyValue{message: effect.Message}
 	case Follow:
-		cluster.answers[effect.Ask] = callAnswer{turn: effect.Turn, buffer: effect.Buffer}
+		cluster.answers[effect.ReplyTo] = replyValue{turn: effect.Turn, buffer: effect.Buffer}
 	case Decline:
-		cluster.answers[effect.Ask] = callAnswer{failure: effect.Error}
+		cluster.answers[effect.ReplyTo] = replyValue{failure: effect.Error}
 	case ReadMachines:
 		askedAt := cluster.now
 		cluster.after(testLatency+cluster.listDelay, func() {
-			node.step(MachinesListed{Machines: cluster.machines, AskedAt: askedAt})
+			node.step(MachinesListed{Machines: cluster.machines, RequestedAt: askedAt})
 		})
 	case ReadStream:
 		cluster.after(testLatency, func() { node.readStream(effect) })
@@ -286,7 +287,7 @@
 		node.poll()
 	case RunModelCall:
 		cluster.after(testLatency+cluster.delayOf(effect), func() {
-			if !cluster.cutsSending || !node.stops[effect.Run] {
+			if !cluster.dropUnattachedSends || !node.stops[effect.Run] {
 				node.runModel(effect)
 			}
 		})
@@ -306,18 +307,18 @@
 	}
 }
 
-func (node *testNode) deliver(process string, batch *schedulerv1.PeerBatch, ask bool) {
+func (node *testNode) deliver(process string, batch *schedulerv1.PeerBatch, expectsReply bool) {
 	cluster := node.cluster
-	if cluster.cut(node.name, process) {
+	if cluster.partitioned(node.name, process) {
 		return
 	}
 	cluster.after(testLatency, func() {
 		target := cluster.nodes[process]
 		event := PeerBatchReceived{Batch: batch}
-		if ask {
-			cluster.nextAsk++
-			event.Ask = cluster.nextAsk
-			target.peerOf[event.Ask] = node.name
+		if expectsReply {
+			cluster.lastReplyID++
+			event.ReplyTo = cluster.lastReplyID
+			target.replyPeers[event.ReplyTo] = node.name
 		}
 		target.step(event)
 	})
@@ -332,7 +333,7 @@
 
 func (node *testNode) appendStream(effect AppendStream) {
 	_, err := node.cluster.log.Append(context.Background(), streamName(effect.Shard), effect.Data)
-	node.step(StreamAppended{Shard: effect.Shard, UpTo: effect.UpTo, Stands: err == nil})
+	node.step(StreamAppended{Shard: effect.Shard, UpTo: effect.UpTo, Acknowledged: err == nil})
 }
 
 func (node *testNode) poll() {
@@ -344,16 +345,16 @@
 	}
 }
 
-// delayOf is how long a call takes to its engine beside the latency.
+// delayOf returns the additional latency of a call to its engine.
 func (cluster *testCluster) delayOf(effect RunModelCall) time.Duration {
-	if cluster.cutsSending && effect.Request.AttachOnly {
+	if cluster.dropUnattachedSends && effect.Request.AttachOnly {
 		return 0
 	}
 	return cluster.runDelay
 }
 
-// runModel is an engine: it runs a request id once, whoever asks, and goes on
-// when its follower is gone.
+// runModel simulates an engine: it runs a request id once, and continues when its follower
+// disconnects.
 func (node *testNode) runModel(effect RunModelCall) {
 	cluster := node.cluster
 	name := effect.Request.RequestID
@@ -380,7 +381,7 @@
 	node.followGeneration(effect, generation)
 }
 
-// crashEngine makes an engine forget everything it ran or sealed.
+// crashEngine makes an engine lose all its state.
 func (cluster *testCluster) crashEngine(engine string) {
 	cluster.engines[engine].restart()
 	for name, generation := range cluster.running {
@@ -424,10 +425,10 @@
 		node.step(RunEnded{Run: effect.Run, End: RunNotRun, Detail: "connection refused"})
 		return
 	}
-	if node.cluster.lastTool == nil {
-		node.cluster.lastTool = make(map[string]time.Duration)
+	if node.cluster.lastToolCall == nil {
+		node.cluster.lastToolCall = make(map[string]time.Duration)
 	}
-	node.cluster.lastTool[effect.Address] = node.cluster.now
+	node.cluster.lastToolCall[effect.Address] = node.cluster.now
 	node.cluster.runs[effect.Request.RequestID]++
 	node.cluster.after(20*time.Millisecond, func() {
 		if node.stops[effect.Run] {
@@ -438,19 +439,19 @@
 	})
 }
 
-// ask sends one request to a process and waits for its answer.
-func (cluster *testCluster) ask(process string, build func(AskID) Event) (callAnswer, bool) {
-	cluster.nextAsk++
-	ask := cluster.nextAsk
-	cluster.nodes[process].step(build(ask))
+// ask sends one request to a process and waits for its reply.
+func (cluster *testCluster) ask(process string, build func(ReplyID) Event) (replyValue, bool) {
+	cluster.lastReplyID++
+	replyTo := cluster.lastReplyID
+	cluster.nodes[process].step(build(replyTo))
 	answered := cluster.runUntil(5*time.Second, func() bool {
-		_, found := cluster.answers[ask]
+		_, found := cluster.answers[replyTo]
 		return found
 	})
-	return cluster.answers[ask], answered
+	return cluster.answers[replyTo], answered
 }
 
-// leader names the process that leads a program's shard, once there is one.
+// leader waits for a leader of the program's shard and returns its name.
 func (cluster *testCluster) leader(programID string) string {
 	found := ""
 	cluster.runUntil(30*time.Second, func() bool {
@@ -465,15 +466,15 @@
 	return found
 }
 
-// outcome is a call's final answer as its caller sees it.
+// outcome is a call's final answer as the caller sees it.
 type outcome struct {
 	text    string
 	failure *schedulerv1.Error
 	ended   bool
 }
 
-// call asks for a call like a gateway: at the leader, and again at the next one
-// when the stream ends with no answer.
+// call makes a call as a gateway does: it asks the leader, and retries at the next one if the
+// stream ends without an answer.
 func (cluster *testCluster) call(request *schedulerv1.CallRequest, bound time.Duration) outcome {
 	end := cluster.now + bound
 	for cluster.now < end {
@@ -481,12 +482,12 @@
 		if leader == "" {
 			break
 		}
-		answer, answered := cluster.ask(leader, func(ask AskID) Event { return CallAsked{Ask: ask, Request: request} })
+		answer, answered := cluster.ask(leader, func(replyTo ReplyID) Event { return CallRequested{ReplyTo: replyTo, Request: request} })
 		if !answered {
 			continue
 		}
 		if answer.failure != nil {
-			if hiddenByGateway(answer.failure) {
+			if retriedByGateway(answer.failure) {
 				cluster.runFor(50 * time.Millisecond)
 				continue
 			}
@@ -499,8 +500,8 @@
 	return outcome{}
 }
 
-// hiddenByGateway tells whether a gateway asks again, since nothing ran.
-func hiddenByGateway(failure *schedulerv1.Error) bool {
+// retriedByGateway reports whether a gateway retries after this error because nothing was run.
+func retriedByGateway(failure *schedulerv1.Error) bool {
 	switch resultcode.Code(failure.Code) {
 	case resultcode.NotLeader, resultcode.NoLeader, resultcode.Stopping:
 		return true
--- a/internal/scheduler/core.go
+++ b/internal/scheduler/core.go
@@ -1,9 +1,8 @@
-// Package scheduler is the scheduler process: it hosts replicas of shards,
-// leads some of them, and keeps the engine pools whose shards it leads.
+// Package scheduler implements the scheduler process. It hosts replicas of shards, leads some of
+// them, and runs the keepers of the engine pools that belong to the shards it leads.
 //
-// All control state is one Core, owned by one goroutine and advanced only by
-// Step. Traffic goroutines turn the network and timers into events, and carry
-// out the effects.
+// All control state is in one Core, which is owned by one goroutine and changes only in Step.
+// Other goroutines turn network messages and timers into events, and execute the effects.
 package scheduler
 
 import (
@@ -15,146 +14,145 @@
 	"github.com/magpielug/magpielug/internal/resultcode"
 )
 
-// Config is what a core has to know of its process.
+// Config configures a core.
 type Config struct {
-	// Process names the machine; an incarnation of it is drawn at each start.
+	// Process is the machine's name. Each start of the process has a new incarnation of it.
 	Process string
 	Region  string
 	Zone    string
-	// Shards is the fixed number of shards, alike in every process.
+	// Shards is the number of shards. It is fixed and equal in all processes.
 	Shards uint32
 	// Replicas is the number of members of a group.
 	Replicas    int
 	Replication replication.Config
-	// BacklogBytes bounds the committed entries of all shards hosted that are not
-	// yet archived; 0 is no bound.
+	// BacklogBytes bounds the committed but unarchived entries of all hosted shards; 0 is
+	// unbounded.
 	BacklogBytes int
-	// SnapshotBytes is how much is archived of a shard before a snapshot is put
-	// into its stream; 0 is never. A snapshot larger than it waits for as much as
-	// its own size.
+	// SnapshotBytes is the number of archived bytes after which a shard's stream gets a
+	// snapshot; 0 disables snapshots. If the last snapshot is larger, its size is used instead.
 	SnapshotBytes int
-	// SnapshotEntries is how many entries a new leader finds archived since the
-	// last snapshot before it has one made.
+	// SnapshotEntries is the number of entries archived since the last snapshot above which a
+	// new leader requests one.
 	SnapshotEntries uint64
-	// ArchiveIntents is how long the sending of a call that is not repeatable
-	// waits at most for the log to hold its intent; 0 is not at all.
+	// ArchiveIntents is the maximum time that a call that is not repeatable waits for its intent
+	// to be archived before it is sent; 0 disables the wait.
 	ArchiveIntents time.Duration
-	// OfferRetry is how long an offer to a keeper waits for its answer.
+	// OfferRetry is the time after which an unanswered offer to a keeper is repeated.
 	OfferRetry time.Duration
-	// HeldInterval is how often a leader tells keepers which grants it holds.
+	// HeldInterval is the interval at which a leader reports the grants that it holds to
+	// keepers.
 	HeldInterval time.Duration
-	// LiveInterval is how often a leader tells keepers its live programs.
+	// LiveInterval is the interval at which a leader reports its live programs to keepers.
 	LiveInterval time.Duration
-	// FoundingWait is how long a founder waits for members in further zones.
+	// FoundingWait is the maximum time that a founder waits for the other founders.
 	FoundingWait time.Duration
-	// EndedMemory is how long the record of a program that is over is kept.
+	// EndedMemory is how long the record of an ended program is retained.
 	EndedMemory time.Duration
-	// MaximumAttempts bounds the runs of a repeatable call.
+	// MaximumAttempts bounds the attempts of a call.
 	MaximumAttempts uint32
-	// DefaultCallDeadline bounds a tool call whose service names none.
+	// DefaultCallDeadline is the time limit of a tool call if its service sets none.
 	DefaultCallDeadline time.Duration
-	// DefaultWaitBound is the predicted wait above which a tier that names none
-	// is refused.
+	// DefaultWaitBound is the predicted wait above which a call is refused if its tier sets
+	// none.
 	DefaultWaitBound time.Duration
 }
 
 // Core is the control state of one scheduler process.
 //
-// Invariants: it changes only within Step; it reads no clock, socket or random
-// source but what it is given; effects are carried out in their order.
+// Invariants: it changes only in Step; its only sources of time and randomness are the arguments
+// of Step and NewCore; effects are executed in order.
 type Core struct {
-	config        Config
-	random        *rand.Rand
-	registry      *replication.Registry
-	batcher       *replication.Batcher
-	configuration ConfigurationView
-	fresh         bool
-	directory     *directory
-	// listAskedAt is when the machine list in force was asked for.
-	listAskedAt time.Duration
-	// lastStep is the clock of the step before, once there was one; wokenAt is that of the
-	// first step after the last freeze.
-	lastStep time.Duration
-	stepped  bool
-	wokenAt  time.Duration
-	layout   *layout
-	homes    map[uint32]*home
-	hosts    map[uint32]*host
-	// hosted are the numbers of hosts in order, nil after a change.
-	hosted []uint32
-	// touched are the hosts whose replicas may have output; settled is the list
-	// of the round before, kept for its room.
-	touched []*host
-	settled []*host
-	pools   map[string]*pool
-	// toolFailedAt tells when a tool back end last failed a call of this process.
-	toolFailedAt map[string]time.Duration
-	polled       []EngineAddress
-	stopping     bool
-	lastHeld     time.Duration
-	// heldBefore names the pools whose keepers are told of held grants, with how many
-	// more reports they get should none be held.
-	heldBefore map[string]int
-	outbox     map[string]*schedulerv1.PeerBatch
-	// due are the processes whose batch goes out at the step's end; after a tick
-	// all do.
-	due    map[string]bool
-	ticked bool
-	// answering is the peer whose batch is being taken in, and answerTo its ask:
-	// what is queued for it by the step's end goes back as the answer.
-	answering string
-	// snapshotting is true while a SnapshotStream is under way, and snapshotCount
-	// numbers them.
+	config               Config
+	random               *rand.Rand
+	registry             *replication.Registry
+	batcher              *replication.Batcher
+	configuration        ConfigurationView
+	configurationCurrent bool
+	directory            *directory
+	// listRequestedAt is the time at which the current machine list was requested.
+	listRequestedAt time.Duration
+	// lastStep is the time of the previous step, valid if stepped is true; resumedAt is the time
+	// of the first step after the last freeze.
+	lastStep    time.Duration
+	stepped     bool
+	resumedAt   time.Duration
+	layout      *layout
+	assignments map[uint32]*assignment
+	hosts       map[uint32]*host
+	// hostOrder caches the sorted keys of hosts; nil means that it is out of date.
+	hostOrder []uint32
+	// dirty holds the hosts whose replicas may have output; dirtySpare is the previous list,
+	// kept to reuse its memory.
+	dirty      []*host
+	dirtySpare []*host
+	pools      map[string]*pool
+	// toolFailedAt is the time at which a tool back end last failed a call of this process.
+	toolFailedAt    map[string]time.Duration
+	polledEngines   []EngineAddress
+	stopping        bool
+	lastGrantReport time.Duration
+	// grantReportsLeft is the number of further grant reports that a pool's keeper gets if this
+	// process holds no grant from it.
+	grantReportsLeft map[string]int
+	outbox           map[string]*schedulerv1.PeerBatch
+	// flushPeers holds the processes whose batch is sent at the end of the step. After a tick,
+	// all batches are sent.
+	flushPeers map[string]bool
+	ticked     bool
+	// replyPeer is the peer whose batch is being handled, and peerReplyTo its reply id. Messages
+	// to that peer are sent in the reply.
+	replyPeer string
+	// snapshotting is true while a SnapshotStream is in progress; snapshotCount numbers them.
 	snapshotting  bool
 	snapshotCount int
 	counters      Counters
-	answerTo      AskID
+	peerReplyTo   ReplyID
 	effects       []Effect
 	now           time.Duration
 }
 
-// NewCore returns a core that knows nothing yet. The random source must be
-// seeded differently at every start of the process.
+// NewCore returns a core without any state. The random source must have a different seed at each
+// start of the process.
 func NewCore(config Config, random *rand.Rand) *Core {
 	registry := replication.NewRegistry(config.Process, random)
 	known := newDirectory(config.Process)
 	return &Core{
-		config:       config,
-		random:       random,
-		registry:     registry,
-		batcher:      replication.NewBatcher(registry.Boot()),
-		directory:    known,
-		layout:       newLayout(known),
-		homes:        make(map[uint32]*home),
-		hosts:        make(map[uint32]*host),
-		pools:        make(map[string]*pool),
-		toolFailedAt: make(map[string]time.Duration),
-		heldBefore:   make(map[string]int),
-		outbox:       make(map[string]*schedulerv1.PeerBatch),
-		due:          make(map[string]bool),
-		counters:     newCounters(),
+		config:           config,
+		random:           random,
+		registry:         registry,
+		batcher:          replication.NewBatcher(registry.Boot()),
+		directory:        known,
+		layout:           newLayout(known),
+		assignments:      make(map[uint32]*assignment),
+		hosts:            make(map[uint32]*host),
+		pools:            make(map[string]*pool),
+		toolFailedAt:     make(map[string]time.Duration),
+		grantReportsLeft: make(map[string]int),
+		outbox:           make(map[string]*schedulerv1.PeerBatch),
+		flushPeers:       make(map[string]bool),
+		counters:         newCounters(),
 	}
 }
 
-// Incarnation names this start of the process.
+// Incarnation returns the boot incarnation of the process.
 func (core *Core) Incarnation() string { return string(core.registry.Boot()) }
 
-// Step takes one event in and returns what is to be done. The slice is valid
-// until the next step. now is a monotonic clock's reading, taken just before.
+// Step handles one event and returns the effects to execute. The slice is valid until the next
+// step. now is the current reading of a monotonic clock.
 func (core *Core) Step(now time.Duration, event Event) []Effect {
 	core.now = now
 	core.effects = core.effects[:0]
-	core.noteStep(now)
-	core.take(event)
-	core.settleReplicas()
+	core.detectFreeze(now)
+	core.handle(event)
+	core.processDirtyReplicas()
 	core.flushOutbox()
 	return core.effects
 }
 
-func (core *Core) take(event Event) {
+func (core *Core) handle(event Event) {
 	switch event := event.(type) {
-	case CallAsked:
-		core.callAsked(event)
+	case CallRequested:
+		core.callRequested(event)
 	case FirstChunkArrived:
 		core.firstChunkArrived(event.Run)
 	case RunEnded:
@@ -163,37 +161,37 @@
 		core.peerBatchReceived(event)
 	case EngineReported:
 		core.engineReported(event)
-	case EngineSilent:
-		core.engineSilent(event.Engine)
+	case EngineUnresponsive:
+		core.engineUnresponsive(event.Engine)
 	case Tick:
 		core.tick()
 	default:
-		core.takeRare(event)
+		core.handleRare(event)
 	}
 }
 
-func (core *Core) takeRare(event Event) {
+func (core *Core) handleRare(event Event) {
 	switch event := event.(type) {
-	case CreateAsked:
-		core.createAsked(event)
-	case EndAsked:
-		core.endAsked(event)
-	case GetAsked:
-		core.getAsked(event)
-	case HistoryAsked:
-		core.historyAsked(event)
-	case ListAsked:
-		core.listAsked(event)
-	case ExplainAsked:
-		core.explainAsked(event)
-	case StatusAsked:
-		core.statusAsked(event)
-	case StatsAsked:
-		core.emit(StatsTaken{Ask: event.Ask, Stats: core.stats()})
+	case CreateRequested:
+		core.createRequested(event)
+	case EndRequested:
+		core.endRequested(event)
+	case GetRequested:
+		core.getRequested(event)
+	case HistoryRequested:
+		core.historyRequested(event)
+	case ListRequested:
+		core.listRequested(event)
+	case ExplainRequested:
+		core.explainRequested(event)
+	case StatusRequested:
+		core.statusRequested(event)
+	case StatsRequested:
+		core.emit(StatsReply{ReplyTo: event.ReplyTo, Stats: core.stats()})
 	case ConfigurationChanged:
 		core.configurationChanged(event.View)
 	case FreshnessChanged:
-		core.fresh = event.Fresh
+		core.configurationCurrent = event.Fresh
 	case MachinesListed:
 		core.machinesListed(event)
 	case StreamRead:
@@ -206,8 +204,8 @@
 		core.streamSnapshotted(event)
 	case LoadRefused:
 		core.loadRefused(event)
-	case StopOrdered:
-		core.stopOrdered()
+	case StopRequested:
+		core.stopRequested()
 	}
 }
 
@@ -219,20 +217,20 @@
 	core.emit(Logged{Event: event, Shard: shard, Program: program, Request: request, Detail: detail})
 }
 
-// tick drives every timer of the core.
+// tick runs all timers of the core.
 func (core *Core) tick() {
 	core.ticked = true
 	for _, number := range core.hostNumbers() {
 		core.hosts[number].tick(core.now)
 	}
-	core.tickHomes()
+	core.tickAssignments()
 	for _, name := range core.poolNames() {
 		core.pools[name].tick()
 	}
-	if core.now-core.lastHeld >= core.config.HeldInterval {
-		core.lastHeld = core.now
+	if core.now-core.lastGrantReport >= core.config.HeldInterval {
+		core.lastGrantReport = core.now
 		core.reportHeldGrants()
-		core.forgetToolFailures()
+		core.expireToolFailures()
 	}
 }
 
@@ -244,19 +242,19 @@
 	for _, name := range core.poolNames() {
 		core.pools[name].configurationChanged()
 	}
-	core.arrangePools()
+	core.updatePools()
 }
 
-// stopOrdered goes on with a planned stop: no call is started here any more, and
-// each shard is handed over once that cuts none of those under way.
-func (core *Core) stopOrdered() {
+// stopRequested starts or continues a planned stop. No further calls are started, and the
+// leadership of each shard is transferred once that does not lose any call.
+func (core *Core) stopRequested() {
 	core.stopping = true
 	for _, number := range core.hostNumbers() {
 		core.hosts[number].handOver()
 	}
 }
 
-// wireError converts a failure for the wire.
+// wireError converts an error to its wire format.
 func wireError(failure *resultcode.Error) *schedulerv1.Error {
 	if failure == nil {
 		return nil
--- a/internal/scheduler/core_test.go
+++ b/internal/scheduler/core_test.go
@@ -27,8 +27,8 @@
 
 func (cluster *testCluster) create(program string) *schedulerv1.ProgramReply {
 	leader := cluster.leader(program)
-	answer, answered := cluster.ask(leader, func(ask AskID) Event {
-		return CreateAsked{Ask: ask, Request: &schedulerv1.CreateProgramRequest{
+	answer, answered := cluster.ask(leader, func(replyTo ReplyID) Event {
+		return CreateRequested{ReplyTo: replyTo, Request: &schedulerv1.CreateProgramRequest{
 			ProgramId: program, Kind: "dispute", Caller: &schedulerv1.Caller{Tenant: testTenant, Tier: testTier},
 		}}
 	})
@@ -37,7 +37,7 @@
 }
 
 var _ = Describe("scheduler core", func() {
-	It("founds groups, runs a call and records it", func() {
+	It("founds groups, and runs and records a call", func() {
 		cluster := newTestCluster(1, 3)
 		Expect(cluster.create("p1").Error).To(BeNil())
 		final := cluster.call(testCall("p1", "r1"), 20*time.Second)
@@ -48,7 +48,7 @@
 		Expect(cluster.runs["p1/r1"]).To(Equal(1))
 	})
 
-	It("refuses a request id that comes with another body", func() {
+	It("refuses a request id that is reused with another body", func() {
 		cluster := newTestCluster(2, 3)
 		cluster.create("p1")
 		cluster.call(testCall("p1", "r1"), 20*time.Second)
@@ -57,7 +57,7 @@
 		Expect(cluster.call(other, time.Second).failure.Code).To(BeEquivalentTo(resultcode.RequestIDReused))
 	})
 
-	It("gives a foreign tenant the answer of a program that is not there", func() {
+	It("answers another tenant's program as an unknown one", func() {
 		cluster := newTestCluster(3, 3)
 		cluster.create("p1")
 		foreign := testCall("p1", "r1")
@@ -69,7 +69,7 @@
 		Expect(cluster.call(absent, time.Second).failure.Code).To(Equal(refused.Code))
 	})
 
-	It("ends a loop at the program's cap and charges no more", func() {
+	It("stops an endless loop at the program's cap without charging more", func() {
 		cluster := newTestCluster(4, 3)
 		cluster.create("p1")
 		var last outcome
@@ -82,7 +82,7 @@
 		Expect(program.Spent() + program.Reserved()).To(BeNumerically("<=", program.Created().CapMicros))
 	})
 
-	It("goes on with a call when its leader dies", func() {
+	It("continues a call after its leader dies", func() {
 		cluster := newTestCluster(5, 3)
 		cluster.create("p1")
 		cluster.callSteps = 100
@@ -94,7 +94,7 @@
 		Expect(cluster.runs["p1/r1"]).To(Equal(1))
 	})
 
-	It("takes a restarted process in as a new member", func() {
+	It("adds a restarted process as a new member", func() {
 		cluster := newTestCluster(6, 3)
 		cluster.create("p1")
 		cluster.call(testCall("p1", "r1"), 20*time.Second)
@@ -124,7 +124,7 @@
 		Expect(next.failure).To(BeNil())
 	})
 
-	It("rebuilds a group that has lost two of three", func() {
+	It("rebuilds a group that has lost two of three members", func() {
 		cluster := newTestCluster(9, 3)
 		cluster.create("p1")
 		first := cluster.call(testCall("p1", "r1"), 20*time.Second)
@@ -136,7 +136,7 @@
 		Expect(cluster.runs["p1/r1"]).To(Equal(1))
 	})
 
-	It("keeps what a surviving member holds when two of three die while the log is away", func() {
+	It("keeps entries of a surviving member when two of three die during a log outage", func() {
 		cluster := newTestCluster(14, 3)
 		cluster.create("p1")
 		cluster.call(testCall("p1", "r1"), 20*time.Second)
@@ -148,7 +148,7 @@
 		cluster.start("s1")
 		cluster.runFor(10 * time.Second)
 		cluster.log.down = false
-		// An engine that remembered the call would hide a second run.
+		// Otherwise the engine would answer a second attempt from memory.
 		cluster.crashEngine("e0")
 		cluster.crashEngine("e1")
 		again := cluster.call(testCall("p1", "r2"), 90*time.Second)
@@ -156,13 +156,13 @@
 		Expect(cluster.runs["p1/r2"]).To(Equal(1))
 	})
 
-	It("does not rebuild a group whose majority is only cut off", func() {
+	It("does not rebuild a group whose majority is only partitioned", func() {
 		cluster := newTestCluster(10, 3)
 		cluster.create("p1")
 		cluster.call(testCall("p1", "r1"), 20*time.Second)
-		cluster.cut = func(from, to string) bool { return from == "s0" || to == "s0" }
+		cluster.partitioned = func(from, to string) bool { return from == "s0" || to == "s0" }
 		cluster.runFor(60 * time.Second)
-		cluster.cut = func(string, string) bool { return false }
+		cluster.partitioned = func(string, string) bool { return false }
 		cluster.runFor(20 * time.Second)
 		for _, name := range sortedKeys(cluster.nodes) {
 			for _, host := range cluster.nodes[name].core.hosts {
@@ -192,16 +192,16 @@
 		Expect(cluster.runUntil(10*time.Second, func() bool { return len(cluster.holders("p1")) == 0 })).To(BeTrue())
 	})
 
-	It("cuts no call when a process is stopped as planned", func() {
+	It("loses no tool call in a planned stop", func() {
 		cluster := newTestCluster(12, 3)
 		cluster.create("p1")
 		leader := cluster.leader("p1")
-		var order func()
-		order = func() {
-			cluster.nodes[leader].step(StopOrdered{})
-			cluster.after(50*time.Millisecond, order)
+		var requestStop func()
+		requestStop = func() {
+			cluster.nodes[leader].step(StopRequested{})
+			cluster.after(50*time.Millisecond, requestStop)
 		}
-		cluster.after(10*time.Millisecond, order)
+		cluster.after(10*time.Millisecond, requestStop)
 		for number := range 5 {
 			tool := testCall("p1", fmt.Sprintf("tool%d", number))
 			tool.Kind = schedulerv1.CallKind_CALL_KIND_TOOL
@@ -213,26 +213,24 @@
 		Expect(cluster.leader("p1")).NotTo(Equal(leader))
 	})
 
-	// A call that is not repeatable was told 3001 OUTCOME_UNKNOWN, 'no such generation to attach
-	// to', in a planned stop: its leader's call_sent stands in the millisecond in which the leader
-	// was told to stop and another one led. The next leader asked the engine for a run that had
-	// not come there yet, and the engine refused it from then on. Calls are on their way for a
-	// while here, so that each stop comes between a call's sending and its arrival.
+	// Guards against a planned stop that transfers leadership while a call is in transit to its
+	// engine: the next leader attached to a run that had not arrived yet, and the engine then
+	// rejected it. The delays place each stop between a call's sending and its arrival.
 	for _, repeatable := range []bool{true, false} {
-		It(fmt.Sprintf("loses no call that is on its way to its engine when a process is stopped as planned, repeatable %t", repeatable), func() {
+		It(fmt.Sprintf("loses no call in transit to its engine in a planned stop, repeatable %t", repeatable), func() {
 			for wait := range 12 {
 				cluster := newTestCluster(14, 3)
 				cluster.runDelay = 50 * time.Millisecond
-				cluster.cutsSending = true
+				cluster.dropUnattachedSends = true
 				cluster.create("p1")
 				Expect(cluster.call(testCall("p1", "before"), 20*time.Second).failure).To(BeNil())
 				leader := cluster.leader("p1")
-				var order func()
-				order = func() {
-					cluster.nodes[leader].step(StopOrdered{})
-					cluster.after(50*time.Millisecond, order)
+				var requestStop func()
+				requestStop = func() {
+					cluster.nodes[leader].step(StopRequested{})
+					cluster.after(50*time.Millisecond, requestStop)
 				}
-				cluster.after(time.Duration(wait)*5*time.Millisecond, order)
+				cluster.after(time.Duration(wait)*5*time.Millisecond, requestStop)
 				for number := range 3 {
 					call := testCall("p1", fmt.Sprintf("call%d", number))
 					call.Repeatable = repeatable
@@ -245,7 +243,7 @@
 		})
 	}
 
-	It("refuses new calls while the log is away for long, and ends those under way", func() {
+	It("refuses new calls during a long log outage, and accepts them again afterwards", func() {
 		cluster := newTestCluster(13, 3)
 		cluster.backlog = 64 << 10
 		for _, name := range sortedKeys(cluster.nodes) {
@@ -269,13 +267,13 @@
 		Expect(cluster.call(testCall("p1", "after"), 20*time.Second).failure).To(BeNil())
 	})
 
-	It("tells a keeper what it holds from a call's offer on, for the answer may be lost", func() {
+	It("reports grants to a keeper from the first offer on, since the answer may be lost", func() {
 		cluster := newTestCluster(11, 3)
 		cluster.create("p1")
 		leader := cluster.nodes[cluster.leader("p1")].core
-		clear(leader.heldBefore)
+		clear(leader.grantReportsLeft)
 		Expect(cluster.call(testCall("p1", "r1"), 20*time.Second).ended).To(BeTrue())
-		Expect(leader.heldBefore).To(HaveKey(testPool))
+		Expect(leader.grantReportsLeft).To(HaveKey(testPool))
 	})
 
 	It("releases the cache of a stopped program", func() {
@@ -283,8 +281,8 @@
 		cluster.create("p1")
 		cluster.call(testCall("p1", "r1"), 20*time.Second)
 		Expect(cluster.holders("p1")).NotTo(BeEmpty())
-		cluster.ask(cluster.leader("p1"), func(ask AskID) Event {
-			return EndAsked{Ask: ask, Request: &schedulerv1.EndProgramRequest{
+		cluster.ask(cluster.leader("p1"), func(replyTo ReplyID) Event {
+			return EndRequested{ReplyTo: replyTo, Request: &schedulerv1.EndProgramRequest{
 				ProgramId: "p1", Stop: true, Caller: &schedulerv1.Caller{Tenant: testTenant},
 			}}
 		})
--- a/internal/scheduler/decision_benchmark_test.go
+++ b/internal/scheduler/decision_benchmark_test.go
@@ -15,49 +15,49 @@
 )
 
 const (
-	// benchmarkPrograms make calls at the same time.
+	// benchmarkPrograms is the number of concurrent programs.
 	benchmarkPrograms = 64
-	// benchmarkTurns is how many calls a program makes before the next begins.
+	// benchmarkTurns is the number of calls of a program before the next one replaces it.
 	benchmarkTurns = 8
-	// benchmarkHop is virtual time between a message and its arrival.
-	benchmarkHop      = 500 * time.Microsecond
-	benchmarkSettling = 5 * time.Second
-	benchmarkReports  = 200 * time.Millisecond
+	// benchmarkHop is the virtual latency of a message.
+	benchmarkHop          = 500 * time.Microsecond
+	benchmarkWarmup       = 5 * time.Second
+	benchmarkPollInterval = 200 * time.Millisecond
 )
 
-// benchmarkGroup runs the cores of a group in one goroutine on a virtual clock.
-// Batches are encoded and decoded between them, outside of the measured steps,
-// as the traffic goroutines do.
+// benchmarkGroup runs the cores of a group in one goroutine on a virtual clock. Batches are
+// encoded and decoded outside the measured steps, as in production, where other goroutines do
+// it.
 type benchmarkGroup struct {
-	now   time.Duration
-	names []string
-	cores map[string]*Core
-	spent map[string]time.Duration
-	log   *testLog
-	// arriving are events for the next hop, waiting the batches to each peer.
-	arriving map[string][]Event
-	waiting  map[string]*peerSender
-	peerOf   map[AskID]string
-	nextAsk  AskID
-	polled   map[string][]EngineAddress
-	nextTick time.Duration
-	nextPoll time.Duration
-	messages int
-	bytes    int
-	done     int
-	// holding keeps runs from ending.
-	holding bool
+	now     time.Duration
+	names   []string
+	cores   map[string]*Core
+	cpuTime map[string]time.Duration
+	log     *testLog
+	// arriving holds the events for the next hop, pending the batches to each peer.
+	arriving    map[string][]Event
+	pending     map[string]*peerSender
+	replyPeers  map[ReplyID]string
+	lastReplyID ReplyID
+	polled      map[string][]EngineAddress
+	nextTick    time.Duration
+	nextPoll    time.Duration
+	messages    int
+	bytes       int
+	done        int
+	// holdRuns prevents runs from ending.
+	holdRuns bool
 }
 
 func newBenchmarkGroup(members int, shards uint32) *benchmarkGroup {
 	group := &benchmarkGroup{
-		cores:    make(map[string]*Core),
-		spent:    make(map[string]time.Duration),
-		log:      newTestLog(nil),
-		arriving: make(map[string][]Event),
-		waiting:  make(map[string]*peerSender),
-		peerOf:   make(map[AskID]string),
-		polled:   make(map[string][]EngineAddress),
+		cores:      make(map[string]*Core),
+		cpuTime:    make(map[string]time.Duration),
+		log:        newTestLog(nil),
+		arriving:   make(map[string][]Event),
+		pending:    make(map[string]*peerSender),
+		replyPeers: make(map[ReplyID]string),
+		polled:     make(map[string][]EngineAddress),
 	}
 	random := rand.New(rand.NewSource(1))
 	machines := []outside.Machine{{
@@ -82,57 +82,57 @@
 		group.step(name, ConfigurationChanged{View: view})
 		group.step(name, FreshnessChanged{Fresh: true})
 	}
-	for group.now < benchmarkSettling {
+	for group.now < benchmarkWarmup {
 		group.hop()
 	}
 	return group
 }
 
-// step takes one event into a core, at the cost of that core alone.
+// step handles one event and adds its duration to the core's time.
 func (group *benchmarkGroup) step(name string, event Event) {
-	begun := time.Now()
+	startedAt := time.Now()
 	effects := group.cores[name].Step(group.now, event)
-	group.spent[name] += time.Since(begun)
+	group.cpuTime[name] += time.Since(startedAt)
 	for _, effect := range effects {
-		group.carryOut(name, effect)
+		group.execute(name, effect)
 	}
 }
 
-func (group *benchmarkGroup) carryOut(name string, effect Effect) {
+func (group *benchmarkGroup) execute(name string, effect Effect) {
 	switch effect := effect.(type) {
 	case SendPeer:
 		key := name + ">" + effect.Process
-		if group.waiting[key] == nil {
-			group.waiting[key] = &peerSender{}
+		if group.pending[key] == nil {
+			group.pending[key] = &peerSender{}
 		}
-		group.waiting[key].address = effect.Process
-		group.waiting[key].merge(effect.Batch)
-	case Answer:
+		group.pending[key].address = effect.Process
+		group.pending[key].merge(effect.Batch)
+	case Reply:
 		if batch, isBatch := effect.Message.(*schedulerv1.PeerBatch); isBatch {
-			group.arrive(group.peerOf[effect.Ask], PeerBatchReceived{Batch: group.transmit(batch)})
-			delete(group.peerOf, effect.Ask)
+			group.enqueue(group.replyPeers[effect.To], PeerBatchReceived{Batch: group.transmit(batch)})
+			delete(group.replyPeers, effect.To)
 		}
 	case OpenStream:
-		group.arrive(name, openStream(context.Background(), group.log, effect))
+		group.enqueue(name, openStream(context.Background(), group.log, effect))
 	case ReadStream:
-		group.arrive(name, group.read(effect))
+		group.enqueue(name, group.read(effect))
 	case AppendStream:
 		_, _ = group.log.Append(context.Background(), streamName(effect.Shard), effect.Data)
-		group.arrive(name, StreamAppended{Shard: effect.Shard, UpTo: effect.UpTo, Stands: true})
+		group.enqueue(name, StreamAppended{Shard: effect.Shard, UpTo: effect.UpTo, Acknowledged: true})
 	case PollEngines:
 		group.polled[name] = effect.Engines
 		group.nextPoll = 0
 	case RunModelCall:
-		if group.holding {
+		if group.holdRuns {
 			return
 		}
 		effect.Buffer.Append(1, "five tokens of an answer", 5)
-		group.arrive(name, FirstChunkArrived{Run: effect.Run})
-		group.arrive(name, RunEnded{Run: effect.Run, End: RunCompleted, FinishReason: "stop", PromptTokens: 10, OutputTokens: 5})
+		group.enqueue(name, FirstChunkArrived{Run: effect.Run})
+		group.enqueue(name, RunEnded{Run: effect.Run, End: RunCompleted, FinishReason: "stop", PromptTokens: 10, OutputTokens: 5})
 	}
 }
 
-func (group *benchmarkGroup) arrive(name string, event Event) {
+func (group *benchmarkGroup) enqueue(name string, event Event) {
 	group.arriving[name] = append(group.arriving[name], event)
 }
 
@@ -156,20 +156,20 @@
 	return received
 }
 
-// hop lets time pass and brings everything that is under way to its core.
+// hop advances virtual time and delivers everything in transit.
 func (group *benchmarkGroup) hop() {
 	group.now += benchmarkHop
 	arriving := group.arriving
 	group.arriving = make(map[string][]Event)
-	for _, key := range sortedKeys(group.waiting) {
-		sender := group.waiting[key]
+	for _, key := range sortedKeys(group.pending) {
+		sender := group.pending[key]
 		from, _, _ := strings.Cut(key, ">")
-		group.nextAsk++
-		group.peerOf[group.nextAsk] = from
+		group.lastReplyID++
+		group.replyPeers[group.lastReplyID] = from
 		arriving[sender.address] = append(arriving[sender.address],
-			PeerBatchReceived{Ask: group.nextAsk, Batch: group.transmit(sender.waiting)})
+			PeerBatchReceived{ReplyTo: group.lastReplyID, Batch: group.transmit(sender.pending)})
 	}
-	clear(group.waiting)
+	clear(group.pending)
 	for _, name := range group.names {
 		for _, event := range arriving[name] {
 			group.step(name, event)
@@ -185,7 +185,7 @@
 		group.nextTick = group.now + tickInterval
 	}
 	if group.now >= group.nextPoll {
-		group.nextPoll = group.now + benchmarkReports
+		group.nextPoll = group.now + benchmarkPollInterval
 	}
 }
 
@@ -198,7 +198,7 @@
 	}
 }
 
-// leaderOf names the core that leads a program's shard.
+// leaderOf returns the core that leads the program's shard.
 func (group *benchmarkGroup) leaderOf(program string) string {
 	for _, name := range group.names {
 		if group.cores[name].leadingHost(program) != nil {
@@ -208,7 +208,7 @@
 	return ""
 }
 
-// benchmarkProgram makes its calls one after the other.
+// benchmarkProgram makes calls in sequence.
 type benchmarkProgram struct {
 	group  *benchmarkGroup
 	slot   int
@@ -218,9 +218,9 @@
 	turn   int
 }
 
-// next makes the program's next call once the one before has ended. A program
-// that has made all its calls ends, and another begins.
-func (program *benchmarkProgram) next() bool {
+// advance makes the program's next call if the previous one has ended. After its last call, the
+// program is ended and replaced by a new one.
+func (program *benchmarkProgram) advance() bool {
 	group := program.group
 	if program.id != "" {
 		host := group.cores[program.leader].leadingHost(program.id)
@@ -236,35 +236,35 @@
 		group.done++
 	}
 	if program.id == "" || program.turn == benchmarkTurns {
-		program.begin()
+		program.startProgram()
 		return true
 	}
 	program.turn++
-	group.step(program.leader, CallAsked{Request: testCall(program.id, fmt.Sprintf("r%02d", program.turn))})
+	group.step(program.leader, CallRequested{Request: testCall(program.id, fmt.Sprintf("r%02d", program.turn))})
 	return true
 }
 
-func (program *benchmarkProgram) begin() {
+func (program *benchmarkProgram) startProgram() {
 	group := program.group
 	caller := &schedulerv1.Caller{Tenant: testTenant, Tier: testTier}
 	if program.id != "" {
-		group.step(program.leader, EndAsked{Request: &schedulerv1.EndProgramRequest{ProgramId: program.id, Caller: caller}})
+		group.step(program.leader, EndRequested{Request: &schedulerv1.EndProgramRequest{ProgramId: program.id, Caller: caller}})
 	}
 	program.number++
 	program.turn = 0
 	program.id = fmt.Sprintf("program-%d-%d", program.slot, program.number)
 	program.leader = group.leaderOf(program.id)
-	group.step(program.leader, CreateAsked{Request: &schedulerv1.CreateProgramRequest{
+	group.step(program.leader, CreateRequested{Request: &schedulerv1.CreateProgramRequest{
 		ProgramId: program.id, Kind: "dispute", Caller: caller,
 	}})
 }
 
-// decide makes calls until so many have been answered.
-func (group *benchmarkGroup) decide(programs []*benchmarkProgram, calls int) {
+// completeCalls runs the programs until the given number of calls is complete.
+func (group *benchmarkGroup) completeCalls(programs []*benchmarkProgram, calls int) {
 	end := group.done + calls
 	for group.done < end {
 		for _, program := range programs {
-			program.next()
+			program.advance()
 		}
 		group.hop()
 	}
@@ -278,9 +278,9 @@
 	return programs
 }
 
-// BenchmarkDecision is the time that the control goroutines spend on one call:
-// asked, accepted, granted, intended, run, finished. It counts every process of
-// the group; the busiest one's calls a second are shown beside.
+// BenchmarkDecision measures the time that the control goroutines of all processes spend on one
+// call, from the request to its completion. It also reports the call rate that the busiest
+// process allows.
 func BenchmarkDecision(b *testing.B) {
 	for _, size := range []struct {
 		members int
@@ -289,15 +289,15 @@
 		b.Run(fmt.Sprintf("members=%d/shards=%d", size.members, size.shards), func(b *testing.B) {
 			group := newBenchmarkGroup(size.members, size.shards)
 			programs := group.programs(benchmarkPrograms)
-			group.decide(programs, benchmarkPrograms*benchmarkTurns)
-			clear(group.spent)
+			group.completeCalls(programs, benchmarkPrograms*benchmarkTurns)
+			clear(group.cpuTime)
 			group.messages, group.bytes = 0, 0
 			b.ReportAllocs()
 			b.ResetTimer()
-			group.decide(programs, b.N)
+			group.completeCalls(programs, b.N)
 			b.StopTimer()
 			var total, busiest time.Duration
-			for _, spent := range group.spent {
+			for _, spent := range group.cpuTime {
 				total += spent
 				busiest = max(busiest, spent)
 			}
--- a/internal/scheduler/directory.go
+++ b/internal/scheduler/directory.go
@@ -8,8 +8,8 @@
 	"github.com/magpielug/magpielug/internal/outside"
 )
 
-// directory is what the process believes of the other machines: the platform's
-// list says who exists, answers say who lives, hints say who leads.
+// directory is what the process knows about other machines: their existence from the machine
+// list, their liveness from messages, and the shards' leaders from hints.
 type directory struct {
 	self       string
 	listed     []outside.Machine
@@ -17,11 +17,11 @@
 	engines    map[string]outside.Machine
 	tools      map[string]outside.Machine
 	peers      map[string]peer
-	// leaders holds, by shard, the process last heard to lead it.
+	// leaders holds the last known leader of each shard.
 	leaders map[uint32]string
 }
 
-// peer is a scheduler process that has been heard.
+// peer is a scheduler process that has been heard from.
 type peer struct {
 	incarnation string
 	lastHeard   time.Duration
@@ -38,7 +38,7 @@
 	}
 }
 
-// update replaces the machines by a newer list and tells whether it differs.
+// update replaces the machine list and reports whether it has changed.
 func (directory *directory) update(machines []outside.Machine) bool {
 	if slices.Equal(machines, directory.listed) {
 		return false
@@ -60,12 +60,12 @@
 	return found
 }
 
-// heard notes an answer or a message of a peer.
+// heard records a message from a peer.
 func (directory *directory) heard(process, incarnation string, now time.Duration) {
 	directory.peers[process] = peer{incarnation: incarnation, lastHeard: now}
 }
 
-// alive tells whether the process was heard within the bound.
+// alive reports whether the process was heard from within the bound.
 func (directory *directory) alive(process string, now, bound time.Duration) bool {
 	if process == directory.self {
 		return true
@@ -74,12 +74,12 @@
 	return found && now-known.lastHeard <= bound
 }
 
-// address returns where a scheduler answers, empty where it is unknown.
+// address returns a scheduler's address, or "" if it is unknown.
 func (directory *directory) address(process string) string {
 	return directory.schedulers[process].Address
 }
 
-// toolsOf lists the live back ends of a tool service in the order of their ids.
+// toolsOf lists the live back ends of a tool service, sorted by id.
 func (directory *directory) toolsOf(service string) []outside.Machine {
 	var found []outside.Machine
 	for _, machine := range directory.tools {
@@ -91,7 +91,7 @@
 	return found
 }
 
-// sorted lists machines in the order of their ids.
+// sorted lists machines sorted by id.
 func sorted(machines map[string]outside.Machine) []outside.Machine {
 	list := make([]outside.Machine, 0, len(machines))
 	for _, machine := range machines {
--- a/internal/scheduler/effect.go
+++ b/internal/scheduler/effect.go
@@ -11,26 +11,26 @@
 	"github.com/magpielug/magpielug/internal/stream"
 )
 
-// Effect is one output of the core's step, carried out by the loop.
+// Effect is an output of Core.Step that the loop executes.
 type Effect interface{ effect() }
 
-// Answer answers a request other than a call.
-type Answer struct {
-	Ask     AskID
+// Reply answers a request other than a call.
+type Reply struct {
+	To      ReplyID
 	Message proto.Message
 }
 
-// Follow lets a caller read a call's stream.
+// Follow attaches a caller to a call's stream.
 type Follow struct {
-	Ask    AskID
-	Turn   uint32
-	Buffer *stream.Buffer
+	ReplyTo ReplyID
+	Turn    uint32
+	Buffer  *stream.Buffer
 }
 
-// Decline gives a call's request its final answer from this process.
+// Decline rejects a call request.
 type Decline struct {
-	Ask   AskID
-	Error *schedulerv1.Error
+	ReplyTo ReplyID
+	Error   *schedulerv1.Error
 }
 
 // SendPeer sends a batch to another scheduler.
@@ -40,24 +40,24 @@
 	Batch   *schedulerv1.PeerBatch
 }
 
-// TurnsTaken answers a HistoryAsked; the asker decodes the turns.
-type TurnsTaken struct {
-	Ask   AskID
-	Turns []shard.StoredTurn
+// TurnsReply answers a HistoryRequested. The receiver decodes the turns.
+type TurnsReply struct {
+	ReplyTo ReplyID
+	Turns   []shard.StoredTurn
 }
 
 // RunModelCall sends a call to an engine, or attaches to a running one.
 type RunModelCall struct {
 	Run     RunKey
 	Address string
-	// Request is complete but for its prompt, which the run puts together from
-	// Prompt: a long history must not hold up the control goroutine.
+	// Request has no prompt yet. The executor builds it from Prompt, because a long history
+	// would block the control goroutine.
 	Request outside.GenerateRequest
 	Prompt  shard.Prompt
 	Buffer  *stream.Buffer
-	// Offset is how many chunks of the buffer earlier attempts have given.
+	// Offset is the number of chunks in the buffer that come from earlier attempts.
 	Offset uint64
-	// DecidedAt is when the engine was last known to take the call, on the core's clock.
+	// DecidedAt is the core's time at which the engine was last known to accept the call.
 	DecidedAt time.Duration
 }
 
@@ -68,12 +68,12 @@
 	Request  outside.ToolRequest
 	Deadline time.Duration
 	Buffer   *stream.Buffer
-	// DecidedAt is when the back end was last known to take the call, on the core's clock.
+	// DecidedAt is the core's time at which the back end was last known to accept the call.
 	DecidedAt time.Duration
 }
 
-// StopRun cancels a run. With AtBackEnd the engine is told too; without it the
-// engine goes on, for another leader to attach to.
+// StopRun stops following a run. With AtBackEnd, the engine cancels it too; otherwise it
+// continues, so that another leader can attach to it.
 type StopRun struct {
 	Run       RunKey
 	AtBackEnd bool
@@ -81,15 +81,15 @@
 	Fence     outside.Fence
 }
 
-// ReleaseCache orders an engine to free a program's blocks.
+// ReleaseCache commands an engine to free a program's cache blocks.
 type ReleaseCache struct {
 	Address string
 	Program string
 	Fence   outside.Fence
 }
 
-// LoadAdapter orders an engine to load an adapter beside the model version that
-// it has. It is given once; a LoadRefused follows where the engine did not take it.
+// LoadAdapter commands an engine to load an adapter for its current model version. It is sent
+// once; a LoadRefused follows if the engine rejects it.
 type LoadAdapter struct {
 	Engine  string
 	Address string
@@ -99,7 +99,7 @@
 	Fence   outside.Fence
 }
 
-// SetRole orders an engine to change its role.
+// SetRole commands an engine to change its role.
 type SetRole struct {
 	Engine  string
 	Address string
@@ -107,20 +107,19 @@
 	Fence   outside.Fence
 }
 
-// PollEngines replaces the engines whose load reports are asked for.
+// PollEngines replaces the set of engines that are polled for load reports.
 type PollEngines struct{ Engines []EngineAddress }
 
-// PollEngineSoon asks for an engine's load report without waiting for the next
-// poll, since a call on it has failed.
-type PollEngineSoon struct{ Engine EngineAddress }
+// PollEngineNow polls an engine ahead of schedule because a call on it has failed.
+type PollEngineNow struct{ Engine EngineAddress }
 
-// EngineAddress is where an engine answers.
+// EngineAddress identifies an engine and its network address.
 type EngineAddress struct {
 	Engine  string
 	Address string
 }
 
-// ReadStream reads a shard's stream in the platform's log from an offset on.
+// ReadStream reads a shard's stream in the platform's log, starting at an offset.
 type ReadStream struct {
 	Shard uint32
 	From  uint64
@@ -130,14 +129,14 @@
 type AppendStream struct {
 	Shard uint32
 	Data  []byte
-	// UpTo is the last entry's index of a record of entries, 0 for a claim.
+	// UpTo is the index of the record's last entry, or 0 for a claim.
 	UpTo uint64
 }
 
-// ReadMachines has the machine list read at once; a MachinesListed follows.
+// ReadMachines reads the machine list immediately; a MachinesListed follows.
 type ReadMachines struct{}
 
-// Logged is one event for the process's log.
+// Logged writes an event to the process's log.
 type Logged struct {
 	Event   string
 	Shard   uint32
@@ -146,20 +145,20 @@
 	Detail  string
 }
 
-func (Answer) effect()         {}
-func (Follow) effect()         {}
-func (Decline) effect()        {}
-func (SendPeer) effect()       {}
-func (TurnsTaken) effect()     {}
-func (RunModelCall) effect()   {}
-func (RunToolCall) effect()    {}
-func (PollEngineSoon) effect() {}
-func (StopRun) effect()        {}
-func (ReleaseCache) effect()   {}
-func (LoadAdapter) effect()    {}
-func (SetRole) effect()        {}
-func (PollEngines) effect()    {}
-func (ReadStream) effect()     {}
-func (AppendStream) effect()   {}
-func (ReadMachines) effect()   {}
-func (Logged) effect()         {}
+func (Reply) effect()         {}
+func (Follow) effect()        {}
+func (Decline) effect()       {}
+func (SendPeer) effect()      {}
+func (TurnsReply) effect()    {}
+func (RunModelCall) effect()  {}
+func (RunToolCall) effect()   {}
+func (PollEngineNow) effect() {}
+func (StopRun) effect()       {}
+func (ReleaseCache) effect()  {}
+func (LoadAdapter) effect()   {}
+func (SetRole) effect()       {}
+func (PollEngines) effect()   {}
+func (ReadStream) effect()    {}
+func (AppendStream) effect()  {}
+func (ReadMachines) effect()  {}
+func (Logged) effect()        {}
--- a/internal/scheduler/engine_poll.go
+++ b/internal/scheduler/engine_poll.go
@@ -7,48 +7,48 @@
 
 const (
 	pollTimeout = time.Second
-	// silentPolls in a row make an engine count as lost.
-	silentPolls = 3
-	// failedPollShare is the part of the interval after which a failed poll is
-	// repeated: an engine that refuses connections is lost after one and a half
-	// intervals at most.
-	failedPollShare = 4
-	// pokedPollSpacing is the least time between a poll and one asked for.
-	pokedPollSpacing = 100 * time.Millisecond
+	// unresponsivePolls is the number of consecutive failed polls after which an engine is
+	// reported as unresponsive.
+	unresponsivePolls = 3
+	// failedPollDivisor divides the poll interval after a failed poll, so that an engine that
+	// refuses connections is detected within one and a half intervals.
+	failedPollDivisor = 4
+	// requestedPollSpacing is the minimum time between a poll and a requested one.
+	requestedPollSpacing = 100 * time.Millisecond
 )
 
-// enginePolls asks the kept engines for their load reports.
+// enginePolls polls the managed engines for their load reports.
 type enginePolls struct {
-	traffic  *traffic
+	executor *executor
 	interval time.Duration
-	// running holds the poll of each engine; the control goroutine owns it.
+	// running holds the poller of each engine. It is owned by the control goroutine.
 	running map[EngineAddress]enginePoll
 }
 
-// enginePoll is one engine's poll under way.
+// enginePoll is the poller of one engine.
 type enginePoll struct {
 	cancel context.CancelFunc
-	// pokes asks for a poll without waiting for the interval.
-	pokes chan struct{}
+	// requests triggers a poll ahead of schedule.
+	requests chan struct{}
 }
 
-func newEnginePolls(traffic *traffic, interval time.Duration) *enginePolls {
+func newEnginePolls(executor *executor, interval time.Duration) *enginePolls {
 	return &enginePolls{
-		traffic:  traffic,
+		executor: executor,
 		interval: interval,
 		running:  make(map[EngineAddress]enginePoll),
 	}
 }
 
-// poke asks an engine for its report soon.
-func (polls *enginePolls) poke(engine EngineAddress) {
+// pollNow requests a poll ahead of schedule.
+func (polls *enginePolls) pollNow(engine EngineAddress) {
 	select {
-	case polls.running[engine].pokes <- struct{}{}:
+	case polls.running[engine].requests <- struct{}{}:
 	default:
 	}
 }
 
-// watch starts and stops polls so that exactly these engines are asked.
+// watch starts and stops pollers to match the given engines.
 func (polls *enginePolls) watch(engines []EngineAddress) {
 	wanted := make(map[EngineAddress]bool, len(engines))
 	for _, engine := range engines {
@@ -56,10 +56,10 @@
 		if _, found := polls.running[engine]; found {
 			continue
 		}
-		ctx, cancel := context.WithCancel(polls.traffic.ctx)
-		started := enginePoll{cancel: cancel, pokes: make(chan struct{}, 1)}
+		ctx, cancel := context.WithCancel(polls.executor.ctx)
+		started := enginePoll{cancel: cancel, requests: make(chan struct{}, 1)}
 		polls.running[engine] = started
-		go polls.poll(ctx, engine, started.pokes)
+		go polls.poll(ctx, engine, started.requests)
 	}
 	for engine, poll := range polls.running {
 		if !wanted[engine] {
@@ -69,23 +69,23 @@
 	}
 }
 
-func (polls *enginePolls) poll(ctx context.Context, engine EngineAddress, pokes <-chan struct{}) {
+func (polls *enginePolls) poll(ctx context.Context, engine EngineAddress, requests <-chan struct{}) {
 	failures := 0
 	for {
 		failures = polls.ask(ctx, engine, failures)
 		wait := polls.interval
 		if failures > 0 {
-			wait /= failedPollShare
+			wait /= failedPollDivisor
 		}
-		if !awaitPoll(ctx, wait, pokes) {
+		if !awaitPoll(ctx, wait, requests) {
 			return
 		}
 	}
 }
 
-// awaitPoll waits until the next poll is due, or sooner when poked. It returns
-// false once the context has ended.
-func awaitPoll(ctx context.Context, wait time.Duration, pokes <-chan struct{}) bool {
+// awaitPoll waits until the next poll is due or requested. It returns false once the context is
+// done.
+func awaitPoll(ctx context.Context, wait time.Duration, requests <-chan struct{}) bool {
 	due := time.NewTimer(wait)
 	defer due.Stop()
 	select {
@@ -93,9 +93,9 @@
 		return false
 	case <-due.C:
 		return true
-	case <-pokes:
+	case <-requests:
 	}
-	spacing := time.NewTimer(min(wait, pokedPollSpacing))
+	spacing := time.NewTimer(min(wait, requestedPollSpacing))
 	defer spacing.Stop()
 	select {
 	case <-ctx.Done():
@@ -105,18 +105,18 @@
 	}
 }
 
-// ask polls once and returns the number of failures in a row.
+// ask polls once and returns the number of consecutive failures.
 func (polls *enginePolls) ask(ctx context.Context, engine EngineAddress, failures int) int {
 	bounded, cancel := context.WithTimeout(ctx, pollTimeout)
 	defer cancel()
-	report, err := polls.traffic.engines.Report(bounded, engine.Address)
+	report, err := polls.executor.engines.Report(bounded, engine.Address)
 	if err == nil {
-		polls.traffic.post(EngineReported{Engine: engine.Engine, Report: report})
+		polls.executor.post(EngineReported{Engine: engine.Engine, Report: report})
 		return 0
 	}
 	failures++
-	if failures == silentPolls && ctx.Err() == nil {
-		polls.traffic.post(EngineSilent{Engine: engine.Engine})
+	if failures == unresponsivePolls && ctx.Err() == nil {
+		polls.executor.post(EngineUnresponsive{Engine: engine.Engine})
 	}
 	return failures
 }
--- a/internal/scheduler/engine_schedule_test.go
+++ b/internal/scheduler/engine_schedule_test.go
@@ -11,32 +11,32 @@
 )
 
 const (
-	engineClients     = 4
-	engineTurns       = 20
-	orderLossInterval = 700 * time.Millisecond
-	// releaseTime bounds how long cache of a gone program may be held once
-	// nothing fails any more.
+	engineClients       = 4
+	engineTurns         = 20
+	commandLossInterval = 700 * time.Millisecond
+	// releaseTime bounds how long the cache of an ended program may be held after the last
+	// fault.
 	releaseTime = 30 * time.Second
 )
 
-// loseSomeOrders has orders to release and to load get lost now and then, for as
-// long as faults are thrown.
-func (cluster *testCluster) loseSomeOrders() {
+// loseRandomCommands makes engines lose release commands and refuse load commands at random
+// while faults are injected.
+func (cluster *testCluster) loseRandomCommands() {
 	for _, name := range sortedKeys(cluster.engines) {
 		engine := cluster.engines[name]
-		engine.loseOrders = cluster.now < faultTime && cluster.random.Intn(2) == 0
+		engine.loseReleases = cluster.now < faultTime && cluster.random.Intn(2) == 0
 		engine.refuseLoads = cluster.now < faultTime && cluster.random.Intn(3) == 0
 	}
 	if cluster.now < faultTime {
-		cluster.after(orderLossInterval, cluster.loseSomeOrders)
+		cluster.after(commandLossInterval, cluster.loseRandomCommands)
 	}
 }
 
-// endSurely ends a program, asking again until it is told that it is over.
-func (cluster *testCluster) endSurely(program string) bool {
+// endWithRetry ends a program, and repeats the request until it is confirmed.
+func (cluster *testCluster) endWithRetry(program string) bool {
 	for range 100 {
-		answer, answered := cluster.ask(cluster.leader(program), func(ask AskID) Event {
-			return EndAsked{Ask: ask, Request: &schedulerv1.EndProgramRequest{
+		answer, answered := cluster.ask(cluster.leader(program), func(replyTo ReplyID) Event {
+			return EndRequested{ReplyTo: replyTo, Request: &schedulerv1.EndProgramRequest{
 				ProgramId: program, Caller: &schedulerv1.Caller{Tenant: testTenant},
 			}}
 		})
@@ -48,28 +48,28 @@
 	return false
 }
 
-// runEngineSchedule runs programs with adapters, ends them amid the faults, and
-// returns what was violated.
+// runEngineSchedule runs programs with adapters under faults, ends them, and returns the
+// violations.
 func runEngineSchedule(seed int64) []string {
 	cluster := newTestCluster(seed, 4)
 	var clients []*testClient
 	for number := range engineClients {
 		client := cluster.addClient(fmt.Sprintf("p%d", number), engineTurns)
-		client.think = scheduleThinkTime
+		client.maximumThinkTime = scheduleThinkTime
 		client.adapters = true
 		clients = append(clients, client)
 	}
-	thrower := &faults{cluster: cluster}
-	cluster.after(faultStart, thrower.throw)
-	cluster.after(faultStart, cluster.loseSomeOrders)
+	injector := &faults{cluster: cluster}
+	cluster.after(faultStart, injector.inject)
+	cluster.after(faultStart, cluster.loseRandomCommands)
 	var found []string
 	for _, client := range clients {
-		if !cluster.runUntil(faultTime+healTime, func() bool { return client.finished }) {
-			found = append(found, fmt.Sprintf("%s did not finish: %d calls", client.program, len(client.results)))
+		if !cluster.runUntil(faultTime+completionTime, func() bool { return client.finished }) {
+			found = append(found, fmt.Sprintf("%s did not finish: %d calls answered", client.program, len(client.results)))
 		}
-		// A program's record is dropped a while after its end.
+		// Check before the program's record is removed.
 		found = append(found, client.violations()...)
-		if !cluster.endSurely(client.program) {
+		if !cluster.endWithRetry(client.program) {
 			found = append(found, client.program+" did not end")
 		}
 	}
@@ -77,15 +77,15 @@
 	cluster.runFor(releaseTime)
 	for _, client := range clients {
 		if holders := cluster.holders(client.program); len(holders) > 0 {
-			found = append(found, fmt.Sprintf("%s is over and holds cache on %v", client.program, holders))
+			found = append(found, fmt.Sprintf("%s has ended and holds cache on %v", client.program, holders))
 		}
 	}
 	return found
 }
 
 var _ = Describe("engines under seeded faults", func() {
-	It("serve adapters and hold nothing for programs that are gone", func() {
-		for seed := int64(1001); seed <= int64(1000+schedules()); seed++ {
+	It("serve adapters and hold no cache for ended programs", func() {
+		for seed := int64(1001); seed <= int64(1000+scheduleCount()); seed++ {
 			Expect(runEngineSchedule(seed)).To(BeEmpty(), "seed %d", seed)
 		}
 	})
--- a/internal/scheduler/engine_test.go
+++ b/internal/scheduler/engine_test.go
@@ -15,14 +15,14 @@
 
 const testPool = testModel + "/r/0"
 
-// keeperOf names the process that keeps the one pool, once there is one.
-func (cluster *testCluster) keeperOf() string {
+// keeperProcess waits for a keeper of the test pool and returns its process.
+func (cluster *testCluster) keeperProcess() string {
 	found := ""
 	cluster.runUntil(30*time.Second, func() bool {
 		for _, name := range sortedKeys(cluster.nodes) {
 			node := cluster.nodes[name]
-			kept := node.core.pools[testPool]
-			if !node.dead && !node.paused && kept != nil && kept.leads() {
+			managed := node.core.pools[testPool]
+			if !node.dead && !node.paused && managed != nil && managed.leads() {
 				found = name
 				return true
 			}
@@ -33,14 +33,14 @@
 }
 
 func (cluster *testCluster) endProgram(program string) {
-	cluster.ask(cluster.leader(program), func(ask AskID) Event {
-		return EndAsked{Ask: ask, Request: &schedulerv1.EndProgramRequest{
+	cluster.ask(cluster.leader(program), func(replyTo ReplyID) Event {
+		return EndRequested{ReplyTo: replyTo, Request: &schedulerv1.EndProgramRequest{
 			ProgramId: program, Caller: &schedulerv1.Caller{Tenant: testTenant},
 		}}
 	})
 }
 
-// programLedElsewhere makes a program whose leader is not the given process.
+// programLedElsewhere creates a program whose leader is not the given process.
 func (cluster *testCluster) programLedElsewhere(process string) (program, leader string) {
 	for number := 1; ; number++ {
 		program = fmt.Sprintf("p%d", number)
@@ -52,10 +52,10 @@
 	}
 }
 
-// loseOrders has orders to release get lost at all engines, or not any more.
-func (cluster *testCluster) loseOrders(lost bool) {
+// loseReleases makes all engines lose release commands, or stops doing so.
+func (cluster *testCluster) loseReleases(lost bool) {
 	for _, engine := range cluster.engines {
-		engine.loseOrders = lost
+		engine.loseReleases = lost
 	}
 }
 
@@ -65,7 +65,7 @@
 	return call
 }
 
-// totalLoads counts the orders to load that engines took.
+// totalLoads counts the load commands that engines accepted.
 func (cluster *testCluster) totalLoads() int {
 	total := 0
 	for _, engine := range cluster.engines {
@@ -74,8 +74,8 @@
 	return total
 }
 
-var _ = Describe("loads of adapters", func() {
-	It("brings an adapter in once for the calls that wait for it", func() {
+var _ = Describe("loading of adapters", func() {
+	It("loads an adapter once for all calls that wait for it", func() {
 		cluster := newTestCluster(21, 3)
 		cluster.create("p1")
 		Expect(cluster.call(adapterCall("p1", "r1"), 20*time.Second).text).To(HavePrefix("p1/r1:1"))
@@ -84,7 +84,7 @@
 		Expect(cluster.runsOf("p1/r1")).To(Equal(1))
 	})
 
-	It("takes another engine where the first refuses the order", func() {
+	It("uses another engine if the first rejects the load command", func() {
 		cluster := newTestCluster(22, 3)
 		cluster.engines["e0"].refuseLoads = true
 		cluster.create("p1")
@@ -92,17 +92,17 @@
 		Expect(cluster.engines["e1"].adapters).To(Equal([]string{testAdapter}))
 	})
 
-	It("goes on under a new keeper, without a second order", func() {
+	It("continues under a new keeper without a second load command", func() {
 		cluster := newTestCluster(23, 3)
 		for _, engine := range cluster.engines {
 			engine.loadTime = 10 * time.Second
 		}
 		cluster.create("p1")
 		leader := cluster.leader("p1")
-		cluster.nextAsk++
-		cluster.nodes[leader].step(CallAsked{Ask: cluster.nextAsk, Request: adapterCall("p1", "r1")})
+		cluster.lastReplyID++
+		cluster.nodes[leader].step(CallRequested{ReplyTo: cluster.lastReplyID, Request: adapterCall("p1", "r1")})
 		Expect(cluster.runUntil(20*time.Second, func() bool { return cluster.totalLoads() == 1 })).To(BeTrue())
-		cluster.nodes[cluster.keeperOf()].dead = true
+		cluster.nodes[cluster.keeperProcess()].dead = true
 		Expect(cluster.call(adapterCall("p1", "r1"), 30*time.Second).text).To(HavePrefix("p1/r1:1"))
 		Expect(cluster.totalLoads()).To(Equal(1))
 	})
@@ -117,8 +117,8 @@
 	})
 })
 
-var _ = Describe("engines that serve no whole calls", func() {
-	It("are ordered back, and calls wait meanwhile", func() {
+var _ = Describe("engines with a role that can't serve complete calls", func() {
+	It("are switched to the mixed role while calls wait", func() {
 		cluster := newTestCluster(43, 3)
 		for _, engine := range cluster.engines {
 			engine.role = "prefill"
@@ -130,45 +130,45 @@
 })
 
 var _ = Describe("fences", func() {
-	It("has engines refuse a replaced keeper before the new one grants anything", func() {
+	It("makes engines reject a replaced keeper before the new one grants anything", func() {
 		cluster := newTestCluster(25, 4)
 		cluster.create("p1")
 		cluster.call(testCall("p1", "r1"), 20*time.Second)
-		old := cluster.nodes[cluster.keeperOf()]
+		old := cluster.nodes[cluster.keeperProcess()]
 		stale := old.core.pools[testPool].fenceOf("e0")
 		old.paused = true
-		keeper := cluster.keeperOf()
+		keeper := cluster.keeperProcess()
 		fence := cluster.nodes[keeper].core.pools[testPool].fenceOf("e0")
 		Expect(fence.Epoch).To(BeNumerically(">", stale.Epoch))
 		cluster.runFor(time.Second)
 		for _, name := range []string{"e0", "e1"} {
 			engine := cluster.engines[name]
 			Expect(engine.fence).To(Equal(fence.Epoch))
-			engine.held["p1"] = testCallBlocks
+			engine.heldBlocks["p1"] = testCallBlocks
 			engine.release(ReleaseCache{Program: "p1", Fence: stale})
-			Expect(engine.held["p1"]).To(Equal(testCallBlocks))
+			Expect(engine.heldBlocks["p1"]).To(Equal(testCallBlocks))
 			Expect(engine.admit(outside.GenerateRequest{Fence: stale})).To(Equal("stale fence"))
 		}
 	})
 
-	It("has a call that a replaced keeper granted run once, by the next grant", func() {
+	It("runs a call that a replaced keeper granted once, under the next grant", func() {
 		cluster := newTestCluster(26, 4)
-		keeper := cluster.keeperOf()
+		keeper := cluster.keeperProcess()
 		program, leader := cluster.programLedElsewhere(keeper)
 		cluster.runDelay = 8 * time.Second
-		cluster.nextAsk++
+		cluster.lastReplyID++
 		call := testCall(program, "r1")
 		call.Repeatable = false
-		cluster.nodes[leader].step(CallAsked{Ask: cluster.nextAsk, Request: call})
+		cluster.nodes[leader].step(CallRequested{ReplyTo: cluster.lastReplyID, Request: call})
 		cluster.runFor(500 * time.Millisecond)
 		cluster.runDelay = 0
 		cluster.nodes[keeper].paused = true
 		Expect(cluster.call(call, 30*time.Second).text).To(HavePrefix(program + "/r1#2:1"))
 		Expect(cluster.runsOf(program + "/r1")).To(Equal(1))
-		Expect(cluster.engines["e0"].stale + cluster.engines["e1"].stale).To(BeNumerically(">", 0))
+		Expect(cluster.engines["e0"].staleCommands + cluster.engines["e1"].staleCommands).To(BeNumerically(">", 0))
 	})
 
-	It("raises its fence over one that an engine brings from another pool", func() {
+	It("raises the fence above that of an engine from another pool", func() {
 		cluster := newTestCluster(27, 3)
 		cluster.engines["e0"].fence = 1 << 50
 		cluster.engines["e1"].fence = 1 << 50
@@ -176,19 +176,19 @@
 		Expect(cluster.call(testCall("p1", "r1"), 20*time.Second).text).To(HavePrefix("p1/r1:1"))
 	})
 
-	It("is announced again to an engine that has started anew", func() {
+	It("announces the fence again to a restarted engine", func() {
 		cluster := newTestCluster(28, 3)
-		fence := cluster.nodes[cluster.keeperOf()].core.pools[testPool].fenceOf("e0")
+		fence := cluster.nodes[cluster.keeperProcess()].core.pools[testPool].fenceOf("e0")
 		cluster.runFor(time.Second)
 		cluster.crashEngine("e0")
 		Expect(cluster.runUntil(10*time.Second, func() bool { return cluster.engines["e0"].fence == fence.Epoch })).To(BeTrue())
 	})
 })
 
-var _ = Describe("cache of programs that are gone", func() {
-	const ordersLost = "the orders for a while"
+var _ = Describe("cache of ended programs", func() {
+	const commandsLost = "commands for a while"
 	fail := func(cluster *testCluster, what string) {
-		keeper, leader := cluster.nodes[cluster.keeperOf()], cluster.nodes[cluster.leader("p1")]
+		keeper, leader := cluster.nodes[cluster.keeperProcess()], cluster.nodes[cluster.leader("p1")]
 		switch what {
 		case "the keeper":
 			keeper.dead = true
@@ -197,12 +197,12 @@
 		case "both for a while":
 			for _, node := range []*testNode{keeper, leader} {
 				node.paused = true
-				cluster.after(8*time.Second, node.wake)
+				cluster.after(8*time.Second, node.resume)
 			}
 		}
 	}
-	for _, name := range []string{"the keeper", "the leader", "both for a while", ordersLost} {
-		It("is released when "+name+" is lost", func() {
+	for _, name := range []string{"the keeper", "the leader", "both for a while", commandsLost} {
+		It("is released after the loss of "+name+"", func() {
 			for seed := int64(30); seed < 40; seed++ {
 				cluster := newTestCluster(seed, 4)
 				cluster.create("p1")
@@ -210,19 +210,19 @@
 				Expect(cluster.call(testCall("p1", "r1"), 20*time.Second).ended).To(BeTrue())
 				Expect(cluster.call(testCall("p2", "r1"), 20*time.Second).ended).To(BeTrue())
 				Expect(cluster.holders("p1")).NotTo(BeEmpty())
-				cluster.loseOrders(true)
+				cluster.loseReleases(true)
 				cluster.endProgram("p1")
-				if name == ordersLost {
+				if name == commandsLost {
 					cluster.runFor(10 * time.Second)
 				}
 				fail(cluster, name)
 				cluster.runFor(200 * time.Millisecond)
-				cluster.loseOrders(false)
+				cluster.loseReleases(false)
 				Expect(cluster.holders("p1")).NotTo(BeEmpty())
 				released := func() bool { return len(cluster.holders("p1")) == 0 }
 				Expect(cluster.runUntil(60*time.Second, released)).To(BeTrue(), "seed %d", seed)
 				if name == "the keeper" {
-					// A live program's cache survives the sweep.
+					// The sweep must not release a live program's cache.
 					Expect(cluster.holders("p2")).NotTo(BeEmpty(), "seed %d", seed)
 				}
 			}
@@ -244,7 +244,7 @@
 		Expect(leaving.lastCall).To(BeNumerically("<", since+3*time.Second))
 	})
 
-	It("that refuses tool calls gets each call once at most, and others run it", func() {
+	It("is skipped for tool calls if it refuses connections", func() {
 		cluster := newTestCluster(41, 3)
 		second := outside.Machine{
 			ID: "t1", Role: outside.RoleTool, Region: "r", Zone: "z1", Address: "t1",
@@ -264,7 +264,7 @@
 		}
 	})
 
-	It("gets no tool call once the machine list shows it, by any leader", func() {
+	It("gets no tool call from any leader once the machine list shows that it is leaving", func() {
 		cluster := newTestCluster(42, 3)
 		cluster.create("p1")
 		for index := range cluster.machines {
@@ -279,6 +279,6 @@
 		call.Kind = schedulerv1.CallKind_CALL_KIND_TOOL
 		call.Target = testTool
 		Expect(cluster.call(call, 20*time.Second).failure.Code).To(BeEquivalentTo(resultcode.NoBackEnd))
-		Expect(cluster.lastTool).To(BeEmpty())
+		Expect(cluster.lastToolCall).To(BeEmpty())
 	})
 })
--- a/internal/scheduler/escrow.go
+++ b/internal/scheduler/escrow.go
@@ -12,37 +12,37 @@
 	"github.com/magpielug/magpielug/internal/shard"
 )
 
-// The holder's side of a tier's budget: a shard's leader asks the tier's account
-// for escrow before calls need it, and calls that it does not cover wait a
-// little for more.
+// The holding side of escrow. A shard's leader requests escrow from the tier's account ahead of
+// demand; calls that the escrow does not cover are parked for a bounded time.
 
 const (
-	// escrowRetry is how long a request for escrow waits for its answer.
+	// escrowRetry is the time after which an unanswered escrow request is repeated.
 	escrowRetry = 300 * time.Millisecond
-	// escrowMargin is what a call waits for escrow beyond the longest election: the
-	// account's shard may be without a leader.
+	// escrowMargin is added to the longest election timeout to bound a call's wait for escrow,
+	// since the account's shard may have no leader.
 	escrowMargin = time.Second
-	// escrowIdle is how long a tier's escrow lies unused before it goes back.
-	escrowIdle = time.Minute
-	// budgetRetryAfter is when a caller may ask again for a tier without budget.
+	// escrowIdleTimeout is the time after which a tier's unused escrow is returned.
+	escrowIdleTimeout = time.Minute
+	// budgetRetryAfter is the RetryAfter of a call that the tier's budget does not cover.
 	budgetRetryAfter = 10 * time.Second
-	// usualCallShare sizes a top-up: a usual call costs this part of the tier's
-	// cap for one program.
-	usualCallShare = 64
+	// typicalCallDivisor divides a tier's program cap to estimate the cost of a typical call,
+	// which determines the size of a top-up.
+	typicalCallDivisor = 64
 )
 
-// escrowNeed is what a leader knows of its shard's want of one tier's escrow.
-type escrowNeed struct {
-	// proposed is the worst case of calls that are proposed and not yet applied.
-	proposed uint64
-	parked   []parkedCall
-	lastAsk  time.Duration
-	lastUse  time.Duration
+// escrowDemand is a leader's record of its shard's demand for one tier's escrow.
+type escrowDemand struct {
+	// proposed is the sum of the worst-case costs of calls that are proposed but not yet
+	// applied.
+	proposed    uint64
+	parked      []parkedCall
+	lastRequest time.Duration
+	lastUse     time.Duration
 }
 
-// parkedCall is a call that waits for escrow. It has not been proposed.
+// parkedCall is a call that waits for escrow and has not been proposed.
 type parkedCall struct {
-	ask       AskID
+	replyTo   ReplyID
 	request   *schedulerv1.CallRequest
 	worstCase uint64
 	since     time.Duration
@@ -62,16 +62,16 @@
 	return failure.After(budgetRetryAfter)
 }
 
-func (host *host) need(key shard.TierKey) *escrowNeed {
-	found := host.needs[key]
+func (host *host) escrowDemand(key shard.TierKey) *escrowDemand {
+	found := host.escrowDemands[key]
 	if found == nil {
-		found = &escrowNeed{lastAsk: -escrowRetry}
-		host.needs[key] = found
+		found = &escrowDemand{lastRequest: -escrowRetry}
+		host.escrowDemands[key] = found
 	}
 	return found
 }
 
-// worstCase bounds the cost of a call that is not yet accepted.
+// worstCase returns the maximum cost in micros of a call that is not accepted yet.
 func (host *host) worstCase(programID string, accepted *shardv1.CallAccepted) uint64 {
 	program := host.state.Program(programID)
 	if program == nil {
@@ -80,53 +80,53 @@
 	return program.WorstCase(accepted)
 }
 
-// coversCall tells whether the escrow covers a further call.
+// coversCall reports whether the escrow covers another call.
 func (host *host) coversCall(key shard.TierKey, worstCase uint64) bool {
-	need := host.need(key)
-	need.lastUse = host.core.now
+	demand := host.escrowDemand(key)
+	demand.lastUse = host.core.now
 	available := uint64(host.state.Escrow(key).Available())
-	return available >= need.proposed && available-need.proposed >= worstCase
+	return available >= demand.proposed && available-demand.proposed >= worstCase
 }
 
 func (host *host) parkCall(parked parkedCall) {
 	key := shard.TierKey{Tenant: parked.request.Caller.Tenant, Tier: parked.request.Caller.Tier}
-	need := host.need(key)
-	need.parked = append(need.parked, parked)
+	demand := host.escrowDemand(key)
+	demand.parked = append(demand.parked, parked)
 	host.topUp(key)
 }
 
-// topUp asks the account for more where the escrow runs low, and repeats the
-// request until it is answered.
+// topUp requests more escrow if it runs low, at most once per escrowRetry unless the last
+// request is answered in full.
 func (host *host) topUp(key shard.TierKey) {
-	need := host.need(key)
+	demand := host.escrowDemand(key)
 	tier, found := host.core.configuration.Tier(key.Tenant, key.Tier)
-	if !found || host.core.now-need.lastAsk < escrowRetry {
+	if !found || host.core.now-demand.lastRequest < escrowRetry {
 		return
 	}
-	wanted, more := topUpPolicy(tier).Wanted(host.state.Escrow(key), need.total())
+	wanted, more := topUpPolicy(tier).Wanted(host.state.Escrow(key), demand.worstCase())
 	if !more {
 		return
 	}
-	need.lastAsk = host.core.now
-	host.askAccount(key, wanted)
+	demand.lastRequest = host.core.now
+	host.sendEscrowRequest(key, wanted)
 }
 
 func topUpPolicy(tier *operatorv1.Tier) ledger.TopUpPolicy {
-	usual := max(tier.ProgramCapMicros/usualCallShare, 1)
-	return ledger.NewTopUpPolicy(ledger.Micros(tier.BudgetMicros), ledger.Micros(usual))
+	typical := max(tier.ProgramCapMicros/typicalCallDivisor, 1)
+	return ledger.NewTopUpPolicy(ledger.Micros(tier.BudgetMicros), ledger.Micros(typical))
 }
 
-// total is the worst case of every call that wants escrow now.
-func (need *escrowNeed) total() ledger.Micros {
-	sum := need.proposed
-	for _, parked := range need.parked {
+// worstCase returns the total worst-case cost of the proposed and parked calls.
+func (demand *escrowDemand) worstCase() ledger.Micros {
+	sum := demand.proposed
+	for _, parked := range demand.parked {
 		sum += parked.worstCase
 	}
 	return ledger.Micros(sum)
 }
 
-// askAccount tells the tier's account what the shard wants and has given back.
-func (host *host) askAccount(key shard.TierKey, wanted ledger.Micros) {
+// sendEscrowRequest sends the tier's account the totals that the shard wants and has returned.
+func (host *host) sendEscrowRequest(key shard.TierKey, wanted ledger.Micros) {
 	host.core.requestEscrow(&schedulerv1.EscrowRequest{
 		Tenant:              key.Tenant,
 		Tier:                key.Tier,
@@ -137,7 +137,7 @@
 	})
 }
 
-// escrowReplied commits what the account has granted.
+// escrowReplied proposes the granted total, or retries parked calls if it is not new.
 func (core *Core) escrowReplied(reply *schedulerv1.EscrowReply) {
 	host := core.hosts[reply.Shard]
 	if host == nil || !host.leads() {
@@ -145,110 +145,110 @@
 	}
 	key := tierOfReply(reply)
 	if reply.GrantedTotalMicros >= reply.WantedTotalMicros {
-		// Answered in full: the next request need not wait.
-		host.need(key).lastAsk = host.core.now - escrowRetry
+		// Answered in full: the next request may follow immediately.
+		host.escrowDemand(key).lastRequest = host.core.now - escrowRetry
 	}
-	settled := escrowWaiter{key: key}
+	waiting := escrowWaiter{key: key}
 	exhausted := reply.GrantedTotalMicros < reply.WantedTotalMicros && !reply.Recalling
 	if reply.GrantedTotalMicros <= uint64(host.state.Escrow(key).Granted()) {
-		host.unpark(key, exhausted)
+		host.retryParked(key, exhausted)
 		return
 	}
-	settled.exhausted = exhausted
+	waiting.exhausted = exhausted
 	host.propose(&shardv1.Entry{Change: &shardv1.Entry_EscrowRaised{EscrowRaised: &shardv1.EscrowRaised{
 		Tenant:             reply.Tenant,
 		Tier:               reply.Tier,
 		GrantedTotalMicros: reply.GrantedTotalMicros,
-	}}}, settled)
+	}}}, waiting)
 }
 
-// escrowWaiter goes on with parked calls once granted escrow is applied.
+// escrowWaiter retries parked calls once a grant is applied.
 type escrowWaiter struct {
 	key       shard.TierKey
 	exhausted bool
 }
 
 func (waiting escrowWaiter) applied(host *host, _ shard.Outcome) {
-	host.unpark(waiting.key, waiting.exhausted)
+	host.retryParked(waiting.key, waiting.exhausted)
 }
 
 func (escrowWaiter) abandoned(*host) {}
 
-// unpark proposes the parked calls that the escrow now covers, in the order of
-// their arrival. Where the budget has no more, the others are refused at once.
-func (host *host) unpark(key shard.TierKey, exhausted bool) {
-	need := host.need(key)
-	waiting := need.parked
-	need.parked = nil
+// retryParked proposes the parked calls that the escrow now covers, in order of arrival. If the
+// budget is exhausted, all others are declined.
+func (host *host) retryParked(key shard.TierKey, exhausted bool) {
+	demand := host.escrowDemand(key)
+	waiting := demand.parked
+	demand.parked = nil
 	for _, parked := range waiting {
 		switch {
 		case host.coversCall(key, parked.worstCase):
-			host.core.callAsked(CallAsked{Ask: parked.ask, Request: parked.request})
+			host.core.callRequested(CallRequested{ReplyTo: parked.replyTo, Request: parked.request})
 		case exhausted:
-			host.declineCall(parked.ask, parked.request, budgetExhausted(parked.worstCase))
+			host.declineCall(parked.replyTo, parked.request, budgetExhausted(parked.worstCase))
 		default:
-			need.parked = append(need.parked, parked)
+			demand.parked = append(demand.parked, parked)
 		}
 	}
-	if len(need.parked) > 0 {
+	if len(demand.parked) > 0 {
 		host.topUp(key)
 	}
 }
 
-// tickEscrow repeats requests, refuses calls that have waited too long, and
-// gives unused escrow back.
+// tickEscrow repeats requests, declines calls that have waited too long, and returns unused
+// escrow.
 func (host *host) tickEscrow() {
-	for _, key := range host.neededTiers() {
-		need := host.needs[key]
-		host.refuseImpatient(need)
-		if len(need.parked) > 0 {
+	for _, key := range host.demandedTiers() {
+		demand := host.escrowDemands[key]
+		host.refuseTimedOut(demand)
+		if len(demand.parked) > 0 {
 			host.topUp(key)
 		}
-		if host.core.now-need.lastUse >= escrowIdle {
-			need.lastUse = host.core.now
+		if host.core.now-demand.lastUse >= escrowIdleTimeout {
+			demand.lastUse = host.core.now
 			host.returnEscrow(key)
 		}
 	}
 }
 
-func (host *host) neededTiers() []shard.TierKey {
-	keys := make([]shard.TierKey, 0, len(host.needs))
-	for key := range host.needs {
+func (host *host) demandedTiers() []shard.TierKey {
+	keys := make([]shard.TierKey, 0, len(host.escrowDemands))
+	for key := range host.escrowDemands {
 		keys = append(keys, key)
 	}
 	slices.SortFunc(keys, shard.TierKey.Compare)
 	return keys
 }
 
-// escrowPatience bounds the wait of a call for escrow.
-func (core *Core) escrowPatience() time.Duration {
+// escrowWaitTimeout bounds the time that a call waits for escrow.
+func (core *Core) escrowWaitTimeout() time.Duration {
 	return core.config.Replication.ElectionTimeoutMax + escrowMargin
 }
 
-func (host *host) refuseImpatient(need *escrowNeed) {
-	need.parked = slices.DeleteFunc(need.parked, func(parked parkedCall) bool {
-		impatient := host.core.now-parked.since >= host.core.escrowPatience()
-		if impatient {
-			// Nothing was proposed, and whether the budget has more is not known.
-			host.core.decline(parked.ask, resultcode.New(resultcode.NoLeader,
-				"the tier's account does not answer").After(leaderRetryAfter))
+func (host *host) refuseTimedOut(demand *escrowDemand) {
+	demand.parked = slices.DeleteFunc(demand.parked, func(parked parkedCall) bool {
+		expired := host.core.now-parked.since >= host.core.escrowWaitTimeout()
+		if expired {
+			// Nothing was proposed, and it is unknown whether the budget is exhausted.
+			host.core.decline(parked.replyTo, resultcode.New(resultcode.NoLeader,
+				"the leader of the tier's account did not answer in time").After(leaderRetryAfter))
 		}
-		return impatient
+		return expired
 	})
 }
 
-// dropParked sends the callers of parked calls to the next leader.
-func (host *host) dropParked() {
-	for _, key := range host.neededTiers() {
-		for _, parked := range host.needs[key].parked {
-			host.core.emit(Decline{Ask: parked.ask, Error: host.core.notLeader(host.number)})
+// declineParked redirects the callers of parked calls to the next leader.
+func (host *host) declineParked() {
+	for _, key := range host.demandedTiers() {
+		for _, parked := range host.escrowDemands[key].parked {
+			host.core.emit(Decline{ReplyTo: parked.replyTo, Error: host.core.notLeader(host.number)})
 		}
 	}
-	clear(host.needs)
+	clear(host.escrowDemands)
 }
 
-// escrowRecalled gives back what the shard does not need now. A grant that it has
-// not heard of is taken in first.
+// escrowRecalled returns escrow that the shard does not need now. If the recall contains a grant
+// that this shard does not know yet, the grant is applied first.
 func (core *Core) escrowRecalled(recall *schedulerv1.EscrowRecall) {
 	host := core.hosts[recall.Shard]
 	if host == nil || !host.leads() {
@@ -266,19 +266,19 @@
 	}}}, recallWaiter{key: key})
 }
 
-// recallWaiter goes on with a recall once an unheard grant is applied.
+// recallWaiter returns escrow once the grant is applied.
 type recallWaiter struct{ key shard.TierKey }
 
 func (waiting recallWaiter) applied(host *host, _ shard.Outcome) { host.returnEscrow(waiting.key) }
 
 func (recallWaiter) abandoned(*host) {}
 
-// returnEscrow commits the return first; only then the account hears of it. With
-// nothing to spare it tells what was given back before: that message may be lost.
+// returnEscrow commits a return before reporting it to the account. If there is nothing to
+// return, it repeats the total returned so far, since that report may have been lost.
 func (host *host) returnEscrow(key shard.TierKey) {
-	total, spare := ledger.IdleReturn(host.state.Escrow(key), host.need(key).total())
+	total, spare := ledger.IdleReturn(host.state.Escrow(key), host.escrowDemand(key).worstCase())
 	if !spare {
-		host.askAccount(key, host.state.Escrow(key).Granted())
+		host.sendEscrowRequest(key, host.state.Escrow(key).Granted())
 		return
 	}
 	host.propose(&shardv1.Entry{Change: &shardv1.Entry_EscrowReturned{EscrowReturned: &shardv1.EscrowReturned{
@@ -288,12 +288,12 @@
 	}}}, returnWaiter{key: key})
 }
 
-// returnWaiter tells the account what has been given back. A lost message is
-// made good by the next request, which carries the total again.
+// returnWaiter reports the returned total to the account. If the report is lost, the next
+// request contains the total again.
 type returnWaiter struct{ key shard.TierKey }
 
 func (waiting returnWaiter) applied(host *host, _ shard.Outcome) {
-	host.askAccount(waiting.key, host.state.Escrow(waiting.key).Granted())
+	host.sendEscrowRequest(waiting.key, host.state.Escrow(waiting.key).Granted())
 }
 
 func (returnWaiter) abandoned(*host) {}
--- a/internal/scheduler/escrow_test.go
+++ b/internal/scheduler/escrow_test.go
@@ -13,7 +13,7 @@
 )
 
 var _ = Describe("escrow of a shard", func() {
-	It("is asked for again as soon as the last request is answered", func() {
+	It("is requested again as soon as the last request is answered", func() {
 		const calls = 64
 		cluster := newTestCluster(8, 3)
 		var programs []string
@@ -28,10 +28,10 @@
 			programs = append(programs, program)
 			request := testCall(program, "r1")
 			request.SingleCall = true
-			cluster.nodes[leader].step(CallAsked{Ask: AskID(calls + number), Request: request})
+			cluster.nodes[leader].step(CallRequested{ReplyTo: ReplyID(calls + number), Request: request})
 		}
-		// One top-up covers some ten of these calls: asking once per escrowRetry
-		// would take seconds for all.
+		// One top-up covers about ten of these calls. At one request per escrowRetry, all calls
+		// would take seconds.
 		Expect(cluster.runUntil(escrowRetry/2, func() bool {
 			return !slices.ContainsFunc(programs, func(program string) bool {
 				known := host.state.Program(program)
@@ -40,15 +40,15 @@
 		})).To(BeTrue())
 	})
 
-	It("comes back from a shard that never heard of its grant", func() {
+	It("is recalled from a shard that does not know of its grant", func() {
 		cluster := newTestCluster(21, 3)
 		cluster.budget = 1_000
 		key := shard.TierKey{Tenant: testTenant, Tier: testTier}
 		cluster.create("p1")
 		cluster.runFor(3 * time.Second)
 		account := cluster.accountHost(key)
-		needy := account.core.shardOf("p1")
-		unaware := (needy + 1) % account.core.config.Shards
+		requester := account.core.shardOf("p1")
+		unaware := (requester + 1) % account.core.config.Shards
 		Expect(account.propose(&shardv1.Entry{Change: &shardv1.Entry_AccountGranted{AccountGranted: &shardv1.AccountGranted{
 			Tenant: testTenant, Tier: testTier, Shard: unaware, WantedTotalMicros: 1_000, BudgetMicros: 1_000,
 		}}}, ignoredWaiter{})).To(BeNil())
@@ -58,7 +58,7 @@
 	})
 })
 
-// accountHost returns the leader of the shard that holds a tier's account.
+// accountHost returns the leader of the shard that holds the tier's account.
 func (cluster *testCluster) accountHost(key shard.TierKey) *host {
 	for _, name := range sortedKeys(cluster.nodes) {
 		core := cluster.nodes[name].core
--- a/internal/scheduler/event.go
+++ b/internal/scheduler/event.go
@@ -8,13 +8,13 @@
 	"github.com/magpielug/magpielug/internal/outside"
 )
 
-// Event is one input to the core's step.
+// Event is an input of Core.Step.
 type Event interface{ event() }
 
-// AskID pairs a request with its answer within one process.
-type AskID uint64
+// ReplyID matches a reply with its request within one process.
+type ReplyID uint64
 
-// ConfigurationView is what the core reads of the configuration in force.
+// ConfigurationView is the core's read access to the current configuration.
 type ConfigurationView interface {
 	Version() uint64
 	Tier(tenant, name string) (*operatorv1.Tier, bool)
@@ -24,114 +24,113 @@
 	Drained(backEnd string) bool
 }
 
-// ConfigurationChanged brings a newer configuration.
+// ConfigurationChanged delivers a newer configuration.
 type ConfigurationChanged struct{ View ConfigurationView }
 
-// FreshnessChanged tells whether the process knows its configuration to be
-// current.
+// FreshnessChanged reports whether the configuration is known to be current.
 type FreshnessChanged struct{ Fresh bool }
 
-// MachinesListed brings the platform's lagging list, also where it has not changed.
+// MachinesListed delivers the platform's machine list, whether or not it has changed.
 type MachinesListed struct {
 	Machines []outside.Machine
-	// AskedAt is when the list was asked for, on the core's clock.
-	AskedAt time.Duration
+	// RequestedAt is the core's time at which the list was requested.
+	RequestedAt time.Duration
 }
 
-// StreamRead brings the next records of a shard's stream in the platform's log.
+// StreamRead delivers the next records of a shard's stream in the platform's log.
 type StreamRead struct {
 	Shard uint32
-	// From is the effect's own.
+	// From is the offset in the ReadStream.
 	From    uint64
 	Records []outside.Record
-	// AtEnd is true where the stream has no further record.
+	// AtEnd is true if the stream has no further records.
 	AtEnd bool
-	// Failed is true where the log did not answer.
+	// Failed is true if the log did not answer.
 	Failed bool
 }
 
-// StreamAppended tells what became of an AppendStream.
+// StreamAppended reports the result of an AppendStream.
 type StreamAppended struct {
 	Shard uint32
-	// UpTo is the effect's own.
+	// UpTo is the index in the AppendStream.
 	UpTo uint64
-	// Stands is true where the record is known to stand in the stream.
-	Stands bool
+	// Acknowledged is true if the log has confirmed the append.
+	Acknowledged bool
 }
 
-// PeerBatchReceived brings a batch from another scheduler.
+// PeerBatchReceived delivers a batch from another scheduler.
 type PeerBatchReceived struct {
-	// Ask is to be answered with a batch; 0 where the batch is itself an answer.
-	Ask   AskID
-	Batch *schedulerv1.PeerBatch
+	// ReplyTo identifies the reply, which is also a batch; 0 if this batch is itself a reply.
+	ReplyTo ReplyID
+	Batch   *schedulerv1.PeerBatch
 }
 
-// CreateAsked asks for a program.
-type CreateAsked struct {
-	Ask     AskID
+// CreateRequested requests a new program.
+type CreateRequested struct {
+	ReplyTo ReplyID
 	Request *schedulerv1.CreateProgramRequest
 }
 
-// EndAsked asks for the end or the stop of a program.
-type EndAsked struct {
-	Ask     AskID
+// EndRequested requests the end or the stop of a program.
+type EndRequested struct {
+	ReplyTo ReplyID
 	Request *schedulerv1.EndProgramRequest
 }
 
-// GetAsked asks for a program's record.
-type GetAsked struct {
-	Ask     AskID
+// GetRequested requests a program's record.
+type GetRequested struct {
+	ReplyTo ReplyID
 	Request *schedulerv1.GetProgramRequest
 }
 
-// HistoryAsked asks for a program's turns.
-type HistoryAsked struct {
-	Ask     AskID
+// HistoryRequested requests a program's turns.
+type HistoryRequested struct {
+	ReplyTo ReplyID
 	Request *schedulerv1.ReadHistoryRequest
 }
 
-// ListAsked asks for the programs that this process leads.
-type ListAsked struct {
-	Ask     AskID
+// ListRequested requests the programs of the shards led by this process.
+type ListRequested struct {
+	ReplyTo ReplyID
 	Request *schedulerv1.ListProgramsRequest
 }
 
-// ExplainAsked asks for the decisions about a call.
-type ExplainAsked struct {
-	Ask     AskID
+// ExplainRequested requests the decisions about a call.
+type ExplainRequested struct {
+	ReplyTo ReplyID
 	Request *schedulerv1.ExplainCallRequest
 }
 
-// StatusAsked asks for the process's own status.
-type StatusAsked struct{ Ask AskID }
+// StatusRequested requests the status of the process.
+type StatusRequested struct{ ReplyTo ReplyID }
 
-// CallAsked asks for a call's stream.
-type CallAsked struct {
-	Ask     AskID
+// CallRequested requests a call's stream.
+type CallRequested struct {
+	ReplyTo ReplyID
 	Request *schedulerv1.CallRequest
 }
 
-// FirstChunkArrived tells that a running call has sent its first chunk.
+// FirstChunkArrived reports the first chunk of a running call.
 type FirstChunkArrived struct{ Run RunKey }
 
-// RunEnd says how a run at a back end ended.
+// RunEnd is the way in which a run at a back end ended.
 type RunEnd int
 
-// Ends of a run.
+// Values of RunEnd.
 const (
-	// RunCompleted: the whole answer has arrived.
+	// RunCompleted: the complete output has arrived.
 	RunCompleted RunEnd = iota
-	// RunNotRun: the back end refused the call before any effect.
+	// RunNotRun: the back end refused the call before it had any effect.
 	RunNotRun
-	// RunLost: nobody can tell whether or how far the call ran.
+	// RunLost: it is unknown whether or how far the call ran.
 	RunLost
-	// RunTimedOut: the deadline passed with no answer.
+	// RunTimedOut: there was no answer before the deadline.
 	RunTimedOut
 	// RunAbandoned: this process stopped following the run.
 	RunAbandoned
 )
 
-// RunEnded brings the end of a run at a back end.
+// RunEnded reports the end of a run at a back end.
 type RunEnded struct {
 	Run          RunKey
 	End          RunEnd
@@ -142,35 +141,35 @@
 	Detail       string
 }
 
-// EngineReported brings an engine's load report.
+// EngineReported delivers an engine's load report.
 type EngineReported struct {
 	Engine string
 	Report outside.LoadReport
 }
 
-// EngineSilent tells that an engine has not answered for its report.
-type EngineSilent struct{ Engine string }
+// EngineUnresponsive reports that an engine does not answer polls.
+type EngineUnresponsive struct{ Engine string }
 
-// LoadRefused tells that an engine did not take an order to load an adapter.
+// LoadRefused reports that an engine rejected a command to load an adapter.
 type LoadRefused struct {
 	Engine  string
 	Adapter string
 }
 
-// StopOrdered begins a planned stop.
-type StopOrdered struct{}
+// StopRequested starts a planned stop.
+type StopRequested struct{}
 
-// Tick lets time pass.
+// Tick runs the core's timers.
 type Tick struct{}
 
-// RunKey names one attempt of one call within the process.
+// RunKey identifies one attempt of one call.
 type RunKey struct {
 	Program   string
 	RequestID string
 	Attempt   uint32
 }
 
-// millisecondsOf converts a duration to the wire's milliseconds.
+// millisecondsOf converts a duration to the wire format.
 func millisecondsOf(duration time.Duration) uint32 {
 	return uint32(duration / time.Millisecond)
 }
@@ -181,18 +180,18 @@
 func (StreamRead) event()           {}
 func (StreamAppended) event()       {}
 func (PeerBatchReceived) event()    {}
-func (CreateAsked) event()          {}
-func (EndAsked) event()             {}
-func (GetAsked) event()             {}
-func (HistoryAsked) event()         {}
-func (ListAsked) event()            {}
-func (ExplainAsked) event()         {}
-func (StatusAsked) event()          {}
-func (CallAsked) event()            {}
+func (CreateRequested) event()      {}
+func (EndRequested) event()         {}
+func (GetRequested) event()         {}
+func (HistoryRequested) event()     {}
+func (ListRequested) event()        {}
+func (ExplainRequested) event()     {}
+func (StatusRequested) event()      {}
+func (CallRequested) event()        {}
 func (FirstChunkArrived) event()    {}
 func (RunEnded) event()             {}
 func (EngineReported) event()       {}
-func (EngineSilent) event()         {}
+func (EngineUnresponsive) event()   {}
 func (LoadRefused) event()          {}
-func (StopOrdered) event()          {}
+func (StopRequested) event()        {}
 func (Tick) event()                 {}
--- a/internal/scheduler/traffic_test.go
+++ b/internal/scheduler/executor_test.go
@@ -29,12 +29,12 @@
 	return "", outside.ErrNotRun
 }
 
-// A process may be frozen between the step that decides on a call and its sending. The
-// sending then knows nothing of what left meanwhile.
+// Guards against sending a call by a decision from before a freeze: the back end may have left
+// since.
 var _ = Describe("a call whose process was frozen before it was sent", func() {
 	var (
 		loop     *Loop
-		carrying *traffic
+		executor *executor
 		backEnds *countingBackEnds
 		decided  time.Duration
 	)
@@ -42,9 +42,9 @@
 	BeforeEach(func() {
 		loop = newLoop(NewCore(testConfig("s0"), rand.New(rand.NewSource(1))), zap.NewNop())
 		loop.started = time.Now().Add(-time.Minute)
-		decided = loop.now() - 2*frozenAfter
+		decided = loop.now() - 2*freezeThreshold
 		backEnds = &countingBackEnds{}
-		carrying = newTraffic(context.Background(), loop, Dependencies{Logger: zap.NewNop(), Engines: backEnds, Tools: backEnds, PollInterval: time.Hour})
+		executor = newExecutor(context.Background(), loop, Dependencies{Logger: zap.NewNop(), Engines: backEnds, Tools: backEnds, PollInterval: time.Hour})
 	})
 
 	ended := func() RunEnd {
@@ -54,19 +54,19 @@
 	}
 
 	It("does not reach the engine", func() {
-		carrying.runModelCall(context.Background(), RunModelCall{DecidedAt: decided})
+		executor.runModelCall(context.Background(), RunModelCall{DecidedAt: decided})
 		Expect(ended()).To(Equal(RunNotRun))
 		Expect(backEnds.calls).To(Equal(0))
 	})
 
 	It("does not reach the tool", func() {
-		carrying.runToolCall(context.Background(), RunToolCall{DecidedAt: decided, Deadline: time.Minute})
+		executor.runToolCall(context.Background(), RunToolCall{DecidedAt: decided, Deadline: time.Minute})
 		Expect(ended()).To(Equal(RunNotRun))
 		Expect(backEnds.calls).To(Equal(0))
 	})
 
-	It("is still followed where it runs already", func() {
-		carrying.runModelCall(context.Background(), RunModelCall{DecidedAt: decided, Request: outside.GenerateRequest{AttachOnly: true}})
+	It("is still followed if it already runs", func() {
+		executor.runModelCall(context.Background(), RunModelCall{DecidedAt: decided, Request: outside.GenerateRequest{AttachOnly: true}})
 		Expect(ended()).To(Equal(RunLost))
 		Expect(backEnds.calls).To(BeNumerically(">", 0))
 	})
--- a/internal/scheduler/test_engine_test.go
+++ b/internal/scheduler/fake_engine_test.go
@@ -13,7 +13,7 @@
 	testCallBlocks = 4
 )
 
-// testEngine is what an engine of a testCluster holds beside its generations.
+// testEngine simulates the state of an engine, except for its generations.
 type testEngine struct {
 	cluster  *testCluster
 	name     string
@@ -22,82 +22,82 @@
 	loading  bool
 	leaving  bool
 	role     string
-	// held counts the blocks of each program.
-	held map[string]int
-	// loads counts the orders to load that were taken, stale the orders and new
-	// calls refused for their fence.
-	loads    int
-	stale    int
-	loadTime time.Duration
-	// loseOrders has orders to release get lost, and refuseLoads orders to load
-	// refused.
-	loseOrders  bool
-	refuseLoads bool
-	lastCall    time.Duration
+	// heldBlocks counts the cache blocks of each program.
+	heldBlocks map[string]int
+	// loads counts the accepted load commands, staleCommands the commands and calls rejected for
+	// a stale fence.
+	loads         int
+	staleCommands int
+	loadTime      time.Duration
+	// loseReleases drops release commands, refuseLoads rejects load commands.
+	loseReleases bool
+	refuseLoads  bool
+	lastCall     time.Duration
 }
 
 func newTestEngine(cluster *testCluster, name string) *testEngine {
-	return &testEngine{cluster: cluster, name: name, held: make(map[string]int), loadTime: testLoadTime}
+	return &testEngine{cluster: cluster, name: name, heldBlocks: make(map[string]int), loadTime: testLoadTime}
 }
 
-// restart forgets everything.
+// restart clears the engine's state.
 func (engine *testEngine) restart() {
 	engine.fence = 0
 	engine.adapters = nil
 	engine.loading = false
-	clear(engine.held)
+	clear(engine.heldBlocks)
 }
 
 func (engine *testEngine) report() outside.LoadReport {
 	used := 0
-	for _, blocks := range engine.held {
+	for _, blocks := range engine.heldBlocks {
 		used += blocks
 	}
 	return outside.LoadReport{
 		Engine: engine.name, Model: testModel, Version: "1", RunningLimit: 8, BlocksTotal: 4096, BlocksUsed: used,
-		BlockTokens: 16, StepDuration: 3 * time.Millisecond, ProgramBlocks: maps.Clone(engine.held),
+		BlockTokens: 16, StepDuration: 3 * time.Millisecond, ProgramBlocks: maps.Clone(engine.heldBlocks),
 		Adapters: slices.Clone(engine.adapters), Loading: engine.loading, Leaving: engine.leaving, Role: engine.role, FenceEpoch: engine.fence,
 	}
 }
 
-// obeys tells whether an order under the fence is taken, and remembers it.
-func (engine *testEngine) obeys(fence outside.Fence) bool {
+// acceptsFence reports whether a command with this fence is accepted, and records the fence if
+// so.
+func (engine *testEngine) acceptsFence(fence outside.Fence) bool {
 	if fence.Epoch < engine.fence {
-		engine.stale++
+		engine.staleCommands++
 		return false
 	}
 	engine.fence = fence.Epoch
 	return true
 }
 
-// admit tells why a new call is refused, empty where it is not.
+// admit returns the reason to refuse a new call, or "" if it is admitted.
 func (engine *testEngine) admit(request outside.GenerateRequest) string {
-	if !engine.obeys(request.Fence) {
+	if !engine.acceptsFence(request.Fence) {
 		return "stale fence"
 	}
 	if request.Adapter != "" && !slices.Contains(engine.adapters, request.Adapter) {
 		return "the adapter is not loaded"
 	}
-	engine.held[request.Program] += testCallBlocks
+	engine.heldBlocks[request.Program] += testCallBlocks
 	engine.lastCall = engine.cluster.now
 	return ""
 }
 
-func (engine *testEngine) release(order ReleaseCache) {
-	if !engine.loseOrders && engine.obeys(order.Fence) {
-		delete(engine.held, order.Program)
+func (engine *testEngine) release(command ReleaseCache) {
+	if !engine.loseReleases && engine.acceptsFence(command.Fence) {
+		delete(engine.heldBlocks, command.Program)
 	}
 }
 
-func (engine *testEngine) setRole(order SetRole) {
-	if engine.obeys(order.Fence) {
-		engine.role = order.Role
+func (engine *testEngine) setRole(command SetRole) {
+	if engine.acceptsFence(command.Fence) {
+		engine.role = command.Role
 	}
 }
 
-func (engine *testEngine) load(from *testNode, order LoadAdapter) {
-	if engine.refuseLoads || !engine.obeys(order.Fence) {
-		from.step(LoadRefused{Engine: order.Engine, Adapter: order.Adapter})
+func (engine *testEngine) load(from *testNode, command LoadAdapter) {
+	if engine.refuseLoads || !engine.acceptsFence(command.Fence) {
+		from.step(LoadRefused{Engine: command.Engine, Adapter: command.Adapter})
 		return
 	}
 	engine.loads++
@@ -105,7 +105,7 @@
 	engine.cluster.after(engine.loadTime, func() {
 		if engine.loading {
 			engine.loading = false
-			engine.adapters = append(engine.adapters, order.Adapter)
+			engine.adapters = append(engine.adapters, command.Adapter)
 		}
 	})
 }
@@ -114,7 +114,7 @@
 func (cluster *testCluster) holders(program string) []string {
 	var found []string
 	for _, name := range sortedKeys(cluster.engines) {
-		if cluster.engines[name].held[program] > 0 {
+		if cluster.engines[name].heldBlocks[program] > 0 {
 			found = append(found, name)
 		}
 	}
--- a/internal/scheduler/test_log_test.go
+++ b/internal/scheduler/fake_log_test.go
@@ -9,22 +9,21 @@
 	"github.com/magpielug/magpielug/internal/outside"
 )
 
-// errTestLog is the answer of a log that is away, or whose answer was lost.
-var errTestLog = errors.New("the log does not answer")
+// errTestLog is returned during an outage, and if the acknowledgement of an append is lost.
+var errTestLog = errors.New("log unavailable")
 
-// testLog is the platform's log of a test cluster.
+// testLog simulates the platform's log.
 type testLog struct {
 	random  *rand.Rand
 	streams map[string][][]byte
 	down    bool
-	// lost is the part of appends that fail with no effect, and lostAnswers the
-	// part that take effect and whose answer is lost.
+	// lost is the fraction of appends that fail without effect, lostAnswers the fraction that
+	// take effect without being acknowledged.
 	lost        float64
 	lostAnswers float64
-	// latency is added to the appends of entries and claims.
+	// latency is the additional latency of appends of entries and claims.
 	latency time.Duration
-	// breakAfter lets so many operations through and fails the rest; 0 is no such
-	// bound.
+	// breakAfter fails all operations from the one with this number on; 0 disables it.
 	breakAfter int
 }
 
@@ -32,8 +31,8 @@
 	return &testLog{random: random, streams: make(map[string][][]byte)}
 }
 
-// away tells whether this operation fails.
-func (log *testLog) away() bool {
+// unavailable reports whether the current operation fails.
+func (log *testLog) unavailable() bool {
 	if log.breakAfter > 1 {
 		log.breakAfter--
 		return log.down
@@ -42,7 +41,7 @@
 }
 
 func (log *testLog) Append(_ context.Context, stream string, data []byte) (uint64, error) {
-	if log.away() || log.chance(log.lost) {
+	if log.unavailable() || log.chance(log.lost) {
 		return 0, errTestLog
 	}
 	log.streams[stream] = append(log.streams[stream], data)
@@ -53,7 +52,7 @@
 }
 
 func (log *testLog) Read(_ context.Context, stream string, offset uint64, limit int) ([]outside.Record, error) {
-	if log.away() {
+	if log.unavailable() {
 		return nil, errTestLog
 	}
 	var records []outside.Record
@@ -63,8 +62,8 @@
 	return records, nil
 }
 
-// chance draws only where the fault is on, so that it leaves other seeds' runs
-// as they are.
+// chance draws a random number only if the fault is enabled, so that the runs of other tests do
+// not change.
 func (log *testLog) chance(part float64) bool {
 	return part > 0 && log.random.Float64() < part
 }
--- a/internal/scheduler/freeze.go
+++ b/internal/scheduler/freeze.go
@@ -8,22 +8,22 @@
 )
 
 const (
-	// frozenAfter is the time between two steps from which on the process is taken to have
-	// been frozen, and between a decision and its sending from which on that is made anew.
-	// With the interval of the machine list and its lag it stays within the three seconds
-	// for which a leaving back end may get new work.
-	frozenAfter = 500 * time.Millisecond
-	// listPatience is how long sends wait for the machine list after a freeze. A list that
-	// does not answer must not stop all work.
-	listPatience = time.Second
+	// freezeThreshold is the time between two steps above which the process is considered to
+	// have been frozen, and the age above which a decision to send a call is discarded. Together
+	// with the read interval and the lag of the machine list it must stay below the three
+	// seconds for which a leaving back end may get new work.
+	freezeThreshold = 500 * time.Millisecond
+	// machineListTimeout bounds how long sends wait for the machine list after a freeze, so that
+	// an outage of the list does not stop all work.
+	machineListTimeout = time.Second
 )
 
-// noteStep compares the clock with the last step's. Whatever a frozen process knew of the
-// machines is as old as the freeze was long, so it has the list read again at once.
-func (core *Core) noteStep(now time.Duration) {
+// detectFreeze checks the time since the last step. After a freeze, the machine list is out of
+// date and is read again immediately.
+func (core *Core) detectFreeze(now time.Duration) {
 	gap := now - core.lastStep
-	if core.stepped && gap > frozenAfter {
-		core.wokenAt = now
+	if core.stepped && gap > freezeThreshold {
+		core.resumedAt = now
 		core.log("process_was_frozen", 0, "", "", fmt.Sprintf("for=%s", gap))
 		core.emit(ReadMachines{})
 	}
@@ -31,15 +31,15 @@
 	core.lastStep = now
 }
 
-// listCurrent tells whether the machine list was asked for since the process was last
-// frozen, or did not answer for too long. Until then nothing is sent: an engine that left
-// during the freeze would get new work.
-func (core *Core) listCurrent() bool {
-	return core.listAskedAt >= core.wokenAt || core.now-core.wokenAt > listPatience
+// machineListCurrent reports whether the machine list was requested after the last freeze, or
+// has not been received within machineListTimeout. Until then no call is sent, since its back
+// end may have left during the freeze.
+func (core *Core) machineListCurrent() bool {
+	return core.listRequestedAt >= core.resumedAt || core.now-core.resumedAt > machineListTimeout
 }
 
-// leftSince tells whether a back end that was chosen for a call takes no work any more.
-func (core *Core) leftSince(live *liveCall) bool {
+// backEndUnavailable reports whether the back end selected for a call no longer accepts work.
+func (core *Core) backEndUnavailable(live *liveCall) bool {
 	machines := core.directory.engines
 	if live.isTool() {
 		machines = core.directory.tools
--- a/internal/scheduler/freeze_test.go
+++ b/internal/scheduler/freeze_test.go
@@ -11,17 +11,18 @@
 )
 
 const (
-	// leavingBound is how long an engine may get new calls after it has left, listLag how
-	// late the machine list shows that.
+	// leavingBound is how long an engine may get new calls after it has left; listLag is the lag
+	// of the machine list.
 	leavingBound = 3 * time.Second
 	listLag      = 300 * time.Millisecond
-	// freezeLength ends after the bound, and slowList is how long a reading takes then.
-	freezeLength = 3500 * time.Millisecond
-	slowList     = 300 * time.Millisecond
+	// freezeLength exceeds leavingBound; slowListDelay is the latency of reading the machine
+	// list after the freeze.
+	freezeLength  = 3500 * time.Millisecond
+	slowListDelay = 300 * time.Millisecond
 )
 
-// leave takes an engine out of the machine list, which every process reads as late as its
-// own delay says.
+// leave marks an engine as leaving in the machine list, which each process receives after its
+// own delay.
 func (cluster *testCluster) leave(engine string, delay func(process string) time.Duration) {
 	for index := range cluster.machines {
 		if cluster.machines[index].ID == engine {
@@ -31,25 +32,22 @@
 	for _, name := range sortedKeys(cluster.nodes) {
 		node := cluster.nodes[name]
 		cluster.after(delay(name), func() {
-			node.step(MachinesListed{Machines: cluster.machines, AskedAt: cluster.now})
+			node.step(MachinesListed{Machines: cluster.machines, RequestedAt: cluster.now})
 		})
 	}
 }
 
-// A scheduler that was frozen while an engine left sent a call there, in a run of
-// rehearsal/scenarios/ci/freeze.yaml and, with later wakes, in one of three runs of
-// frozen-past-leaving.yaml. It had woken 0.05 s before and sent by a list of 4.9 s of age;
-// the reading that told of the leaving was through 0.02 s later (call_sent with
-// list_age=4.918s, then machine_list_changed).
+// Guards against a resumed scheduler that sends a call to an engine that has left during the
+// freeze, because it still uses the machine list from before.
 var _ = Describe("a scheduler that was frozen while an engine left", func() {
 	for _, frozen := range [][]string{{"s0"}, {"s1"}, {"s2"}, {"s0", "s1", "s2"}} {
-		It(fmt.Sprintf("sends it no call after its bound: %v", frozen), func() {
+		It(fmt.Sprintf("sends it no call after leavingBound: %v", frozen), func() {
 			for seed := int64(60); seed < 70; seed++ {
 				cluster := newTestCluster(seed, 3)
 				var clients []*testClient
 				for number := range 8 {
 					client := cluster.addClient(fmt.Sprintf("p%d", number), 40)
-					client.think = 50 * time.Millisecond
+					client.maximumThinkTime = 50 * time.Millisecond
 					clients = append(clients, client)
 				}
 				cluster.runFor(4 * time.Second)
@@ -59,12 +57,12 @@
 					isFrozen[name] = true
 					node := cluster.nodes[name]
 					node.paused = true
-					cluster.after(freezeLength, node.wake)
+					cluster.after(freezeLength, node.resume)
 				}
-				cluster.listDelay = slowList
+				cluster.listDelay = slowListDelay
 				cluster.leave("e0", func(process string) time.Duration {
 					if isFrozen[process] {
-						return freezeLength + slowList
+						return freezeLength + slowListDelay
 					}
 					return listLag
 				})
--- a/internal/scheduler/host.go
+++ b/internal/scheduler/host.go
@@ -14,96 +14,94 @@
 	"github.com/magpielug/magpielug/internal/shard"
 )
 
-// host holds this process's replica of one shard and, while it leads, the
-// shard's volatile state.
+// host holds this process's replica of one shard and, while it leads, the shard's volatile
+// state.
 //
-// Invariants: state is the committed prefix applied in order; proposals and
-// calls are empty unless the replica leads and has applied the first entry of
-// its epoch (serving).
+// Invariants: state is the committed prefix applied in order; proposals and calls are empty
+// unless the replica leads and has applied the first entry of its epoch (serving).
 type host struct {
 	core    *Core
 	number  uint32
 	replica *replication.Replica
-	// touched is true while the replica is in the core's list of those that may
-	// have output.
-	touched bool
-	state   *shard.State
-	// serving is true once a leader has applied its epoch's first entry: only
-	// then is state known to hold everything committed before.
+	// dirty is true while the host is in the core's list of replicas that may have output.
+	dirty bool
+	state *shard.State
+	// serving is true once a leader has applied the first entry of its epoch. Only then does
+	// state contain all entries committed earlier.
 	serving bool
-	// generation is the one of the claim that founded the group.
+	// generation is the generation of the claim that founded the group.
 	generation uint32
-	// servingSince is when this replica began to serve as the leader.
+	// servingSince is the time at which this replica started to serve as the leader.
 	servingSince time.Duration
-	// lastLed is when a leader of the shard was last heard.
-	lastLed   time.Duration
-	epoch     replication.Epoch
-	proposals map[uint64]waiter
-	calls     map[callID]*liveCall
-	// unsent are committed intents that wait for the lease to be certain, or for the
-	// machine list after a freeze.
+	// leaderHeardAt is the time at which the shard's leader was last heard from.
+	leaderHeardAt time.Duration
+	epoch         replication.Epoch
+	proposals     map[uint64]waiter
+	calls         map[callID]*liveCall
+	// unsent holds committed intents that wait for the lease to be confirmed, or for the machine
+	// list after a freeze.
 	unsent []RunKey
-	// unarchived are committed intents that wait until the log holds them.
+	// unarchived holds committed intents that wait to be archived.
 	unarchived []unarchivedIntent
-	// quietSince tells since when a program has had no open call, and overSince
-	// since when it has been over, both on this leader's clock.
-	quietSince map[string]time.Duration
-	overSince  map[string]time.Duration
-	lastSweep  time.Duration
-	lastLive   time.Duration
-	// needs are the tiers whose calls want escrow of this shard.
-	needs map[shard.TierKey]*escrowNeed
-	// recalledAt tells when escrow of an account held here was last recalled.
+	// idleSince is the time since which a program has had no open call, endedSince the time at
+	// which it ended, both on this leader's clock.
+	idleSince         map[string]time.Duration
+	endedSince        map[string]time.Duration
+	lastSweep         time.Duration
+	lastProgramReport time.Duration
+	// escrowDemands holds the shard's demand for escrow by tier.
+	escrowDemands map[shard.TierKey]*escrowDemand
+	// recalledAt is the time of the last recall of escrow from an account held here.
 	recalledAt map[shard.TierKey]time.Duration
-	// decisions of closed calls, dropped in the order of remembered.
-	decisions  map[callID][]*schedulerv1.Decision
-	remembered []callID
+	// decisions holds the decisions about closed calls. They are evicted in the order of
+	// decisionOrder.
+	decisions     map[callID][]*schedulerv1.Decision
+	decisionOrder []callID
 }
 
-// callID names a call within a shard.
+// callID identifies a call within a shard.
 type callID struct {
 	program   string
 	requestID string
 }
 
-// waiter is told what its proposal did.
+// waiter is notified of the result of its proposal.
 type waiter interface {
 	applied(host *host, outcome shard.Outcome)
-	// abandoned tells that the leader no longer learns what becomes of the
-	// proposal: it may or may not be committed.
+	// abandoned is called if the leader will not learn the result: the proposal may or may not
+	// be committed.
 	abandoned(host *host)
 }
 
 func newHost(core *Core, number uint32, replica *replication.Replica) *host {
 	return &host{
-		core:       core,
-		number:     number,
-		replica:    replica,
-		state:      shard.New(),
-		proposals:  make(map[uint64]waiter),
-		calls:      make(map[callID]*liveCall),
-		quietSince: make(map[string]time.Duration),
-		overSince:  make(map[string]time.Duration),
-		decisions:  make(map[callID][]*schedulerv1.Decision),
-		needs:      make(map[shard.TierKey]*escrowNeed),
-		recalledAt: make(map[shard.TierKey]time.Duration),
+		core:          core,
+		number:        number,
+		replica:       replica,
+		state:         shard.New(),
+		proposals:     make(map[uint64]waiter),
+		calls:         make(map[callID]*liveCall),
+		idleSince:     make(map[string]time.Duration),
+		endedSince:    make(map[string]time.Duration),
+		decisions:     make(map[callID][]*schedulerv1.Decision),
+		escrowDemands: make(map[shard.TierKey]*escrowDemand),
+		recalledAt:    make(map[shard.TierKey]time.Duration),
 	}
 }
 
-// leads tells whether the process may answer for the shard at this moment.
+// leads reports whether this replica serves as the leader and holds the lease.
 func (host *host) leads() bool {
 	return host.serving && host.replica.HoldsLease(host.core.now)
 }
 
-// propose offers an entry to the group. A refusal means that nothing was
-// proposed.
+// propose proposes an entry to the group. An error means that nothing was proposed.
 func (host *host) propose(entry *shardv1.Entry, waiting waiter) *resultcode.Error {
 	data, err := proto.Marshal(entry)
 	if err != nil {
 		return resultcode.New(resultcode.Internal, "encode entry: %v", err)
 	}
 	index, err := host.replica.Propose(host.core.now, data)
-	host.touch()
+	host.markDirty()
 	if err != nil {
 		return proposalRefused(err)
 	}
@@ -123,13 +121,13 @@
 	leaderRetryAfter  = 500 * time.Millisecond
 )
 
-// receive takes a message of another replica in.
+// receive handles a message from another replica.
 func (host *host) receive(message *replicationv1.Message) {
 	if fromLeader(message) {
-		host.lastLed = host.core.now
+		host.leaderHeardAt = host.core.now
 	}
 	host.replica.Receive(host.core.now, message)
-	host.touch()
+	host.markDirty()
 }
 
 func (host *host) restore(restored *replication.RestoredState) {
@@ -139,7 +137,7 @@
 	if err := host.state.Restore(restored.State); err != nil {
 		host.core.log("snapshot_unreadable", host.number, "", "", err.Error())
 		host.replica.Retire()
-		host.touch()
+		host.markDirty()
 	}
 }
 
@@ -149,13 +147,13 @@
 		host.core.log("snapshot_failed", host.number, "", "", err.Error())
 		return
 	}
-	host.touch()
+	host.markDirty()
 	if err := host.replica.ProvideSnapshot(host.core.now, data); err != nil {
 		host.core.log("snapshot_not_taken", host.number, "", "", err.Error())
 	}
 }
 
-// roleChanged ends the volatile state of a leadership that is over.
+// roleChanged ends the leadership if the replica has lost it.
 func (host *host) roleChanged() {
 	leader := host.replica.Leader().Process()
 	if leader != "" {
@@ -170,8 +168,8 @@
 	host.epoch = host.replica.Epoch()
 }
 
-// endLeadership drops what only a leader holds. Runs go on at the back ends,
-// for the next leader to attach to.
+// endLeadership discards the leader's volatile state. Runs continue at the back ends, so that
+// the next leader can attach to them.
 func (host *host) endLeadership() {
 	host.serving = false
 	for _, index := range sortedKeys(host.proposals) {
@@ -180,18 +178,18 @@
 		waiting.abandoned(host)
 	}
 	for _, live := range host.sortedCalls() {
-		live.drop()
+		live.abandon()
 	}
-	host.dropParked()
+	host.declineParked()
 	clear(host.calls)
-	clear(host.quietSince)
-	clear(host.overSince)
+	clear(host.idleSince)
+	clear(host.endedSince)
 	host.unsent = nil
 	host.unarchived = nil
-	host.core.arrangePools()
+	host.core.updatePools()
 }
 
-// apply takes one committed entry into the state.
+// apply applies one committed entry to the state.
 func (host *host) apply(entry replication.Entry) {
 	switch entry.Kind {
 	case replication.KindEpochStart:
@@ -220,8 +218,7 @@
 	waiting.applied(host, outcome)
 }
 
-// epochStarted begins to serve: the state now holds every entry that earlier
-// leaders have committed.
+// epochStarted starts to serve: the state now contains all entries committed by earlier leaders.
 func (host *host) epochStarted(entry replication.Entry) {
 	if host.replica.Role() != replication.RoleLeader || entry.Epoch != host.replica.Epoch() {
 		return
@@ -230,19 +227,19 @@
 	host.servingSince = host.core.now
 	host.epoch = entry.Epoch
 	host.core.directory.leaders[host.number] = host.core.config.Process
-	host.core.arrangePools()
+	host.core.updatePools()
 	host.resumeCalls()
 	host.listResumedGrants()
 }
 
-// tick drives the replica's and the leader's timers.
+// tick runs the timers of the replica and of the leader.
 func (host *host) tick(now time.Duration) {
 	host.replica.Tick(now)
-	host.touch()
+	host.markDirty()
 	if !host.leads() {
 		return
 	}
-	host.lastLed = now
+	host.leaderHeardAt = now
 	host.sendUnsent()
 	host.retryOffers()
 	host.tickEscrow()
@@ -254,12 +251,12 @@
 
 const sweepInterval = time.Second
 
-// handOver gives leadership to another member for a planned stop.
+// handOver transfers leadership to another member for a planned stop.
 func (host *host) handOver() {
-	if host.replica.Role() != replication.RoleLeader || host.cutsCalls() {
+	if host.replica.Role() != replication.RoleLeader || host.losesCallsOnTransfer() {
 		return
 	}
-	host.touch()
+	host.markDirty()
 	for _, member := range host.replica.Members() {
 		if member.Incarnation == host.replica.Self().Incarnation {
 			continue
@@ -270,38 +267,38 @@
 	}
 }
 
-// cutsCalls tells whether a call would be lost if another member led now. A tool's answer
-// can't be picked up elsewhere, and a call that is on its way to its engine is not known there
-// yet: the next leader would find no run to attach to, and the engine would refuse the call
-// from then on.
-func (host *host) cutsCalls() bool {
+// losesCallsOnTransfer reports whether a transfer of leadership now would lose a call. A tool
+// call's answer can't be received by another process. A call in transit is not known to its
+// engine yet: the next leader would fail to attach to it, and the engine would reject it when it
+// arrives.
+func (host *host) losesCallsOnTransfer() bool {
 	for _, live := range host.calls {
-		if live.isTool() && live.phase != phaseWaiting || live.onItsWay(host.core.now) {
+		if live.isTool() && live.phase != phaseWaiting || live.inTransit(host.core.now) {
 			return true
 		}
 	}
 	return false
 }
 
-// dropHost forgets a replica that takes no part any more.
+// dropHost removes a retired replica.
 func (core *Core) dropHost(host *host) {
 	if host.serving {
 		host.endLeadership()
 	}
 	delete(core.hosts, host.number)
-	core.hosted = nil
-	if home := core.homes[host.number]; home != nil && home.rebuild == nil {
-		home.rereadFrom(core)
+	core.hostOrder = nil
+	if assignment := core.assignments[host.number]; assignment != nil && assignment.rebuild == nil {
+		assignment.restartRead(core)
 	}
 	core.log("replica_dropped", host.number, "", "", "")
 }
 
-// hostNumbers lists the hosted shards in order, so that a step is repeatable.
+// hostNumbers lists the hosted shards in order, so that steps are deterministic.
 func (core *Core) hostNumbers() []uint32 {
-	if core.hosted == nil {
-		core.hosted = sortedKeys(core.hosts)
+	if core.hostOrder == nil {
+		core.hostOrder = sortedKeys(core.hosts)
 	}
-	return core.hosted
+	return core.hostOrder
 }
 
 type orderedKey interface{ ~uint32 | ~uint64 | ~string }
--- a/internal/scheduler/intent_archive.go
+++ b/internal/scheduler/intent_archive.go
@@ -2,48 +2,48 @@
 
 import "time"
 
-// unarchivedIntent is a committed intent of a call that must not run twice. It
-// is sent once the log holds it, so that a group rebuilt from the log knows that
-// the call may have run. The wait is bounded: work goes on without the log.
+// unarchivedIntent is the committed intent of a call that is not repeatable. The call is sent
+// after the intent is archived, so that a group rebuilt from the log knows that the call may
+// have run. The wait is bounded so that calls are still sent during a log outage.
 type unarchivedIntent struct {
 	run   RunKey
 	index uint64
 	since time.Duration
 }
 
-// sendArchived sends a call whose intent has just been applied, a call that is
-// not repeatable once its intent is archived.
-func (host *host) sendArchived(live *liveCall) {
-	home := host.core.homes[host.number]
+// sendWhenArchived sends a call whose intent is applied. A call that is not repeatable waits
+// until its intent is archived.
+func (host *host) sendWhenArchived(live *liveCall) {
+	assignment := host.core.assignments[host.number]
 	index := host.replica.CommittedIndex()
 	waits := host.core.config.ArchiveIntents > 0 &&
 		!live.call.Accepted().Repeatable &&
-		home != nil && !home.logSlow &&
+		assignment != nil && !assignment.logSlow &&
 		host.replica.ArchivedIndex() < index
 	if !waits {
 		host.send(live)
 		return
 	}
 	host.unarchived = append(host.unarchived, unarchivedIntent{run: live.run(), index: index, since: host.core.now})
-	host.core.archiveEntries(host, home)
+	host.core.archiveEntries(host, assignment)
 }
 
-// sendNowArchived sends what the log holds by now.
-func (host *host) sendNowArchived(home *home) {
+// sendArchivedIntents sends the calls whose intents are archived now.
+func (host *host) sendArchivedIntents(assignment *assignment) {
 	archived := host.replica.ArchivedIndex()
 	host.releaseIntents(func(intent unarchivedIntent) bool { return intent.index <= archived })
 	if len(host.unarchived) > 0 {
-		host.core.archiveEntries(host, home)
+		host.core.archiveEntries(host, assignment)
 	}
 }
 
-// sendOverdue sends what has waited for too long. From then on nothing waits
-// until the log has answered again.
-func (host *host) sendOverdue(home *home) {
+// sendOverdueIntents sends the calls that have waited for the configured maximum. After that,
+// no call waits until the log has acknowledged an append.
+func (host *host) sendOverdueIntents(assignment *assignment) {
 	bound := host.core.config.ArchiveIntents
 	host.releaseIntents(func(intent unarchivedIntent) bool {
 		overdue := host.core.now-intent.since >= bound
-		home.logSlow = home.logSlow || overdue
+		assignment.logSlow = assignment.logSlow || overdue
 		return overdue
 	})
 }
@@ -60,7 +60,7 @@
 			continue
 		}
 		live := host.calls[callID{program: intent.run.Program, requestID: intent.run.RequestID}]
-		if live != nil && live.run() == intent.run && live.phase == phaseIntending {
+		if live != nil && live.run() == intent.run && live.phase == phaseCommittingIntent {
 			host.send(live)
 		}
 	}
