--- a/internal/scheduler/keeper_client.go
+++ b/internal/scheduler/keeper_client.go
@@ -10,15 +10,14 @@
 	"github.com/magpielug/magpielug/internal/shard"
 )
 
-// The leader's side of the talk between a shard's leader and a pool's keeper.
-// Offers are repeated until they are answered, and the grants held are told at
-// intervals, so that every other message may be lost.
+// Messages from a shard's leader to the keeper of a pool. Offers are repeated until they are
+// answered and held grants are reported at intervals, so that all other messages may be lost.
 
-// offer asks the keeper of the model's pool for a slot.
+// offer offers the call to the keeper of one of the model's pools.
 func (host *host) offer(live *liveCall) {
 	accepted := live.call.Accepted()
 	if failure := host.core.checkAdapter(accepted.Target, accepted.Adapter); failure != nil {
-		// The configuration has dropped the adapter while the call waited.
+		// The configuration has removed the adapter while the call was queued.
 		host.cancelOffer(live)
 		host.refuse(live, failure)
 		return
@@ -30,11 +29,11 @@
 		return
 	}
 	if live.deadline > 0 && host.core.now >= live.deadline {
-		host.refuse(live, resultcode.New(resultcode.DeadlineNotRun, "the deadline passed in the queue"))
+		host.refuse(live, resultcode.New(resultcode.DeadlineNotRun, "the deadline passed while the call was queued"))
 		return
 	}
 	live.pool = pools[live.poolsTried%len(pools)]
-	host.core.noteGrantsAt(live.pool)
+	host.core.scheduleGrantReports(live.pool)
 	live.phase = phaseOffered
 	live.offeredAt = host.core.now
 	host.core.requestKeeper(live.pool, host.number, &schedulerv1.KeeperRequest{
@@ -80,8 +79,7 @@
 	return offer
 }
 
-// retryOffers repeats offers without an answer: the message, the answer or the
-// keeper may be lost.
+// retryOffers repeats unanswered offers: the offer, the answer or the keeper may be lost.
 func (host *host) retryOffers() {
 	for _, live := range host.sortedCalls() {
 		if host.core.stopping {
@@ -94,7 +92,7 @@
 	host.retryEntries()
 }
 
-// requestKeeper brings a request to the process that leads the pool's shard.
+// requestKeeper routes a request to the leader of the pool's shard.
 func (core *Core) requestKeeper(poolName string, shardNumber uint32, request *schedulerv1.KeeperRequest) {
 	request.Pool = poolName
 	request.Leader = core.config.Process
@@ -112,19 +110,19 @@
 	batch.KeeperRequests = append(batch.KeeperRequests, request)
 }
 
-// keeperBatch returns the batch to take a request along. What the keeper only
-// takes note of can wait for other messages.
+// keeperBatch returns the batch for a request. Notifications without an answer are sent with
+// other messages.
 func (core *Core) keeperBatch(process string, request *schedulerv1.KeeperRequest) *schedulerv1.PeerBatch {
 	switch request.Request.(type) {
 	case *schedulerv1.KeeperRequest_FirstToken,
 		*schedulerv1.KeeperRequest_Pause,
 		*schedulerv1.KeeperRequest_Gone:
-		return core.waitingBatch(process)
+		return core.pendingBatch(process)
 	}
 	return core.batchTo(process)
 }
 
-// keeperReplied takes a keeper's answer in.
+// keeperReplied handles a keeper's reply.
 func (core *Core) keeperReplied(reply *schedulerv1.KeeperReply) {
 	switch answer := reply.Reply.(type) {
 	case *schedulerv1.KeeperReply_Grant:
@@ -140,8 +138,8 @@
 	}
 }
 
-// offeredCall finds the call that a keeper's answer is about, as long as it
-// still waits for one.
+// offeredCall returns the call that a keeper's reply refers to, or nil if its attempt or phase
+// has changed.
 func (core *Core) offeredCall(shardNumber uint32, key *schedulerv1.CallKey, phase callPhase) *liveCall {
 	host := core.hosts[shardNumber]
 	if host == nil || !host.serving {
@@ -154,22 +152,21 @@
 	return live
 }
 
-// granted commits the intent for a granted call. A grant that nobody waits for
-// goes back.
+// granted proposes the intent of a granted call, or returns a grant that is not needed.
 func (core *Core) granted(reply *schedulerv1.KeeperReply, grant *schedulerv1.CallGrant) {
 	live := core.offeredCall(reply.Shard, grant.Call, phaseOffered)
 	if live == nil {
-		core.returnStrayGrant(reply, grant)
+		core.returnUnneededGrant(reply, grant)
 		return
 	}
 	if core.stopping {
-		// The next leader offers the call anew.
+		// The next leader offers the call again.
 		core.returnGrant(reply, grant)
 		return
 	}
 	live.grant = grant
-	live.decide("granted", "engine "+grant.Engine+": "+grant.Why)
-	live.host.intend(live, &shardv1.CallIntended{
+	live.recordDecision("granted", "engine "+grant.Engine+": "+grant.Why)
+	live.host.proposeIntent(live, &shardv1.CallIntended{
 		BackEnd:     grant.Engine,
 		Address:     grant.Address,
 		FenceHolder: grant.FenceHolder,
@@ -177,9 +174,9 @@
 	})
 }
 
-// returnStrayGrant gives back a slot for a call that is over or has moved on. A
-// repeated grant of a call under way is no stray.
-func (core *Core) returnStrayGrant(reply *schedulerv1.KeeperReply, grant *schedulerv1.CallGrant) {
+// returnUnneededGrant returns the slot of a call that has ended or moved on to another attempt. A
+// duplicate grant of the current attempt is ignored.
+func (core *Core) returnUnneededGrant(reply *schedulerv1.KeeperReply, grant *schedulerv1.CallGrant) {
 	host := core.hosts[reply.Shard]
 	if host == nil || !host.serving {
 		return
@@ -191,7 +188,7 @@
 	core.returnGrant(reply, grant)
 }
 
-// returnGrant gives a slot back that nothing was sent to.
+// returnGrant returns a slot that was not used.
 func (core *Core) returnGrant(reply *schedulerv1.KeeperReply, grant *schedulerv1.CallGrant) {
 	core.requestKeeper(reply.Pool, reply.Shard, &schedulerv1.KeeperRequest{
 		Request: &schedulerv1.KeeperRequest_Return{Return: &schedulerv1.CallReturn{Call: grant.Call}},
@@ -210,7 +207,7 @@
 	live.host.refuse(live, failure.After(time.Duration(refusal.RetryAfterMs)*time.Millisecond))
 }
 
-// tryNextPool offers a call to the model's next pool when its own is full.
+// tryNextPool offers a call to the model's next pool if the current one is full.
 func (host *host) tryNextPool(live *liveCall, code resultcode.Code) bool {
 	full := code == resultcode.Overloaded || code == resultcode.NoBackEnd
 	pools := host.core.poolsFor(live.call.Accepted().Target, live.id().program)
@@ -218,12 +215,12 @@
 		return false
 	}
 	live.poolsTried++
-	live.decide("offered elsewhere", "pool "+live.pool+": "+code.String())
+	live.recordDecision("offered elsewhere", "pool "+live.pool+": "+code.String())
 	host.offer(live)
 	return true
 }
 
-// preempted cancels a running repeatable call, to be offered again.
+// preempted cancels a running repeatable call, which is then requeued.
 func (core *Core) preempted(reply *schedulerv1.KeeperReply, preemption *schedulerv1.CallPreemption) {
 	live := core.offeredCall(reply.Shard, preemption.Call, phaseRunning)
 	if live == nil || !live.call.Accepted().Repeatable {
@@ -234,7 +231,7 @@
 	host.runEnded(live, RunEnded{Run: live.run(), End: RunLost, Detail: "preempted: " + preemption.Why})
 }
 
-// returnSlot gives the slot of a run back to the keeper.
+// returnSlot returns a run's slot to the keeper.
 func (host *host) returnSlot(live *liveCall, event RunEnded) {
 	if live.pool == "" {
 		return
@@ -251,7 +248,7 @@
 	})
 }
 
-// cancelOffer withdraws a call that waits at the keeper.
+// cancelOffer withdraws a call from the keeper's queue.
 func (host *host) cancelOffer(live *liveCall) {
 	if live.pool == "" {
 		return
@@ -261,7 +258,7 @@
 	})
 }
 
-// pauseProgram tells the keeper that the program waits for its caller.
+// pauseProgram notifies the keeper that the program has no open call.
 func (host *host) pauseProgram(program *shard.Program, poolName string) {
 	if poolName == "" {
 		return
@@ -271,8 +268,9 @@
 	})
 }
 
-// programGone has the program's cache released in every pool it may have used.
-func (host *host) programGone(program *shard.Program) {
+// releaseProgramCache notifies the keepers of all pools that the program may have used that it
+// has ended, so that they release its cache.
+func (host *host) releaseProgramCache(program *shard.Program) {
 	for _, poolName := range host.core.poolsUsed(program) {
 		host.core.requestKeeper(poolName, host.number, &schedulerv1.KeeperRequest{
 			Request: &schedulerv1.KeeperRequest_Gone{Gone: &schedulerv1.ProgramGone{ProgramId: program.ID()}},
--- a/internal/scheduler/pools.go
+++ b/internal/scheduler/layout.go
@@ -8,19 +8,18 @@
 	"github.com/magpielug/magpielug/internal/shard"
 )
 
-// layout is what follows from the machine list alone: where shards belong and
-// how engines form pools. It is worked out once for each new list.
+// layout is derived from the machine list: the placement of shards and the assignment of engines
+// to pools. It is computed once per list.
 type layout struct {
 	placement *membership.Placement
 	pools     []membership.Pool
-	// engines are the machines of each pool, by the pool's name.
+	// engines holds each pool's machines by pool name.
 	engines map[string][]outside.Machine
 }
 
-// newLayout works the layout out.
 func newLayout(directory *directory) *layout {
 	processes := liveProcesses(directory)
-	made := &layout{
+	created := &layout{
 		placement: membership.NewPlacement(membership.CopysetCount(len(processes)), processes, nil),
 		engines:   make(map[string][]outside.Machine),
 	}
@@ -28,13 +27,13 @@
 	for _, machine := range sorted(directory.engines) {
 		engines = append(engines, membership.Engine{ID: machine.ID, Model: machine.Service, Region: machine.Region})
 	}
-	made.pools = membership.AssignPools(engines)
-	for _, pool := range made.pools {
+	created.pools = membership.AssignPools(engines)
+	for _, pool := range created.pools {
 		for _, engine := range pool.Engines {
-			made.engines[pool.Name] = append(made.engines[pool.Name], directory.engines[engine])
+			created.engines[pool.Name] = append(created.engines[pool.Name], directory.engines[engine])
 		}
 	}
-	return made
+	return created
 }
 
 func liveProcesses(directory *directory) []membership.Process {
@@ -47,7 +46,7 @@
 	return processes
 }
 
-// members lists the processes that should hold the shard, best first.
+// members lists the processes that should host the shard, in order of preference.
 func (layout *layout) members(number uint32) []string {
 	var members []string
 	for _, process := range layout.placement.GroupOf(number) {
@@ -56,14 +55,12 @@
 	return members
 }
 
-// poolsFor lists the pools that a program's calls of a model may go to, the
-// preferred one first.
+// poolsFor lists the pools that a program's calls to a model may use, in order of preference.
 func (core *Core) poolsFor(model, programID string) []string {
 	return membership.PoolsFor(core.layout.pools, model, core.config.Region, programID)
 }
 
-// poolOfEngine names the pool that an engine belongs to, empty where it is not
-// listed any more.
+// poolOfEngine returns the pool of an engine, or "" if the engine is no longer listed.
 func (core *Core) poolOfEngine(engine string) string {
 	for _, pool := range core.layout.pools {
 		if slices.Contains(pool.Engines, engine) {
@@ -73,7 +70,7 @@
 	return ""
 }
 
-// poolsUsed names the pools that may hold cache of the program.
+// poolsUsed lists the pools that may hold cache of the program.
 func (core *Core) poolsUsed(program *shard.Program) []string {
 	var used []string
 	for _, model := range program.Models() {
@@ -83,12 +80,12 @@
 	return slices.Compact(used)
 }
 
-// shardOf returns the shard of a program and its whole family.
+// shardOf returns the shard of a program and its sub-agents.
 func (core *Core) shardOf(programID string) uint32 {
 	return membership.ShardOf(programID, core.config.Shards)
 }
 
-// shardOfPool returns the shard whose leader keeps the pool.
+// shardOfPool returns the shard whose leader runs the pool's keeper.
 func (core *Core) shardOfPool(name string) uint32 {
 	return membership.ShardOf(poolPrefix+name, core.config.Shards)
 }
@@ -103,18 +100,17 @@
 	accountPrefix = "account/"
 )
 
-// leaderProcess names another process to ask for what a shard's leader does:
-// the leader where it is known, else a member that should know it.
+// leaderProcess returns the process to send requests for a shard's leader to: the last known
+// leader, or another member if that is unknown.
 func (core *Core) leaderProcess(shardNumber uint32) string {
 	process := core.directory.leaders[shardNumber]
 	if process == "" || process == core.config.Process {
-		return core.otherHomeMember(shardNumber)
+		return core.otherAssignedMember(shardNumber)
 	}
 	return process
 }
 
-// leadingHost returns the host of the program's shard if this process may
-// answer for it now.
+// leadingHost returns the host of the program's shard if this process leads it, otherwise nil.
 func (core *Core) leadingHost(programID string) *host {
 	host := core.hosts[core.shardOf(programID)]
 	if host == nil || !host.leads() {
--- a/internal/scheduler/list_report.go
+++ b/internal/scheduler/leader_reports.go
@@ -5,36 +5,38 @@
 	"github.com/magpielug/magpielug/internal/shard"
 )
 
-// The leader's reports to keepers: the grants held and the live programs. At
-// intervals only a digest of each list is told; a keeper that is new, or sees
-// something else, asks for the list itself.
+// Reports from leaders to keepers: held grants and live programs. The periodic reports contain
+// only a digest of each list. A keeper that is new, or whose digest differs, requests the full
+// list.
 
-// noneReports is how many reports a pool gets after its last grant. A keeper that
-// counts a grant which its leader does not hold asks for the list when two reports in a
-// row differ, and ends what is older than its GrantConfirm: two asks are sure to find it.
-const noneReports = 4
+// emptyGrantReports is the number of reports that a pool's keeper gets after the last grant. The
+// keeper requests the list if two consecutive reports differ from its own, and ends grants that
+// are not in it and older than GrantConfirm; this number suffices for two such requests.
+const emptyGrantReports = 4
 
-// noteGrantsAt has the next reports tell a pool's keeper of held grants. It is called with
-// each offer: the keeper may grant it, and the answer be lost.
-func (core *Core) noteGrantsAt(poolName string) { core.heldBefore[poolName] = noneReports }
+// scheduleGrantReports makes the next reports include the pool. It is called for each offer,
+// since the keeper may have granted it even if the answer is lost.
+func (core *Core) scheduleGrantReports(poolName string) {
+	core.grantReportsLeft[poolName] = emptyGrantReports
+}
 
-// reportHeldGrants tells each keeper the digest of its grants that this process
-// holds, over all shards. A pool that had grants is told some more times when it has
-// none: with one report alone the keeper would go on counting a grant whose end was lost.
+// reportHeldGrants sends each keeper the digest of all grants from its pool that this process
+// holds. After the last grant, several empty reports follow: with only one, a keeper might keep
+// a grant whose return was lost.
 func (core *Core) reportHeldGrants() {
 	digests := make(map[string]*listDigest)
-	for poolName, left := range core.heldBefore {
+	for poolName, left := range core.grantReportsLeft {
 		digests[poolName] = &listDigest{}
-		core.heldBefore[poolName] = left - 1
+		core.grantReportsLeft[poolName] = left - 1
 		if left <= 1 {
-			delete(core.heldBefore, poolName)
+			delete(core.grantReportsLeft, poolName)
 		}
 	}
 	core.eachHeldGrant(func(live *liveCall) {
 		if digests[live.pool] == nil {
 			digests[live.pool] = &listDigest{}
 		}
-		core.noteGrantsAt(live.pool)
+		core.scheduleGrantReports(live.pool)
 		digests[live.pool].addGrant(callKey(live.wireKey()), live.call.Intent().BackEnd)
 	})
 	for _, poolName := range sortedKeys(digests) {
@@ -42,8 +44,8 @@
 	}
 }
 
-// eachHeldGrant shows the calls that hold a grant, in order.
-func (core *Core) eachHeldGrant(show func(*liveCall)) {
+// eachHeldGrant visits the calls that hold a grant, in a deterministic order.
+func (core *Core) eachHeldGrant(visit func(*liveCall)) {
 	for _, number := range core.hostNumbers() {
 		host := core.hosts[number]
 		if !host.leads() {
@@ -51,13 +53,13 @@
 		}
 		for _, live := range host.sortedCalls() {
 			if live.pool != "" && live.call.Intent() != nil && live.phase != phaseClosing {
-				show(live)
+				visit(live)
 			}
 		}
 	}
 }
 
-// listHeldGrants tells a keeper the whole list.
+// listHeldGrants sends a keeper the full list of held grants.
 func (core *Core) listHeldGrants(poolName string) {
 	list := &schedulerv1.GrantsHeld{}
 	core.eachHeldGrant(func(live *liveCall) {
@@ -71,13 +73,13 @@
 		})
 	})
 	if len(list.Grants) > 0 {
-		core.noteGrantsAt(poolName)
+		core.scheduleGrantReports(poolName)
 	}
 	core.sendHeldGrants(poolName, list)
 }
 
-// listResumedGrants tells keepers which grants the shard's new leader has taken
-// over, so that none counts as held by the old one.
+// listResumedGrants sends keepers the grants that a new leader has taken over from the previous
+// one.
 func (host *host) listResumedGrants() {
 	pools := make(map[string]bool)
 	for _, live := range host.sortedCalls() {
@@ -96,14 +98,14 @@
 	})
 }
 
-// reportLivePrograms tells each keeper the digest of the shard's programs that
-// may have cache in its pool, so that cache of all others can be released.
+// reportLivePrograms sends each keeper the digest of the shard's live programs that may have
+// cache in its pool. The keeper releases the cache of all others.
 func (host *host) reportLivePrograms() {
 	digests := make(map[string]*listDigest)
 	for _, poolName := range sortedKeys(host.core.layout.engines) {
-		// The keeper may count grants of the shard's former leader: it must be told
-		// also that this process holds none.
-		host.core.noteGrantsAt(poolName)
+		// The keeper may still count grants of the previous leader, so it also needs a report if
+		// this process holds none.
+		host.core.scheduleGrantReports(poolName)
 		digests[poolName] = &listDigest{}
 	}
 	for _, program := range host.livePrograms() {
@@ -118,7 +120,7 @@
 	}
 }
 
-// listLivePrograms tells a keeper the whole list.
+// listLivePrograms sends a keeper the full list of live programs.
 func (host *host) listLivePrograms(poolName string) {
 	list := &schedulerv1.ProgramsLive{}
 	for _, program := range host.livePrograms() {
@@ -147,7 +149,7 @@
 	})
 }
 
-// listsWanted sends a keeper the whole lists that it asks for.
+// listsWanted sends a keeper the full lists that it requests.
 func (core *Core) listsWanted(poolName string, shardNumber uint32, wanted *schedulerv1.ListsWanted) {
 	if wanted.Grants {
 		core.listHeldGrants(poolName)
--- a/internal/scheduler/list_digest.go
+++ b/internal/scheduler/list_digest.go
@@ -9,15 +9,14 @@
 	"github.com/magpielug/magpielug/internal/keeper"
 )
 
-// listDigest sums up a list whose order does not matter. Two lists that differ
-// have the same digest by chance only (one in 2^64): it guards against lost
-// messages, not against forged ones.
+// listDigest is an order-independent digest of a list. It detects lost messages; it is not
+// cryptographically secure.
 type listDigest struct {
 	count uint32
 	sum   uint64
 }
 
-// add takes an item in; its parts must not hold a zero byte.
+// add adds an item. Its parts must not contain a zero byte.
 func (digest *listDigest) add(parts ...string) {
 	hash := fnv.New64a()
 	for _, part := range parts {
@@ -36,6 +35,6 @@
 	return &schedulerv1.ListDigest{Count: digest.count, Sum: digest.sum}
 }
 
-func (digest *listDigest) matches(told *schedulerv1.ListDigest) bool {
-	return digest.count == told.GetCount() && digest.sum == told.GetSum()
+func (digest *listDigest) matches(reported *schedulerv1.ListDigest) bool {
+	return digest.count == reported.GetCount() && digest.sum == reported.GetSum()
 }
--- a/internal/scheduler/live_call.go
+++ b/internal/scheduler/live_call.go
@@ -13,21 +13,20 @@
 	"github.com/magpielug/magpielug/internal/stream"
 )
 
-// callPhase is how far the leader has brought an open call. The replicated part
-// is the call chart's; this is what only the leader knows.
+// callPhase is the leader's volatile progress of an open call, in addition to the replicated
+// call state.
 type callPhase int
 
 const (
-	// phaseWaiting: calls of the program stand before it.
+	// phaseWaiting: the program's earlier calls are not finished.
 	phaseWaiting callPhase = iota
-	// phaseOffered: the keeper has been asked for a slot.
+	// phaseOffered: the call is offered to a keeper.
 	phaseOffered
-	// phaseIntending: a slot is granted, and the intent is being committed.
-	phaseIntending
+	// phaseCommittingIntent: a slot is granted and the intent is being committed.
+	phaseCommittingIntent
 	// phaseRunning: the call has been sent.
 	phaseRunning
-	// phaseClosing: the result, the refusal or the next attempt is being
-	// committed.
+	// phaseClosing: the result, the refusal or the next attempt is being committed.
 	phaseClosing
 )
 
@@ -37,35 +36,37 @@
 	call   *shard.Call
 	buffer *stream.Buffer
 	phase  callPhase
-	// pool the call is offered to; empty for a tool call.
+	// pool is the pool that the call is offered to; empty for a tool call.
 	pool string
 	// poolsTried counts the model's pools that were full.
 	poolsTried int
 	offeredAt  time.Duration
-	// grantedAt is when the back end was chosen.
+	// grantedAt is the time at which the back end was selected.
 	grantedAt  time.Duration
 	acceptedAt time.Duration
-	// sentAt is when the call was sent, begun is true once its first chunk has come.
-	sentAt time.Duration
-	begun  bool
-	// deadline is on this leader's clock; 0 is none.
+	// sentAt is the time at which the call was sent; firstChunkSeen is true once its first chunk
+	// has arrived.
+	sentAt         time.Duration
+	firstChunkSeen bool
+	// deadline is on this leader's clock; 0 means none.
 	deadline time.Duration
 	grant    *schedulerv1.CallGrant
-	// retry is an entry about the call that could not be proposed yet.
+	// retry is an entry about the call whose proposal failed.
 	retry     *shardv1.Entry
 	decisions []*schedulerv1.Decision
 }
 
-// arrivalBound is how long a call that was sent may be on its way to its engine.
-const arrivalBound = 500 * time.Millisecond
+// transitTimeout is the maximum time that a sent call is considered to be in transit to its
+// engine.
+const transitTimeout = 500 * time.Millisecond
 
-// onItsWay tells whether the call is granted, and its engine may not have got it yet.
-func (live *liveCall) onItsWay(now time.Duration) bool {
-	sending := live.phase == phaseRunning && !live.begun && now-live.sentAt < arrivalBound
-	return live.phase == phaseIntending || sending
+// inTransit reports whether the call is granted but may not have reached its engine yet.
+func (live *liveCall) inTransit(now time.Duration) bool {
+	sending := live.phase == phaseRunning && !live.firstChunkSeen && now-live.sentAt < transitTimeout
+	return live.phase == phaseCommittingIntent || sending
 }
 
-// maximumDecisions bounds what is kept to explain one call.
+// maximumDecisions bounds the decisions retained per call.
 const maximumDecisions = 32
 
 func (live *liveCall) id() callID {
@@ -88,8 +89,8 @@
 	}
 }
 
-// decide notes a decision for an operator's question why.
-func (live *liveCall) decide(what, why string) {
+// recordDecision records a decision for ExplainCall.
+func (live *liveCall) recordDecision(what, why string) {
 	if len(live.decisions) >= maximumDecisions {
 		live.decisions = live.decisions[1:]
 	}
@@ -101,15 +102,15 @@
 	})
 }
 
-// drop ends the leader's part in the call without an answer.
-func (live *liveCall) drop() {
+// abandon ends the call's stream without an answer, and stops following its run.
+func (live *liveCall) abandon() {
 	live.buffer.Drop()
 	if live.phase == phaseRunning {
 		live.host.core.emit(StopRun{Run: live.run()})
 	}
 }
 
-// fence is the order of the engine's lease under which the call was granted.
+// fence returns the fence under which the call was granted.
 func (live *liveCall) fence() outside.Fence {
 	intent := live.call.Intent()
 	if intent == nil {
@@ -118,8 +119,7 @@
 	return outside.Fence{Holder: intent.FenceHolder, Epoch: intent.FenceEpoch}
 }
 
-// bufferOf returns the stream to follow for a known call: the live one, or the
-// recorded answer.
+// bufferOf returns the stream of a known call: the live one, or a replay of the recorded result.
 func (host *host) bufferOf(call *shard.Call) *stream.Buffer {
 	id := callID{program: call.Program().ID(), requestID: call.RequestID()}
 	if live := host.calls[id]; live != nil {
@@ -131,10 +131,10 @@
 	if finished := call.Finished(); finished != nil {
 		return stream.Recorded(finished.Output, finished.ChunkBytes, call.Usage(), finished.FinishReason)
 	}
-	return stream.Failed(resultcode.New(resultcode.Internal, "call %s has no record", call.RequestID()))
+	return stream.Failed(resultcode.New(resultcode.Internal, "call %s has no recorded result", call.RequestID()))
 }
 
-// track makes the leader's record of an open call.
+// track creates the leader's record of an open call.
 func (host *host) track(call *shard.Call) *liveCall {
 	live := &liveCall{
 		host:       host,
@@ -146,7 +146,7 @@
 	return live
 }
 
-// sortedCalls lists the open calls in a repeatable order.
+// sortedCalls lists the open calls in a deterministic order.
 func (host *host) sortedCalls() []*liveCall {
 	list := make([]*liveCall, 0, len(host.calls))
 	for _, live := range host.calls {
--- a/internal/scheduler/loop.go
+++ b/internal/scheduler/loop.go
@@ -18,21 +18,21 @@
 	tickInterval     = 25 * time.Millisecond
 )
 
-// Loop is the control goroutine: it owns the core, feeds it events one at a
-// time and has the effects carried out by traffic goroutines.
+// Loop is the control goroutine. It owns the core, passes it one event at a time, and hands the
+// effects to the executor.
 type Loop struct {
-	core    *Core
-	traffic *traffic
-	logger  *zap.Logger
-	started time.Time
-	events  chan Event
-	asks    map[AskID]chan<- callAnswer
-	nextAsk AskID
-	asking  chan askRegistration
+	core        *Core
+	executor    *executor
+	logger      *zap.Logger
+	started     time.Time
+	events      chan Event
+	replies     map[ReplyID]chan<- replyValue
+	lastReplyID ReplyID
+	requests    chan requestRegistration
 }
 
-// callAnswer is what an asker gets back.
-type callAnswer struct {
+// replyValue is the reply to a request.
+type replyValue struct {
 	message proto.Message
 	turn    uint32
 	buffer  *stream.Buffer
@@ -41,27 +41,27 @@
 	turns   []shard.StoredTurn
 }
 
-// askRegistration is an event that wants an answer.
-type askRegistration struct {
-	build  func(AskID) Event
-	answer chan<- callAnswer
+// requestRegistration is an event that expects a reply.
+type requestRegistration struct {
+	build func(ReplyID) Event
+	reply chan<- replyValue
 }
 
 func newLoop(core *Core, logger *zap.Logger) *Loop {
 	return &Loop{
-		core:    core,
-		logger:  logger,
-		started: time.Now(),
-		events:  make(chan Event, eventQueueLength),
-		asks:    make(map[AskID]chan<- callAnswer),
-		asking:  make(chan askRegistration, eventQueueLength),
+		core:     core,
+		logger:   logger,
+		started:  time.Now(),
+		events:   make(chan Event, eventQueueLength),
+		replies:  make(map[ReplyID]chan<- replyValue),
+		requests: make(chan requestRegistration, eventQueueLength),
 	}
 }
 
-// now reads the monotonic clock.
+// now returns the time since the loop was created, on the monotonic clock.
 func (loop *Loop) now() time.Duration { return time.Since(loop.started) }
 
-// Run drives the core until the context ends.
+// Run drives the core until the context is done.
 func (loop *Loop) Run(ctx context.Context) {
 	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
@@ -71,15 +71,15 @@
 			return
 		case event := <-loop.events:
 			loop.step(event)
-		case registration := <-loop.asking:
-			loop.ask(registration)
+		case registration := <-loop.requests:
+			loop.register(registration)
 		case <-ticker.C:
 			loop.step(Tick{})
 		}
 	}
 }
 
-// Post hands an event to the control goroutine.
+// Post passes an event to the control goroutine.
 func (loop *Loop) Post(ctx context.Context, event Event) {
 	select {
 	case loop.events <- event:
@@ -87,73 +87,74 @@
 	}
 }
 
-// Ask hands an event over and waits for its answer.
-func (loop *Loop) Ask(ctx context.Context, build func(AskID) Event) (callAnswer, error) {
-	return loop.askWhile(ctx, build, func() error { return nil })
+// Ask passes an event to the control goroutine and waits for its reply.
+func (loop *Loop) Ask(ctx context.Context, build func(ReplyID) Event) (replyValue, error) {
+	return loop.askWithKeepalive(ctx, build, func() error { return nil })
 }
 
-// askWhile is Ask that calls quiet each aliveInterval until the answer comes.
-func (loop *Loop) askWhile(ctx context.Context, build func(AskID) Event, quiet func() error) (callAnswer, error) {
-	answer := make(chan callAnswer, 1)
+// askWithKeepalive is like Ask, and calls onIdle every keepaliveInterval until the reply
+// arrives.
+func (loop *Loop) askWithKeepalive(ctx context.Context, build func(ReplyID) Event, onIdle func() error) (replyValue, error) {
+	answer := make(chan replyValue, 1)
 	select {
-	case loop.asking <- askRegistration{build: build, answer: answer}:
+	case loop.requests <- requestRegistration{build: build, reply: answer}:
 	case <-ctx.Done():
-		return callAnswer{}, ctx.Err()
+		return replyValue{}, ctx.Err()
 	}
-	timer := time.NewTimer(aliveInterval)
+	timer := time.NewTimer(keepaliveInterval)
 	defer timer.Stop()
 	for {
 		select {
 		case got := <-answer:
 			return got, nil
 		case <-ctx.Done():
-			return callAnswer{}, ctx.Err()
+			return replyValue{}, ctx.Err()
 		case <-timer.C:
-			if err := quiet(); err != nil {
-				return callAnswer{}, err
+			if err := onIdle(); err != nil {
+				return replyValue{}, err
 			}
-			timer.Reset(aliveInterval)
+			timer.Reset(keepaliveInterval)
 		}
 	}
 }
 
-func (loop *Loop) ask(registration askRegistration) {
-	loop.nextAsk++
-	loop.asks[loop.nextAsk] = registration.answer
-	loop.step(registration.build(loop.nextAsk))
+func (loop *Loop) register(registration requestRegistration) {
+	loop.lastReplyID++
+	loop.replies[loop.lastReplyID] = registration.reply
+	loop.step(registration.build(loop.lastReplyID))
 }
 
 func (loop *Loop) step(event Event) {
 	for _, effect := range loop.core.Step(loop.now(), event) {
-		loop.carryOut(effect)
+		loop.execute(effect)
 	}
 }
 
-func (loop *Loop) carryOut(effect Effect) {
+func (loop *Loop) execute(effect Effect) {
 	switch effect := effect.(type) {
-	case Answer:
-		loop.answer(effect.Ask, callAnswer{message: effect.Message})
+	case Reply:
+		loop.reply(effect.To, replyValue{message: effect.Message})
 	case Follow:
-		loop.answer(effect.Ask, callAnswer{turn: effect.Turn, buffer: effect.Buffer})
+		loop.reply(effect.ReplyTo, replyValue{turn: effect.Turn, buffer: effect.Buffer})
 	case Decline:
-		loop.answer(effect.Ask, callAnswer{failure: effect.Error})
-	case TurnsTaken:
-		loop.answer(effect.Ask, callAnswer{turns: effect.Turns})
-	case StatsTaken:
-		loop.answer(effect.Ask, callAnswer{stats: effect.Stats})
+		loop.reply(effect.ReplyTo, replyValue{failure: effect.Error})
+	case TurnsReply:
+		loop.reply(effect.ReplyTo, replyValue{turns: effect.Turns})
+	case StatsReply:
+		loop.reply(effect.ReplyTo, replyValue{stats: effect.Stats})
 	case Logged:
 		loop.log(effect)
 	default:
-		loop.traffic.carryOut(effect)
+		loop.executor.execute(effect)
 	}
 }
 
-func (loop *Loop) answer(ask AskID, answer callAnswer) {
-	waiting := loop.asks[ask]
+func (loop *Loop) reply(replyTo ReplyID, answer replyValue) {
+	waiting := loop.replies[replyTo]
 	if waiting == nil {
 		return
 	}
-	delete(loop.asks, ask)
+	delete(loop.replies, replyTo)
 	waiting <- answer
 }
 
@@ -171,7 +172,7 @@
 	loop.logger.Info(logged.Event, fields...)
 }
 
-// unavailable is the answer of a process whose control loop does not answer.
+// unavailable is the error returned if the control loop does not answer.
 func unavailable() *schedulerv1.Error {
 	return wireError(resultcode.New(resultcode.NoLeader, "the scheduler is stopping").After(leaderRetryAfter))
 }
--- a/internal/scheduler/outbox.go
+++ b/internal/scheduler/outbox.go
@@ -7,15 +7,15 @@
 	"github.com/magpielug/magpielug/internal/replication"
 )
 
-// batchTo returns the batch that is sent to a process at the step's end.
+// batchTo returns the batch that is sent to a process at the end of the step.
 func (core *Core) batchTo(process string) *schedulerv1.PeerBatch {
-	core.due[process] = true
-	return core.waitingBatch(process)
+	core.flushPeers[process] = true
+	return core.pendingBatch(process)
 }
 
-// waitingBatch returns the batch for a process that goes with the next message
-// to it that is due, or at the next tick. It keeps the order of all messages.
-func (core *Core) waitingBatch(process string) *schedulerv1.PeerBatch {
+// pendingBatch returns the batch to a process that is sent together with the next urgent
+// message, or at the next tick. The order of messages is preserved.
+func (core *Core) pendingBatch(process string) *schedulerv1.PeerBatch {
 	batch := core.outbox[process]
 	if batch == nil {
 		batch = &schedulerv1.PeerBatch{}
@@ -24,36 +24,35 @@
 	return batch
 }
 
-// flushOutbox sends one batch to each process that has messages due. The
-// peer that is being answered gets its batch as the answer.
+// flushOutbox sends the batches that are due. A peer that waits for a reply gets its batch in
+// the reply.
 func (core *Core) flushOutbox() {
 	processes := core.batcher.Peers()
 	for process := range core.outbox {
-		if core.due[process] || core.ticked {
+		if core.flushPeers[process] || core.ticked {
 			processes = append(processes, process)
 		}
 	}
-	if core.answering != "" {
-		processes = append(processes, core.answering)
+	if core.replyPeer != "" {
+		processes = append(processes, core.replyPeer)
 	}
 	slices.Sort(processes)
 	for _, process := range slices.Compact(processes) {
-		batch := core.waitingBatch(process)
+		batch := core.pendingBatch(process)
 		batch.Replication = core.batcher.Take(process)
 		delete(core.outbox, process)
 		core.sendBatch(process, batch)
 	}
-	clear(core.due)
+	clear(core.flushPeers)
 	core.ticked = false
-	core.answering = ""
-	core.answerTo = 0
+	core.replyPeer = ""
+	core.peerReplyTo = 0
 }
 
-// sendBatch sends a batch. Messages to a process whose address is unknown are
-// lost, as on a network.
+// sendBatch sends a batch. It is dropped if the process's address is unknown.
 func (core *Core) sendBatch(process string, batch *schedulerv1.PeerBatch) {
-	if process == core.answering {
-		core.emit(Answer{Ask: core.answerTo, Message: batch})
+	if process == core.replyPeer {
+		core.emit(Reply{To: core.peerReplyTo, Message: batch})
 		return
 	}
 	address := core.directory.address(process)
@@ -63,13 +62,13 @@
 	core.emit(SendPeer{Process: process, Address: address, Batch: batch})
 }
 
-// peerBatchReceived takes in everything another scheduler has sent.
+// peerBatchReceived handles all messages in a batch from another scheduler.
 func (core *Core) peerBatchReceived(event PeerBatchReceived) {
 	batch := event.Batch
 	sender := replication.Incarnation(batch.GetReplication().GetFrom())
-	if event.Ask != 0 {
-		core.answering = sender.Process()
-		core.answerTo = event.Ask
+	if event.ReplyTo != 0 {
+		core.replyPeer = sender.Process()
+		core.peerReplyTo = event.ReplyTo
 	}
 	core.directory.heard(sender.Process(), string(sender), core.now)
 	for _, message := range core.batcher.Open(batch.Replication) {
--- a/internal/scheduler/peer_sender.go
+++ b/internal/scheduler/peer_sender.go
@@ -9,30 +9,30 @@
 )
 
 const (
-	// exchangesPerPeer bounds the batches under way to one peer. What comes
-	// meanwhile is merged, so a slow peer gets fewer and larger batches.
+	// exchangesPerPeer bounds the concurrent exchanges with one peer. Further batches are
+	// merged, so that a slow peer gets fewer but larger ones.
 	exchangesPerPeer = 4
-	// mergedMessagesBound drops what waits for a peer that can't be reached;
-	// every message bears its loss.
-	mergedMessagesBound = 8192
+	// maximumMergedKiB bounds the batch that waits for a peer. Above it, the batch is dropped:
+	// the protocol tolerates the loss of any message.
+	maximumMergedKiB = 8192
 )
 
-// peerSenders sends batches to the other schedulers.
+// peerSenders sends batches to other schedulers.
 type peerSenders struct {
-	traffic *traffic
-	mutex   sync.Mutex
-	byPeer  map[string]*peerSender
+	executor *executor
+	mutex    sync.Mutex
+	byPeer   map[string]*peerSender
 }
 
-// peerSender is the queue to one peer.
+// peerSender is the queue of one peer.
 type peerSender struct {
 	address  string
-	waiting  *schedulerv1.PeerBatch
-	underWay int
+	pending  *schedulerv1.PeerBatch
+	inFlight int
 }
 
-func newPeerSenders(traffic *traffic) *peerSenders {
-	return &peerSenders{traffic: traffic, byPeer: make(map[string]*peerSender)}
+func newPeerSenders(executor *executor) *peerSenders {
+	return &peerSenders{executor: executor, byPeer: make(map[string]*peerSender)}
 }
 
 func (senders *peerSenders) send(effect SendPeer) {
@@ -48,14 +48,14 @@
 	senders.start(effect.Process, sender)
 }
 
-// merge adds a batch to what waits. Heartbeats of a later batch replace those
-// of an earlier one only where both have some: then the later goes alone.
+// merge adds a batch to the pending one. Heartbeats and their acknowledgements in the later
+// batch replace those in the earlier one.
 func (sender *peerSender) merge(batch *schedulerv1.PeerBatch) {
-	if sender.waiting == nil || proto.Size(sender.waiting) > mergedMessagesBound*1024 {
-		sender.waiting = batch
+	if sender.pending == nil || proto.Size(sender.pending) > maximumMergedKiB*1024 {
+		sender.pending = batch
 		return
 	}
-	merged := sender.waiting
+	merged := sender.pending
 	replication, added := merged.Replication, batch.Replication
 	replication.Messages = append(replication.Messages, added.GetMessages()...)
 	if added.GetHeartbeats() != nil {
@@ -73,27 +73,26 @@
 	merged.AbstainReplies = append(merged.AbstainReplies, batch.AbstainReplies...)
 }
 
-// start sends what waits, if the bound on exchanges allows. The mutex is held.
+// start sends the pending batch if exchangesPerPeer allows. The mutex must be held.
 func (senders *peerSenders) start(process string, sender *peerSender) {
-	if sender.waiting == nil || sender.underWay >= exchangesPerPeer {
+	if sender.pending == nil || sender.inFlight >= exchangesPerPeer {
 		return
 	}
-	batch := sender.waiting
-	sender.waiting = nil
-	sender.underWay++
+	batch := sender.pending
+	sender.pending = nil
+	sender.inFlight++
 	address := sender.address
-	senders.traffic.workers.Go(func() { senders.exchange(process, sender, address, batch) })
+	senders.executor.workers.Go(func() { senders.exchange(process, sender, address, batch) })
 }
 
-// exchange sends one batch. A lost one is not reported: every message in it bears
-// its loss.
+// exchange sends one batch. Errors are ignored: the protocol tolerates the loss of any message.
 func (senders *peerSenders) exchange(process string, sender *peerSender, address string, batch *schedulerv1.PeerBatch) {
-	answer, err := senders.traffic.exchange(address, batch)
+	answer, err := senders.executor.exchange(address, batch)
 	if err == nil {
-		senders.traffic.post(PeerBatchReceived{Batch: answer})
+		senders.executor.post(PeerBatchReceived{Batch: answer})
 	}
 	senders.mutex.Lock()
 	defer senders.mutex.Unlock()
-	sender.underWay--
+	sender.inFlight--
 	senders.start(process, sender)
 }
--- a/internal/scheduler/pool.go
+++ b/internal/scheduler/pool.go
@@ -10,9 +10,9 @@
 	"github.com/magpielug/magpielug/internal/outside"
 )
 
-// pool is an engine pool that this process keeps, because it leads the pool's
-// shard. The shard's epoch is the fence of every order to the engines, so a
-// keeper that has been replaced is refused by them; see pool_fence.go.
+// pool is an engine pool that is managed by this process because it leads the pool's shard. The
+// shard's epoch fences all commands to the engines, so that they reject a replaced keeper; see
+// pool_fence.go.
 type pool struct {
 	core    *Core
 	name    string
@@ -21,7 +21,7 @@
 	engines map[string]outside.Machine
 	drained map[string]bool
 	fences  map[string]*engineFence
-	// policies are the names that the keeper was made with.
+	// policies holds the policy names that the keeper was built with.
 	policies policyNames
 	lists    poolLists
 }
@@ -31,40 +31,40 @@
 	affinityPercent         uint32
 }
 
-// arrangePools keeps exactly the pools whose shards this process leads.
-func (core *Core) arrangePools() {
-	kept := make(map[string]bool)
+// updatePools adds and removes pools to match the shards led by this process.
+func (core *Core) updatePools() {
+	managed := make(map[string]bool)
 	for _, name := range sortedKeys(core.layout.engines) {
 		engines := core.layout.engines[name]
 		host := core.hosts[core.shardOfPool(name)]
 		if host == nil || !host.serving {
 			continue
 		}
-		kept[name] = true
-		core.arrangePool(name, host.number, engines)
+		managed[name] = true
+		core.updatePool(name, host.number, engines)
 	}
 	for _, name := range core.poolNames() {
-		if !kept[name] {
+		if !managed[name] {
 			delete(core.pools, name)
 			core.log("pool_dropped", core.shardOfPool(name), "", "", name)
 		}
 	}
-	core.arrangePolling()
+	core.updatePolling()
 }
 
-func (core *Core) arrangePool(name string, shardNumber uint32, engines []outside.Machine) {
-	kept := core.pools[name]
-	if kept == nil {
-		kept = core.newPool(name, shardNumber)
-		core.pools[name] = kept
+func (core *Core) updatePool(name string, shardNumber uint32, engines []outside.Machine) {
+	managed := core.pools[name]
+	if managed == nil {
+		managed = core.newPool(name, shardNumber)
+		core.pools[name] = managed
 		core.log("pool_kept", shardNumber, "", "", name)
-		kept.askForLists()
+		managed.requestAllLists()
 	}
-	kept.arrangeEngines(engines)
+	managed.updateEngines(engines)
 }
 
 func (core *Core) newPool(name string, shardNumber uint32) *pool {
-	made := &pool{
+	created := &pool{
 		core:    core,
 		name:    name,
 		shard:   shardNumber,
@@ -73,13 +73,12 @@
 		fences:  make(map[string]*engineFence),
 		lists:   newPoolLists(),
 	}
-	made.buildKeeper()
-	return made
+	created.buildKeeper()
+	return created
 }
 
-// buildKeeper makes a keeper with the configured policies. Leaders repeat
-// their offers and are asked for their grants, so it learns what its predecessor
-// knew.
+// buildKeeper builds a keeper with the configured policies. It learns the state of its
+// predecessor from the leaders' repeated offers and grant lists.
 func (pool *pool) buildKeeper() {
 	pool.policies = pool.core.policyNames()
 	names := pool.policies
@@ -106,26 +105,26 @@
 	}
 }
 
-// configurationChanged takes new policies and drains up.
+// configurationChanged applies changed policies and drains.
 func (pool *pool) configurationChanged() {
 	if pool.policies != pool.core.policyNames() {
 		pool.buildKeeper()
-		pool.askForLists()
+		pool.requestAllLists()
 	}
-	pool.arrangeEngines(pool.machines())
+	pool.updateEngines(pool.machines())
 }
 
 func (pool *pool) machines() []outside.Machine {
 	return sorted(pool.engines)
 }
 
-// arrangeEngines takes the pool's engines from the machine list. A leaving or
-// drained one gets no new work from here on.
-func (pool *pool) arrangeEngines(engines []outside.Machine) {
+// updateEngines applies the machine list to the pool's engines. A leaving or drained engine gets
+// no new work.
+func (pool *pool) updateEngines(engines []outside.Machine) {
 	listed := make(map[string]outside.Machine, len(engines))
 	for _, engine := range engines {
 		listed[engine.ID] = engine
-		pool.arrangeDrain(engine)
+		pool.updateDrain(engine)
 	}
 	for _, name := range sortedKeys(pool.engines) {
 		if _, found := listed[name]; !found {
@@ -142,7 +141,7 @@
 	}
 }
 
-func (pool *pool) arrangeDrain(engine outside.Machine) {
+func (pool *pool) updateDrain(engine outside.Machine) {
 	configuration := pool.core.configuration
 	drained := engine.State == outside.MachineLeaving ||
 		configuration != nil && configuration.Drained(engine.ID)
@@ -157,18 +156,18 @@
 	pool.step(keeper.EngineResumed{Engine: engine.ID})
 }
 
-// arrangePolling asks for the load reports of every kept engine.
-func (core *Core) arrangePolling() {
+// updatePolling updates the set of polled engines.
+func (core *Core) updatePolling() {
 	var engines []EngineAddress
 	for _, name := range core.poolNames() {
 		for _, machine := range core.pools[name].machines() {
 			engines = append(engines, EngineAddress{Engine: machine.ID, Address: machine.Address})
 		}
 	}
-	if slices.Equal(engines, core.polled) {
+	if slices.Equal(engines, core.polledEngines) {
 		return
 	}
-	core.polled = engines
+	core.polledEngines = engines
 	core.emit(PollEngines{Engines: slices.Clone(engines)})
 }
 
@@ -176,19 +175,19 @@
 
 func (pool *pool) tick() { pool.step(keeper.Tick{}) }
 
-// step gives the keeper an event and carries its effects out. Nothing is
-// granted unless the shard's lease covers this moment.
+// step passes an event to the keeper and executes its effects, unless the shard's lease is not
+// held.
 func (pool *pool) step(event keeper.Event) {
 	effects := slices.Clone(pool.keeper.Step(pool.core.now, event))
 	if !pool.leads() {
 		return
 	}
 	for _, effect := range effects {
-		pool.carryOut(effect)
+		pool.execute(effect)
 	}
 }
 
-func (pool *pool) carryOut(effect keeper.Effect) {
+func (pool *pool) execute(effect keeper.Effect) {
 	switch effect := effect.(type) {
 	case keeper.Grant:
 		pool.reply(effect.Request, pool.grantOf(effect))
@@ -199,22 +198,22 @@
 	case keeper.Preempt:
 		pool.reply(effect.Request, preemptionOf(effect))
 	case keeper.ReleaseCache:
-		pool.release(effect)
+		pool.issueRelease(effect)
 	case keeper.CheckEngine:
-		pool.core.emit(PollEngineSoon{Engine: EngineAddress{
+		pool.core.emit(PollEngineNow{Engine: EngineAddress{
 			Engine:  effect.Engine,
 			Address: pool.engines[effect.Engine].Address,
 		}})
 	case keeper.LoadAdapter:
-		pool.orderLoad(effect)
+		pool.issueLoad(effect)
 	case keeper.SetRole:
-		pool.orderRole(effect)
+		pool.issueRoleChange(effect)
 	case keeper.ExportCache, keeper.ImportCache:
 		pool.core.log("cache_move_unsupported", pool.shard, "", "", pool.name)
 	}
 }
 
-func (pool *pool) release(effect keeper.ReleaseCache) {
+func (pool *pool) issueRelease(effect keeper.ReleaseCache) {
 	engine, found := pool.engines[effect.Engine]
 	if !found {
 		return
@@ -251,7 +250,7 @@
 	}}}
 }
 
-// reply brings a keeper's answer to the leader that asked.
+// reply sends a keeper's reply to the leader that made the request.
 func (pool *pool) reply(request keeper.Request, reply *schedulerv1.KeeperReply) {
 	reply.Pool = pool.name
 	reply.Shard = request.Shard
@@ -263,37 +262,37 @@
 	batch.KeeperReplies = append(batch.KeeperReplies, reply)
 }
 
-// keeperRequested takes a leader's request in.
+// keeperRequested handles a request from a shard's leader.
 func (core *Core) keeperRequested(request *schedulerv1.KeeperRequest) {
-	kept := core.pools[request.Pool]
-	if kept == nil {
-		core.answerNotKeeper(request)
+	managed := core.pools[request.Pool]
+	if managed == nil {
+		core.replyNotKeeper(request)
 		return
 	}
-	switch asked := request.Request.(type) {
+	switch message := request.Request.(type) {
 	case *schedulerv1.KeeperRequest_Offer:
-		kept.step(keeper.CallQueued{Request: core.keeperRequest(request, asked.Offer)})
+		managed.step(keeper.CallQueued{Request: core.keeperRequest(request, message.Offer)})
 	case *schedulerv1.KeeperRequest_Cancel:
-		kept.step(keeper.CallCancelled{Call: callKey(asked.Cancel)})
+		managed.step(keeper.CallCancelled{Call: callKey(message.Cancel)})
 	case *schedulerv1.KeeperRequest_Return:
-		kept.step(returnedCall(asked.Return))
+		managed.step(returnedCall(message.Return))
 	case *schedulerv1.KeeperRequest_FirstToken:
-		kept.step(keeper.FirstToken{Call: callKey(asked.FirstToken)})
+		managed.step(keeper.FirstToken{Call: callKey(message.FirstToken)})
 	case *schedulerv1.KeeperRequest_Pause:
-		kept.step(keeper.ProgramPaused{
-			Program:       asked.Pause.ProgramId,
-			ExpectedPause: time.Duration(asked.Pause.ExpectedPauseMs) * time.Millisecond,
+		managed.step(keeper.ProgramPaused{
+			Program:       message.Pause.ProgramId,
+			ExpectedPause: time.Duration(message.Pause.ExpectedPauseMs) * time.Millisecond,
 		})
 	case *schedulerv1.KeeperRequest_Gone:
-		kept.step(keeper.ProgramEnded{Program: asked.Gone.ProgramId})
+		managed.step(keeper.ProgramEnded{Program: message.Gone.ProgramId})
 	case *schedulerv1.KeeperRequest_Held:
-		kept.grantsHeld(request, asked.Held)
+		managed.grantsHeld(request, message.Held)
 	case *schedulerv1.KeeperRequest_Live:
-		kept.programsLive(request, asked.Live)
+		managed.programsLive(request, message.Live)
 	}
 }
 
-func (core *Core) answerNotKeeper(request *schedulerv1.KeeperRequest) {
+func (core *Core) replyNotKeeper(request *schedulerv1.KeeperRequest) {
 	if request.Leader == core.config.Process {
 		return
 	}
@@ -309,16 +308,16 @@
 	})
 }
 
-// engineReported passes an engine's load report to the pool it belongs to.
+// engineReported passes an engine's load report to its pool.
 func (core *Core) engineReported(event EngineReported) {
 	for _, name := range core.poolNames() {
-		kept := core.pools[name]
-		machine, found := kept.engines[event.Engine]
+		managed := core.pools[name]
+		machine, found := managed.engines[event.Engine]
 		if !found {
 			continue
 		}
-		kept.followFence(machine, event.Report.FenceEpoch)
-		kept.step(reportedEngine(event, machine))
+		managed.reconcileFence(machine, event.Report.FenceEpoch)
+		managed.step(reportedEngine(event, machine))
 		return
 	}
 }
@@ -345,9 +344,8 @@
 	}
 }
 
-// engineSilent removes an engine that does not answer from its pool, until it
-// reports again.
-func (core *Core) engineSilent(engine string) {
+// engineUnresponsive removes an unresponsive engine from its pool until it reports again.
+func (core *Core) engineUnresponsive(engine string) {
 	for _, name := range core.poolNames() {
 		if _, found := core.pools[name].engines[engine]; found {
 			core.pools[name].step(keeper.EngineLost{Engine: engine})
@@ -356,7 +354,7 @@
 }
 
 func (core *Core) keeperRequest(request *schedulerv1.KeeperRequest, offer *schedulerv1.CallOffer) keeper.Request {
-	asked := keeper.Request{
+	message := keeper.Request{
 		Call:            callKey(offer.Call),
 		Leader:          request.Leader,
 		Shard:           request.Shard,
@@ -376,9 +374,9 @@
 		WaitBound:       time.Duration(offer.WaitBoundMs) * time.Millisecond,
 	}
 	if offer.DeadlineMs > 0 {
-		asked.Deadline = core.now + time.Duration(offer.DeadlineMs)*time.Millisecond
+		message.Deadline = core.now + time.Duration(offer.DeadlineMs)*time.Millisecond
 	}
-	return asked
+	return message
 }
 
 func returnedCall(returned *schedulerv1.CallReturn) keeper.CallFinished {
--- a/internal/scheduler/pool_fence.go
+++ b/internal/scheduler/pool_fence.go
@@ -7,25 +7,25 @@
 )
 
 const (
-	// fenceProgram is what an announcement of a fence has released: a name that
-	// no program can have, so that the order changes nothing but the fence.
+	// fenceProgram is the program whose cache is released to announce a fence. No program can
+	// have this name, so that the command only raises the fence.
 	fenceProgram = "/fence"
-	// fenceRepeat is how long after an announcement an engine's report must show
-	// it, or it is given again.
-	fenceRepeat = 3 * time.Second
+	// fenceAnnounceInterval is the time after which an announcement is repeated if the engine's
+	// reports do not show it.
+	fenceAnnounceInterval = 3 * time.Second
 )
 
-// engineFence is what a keeper knows of the fence that one engine has seen.
+// engineFence is a keeper's record of the fence at one engine.
 type engineFence struct {
-	// raised is above the epoch of the pool's shard where the engine had seen a
-	// higher one, and 0 where it had not.
+	// raised is the fence epoch used for an engine that has seen a higher one than the epoch of
+	// the pool's shard, otherwise 0.
 	raised      uint64
 	announcedAt time.Duration
 }
 
-// fenceOf is the fence of orders and grants to an engine now: the epoch of the
-// pool's shard. Epochs of two shards can't be compared, so for an engine that was
-// in another pool before it is raised over what the engine has seen there.
+// fenceOf returns the current fence for commands and grants to an engine: the epoch of the
+// pool's shard. Epochs of different shards are not comparable, so for an engine that comes from
+// another pool the fence is raised above the one that it has seen.
 func (pool *pool) fenceOf(engine string) outside.Fence {
 	fence := outside.Fence{Holder: pool.core.Incarnation(), Epoch: uint64(pool.core.hosts[pool.shard].epoch)}
 	if known := pool.fences[engine]; known != nil {
@@ -34,14 +34,13 @@
 	return fence
 }
 
-// leads tells whether this process may act for the pool at this moment.
+// leads reports whether this process leads the pool's shard.
 func (pool *pool) leads() bool {
 	host := pool.core.hosts[pool.shard]
 	return host != nil && host.leads()
 }
 
-// announceFence has an engine refuse all orders and grants of earlier keepers
-// from now on.
+// announceFence makes an engine reject commands and grants of earlier keepers.
 func (pool *pool) announceFence(engine outside.Machine) {
 	if !pool.leads() {
 		return
@@ -55,11 +54,11 @@
 	pool.core.emit(ReleaseCache{Address: engine.Address, Program: fenceProgram, Fence: pool.fenceOf(engine.ID)})
 }
 
-// followFence compares the fence that an engine's report shows with the pool's
-// own. A lower one means that the announcement was lost or the engine has started
-// anew; a higher one that the engine comes from another pool. It can't come from
-// a later keeper of this pool: none has the lease while this one does.
-func (pool *pool) followFence(engine outside.Machine, seen uint64) {
+// reconcileFence compares an engine's reported fence with the pool's. If it is lower, the
+// announcement was lost or the engine has restarted. If it is higher, the engine comes from
+// another pool; it can't come from a later keeper of this pool while this process holds the
+// lease.
+func (pool *pool) reconcileFence(engine outside.Machine, seen uint64) {
 	if !pool.leads() {
 		return
 	}
@@ -74,7 +73,7 @@
 		known.raised = seen + 1
 		pool.core.log("fence_raised", pool.shard, "", "", engine.ID)
 		pool.announceFence(engine)
-	case seen < own && (known == nil || pool.core.now-known.announcedAt > fenceRepeat):
+	case seen < own && (known == nil || pool.core.now-known.announcedAt > fenceAnnounceInterval):
 		pool.announceFence(engine)
 	}
 }
--- a/internal/scheduler/pool_lists_test.go
+++ b/internal/scheduler/pool_lists_test.go
@@ -10,18 +10,18 @@
 	"github.com/magpielug/magpielug/internal/outside"
 )
 
-var _ = Describe("The lists of a keeper's leaders", func() {
-	var kept *pool
+var _ = Describe("lists reported by leaders to a keeper", func() {
+	var managed *pool
 
 	BeforeEach(func() {
 		core := NewCore(Config{Process: "keeper", Shards: 1}, rand.New(rand.NewSource(1)))
-		kept = core.newPool("pool", 0)
+		managed = core.newPool("pool", 0)
 	})
 
-	// asked returns what the keeper has asked the leader for since the last look.
+	// asked returns the lists that the keeper has requested since the last call.
 	asked := func() *schedulerv1.ListsWanted {
-		batch := kept.core.outbox["leader"]
-		delete(kept.core.outbox, "leader")
+		batch := managed.core.outbox["leader"]
+		delete(managed.core.outbox, "leader")
 		if batch == nil {
 			return nil
 		}
@@ -42,24 +42,24 @@
 		return &schedulerv1.GrantsHeld{Digest: digest.wire()}
 	}
 
-	It("are asked for by a new keeper at the first digest, by a known one when two in a row differ", func() {
-		kept.grantsHeld(request, digestOf())
+	It("are requested by a new keeper at the first digest, and later if two consecutive digests differ", func() {
+		managed.grantsHeld(request, digestOf())
 		Expect(asked().GetGrants()).To(BeTrue())
-		kept.grantsHeld(request, &schedulerv1.GrantsHeld{Grants: []*schedulerv1.HeldGrant{heldGrant("1"), heldGrant("2")}})
+		managed.grantsHeld(request, &schedulerv1.GrantsHeld{Grants: []*schedulerv1.HeldGrant{heldGrant("1"), heldGrant("2")}})
 		for _, held := range []*schedulerv1.GrantsHeld{digestOf("2", "1"), digestOf("1"), digestOf("1", "2"), digestOf("1", "3")} {
-			kept.grantsHeld(request, held)
+			managed.grantsHeld(request, held)
 			Expect(asked()).To(BeNil())
 		}
-		kept.grantsHeld(request, digestOf("1", "3"))
+		managed.grantsHeld(request, digestOf("1", "3"))
 		Expect(asked().GetGrants()).To(BeTrue())
 	})
 
-	It("are asked for where a leader holds none any more, though one report in two is lost", func() {
+	It("are requested after a leader's last grant even if every other report is lost", func() {
 		leader := NewCore(Config{Process: "leader", Shards: 1}, rand.New(rand.NewSource(2)))
 		leader.directory.leaders[0] = "keeper"
-		leader.heldBefore["pool"] = noneReports
-		kept.grantsHeld(request, &schedulerv1.GrantsHeld{Grants: []*schedulerv1.HeldGrant{heldGrant("1")}})
-		// reported returns what the leader reports at its next interval, if anything.
+		leader.grantReportsLeft["pool"] = emptyGrantReports
+		managed.grantsHeld(request, &schedulerv1.GrantsHeld{Grants: []*schedulerv1.HeldGrant{heldGrant("1")}})
+		// reported returns the leader's next periodic report, if any.
 		reported := func() *schedulerv1.GrantsHeld {
 			leader.reportHeldGrants()
 			batch := leader.outbox["keeper"]
@@ -70,13 +70,13 @@
 			return batch.KeeperRequests[0].GetHeld()
 		}
 		asks := 0
-		for report := 0; report < noneReports; report++ {
+		for report := 0; report < emptyGrantReports; report++ {
 			held := reported()
 			Expect(held).NotTo(BeNil(), "report %d", report)
 			if report%2 == 1 {
 				continue // Lost.
 			}
-			kept.grantsHeld(request, held)
+			managed.grantsHeld(request, held)
 			if asked().GetGrants() {
 				asks++
 			}
@@ -85,22 +85,22 @@
 		Expect(reported()).To(BeNil())
 	})
 
-	It("are asked for at once where the live programs of a shard differ", func() {
+	It("are requested immediately if the live programs of a shard differ", func() {
 		live := func(programs ...string) *schedulerv1.ProgramsLive {
 			return &schedulerv1.ProgramsLive{Digest: digestOfPrograms(&schedulerv1.ProgramsLive{Programs: programs}).wire()}
 		}
-		kept.programsLive(request, live())
+		managed.programsLive(request, live())
 		Expect(asked().GetPrograms()).To(BeTrue())
-		kept.programsLive(request, &schedulerv1.ProgramsLive{Programs: []string{"p", "q"}})
-		kept.programsLive(request, live("q", "p"))
+		managed.programsLive(request, &schedulerv1.ProgramsLive{Programs: []string{"p", "q"}})
+		managed.programsLive(request, live("q", "p"))
 		Expect(asked()).To(BeNil())
-		kept.programsLive(request, live("p"))
+		managed.programsLive(request, live("p"))
 		Expect(asked().GetPrograms()).To(BeTrue())
 	})
 
-	It("are asked of every scheduler by a keeper that has just begun", func() {
-		kept.core.directory.schedulers["leader"] = outside.Machine{ID: "leader"}
-		kept.askForLists()
+	It("are requested from all schedulers by a new keeper", func() {
+		managed.core.directory.schedulers["leader"] = outside.Machine{ID: "leader"}
+		managed.requestAllLists()
 		wanted := asked()
 		Expect(wanted.GetGrants() && wanted.GetPrograms() && wanted.GetAllShards()).To(BeTrue())
 	})
--- a/internal/scheduler/pool_load.go
+++ b/internal/scheduler/pool_load.go
@@ -12,7 +12,7 @@
 	"github.com/magpielug/magpielug/internal/resultcode"
 )
 
-// checkAdapter holds a call to the adapters that its model's service lists.
+// checkAdapter checks that the model's service lists the adapter.
 func (core *Core) checkAdapter(model, adapter string) *resultcode.Error {
 	if adapter == "" || core.configuration == nil {
 		return nil
@@ -24,25 +24,25 @@
 	return resultcode.New(resultcode.UnknownTarget, "service %s has no adapter %s", model, adapter)
 }
 
-// orderLoad passes the keeper's order to load an adapter on to the engine.
-func (pool *pool) orderLoad(order keeper.LoadAdapter) {
-	engine, found := pool.engines[order.Engine]
-	if !found || pool.core.checkAdapter(order.Model, order.Adapter) != nil {
-		pool.step(keeper.LoadFailed{Engine: order.Engine, Adapter: order.Adapter})
+// issueLoad passes the keeper's command to load an adapter to the engine.
+func (pool *pool) issueLoad(command keeper.LoadAdapter) {
+	engine, found := pool.engines[command.Engine]
+	if !found || pool.core.checkAdapter(command.Model, command.Adapter) != nil {
+		pool.step(keeper.LoadFailed{Engine: command.Engine, Adapter: command.Adapter})
 		return
 	}
-	pool.core.log("adapter_load_ordered", pool.shard, "", "", order.Engine+" "+order.Adapter+": "+order.Why)
+	pool.core.log("adapter_load_ordered", pool.shard, "", "", command.Engine+" "+command.Adapter+": "+command.Why)
 	pool.core.emit(LoadAdapter{
-		Engine:  order.Engine,
+		Engine:  command.Engine,
 		Address: engine.Address,
-		Model:   order.Model,
-		Version: order.Version,
-		Adapter: order.Adapter,
-		Fence:   pool.fenceOf(order.Engine),
+		Model:   command.Model,
+		Version: command.Version,
+		Adapter: command.Adapter,
+		Fence:   pool.fenceOf(command.Engine),
 	})
 }
 
-// loadRefused tells the keeper that an engine did not take its order.
+// loadRefused notifies the keeper that an engine rejected its load command.
 func (core *Core) loadRefused(event LoadRefused) {
 	for _, name := range core.poolNames() {
 		if _, found := core.pools[name].engines[event.Engine]; found {
@@ -51,19 +51,18 @@
 	}
 }
 
-// loadAdapter gives the order once: an engine that got it twice would move the
-// weights twice. What becomes of an order whose answer is lost, the engine's
-// reports tell.
-func (traffic *traffic) loadAdapter(effect LoadAdapter) {
-	ctx, cancel := context.WithTimeout(traffic.ctx, orderTimeout)
+// loadAdapter sends the command only once, because an engine would transfer the weights again.
+// If the answer is lost, the engine's load reports show the result.
+func (executor *executor) loadAdapter(effect LoadAdapter) {
+	ctx, cancel := context.WithTimeout(executor.ctx, commandTimeout)
 	defer cancel()
-	err := traffic.engines.Load(ctx, effect.Address, effect.Model, effect.Adapter, effect.Version, effect.Fence)
-	if err == nil || traffic.ctx.Err() != nil {
+	err := executor.engines.Load(ctx, effect.Address, effect.Model, effect.Adapter, effect.Version, effect.Fence)
+	if err == nil || executor.ctx.Err() != nil {
 		return
 	}
-	traffic.logger.Warn("engine_load_failed",
+	executor.logger.Warn("engine_load_failed",
 		zap.String("engine", effect.Engine), zap.String("adapter", effect.Adapter), zap.String("error", err.Error()))
 	if errors.Is(err, outside.ErrNotRun) {
-		traffic.post(LoadRefused{Engine: effect.Engine, Adapter: effect.Adapter})
+		executor.post(LoadRefused{Engine: effect.Engine, Adapter: effect.Adapter})
 	}
 }
--- a/internal/scheduler/pool_role.go
+++ b/internal/scheduler/pool_role.go
@@ -6,23 +6,23 @@
 	"github.com/magpielug/magpielug/internal/keeper"
 )
 
-// orderRole passes the keeper's order to change a role on to the engine.
-func (pool *pool) orderRole(order keeper.SetRole) {
-	engine, found := pool.engines[order.Engine]
+// issueRoleChange passes the keeper's command to change a role to the engine.
+func (pool *pool) issueRoleChange(command keeper.SetRole) {
+	engine, found := pool.engines[command.Engine]
 	if !found {
 		return
 	}
-	pool.core.log("engine_role_ordered", pool.shard, "", "", order.Engine+" "+order.Role)
+	pool.core.log("engine_role_ordered", pool.shard, "", "", command.Engine+" "+command.Role)
 	pool.core.emit(SetRole{
-		Engine:  order.Engine,
+		Engine:  command.Engine,
 		Address: engine.Address,
-		Role:    order.Role,
-		Fence:   pool.fenceOf(order.Engine),
+		Role:    command.Role,
+		Fence:   pool.fenceOf(command.Engine),
 	})
 }
 
-func (traffic *traffic) setRole(effect SetRole) {
-	traffic.order("engine_role_failed", "", func(ctx context.Context) error {
-		return traffic.engines.SetRole(ctx, effect.Address, effect.Role, effect.Fence)
+func (executor *executor) setRole(effect SetRole) {
+	executor.sendCommand("engine_role_failed", "", func(ctx context.Context) error {
+		return executor.engines.SetRole(ctx, effect.Address, effect.Role, effect.Fence)
 	})
 }
--- a/internal/scheduler/program_read.go
+++ b/internal/scheduler/program_read.go
@@ -15,8 +15,8 @@
 	maximumHistoryTurns = 1000
 )
 
-// programOf finds a caller's program, if this process may answer for it now. One
-// of another tenant is answered like one that does not exist.
+// programOf returns a caller's program if this process leads its shard. A program of another
+// tenant is reported as unknown.
 func (core *Core) programOf(programID string, caller *schedulerv1.Caller) (*shard.Program, *schedulerv1.Error) {
 	host := core.leadingHost(programID)
 	if host == nil {
@@ -29,16 +29,16 @@
 	return program, nil
 }
 
-func (core *Core) getAsked(event GetAsked) {
+func (core *Core) getRequested(event GetRequested) {
 	program, failure := core.programOf(event.Request.ProgramId, event.Request.Caller)
-	core.answerProgram(event.Ask, failure, program)
+	core.answerProgram(event.ReplyTo, failure, program)
 }
 
-func (core *Core) historyAsked(event HistoryAsked) {
+func (core *Core) historyRequested(event HistoryRequested) {
 	request := event.Request
 	program, failure := core.programOf(request.ProgramId, request.Caller)
 	if failure != nil {
-		core.emit(Answer{Ask: event.Ask, Message: &schedulerv1.ReadHistoryReply{Error: failure}})
+		core.emit(Reply{To: event.ReplyTo, Message: &schedulerv1.ReadHistoryReply{Error: failure}})
 		return
 	}
 	turns := program.Turns()
@@ -48,11 +48,11 @@
 		count = min(count, int(request.Limit))
 	}
 	count = min(count, maximumHistoryTurns)
-	core.emit(TurnsTaken{Ask: event.Ask, Turns: slices.Clone(turns[from : from+count])})
+	core.emit(TurnsReply{ReplyTo: event.ReplyTo, Turns: slices.Clone(turns[from : from+count])})
 }
 
-// listAsked lists the programs of the shards that this process leads.
-func (core *Core) listAsked(event ListAsked) {
+// listRequested lists the programs of the shards led by this process.
+func (core *Core) listRequested(event ListRequested) {
 	limit := int(event.Request.Limit)
 	if limit == 0 {
 		limit = defaultListLimit
@@ -73,29 +73,29 @@
 			}
 		}
 	}
-	core.emit(Answer{Ask: event.Ask, Message: reply})
+	core.emit(Reply{To: event.ReplyTo, Message: reply})
 }
 
-func (core *Core) explainAsked(event ExplainAsked) {
+func (core *Core) explainRequested(event ExplainRequested) {
 	host := core.leadingHost(event.Request.ProgramId)
 	if host == nil {
 		failure := core.notLeader(core.shardOf(event.Request.ProgramId))
-		core.emit(Answer{Ask: event.Ask, Message: &schedulerv1.ExplainCallReply{Error: failure}})
+		core.emit(Reply{To: event.ReplyTo, Message: &schedulerv1.ExplainCallReply{Error: failure}})
 		return
 	}
 	program := host.state.Program(event.Request.ProgramId)
 	if program == nil || program.Call(event.Request.RequestId) == nil {
 		failure := wireError(resultcode.New(resultcode.UnknownRequest, "no call %s", event.Request.RequestId))
-		core.emit(Answer{Ask: event.Ask, Message: &schedulerv1.ExplainCallReply{Error: failure}})
+		core.emit(Reply{To: event.ReplyTo, Message: &schedulerv1.ExplainCallReply{Error: failure}})
 		return
 	}
-	core.emit(Answer{Ask: event.Ask, Message: &schedulerv1.ExplainCallReply{
+	core.emit(Reply{To: event.ReplyTo, Message: &schedulerv1.ExplainCallReply{
 		CallState: program.Call(event.Request.RequestId).State().String(),
 		Decisions: host.decisionsOf(callID{program: program.ID(), requestID: event.Request.RequestId}),
 	}})
 }
 
-func (core *Core) statusAsked(event StatusAsked) {
+func (core *Core) statusRequested(event StatusRequested) {
 	reply := &schedulerv1.StatusReply{Node: core.config.Process, Zone: core.config.Zone}
 	if core.configuration != nil {
 		reply.ConfigurationVersion = core.configuration.Version()
@@ -106,10 +106,10 @@
 			reply.ShardsLed = append(reply.ShardsLed, number)
 		}
 	}
-	core.emit(Answer{Ask: event.Ask, Message: reply})
+	core.emit(Reply{To: event.ReplyTo, Message: reply})
 }
 
-// sortedPrograms lists the shard's programs in the order of their ids.
+// sortedPrograms lists the shard's programs sorted by id.
 func (host *host) sortedPrograms() []*shard.Program {
 	list := make([]*shard.Program, 0, host.state.Len())
 	host.state.Programs(func(program *shard.Program) bool {
--- a/internal/scheduler/program_ask.go
+++ b/internal/scheduler/program_request.go
@@ -9,12 +9,12 @@
 	"github.com/magpielug/magpielug/internal/shard"
 )
 
-func (core *Core) answerProgram(ask AskID, failure *schedulerv1.Error, program *shard.Program) {
+func (core *Core) answerProgram(replyTo ReplyID, failure *schedulerv1.Error, program *shard.Program) {
 	reply := &schedulerv1.ProgramReply{Error: failure}
 	if program != nil {
 		reply.Program = describeProgram(program)
 	}
-	core.emit(Answer{Ask: ask, Message: reply})
+	core.emit(Reply{To: replyTo, Message: reply})
 }
 
 func describeProgram(program *shard.Program) *schedulerv1.Program {
@@ -33,28 +33,27 @@
 	}
 }
 
-// createAsked proposes a program. Its cap is the tier's, or the caller's where
-// that is lower.
-func (core *Core) createAsked(event CreateAsked) {
+// createRequested proposes a program. Its cap is the lower of the tier's and the caller's.
+func (core *Core) createRequested(event CreateRequested) {
 	request := event.Request
 	host := core.leadingHost(request.ProgramId)
 	if host == nil {
-		core.answerProgram(event.Ask, core.notLeader(core.shardOf(request.ProgramId)), nil)
+		core.answerProgram(event.ReplyTo, core.notLeader(core.shardOf(request.ProgramId)), nil)
 		return
 	}
 	created, failure := core.checkCreation(request)
 	if failure != nil {
-		core.answerProgram(event.Ask, wireError(failure), nil)
+		core.answerProgram(event.ReplyTo, wireError(failure), nil)
 		return
 	}
 	entry := &shardv1.Entry{Change: &shardv1.Entry_ProgramCreated{ProgramCreated: created}}
-	if failure := host.propose(entry, programWaiter{ask: event.Ask}); failure != nil {
-		core.answerProgram(event.Ask, wireError(failure), nil)
+	if failure := host.propose(entry, programWaiter{replyTo: event.ReplyTo}); failure != nil {
+		core.answerProgram(event.ReplyTo, wireError(failure), nil)
 	}
 }
 
 func (core *Core) checkCreation(request *schedulerv1.CreateProgramRequest) (*shardv1.ProgramCreated, *resultcode.Error) {
-	if core.configuration == nil || !core.fresh {
+	if core.configuration == nil || !core.configurationCurrent {
 		return nil, resultcode.New(resultcode.ConfigurationStale,
 			"the configuration may not be current").After(staleRetryAfter)
 	}
@@ -82,40 +81,39 @@
 	}, nil
 }
 
-// programWaiter answers once an entry about a program is applied.
-type programWaiter struct{ ask AskID }
+// programWaiter replies once an entry about a program is applied.
+type programWaiter struct{ replyTo ReplyID }
 
 func (waiting programWaiter) applied(host *host, outcome shard.Outcome) {
 	if outcome.Program != nil && outcome.Err == nil && !outcome.Program.Over() {
-		host.noteQuiet(outcome.Program)
+		host.noteIdle(outcome.Program)
 	}
-	host.core.answerProgram(waiting.ask, wireError(outcome.Err), outcome.Program)
+	host.core.answerProgram(waiting.replyTo, wireError(outcome.Err), outcome.Program)
 }
 
 func (waiting programWaiter) abandoned(host *host) {
-	host.core.answerProgram(waiting.ask, host.core.notLeader(host.number), nil)
+	host.core.answerProgram(waiting.replyTo, host.core.notLeader(host.number), nil)
 }
 
-// endAsked proposes the end or the stop of a program.
-func (core *Core) endAsked(event EndAsked) {
+// endRequested proposes the end or the stop of a program.
+func (core *Core) endRequested(event EndRequested) {
 	request := event.Request
 	host := core.leadingHost(request.ProgramId)
 	if host == nil {
-		core.answerProgram(event.Ask, core.notLeader(core.shardOf(request.ProgramId)), nil)
+		core.answerProgram(event.ReplyTo, core.notLeader(core.shardOf(request.ProgramId)), nil)
 		return
 	}
 	program := host.state.Program(request.ProgramId)
 	foreign := program != nil && !request.ByOperator && program.Created().Tenant != request.Caller.GetTenant()
 	if program == nil || foreign {
-		core.answerProgram(event.Ask, wireError(unknownProgram(request.ProgramId)), nil)
+		core.answerProgram(event.ReplyTo, wireError(unknownProgram(request.ProgramId)), nil)
 		return
 	}
 	ended := &shardv1.ProgramEnded{ProgramId: request.ProgramId, Stopped: request.Stop, Reason: request.Reason}
-	host.proposeEnd(ended, programWaiter{ask: event.Ask})
+	host.proposeEnd(ended, programWaiter{replyTo: event.ReplyTo})
 }
 
-// proposeEnd proposes the end of a program and tells waiting once it is
-// applied.
+// proposeEnd proposes the end of a program and notifies waiting once it is applied.
 func (host *host) proposeEnd(ended *shardv1.ProgramEnded, waiting waiter) {
 	entry := &shardv1.Entry{Change: &shardv1.Entry_ProgramEnded{ProgramEnded: ended}}
 	if failure := host.propose(entry, endWaiter{programID: ended.ProgramId, next: waiting}); failure != nil {
@@ -123,8 +121,7 @@
 	}
 }
 
-// endWaiter stops the calls of a program that is over and has its cache
-// released.
+// endWaiter stops the calls of ended programs and releases their cache.
 type endWaiter struct {
 	programID string
 	next      waiter
@@ -132,39 +129,39 @@
 
 func (waiting endWaiter) applied(host *host, outcome shard.Outcome) {
 	if outcome.Err == nil && !outcome.Duplicate {
-		host.programOver(outcome)
+		host.programsEnded(outcome)
 	}
 	waiting.next.applied(host, outcome)
 }
 
 func (waiting endWaiter) abandoned(host *host) { waiting.next.abandoned(host) }
 
-func (host *host) programOver(outcome shard.Outcome) {
+func (host *host) programsEnded(outcome shard.Outcome) {
 	for _, call := range outcome.Cancelled {
 		host.stopCall(call)
 	}
 	for _, program := range outcome.Ended {
-		delete(host.quietSince, program.ID())
-		host.overSince[program.ID()] = host.core.now
-		host.programGone(program)
+		delete(host.idleSince, program.ID())
+		host.endedSince[program.ID()] = host.core.now
+		host.releaseProgramCache(program)
 	}
 }
 
-// stopCall answers the followers of a cancelled call and stops it where it runs.
+// stopCall fails the stream of a cancelled call and stops its run.
 func (host *host) stopCall(call *shard.Call) {
 	live := host.calls[callID{program: call.Program().ID(), requestID: call.RequestID()}]
 	if live == nil {
 		return
 	}
 	switch live.phase {
-	case phaseRunning, phaseIntending, phaseClosing:
+	case phaseRunning, phaseCommittingIntent, phaseClosing:
 		host.stopRun(live)
 	case phaseOffered:
 		host.cancelOffer(live)
 	}
 	live.buffer.Fail(call.Failure())
 	delete(host.calls, live.id())
-	host.rememberDecisions(live)
+	host.retainDecisions(live)
 }
 
 func (host *host) stopRun(live *liveCall) {
--- a/internal/scheduler/program_sweep.go
+++ b/internal/scheduler/program_sweep.go
@@ -8,27 +8,27 @@
 	"github.com/magpielug/magpielug/internal/shard"
 )
 
-// maximumRemembered bounds the closed calls whose decisions a leader keeps.
-const maximumRemembered = 4096
+// maximumRetainedDecisions bounds the closed calls whose decisions a leader retains.
+const maximumRetainedDecisions = 4096
 
-// noteQuiet starts the clock of a program's pause.
-func (host *host) noteQuiet(program *shard.Program) {
-	if _, known := host.quietSince[program.ID()]; !known && program.OpenCalls() == 0 {
-		host.quietSince[program.ID()] = host.core.now
+// noteIdle starts the pause timer of a program without open calls.
+func (host *host) noteIdle(program *shard.Program) {
+	if _, known := host.idleSince[program.ID()]; !known && program.OpenCalls() == 0 {
+		host.idleSince[program.ID()] = host.core.now
 	}
 }
 
-// sweepPrograms stops programs whose caller was silent for too long, and drops
-// the records of programs long over.
+// sweepPrograms stops programs that exceed their pause limit, removes the records of programs
+// that ended long ago, and reports live programs.
 func (host *host) sweepPrograms() {
-	for _, programID := range sortedKeys(host.quietSince) {
-		host.sweepQuiet(programID)
+	for _, programID := range sortedKeys(host.idleSince) {
+		host.sweepIdle(programID)
 	}
-	for _, programID := range sortedKeys(host.overSince) {
-		if host.core.now-host.overSince[programID] < host.core.config.EndedMemory {
+	for _, programID := range sortedKeys(host.endedSince) {
+		if host.core.now-host.endedSince[programID] < host.core.config.EndedMemory {
 			continue
 		}
-		delete(host.overSince, programID)
+		delete(host.endedSince, programID)
 		program := host.state.Program(programID)
 		if program != nil && program.Root() == program {
 			host.propose(&shardv1.Entry{Change: &shardv1.Entry_ProgramForgotten{
@@ -36,23 +36,23 @@
 			}}, ignoredWaiter{})
 		}
 	}
-	if host.core.now-host.lastLive >= host.core.config.LiveInterval {
-		host.lastLive = host.core.now
+	if host.core.now-host.lastProgramReport >= host.core.config.LiveInterval {
+		host.lastProgramReport = host.core.now
 		host.reportLivePrograms()
 	}
 }
 
-func (host *host) sweepQuiet(programID string) {
+func (host *host) sweepIdle(programID string) {
 	program := host.state.Program(programID)
 	if program == nil || program.Over() || program.OpenCalls() > 0 {
-		delete(host.quietSince, programID)
+		delete(host.idleSince, programID)
 		return
 	}
 	limit := host.core.pauseLimit(program)
-	if limit == 0 || host.core.now-host.quietSince[programID] < limit || program.LiveSubAgents() > 0 {
+	if limit == 0 || host.core.now-host.idleSince[programID] < limit || program.LiveSubAgents() > 0 {
 		return
 	}
-	delete(host.quietSince, programID)
+	delete(host.idleSince, programID)
 	host.core.log("program_pause_expired", host.number, programID, "", limit.String())
 	host.proposeEnd(&shardv1.ProgramEnded{
 		ProgramId: programID,
@@ -61,7 +61,8 @@
 	}, ignoredWaiter{})
 }
 
-// pauseLimit is how long a program of this kind may be silent; 0 is no bound.
+// pauseLimit returns how long a program of this kind may be without an open call; 0 is
+// unlimited.
 func (core *Core) pauseLimit(program *shard.Program) time.Duration {
 	if core.configuration == nil {
 		return 0
@@ -73,13 +74,13 @@
 	return time.Duration(kind.ToolPauseLimitMs) * time.Millisecond
 }
 
-// rememberDecisions keeps a closed call's decisions for an operator's question.
-func (host *host) rememberDecisions(live *liveCall) {
-	if len(host.remembered) >= maximumRemembered {
-		delete(host.decisions, host.remembered[0])
-		host.remembered = host.remembered[1:]
+// retainDecisions retains a closed call's decisions for ExplainCall.
+func (host *host) retainDecisions(live *liveCall) {
+	if len(host.decisionOrder) >= maximumRetainedDecisions {
+		delete(host.decisions, host.decisionOrder[0])
+		host.decisionOrder = host.decisionOrder[1:]
 	}
-	host.remembered = append(host.remembered, live.id())
+	host.decisionOrder = append(host.decisionOrder, live.id())
 	host.decisions[live.id()] = live.decisions
 }
 
--- a/internal/scheduler/rebuild.go
+++ b/internal/scheduler/rebuild.go
@@ -12,39 +12,38 @@
 )
 
 const (
-	// rebuildAfter is how long a shard may have no leader before its members
-	// ask whether the group has lost its majority for good.
+	// rebuildAfter is the time without a leader after which a shard's members check whether the
+	// group has permanently lost its majority.
 	rebuildAfter = 8 * time.Second
-	// abstainInterval is how often the members are asked.
+	// abstainInterval is the interval between abstain requests.
 	abstainInterval = time.Second
 )
 
-// rebuild is the attempt to found a shard's group anew from its stream, under a
-// higher generation, after a majority of its replicas has died at once.
+// rebuild is an attempt to found a shard's group again from its stream, with a higher
+// generation, after a majority of its replicas was lost at once.
 //
-// It needs the proof that a majority of the old members is gone: the machine
-// list does not name them any more, or they have promised to take no part. With
-// the proof nothing can be committed in the old generation any more, so a voter
-// that is left archives all that its log holds first. What only the dead members
-// held and had not archived is lost with them.
+// It requires proof that a majority of the old members is gone: they are no longer in the
+// machine list, or have promised to abstain. Then nothing more can be committed in the old
+// generation, and each remaining voter first archives the tail of its log. Unarchived entries
+// that only lost members held are lost.
 type rebuild struct {
-	generation uint32
-	gone       map[string]bool
-	lastAsk    time.Duration
-	// provenAt is when the proof was complete; it is set once proven is true.
+	generation  uint32
+	lost        map[string]bool
+	lastRequest time.Duration
+	// provenAt is the time at which the proof was complete, valid if proven is true.
 	proven   bool
 	provenAt time.Duration
-	// tails are the voters that are left and have not archived their logs yet.
-	tails map[string]bool
-	// tailWanted is set at a voter that is left, once a claimant has the proof.
-	tailWanted bool
+	// unarchivedTails holds the remaining voters that have not archived the tail of their logs yet.
+	unarchivedTails map[string]bool
+	// tailRequested is true at a remaining voter once a claimant has the proof.
+	tailRequested bool
 }
 
 func newRebuild() *rebuild {
-	return &rebuild{gone: make(map[string]bool), tails: make(map[string]bool), lastAsk: -abstainInterval}
+	return &rebuild{lost: make(map[string]bool), unarchivedTails: make(map[string]bool), lastRequest: -abstainInterval}
 }
 
-// fromLeader tells whether only a leader sends such a message.
+// fromLeader reports whether the message is one that only a leader sends.
 func fromLeader(message *replicationv1.Message) bool {
 	switch message.Body.(type) {
 	case *replicationv1.Message_AppendRequest, *replicationv1.Message_Heartbeat, *replicationv1.Message_SnapshotChunk:
@@ -53,105 +52,102 @@
 	return false
 }
 
-// led tells whether the shard's group is known here to have had a leader of
-// late.
-func (host *host) led() bool {
-	return host.leads() || host.core.now-host.lastLed < rebuildAfter
+// hasLeader reports whether the shard's group has recently had a leader.
+func (host *host) hasLeader() bool {
+	return host.leads() || host.core.now-host.leaderHeardAt < rebuildAfter
 }
 
-// tickRebuild looks after a home whose replica hears no leader.
-func (core *Core) tickRebuild(home *home, host *host) {
-	if host.led() {
-		home.rebuild = nil
+// tickRebuild starts, continues or ends the rebuild of an assignment whose replica hears from no
+// leader.
+func (core *Core) tickRebuild(assignment *assignment, host *host) {
+	if host.hasLeader() {
+		assignment.rebuild = nil
 		return
 	}
-	if home.rebuild == nil {
-		home.rereadFrom(core)
-		home.rebuild = newRebuild()
-		core.log("shard_without_leader", home.number, "", "", host.replica.Role().String())
+	if assignment.rebuild == nil {
+		assignment.restartRead(core)
+		assignment.rebuild = newRebuild()
+		core.log("shard_without_leader", assignment.number, "", "", host.replica.Role().String())
 	}
-	core.readHome(home)
-	if !home.atEnd {
+	core.readAssignment(assignment)
+	if !assignment.atEnd {
 		return
 	}
-	if home.archive.Claim().Generation > host.generation {
+	if assignment.archive.Claim().Generation > host.generation {
 		host.replica.Retire()
-		host.touch()
+		host.markDirty()
 		return
 	}
-	if home.rebuild.tailWanted && core.archiveTail(host, home) {
+	if assignment.rebuild.tailRequested && core.archiveTail(host, assignment) {
 		return
 	}
-	core.claimAnew(home)
+	core.reclaimGroup(assignment)
 }
 
-// archiveTail appends what this replica's log holds beyond the stream's end, and
-// tells whether there was anything left to append.
-func (core *Core) archiveTail(host *host, home *home) bool {
-	if home.appending {
+// archiveTail appends the entries in this replica's log that are missing in the stream, and
+// reports whether there were any or an append is in progress.
+func (core *Core) archiveTail(host *host, assignment *assignment) bool {
+	if assignment.appending {
 		return true
 	}
-	entries := host.replica.TailEntries(home.archive.Last().Index, maximumArchiveBytes)
+	entries := host.replica.TailEntries(assignment.archive.Last().Index, maximumArchiveBytes)
 	if len(entries) == 0 {
 		return false
 	}
-	data, err := replication.EncodeEntries(home.number, host.generation, entries)
+	data, err := replication.EncodeEntries(assignment.number, host.generation, entries)
 	if err != nil {
-		core.log("archive_unencodable", home.number, "", "", err.Error())
+		core.log("archive_unencodable", assignment.number, "", "", err.Error())
 		return false
 	}
-	home.appending = true
-	home.atEnd = false
-	core.log("tail_archived", home.number, "", "", fmt.Sprintf("%d entries", len(entries)))
-	core.emit(AppendStream{Shard: home.number, Data: data, UpTo: entries[len(entries)-1].Index})
+	assignment.appending = true
+	assignment.atEnd = false
+	core.log("tail_archived", assignment.number, "", "", fmt.Sprintf("%d entries", len(entries)))
+	core.emit(AppendStream{Shard: assignment.number, Data: data, UpTo: entries[len(entries)-1].Index})
 	return true
 }
 
-// holdsTail tells whether this process has a voting replica of the generation
-// whose log goes beyond what it has read of the stream.
-func (core *Core) holdsTail(home *home, host *host) bool {
-	if home == nil || home.rebuild == nil || !home.atEnd || home.appending {
+// holdsTail reports whether this replica's log may have entries that are missing in the stream.
+func (core *Core) holdsTail(assignment *assignment, host *host) bool {
+	if assignment == nil || assignment.rebuild == nil || !assignment.atEnd || assignment.appending {
 		return true
 	}
-	return len(host.replica.TailEntries(home.archive.Last().Index, 1)) > 0
+	return len(host.replica.TailEntries(assignment.archive.Last().Index, 1)) > 0
 }
 
-// rereadFrom begins to read the shard's stream from its start, for the state of
-// a new generation.
-func (home *home) rereadFrom(core *Core) {
-	fresh := core.newHome(home.number)
-	fresh.appending = home.appending
-	fresh.reading = home.reading
-	fresh.snapshotIndex = home.snapshotIndex
-	*home = *fresh
+// restartRead discards the view and reads the stream again for the state of a new generation.
+func (assignment *assignment) restartRead(core *Core) {
+	restarted := core.newAssignment(assignment.number)
+	restarted.appending = assignment.appending
+	restarted.reading = assignment.reading
+	restarted.snapshotIndex = assignment.snapshotIndex
+	*assignment = *restarted
 }
 
-// rereadBelow begins to read the stream anew, without the snapshots of a
-// generation and of later ones.
-func (home *home) rereadBelow(core *Core, generation uint32) {
-	attempt := home.rebuild
-	home.rereadFrom(core)
-	home.below = generation
-	home.rebuild = attempt
+// restartReadBelow is like restartRead but ignores snapshots of the given and later generations.
+func (assignment *assignment) restartReadBelow(core *Core, generation uint32) {
+	attempt := assignment.rebuild
+	assignment.restartRead(core)
+	assignment.excludedFrom = generation
+	assignment.rebuild = attempt
 }
 
-// claimAnew gathers the proof and appends the claim, if this process is the
-// first live one of the shard's home.
-func (core *Core) claimAnew(home *home) {
-	members := core.homeMembers(home.number)
-	if home.appending || core.firstAlive(members) != core.config.Process {
+// reclaimGroup gathers the proof and appends the claim if this process is the shard's first
+// assigned member that is alive.
+func (core *Core) reclaimGroup(assignment *assignment) {
+	members := core.assignedMembers(assignment.number)
+	if assignment.appending || core.firstAlive(members) != core.config.Process {
 		return
 	}
-	attempt := home.rebuild
-	if attempt.generation != home.archive.Claim().Generation {
-		attempt.generation = home.archive.Claim().Generation
-		clear(attempt.gone)
-		clear(attempt.tails)
+	attempt := assignment.rebuild
+	if attempt.generation != assignment.archive.Claim().Generation {
+		attempt.generation = assignment.archive.Claim().Generation
+		clear(attempt.lost)
+		clear(attempt.unarchivedTails)
 		attempt.proven = false
 	}
-	core.askToAbstain(home, members)
-	claimID := fmt.Sprintf("%s/%d/%d", core.Incarnation(), home.number, attempt.generation)
-	claim, err := home.archive.NextClaim(claimID, core.founders(home.number, members), core.isGone(attempt))
+	core.askToAbstain(assignment, members)
+	claimID := fmt.Sprintf("%s/%d/%d", core.Incarnation(), assignment.number, attempt.generation)
+	claim, err := assignment.archive.NextClaim(claimID, core.founders(assignment.number, members), core.isLost(attempt))
 	if err != nil {
 		attempt.proven = false
 		return
@@ -166,64 +162,64 @@
 	if core.awaitsTail(attempt) {
 		return
 	}
-	core.appendClaim(home, claim)
+	core.appendClaim(assignment, claim)
 }
 
-// awaitsTail tells whether a voter that is left and lives has not archived its
-// log yet. Its word is at most as old as the last round of questions.
+// awaitsTail reports whether a remaining voter that is alive has not archived its tail yet,
+// according to its last reply.
 func (core *Core) awaitsTail(attempt *rebuild) bool {
-	for _, process := range sortedKeys(attempt.tails) {
-		if core.directory.alive(process, core.now, peerSilenceBound) {
+	for _, process := range sortedKeys(attempt.unarchivedTails) {
+		if core.directory.alive(process, core.now, peerLivenessTimeout) {
 			return true
 		}
 	}
 	return false
 }
 
-func (core *Core) appendClaim(home *home, claim replication.Claim) {
+func (core *Core) appendClaim(assignment *assignment, claim replication.Claim) {
 	data, err := replication.EncodeClaim(claim)
 	if err != nil {
-		core.log("claim_unencodable", home.number, "", "", err.Error())
+		core.log("claim_unencodable", assignment.number, "", "", err.Error())
 		return
 	}
-	home.appending = true
-	core.log("group_claimed", home.number, "", "", fmt.Sprintf("generation %d with %d members", claim.Generation, len(claim.Members)))
-	core.emit(AppendStream{Shard: home.number, Data: data})
+	assignment.appending = true
+	core.log("group_claimed", assignment.number, "", "", fmt.Sprintf("generation %d with %d members", claim.Generation, len(claim.Members)))
+	core.emit(AppendStream{Shard: assignment.number, Data: data})
 }
 
-// firstAlive names the first of the processes that answers.
+// firstAlive returns the first process that is alive, or "".
 func (core *Core) firstAlive(processes []string) string {
 	for _, process := range processes {
-		if core.directory.alive(process, core.now, peerSilenceBound) {
+		if core.directory.alive(process, core.now, peerLivenessTimeout) {
 			return process
 		}
 	}
 	return ""
 }
 
-func (core *Core) isGone(attempt *rebuild) func(process string) bool {
+func (core *Core) isLost(attempt *rebuild) func(process string) bool {
 	return func(process string) bool {
 		_, listed := core.directory.schedulers[process]
-		return !listed || attempt.gone[process]
+		return !listed || attempt.lost[process]
 	}
 }
 
-// askToAbstain asks everybody who may hold a replica: the members that the
-// stream names, and the shard's home.
-func (core *Core) askToAbstain(home *home, members []string) {
-	attempt := home.rebuild
-	if core.now-attempt.lastAsk < abstainInterval {
+// askToAbstain sends abstain requests to all processes that may host a replica: the members
+// named in the stream and the assigned ones.
+func (core *Core) askToAbstain(assignment *assignment, members []string) {
+	attempt := assignment.rebuild
+	if core.now-attempt.lastRequest < abstainInterval {
 		return
 	}
-	attempt.lastAsk = core.now
-	asked := slices.Clone(members)
-	for _, member := range home.archive.Members() {
-		asked = append(asked, member.Incarnation.Process())
+	attempt.lastRequest = core.now
+	recipients := slices.Clone(members)
+	for _, member := range assignment.archive.Members() {
+		recipients = append(recipients, member.Incarnation.Process())
 	}
-	slices.Sort(asked)
-	for _, process := range slices.Compact(asked) {
+	slices.Sort(recipients)
+	for _, process := range slices.Compact(recipients) {
 		request := &schedulerv1.AbstainRequest{
-			Shard:      home.number,
+			Shard:      assignment.number,
 			Generation: attempt.generation,
 			Claimant:   core.config.Process,
 			Proven:     attempt.proven && core.now-attempt.provenAt >= core.config.Replication.RebuildDelay(),
@@ -237,8 +233,8 @@
 	}
 }
 
-// abstainRequested promises to take no part in a generation, unless this
-// process has a vote there.
+// abstainRequested promises not to take part in a generation unless this process hears a leader
+// or has a voter in it.
 func (core *Core) abstainRequested(request *schedulerv1.AbstainRequest) {
 	reply := &schedulerv1.AbstainReply{
 		Shard:      request.Shard,
@@ -247,17 +243,17 @@
 	}
 	host := core.hosts[request.Shard]
 	switch {
-	case host != nil && host.led():
+	case host != nil && host.hasLeader():
 		reply.Led = true
 	case host != nil && host.generation == request.Generation && host.replica.Role() != replication.RoleLearner:
-		// A voter of the old group is no proof of its end.
-		reply.HoldsTail = core.wantTail(request, host)
+		// A remaining voter can still vote, so it does not contribute to the proof.
+		reply.HoldsTail = core.requestTail(request, host)
 	default:
 		core.registry.Abstain(request.Shard, request.Generation)
 		reply.Abstained = true
 		if host != nil && host.generation == request.Generation {
 			host.replica.Retire()
-			host.touch()
+			host.markDirty()
 		}
 	}
 	if request.Claimant == core.config.Process {
@@ -268,41 +264,41 @@
 	batch.AbstainReplies = append(batch.AbstainReplies, reply)
 }
 
-// wantTail begins to archive the log of a voter that is left, once the claimant
-// has its proof, and tells whether that is still to be done.
-func (core *Core) wantTail(request *schedulerv1.AbstainRequest, host *host) bool {
-	home := core.homes[request.Shard]
-	if request.Proven && home != nil && home.rebuild != nil {
-		home.rebuild.tailWanted = true
+// requestTail makes a remaining voter archive its tail once the claimant has the proof, and
+// reports whether the tail is still to be archived.
+func (core *Core) requestTail(request *schedulerv1.AbstainRequest, host *host) bool {
+	assignment := core.assignments[request.Shard]
+	if request.Proven && assignment != nil && assignment.rebuild != nil {
+		assignment.rebuild.tailRequested = true
 	}
-	return core.holdsTail(home, host)
+	return core.holdsTail(assignment, host)
 }
 
-// abstainReplied takes a promise in. A process that hears a leader ends the
-// attempt.
+// abstainReplied handles the reply to an abstain request. If the sender hears a leader, the
+// proof is discarded.
 func (core *Core) abstainReplied(reply *schedulerv1.AbstainReply) {
-	home := core.homes[reply.Shard]
-	if home == nil || home.rebuild == nil || home.rebuild.generation != reply.Generation {
+	assignment := core.assignments[reply.Shard]
+	if assignment == nil || assignment.rebuild == nil || assignment.rebuild.generation != reply.Generation {
 		return
 	}
 	if reply.Led {
-		clear(home.rebuild.gone)
-		home.rebuild.proven = false
+		clear(assignment.rebuild.lost)
+		assignment.rebuild.proven = false
 		return
 	}
-	delete(home.rebuild.tails, reply.Process)
+	delete(assignment.rebuild.unarchivedTails, reply.Process)
 	if reply.HoldsTail {
-		home.rebuild.tails[reply.Process] = true
+		assignment.rebuild.unarchivedTails[reply.Process] = true
 	}
 	if reply.Abstained {
-		home.rebuild.gone[reply.Process] = true
+		assignment.rebuild.lost[reply.Process] = true
 	}
 }
 
-// dropRestored forgets what was read of the stream once a replica is hosted.
-func (home *home) dropRestored() {
-	home.state = shard.New()
-	home.tail = nil
-	home.restored = 0
-	home.rebuild = nil
+// discardRestored discards the state read from the stream once a replica is hosted.
+func (assignment *assignment) discardRestored() {
+	assignment.state = shard.New()
+	assignment.tail = nil
+	assignment.restored = 0
+	assignment.rebuild = nil
 }
--- a/internal/scheduler/recovery_test.go
+++ b/internal/scheduler/recovery_test.go
@@ -21,7 +21,7 @@
 	lossSchedules = 10
 )
 
-// replaceAll replaces every process at once: nothing in memory survives.
+// replaceAll replaces all processes at once, losing all state in memory.
 func (cluster *testCluster) replaceAll() {
 	for _, name := range sortedKeys(cluster.nodes) {
 		cluster.nodes[name].dead = true
@@ -31,7 +31,7 @@
 	}
 }
 
-// viewFromStart reads a shard's stream from its start, without snapshots.
+// viewFromStart reads a shard's stream from its start, without using snapshots.
 func (cluster *testCluster) viewFromStart(number uint32) *streamView {
 	return viewFromStart(&testLog{streams: cluster.log.streams}, number)
 }
@@ -43,8 +43,7 @@
 	return view
 }
 
-// archivedAll tells whether the log holds all that any process knows to be
-// committed.
+// archivedAll reports whether everything known to be committed is archived.
 func (cluster *testCluster) archivedAll() bool {
 	for number := range testConfig("s0").Shards {
 		host := cluster.furthest(number)
@@ -55,8 +54,7 @@
 	return true
 }
 
-// states encodes the state of every shard, programs, histories, escrows and
-// accounts, once each has a leader.
+// states encodes the state of each shard once it has a leader.
 func (cluster *testCluster) states() [][]byte {
 	states := make([][]byte, testConfig("s0").Shards)
 	for number := range states {
@@ -72,7 +70,7 @@
 	return states
 }
 
-// leadingShard returns the replica that leads a shard, nil where none does.
+// leadingShard returns the replica that leads a shard, or nil.
 func (cluster *testCluster) leadingShard(number uint32) *host {
 	for _, node := range cluster.nodes {
 		host := node.core.hosts[number]
@@ -83,7 +81,7 @@
 	return nil
 }
 
-// callMany runs calls of one program and returns the shards' states after them.
+// callMany runs calls of one program and returns the states of all shards afterwards.
 func (cluster *testCluster) callMany(program string, first, count int) [][]byte {
 	for number := first; number < first+count; number++ {
 		final := cluster.call(testCall(program, fmt.Sprintf("r%03d", number)), recoveryBound)
@@ -95,7 +93,7 @@
 	return cluster.states()
 }
 
-// snapshotsOf counts the snapshots that a program's shard has in the log.
+// snapshotsOf counts the snapshots of a program's shard in the log.
 func (cluster *testCluster) snapshotsOf(program string) int {
 	number := cluster.nodes["s0"].core.shardOf(program)
 	return len(cluster.log.streams[indexStreamName(number)])
@@ -123,7 +121,7 @@
 		}
 	})
 
-	It("recovers after the log when every process is replaced while it is away", func() {
+	It("recovers after a log outage in which every process is replaced", func() {
 		cluster := newTestCluster(22, 3)
 		cluster.create("p1")
 		before := cluster.callMany("p1", 0, 40)
@@ -138,29 +136,29 @@
 		cluster.callMany("p1", 40, 5)
 	})
 
-	It("falls back where snapshots are lost, broken or pointed to falsely", func() {
+	It("falls back if snapshots are lost or corrupt, or pointers are wrong", func() {
 		cluster := newTestCluster(23, 3)
 		cluster.create("p1")
 		before := cluster.callMany("p1", 0, 40)
 		number := cluster.nodes["s0"].core.shardOf("p1")
 		for kind, damage := range map[string]func(position int, record []byte) []byte{
-			"parts lost":   func(int, []byte) []byte { return []byte{} },
-			"parts broken": func(_ int, record []byte) []byte { return append(record[:len(record)-1:len(record)-1], 'x') },
+			"parts lost":    func(int, []byte) []byte { return []byte{} },
+			"parts corrupt": func(_ int, record []byte) []byte { return append(record[:len(record)-1:len(record)-1], 'x') },
 		} {
 			damageSnapshots(cluster.log, number, damage)
-			false1, err := replication.EncodeSnapshotPointer(replication.SnapshotPointer{
+			falsePointer, err := replication.EncodeSnapshotPointer(replication.SnapshotPointer{
 				Shard: number, SnapshotID: "none", Offset: 3, LastIndex: 1 << 40, Generation: 9, Size: 1 << 60,
 			})
 			Expect(err).NotTo(HaveOccurred())
 			index := indexStreamName(number)
-			cluster.log.streams[index] = append(cluster.log.streams[index], false1, []byte("no pointer"))
+			cluster.log.streams[index] = append(cluster.log.streams[index], falsePointer, []byte("no pointer"))
 			cluster.replaceAll()
 			Expect(cluster.states()).To(Equal(before), kind)
 			before = cluster.callMany("p1", len(cluster.runs), 10)
 		}
 	})
 
-	It("keeps the books when the answers of appends are lost", func() {
+	It("keeps budgets correct when acknowledgements of appends are lost", func() {
 		cluster := newTestCluster(24, 3)
 		cluster.log.lostAnswers = 0.5
 		cluster.log.lost = 0.2
@@ -170,12 +168,12 @@
 		Expect(cluster.states()).To(Equal(before))
 	})
 
-	It("runs no call twice that is not repeatable when every process is replaced before it is archived", func() {
+	It("does not repeat a call that is not repeatable when every process is replaced before it is archived", func() {
 		cluster := newTestCluster(27, 3)
 		cluster.create("p1")
 		cluster.callMany("p1", 0, 1)
 		cluster.log.latency = 50 * time.Millisecond
-		begun, sentAt := cluster.now, time.Duration(0)
+		startedAt, sentAt := cluster.now, time.Duration(0)
 		var replace func()
 		replace = func() {
 			if cluster.runsOf("p1/tool") == 0 {
@@ -190,14 +188,14 @@
 		tool.Kind = schedulerv1.CallKind_CALL_KIND_TOOL
 		tool.Target = testTool
 		final := cluster.call(tool, recoveryBound)
-		Expect(sentAt).To(BeNumerically(">=", begun+cluster.log.latency))
-		Expect(sentAt).To(BeNumerically("<", begun+testConfig("s0").ArchiveIntents))
+		Expect(sentAt).To(BeNumerically(">=", startedAt+cluster.log.latency))
+		Expect(sentAt).To(BeNumerically("<", startedAt+testConfig("s0").ArchiveIntents))
 		Expect(final.ended).To(BeTrue())
 		Expect(final.failure.GetCode()).To(BeEquivalentTo(resultcode.OutcomeUnknown))
 		Expect(cluster.runsOf("p1/tool")).To(Equal(1))
 	})
 
-	It("keeps at-most-once when every process is replaced at any moment while the log answers", func() {
+	It("keeps at-most-once when every process is replaced at random times while the log is available", func() {
 		for seed := int64(100); seed < 100+lossSchedules; seed++ {
 			cluster := newTestCluster(seed, 3)
 			cluster.log.latency = time.Duration(cluster.random.Int63n(int64(100 * time.Millisecond)))
@@ -207,7 +205,7 @@
 			}
 			for range 3 {
 				cluster.runFor(3*time.Second + time.Duration(cluster.random.Int63n(int64(time.Second))))
-				// Engines that remember a request would not run it again.
+				// Otherwise the engines would answer a second attempt from memory.
 				cluster.crashEngine("e0")
 				cluster.crashEngine("e1")
 				cluster.replaceAll()
@@ -226,33 +224,33 @@
 		}
 	})
 
-	It("sends such a call after a bounded wait while the log is away", func() {
+	It("sends a call that is not repeatable after a bounded wait during a log outage", func() {
 		cluster := newTestCluster(28, 3)
 		cluster.create("p1")
 		cluster.callMany("p1", 0, 1)
 		cluster.log.down = true
-		begun := cluster.now
+		startedAt := cluster.now
 		Expect(cluster.call(testCall("p1", "first"), recoveryBound).failure).To(BeNil())
-		Expect(cluster.now - begun).To(BeNumerically("<", time.Second))
-		begun = cluster.now
+		Expect(cluster.now - startedAt).To(BeNumerically("<", time.Second))
+		startedAt = cluster.now
 		Expect(cluster.call(testCall("p1", "second"), recoveryBound).failure).To(BeNil())
-		Expect(cluster.now - begun).To(BeNumerically("<", testConfig("s0").ArchiveIntents))
+		Expect(cluster.now - startedAt).To(BeNumerically("<", testConfig("s0").ArchiveIntents))
 		cluster.log.down = false
 		cluster.callMany("p1", 1, 3)
 	})
 
-	It("lets a founder that comes late found from the claim's base, and catch up", func() {
+	It("lets a late founder start from the claim's base and catch up", func() {
 		cluster := newTestCluster(29, 3)
 		number := cluster.nodes["s0"].core.shardOf("p1")
 		Expect(cluster.runUntil(recoveryBound, func() bool { return len(cluster.log.streams[streamName(number)]) > 0 })).To(BeTrue())
 		late := cluster.nodes["s2"]
 		Expect(late.core.hosts[number]).To(BeNil())
-		// It is as if the log had not answered this process before.
-		late.core.homes[number] = late.core.newHome(number)
+		// Simulates that the log has not answered this process yet.
+		late.core.assignments[number] = late.core.newAssignment(number)
 		late.paused = true
 		cluster.create("p1")
 		before := cluster.callMany("p1", 0, 40)
-		late.wake()
+		late.resume()
 		Expect(cluster.runUntil(recoveryBound, func() bool { return late.core.hosts[number] != nil })).To(BeTrue())
 		Expect(late.core.hosts[number].state.Len()).To(BeZero())
 		Expect(cluster.runUntil(recoveryBound, func() bool {
@@ -263,7 +261,7 @@
 		Expect(late.core.hosts[number].state.Snapshot()).To(Equal(before[number]))
 	})
 
-	It("gives a founder that comes late no entry of its own generation", func() {
+	It("excludes entries of the claim's generation from a late founder's state", func() {
 		cluster := newTestCluster(25, 3)
 		cluster.create("p1")
 		cluster.nodes["s2"].paused = true
@@ -280,7 +278,7 @@
 	})
 })
 
-// damageSnapshots changes the parts of all snapshots in a shard's stream.
+// damageSnapshots modifies the parts of all snapshots in a shard's stream.
 func damageSnapshots(log *testLog, number uint32, damage func(position int, record []byte) []byte) {
 	stream := log.streams[streamName(number)]
 	for position, record := range stream {
--- a/internal/scheduler/run_model.go
+++ b/internal/scheduler/run_model.go
@@ -9,37 +9,37 @@
 )
 
 const (
-	// resumeAttempts bounds how often a broken engine stream is picked up.
+	// resumeAttempts bounds the reconnections to an interrupted engine stream.
 	resumeAttempts = 4
 	resumeDelay    = 50 * time.Millisecond
 )
 
-var errChunkGap = errors.New("the engine's stream has a gap")
+var errChunkGap = errors.New("the engine's stream has a gap in its sequence numbers")
 
-// modelRun follows one generation through broken connections.
+// modelRun follows one generation across reconnections.
 type modelRun struct {
-	traffic *traffic
-	effect  RunModelCall
-	last    outside.EngineChunk
-	started bool
+	executor *executor
+	effect   RunModelCall
+	last     outside.EngineChunk
+	started  bool
 }
 
-// runModelCall sends a call to its engine and follows the stream to its end. A
-// broken stream is picked up at the same engine, which runs a request id once.
-func (traffic *traffic) runModelCall(ctx context.Context, effect RunModelCall) {
-	run := &modelRun{traffic: traffic, effect: effect}
-	ended := heldUp(effect.Run)
-	if effect.Request.AttachOnly || !traffic.overdue(effect.DecidedAt) {
+// runModelCall sends a call to its engine and follows the stream to its end. An interrupted
+// stream is resumed at the same engine, which runs a request id only once.
+func (executor *executor) runModelCall(ctx context.Context, effect RunModelCall) {
+	run := &modelRun{executor: executor, effect: effect}
+	ended := notSentInTime(effect.Run)
+	if effect.Request.AttachOnly || !executor.decisionExpired(effect.DecidedAt) {
 		ended = run.start(ctx)
 	}
 	ended.Run = effect.Run
 	if ctx.Err() == nil {
-		traffic.post(ended)
+		executor.post(ended)
 	}
-	traffic.forgetRun(effect.Run)
+	executor.forgetRun(effect.Run)
 }
 
-// start puts the prompt together and follows the generation.
+// start builds the prompt and follows the generation.
 func (run *modelRun) start(ctx context.Context) RunEnded {
 	parts, err := run.effect.Prompt.Parts()
 	if err != nil {
@@ -52,7 +52,7 @@
 func (run *modelRun) follow(ctx context.Context) RunEnded {
 	request := run.effect.Request
 	for attempt := 0; ; attempt++ {
-		err := run.traffic.engines.Generate(ctx, run.effect.Address, request, run.receive)
+		err := run.executor.engines.Generate(ctx, run.effect.Address, request, run.receive)
 		if err == nil && run.last.Finish != "" {
 			return run.completed()
 		}
@@ -68,7 +68,7 @@
 	}
 }
 
-// receive takes one item of the stream.
+// receive handles one item of the stream.
 func (run *modelRun) receive(chunk outside.EngineChunk) error {
 	if chunk.Finish != "" {
 		run.last = chunk
@@ -81,14 +81,14 @@
 	}
 	if !run.started {
 		run.started = true
-		run.traffic.post(FirstChunkArrived{Run: run.effect.Run})
+		run.executor.post(FirstChunkArrived{Run: run.effect.Run})
 	}
 	return nil
 }
 
 func (run *modelRun) completed() RunEnded {
 	if run.last.Finish == finishCancelled {
-		return RunEnded{End: RunLost, Detail: "cancelled at the engine"}
+		return RunEnded{End: RunLost, Detail: "cancelled by the engine"}
 	}
 	return RunEnded{
 		End:          RunCompleted,
@@ -101,15 +101,15 @@
 
 const finishCancelled = "cancelled"
 
-// classify says what a failed attempt means, and whether it is the last.
+// classify returns the end of a run that corresponds to the error, and whether it is final.
 func (run *modelRun) classify(err error, attached bool) (RunEnded, bool) {
 	if err == nil {
-		err = errors.New("the engine's stream ended early")
+		err = errors.New("the engine's stream ended without a finish reason")
 	}
 	lost := RunEnded{End: RunLost, Detail: err.Error()}
 	refused := errors.Is(err, outside.ErrNotRun) || errors.Is(err, outside.ErrStaleFence)
 	if refused && attached {
-		// The engine does not know the call: it may have restarted since.
+		// The engine does not know the call; it may have restarted.
 		return lost, true
 	}
 	if refused {
--- a/internal/scheduler/run_tool.go
+++ b/internal/scheduler/run_tool.go
@@ -7,22 +7,21 @@
 	"github.com/magpielug/magpielug/internal/outside"
 )
 
-// runToolCall sends a call to a tool service and waits for its answer, no
-// longer than the deadline.
-func (traffic *traffic) runToolCall(ctx context.Context, effect RunToolCall) {
-	if traffic.overdue(effect.DecidedAt) {
-		traffic.post(heldUp(effect.Run))
-		traffic.forgetRun(effect.Run)
+// runToolCall sends a call to a tool service and waits for its answer until the deadline.
+func (executor *executor) runToolCall(ctx context.Context, effect RunToolCall) {
+	if executor.decisionExpired(effect.DecidedAt) {
+		executor.post(notSentInTime(effect.Run))
+		executor.forgetRun(effect.Run)
 		return
 	}
 	bounded, cancel := context.WithTimeout(ctx, effect.Deadline)
-	output, err := traffic.tools.Call(bounded, effect.Address, effect.Request)
+	output, err := executor.tools.Call(bounded, effect.Address, effect.Request)
 	timedOut := bounded.Err() != nil
 	cancel()
 	if ctx.Err() == nil {
-		traffic.post(toolEnded(effect, output, err, timedOut))
+		executor.post(toolEnded(effect, output, err, timedOut))
 	}
-	traffic.forgetRun(effect.Run)
+	executor.forgetRun(effect.Run)
 }
 
 func toolEnded(effect RunToolCall, output string, err error, timedOut bool) RunEnded {
--- a/internal/scheduler/schedule_test.go
+++ b/internal/scheduler/schedule_test.go
@@ -13,14 +13,14 @@
 )
 
 const (
-	// ciSchedules run in CI; SCHEDULER_SCHEDULES asks for more.
+	// ciSchedules is the number of schedules in CI; SCHEDULER_SCHEDULES overrides it.
 	ciSchedules       = 12
 	schedulesVariable = "SCHEDULER_SCHEDULES"
 	faultTime         = 20 * time.Second
-	healTime          = 90 * time.Second
+	completionTime    = 90 * time.Second
 	faultStart        = 2500 * time.Millisecond
-	// replaceWait bounds the wait for a moment at which all is archived, and
-	// rebuildTime is what the groups are given to be rebuilt.
+	// replaceWait bounds the wait until everything is archived; rebuildTime is the time in which
+	// the groups must be rebuilt.
 	replaceWait       = time.Second
 	rebuildTime       = 15 * time.Second
 	faultInterval     = 300 * time.Millisecond
@@ -31,28 +31,28 @@
 	scheduleBudget    = 5_000
 )
 
-func schedules() int {
+func scheduleCount() int {
 	if asked, err := strconv.Atoi(os.Getenv(schedulesVariable)); err == nil {
 		return asked
 	}
 	return ciSchedules
 }
 
-// faults throws one random fault at the cluster and undoes it later. At most one
-// process at a time is down, frozen or cut off, so that a majority of every
-// group lives, or all are replaced at once when everything is archived. The log
-// may be away, or lose appends or their answers, at any time.
+// faults injects one random fault at a time and reverts it later. A fault of a process affects
+// only one process, so that every group keeps a majority, except that all processes may be
+// replaced at once if everything is archived. The log may be unavailable, or lose appends or
+// acknowledgements.
 type faults struct {
 	cluster *testCluster
 	busy    bool
 }
 
-func (faults *faults) throw() {
+func (faults *faults) inject() {
 	cluster := faults.cluster
 	if cluster.now > faultTime {
 		return
 	}
-	cluster.after(faultInterval, faults.throw)
+	cluster.after(faultInterval, faults.inject)
 	if cluster.random.Intn(4) == 0 {
 		cluster.crashEngine(fmt.Sprintf("e%d", cluster.random.Intn(2)))
 	}
@@ -75,18 +75,18 @@
 	case 1:
 		node := cluster.nodes[name]
 		node.paused = true
-		faults.undo(length, node.wake)
+		faults.undo(length, node.resume)
 	case 2:
-		cluster.cut = func(from, to string) bool { return from == name || to == name }
-		faults.undo(length, func() { cluster.cut = func(string, string) bool { return false } })
+		cluster.partitioned = func(from, to string) bool { return from == name || to == name }
+		faults.undo(length, func() { cluster.partitioned = func(string, string) bool { return false } })
 	case 3:
 		cluster.log.down = true
 		faults.undo(length, func() { cluster.log.down = false })
 	}
 }
 
-// replaceAll replaces every process at once, at a moment when the log holds all
-// that is committed. It gives up where none comes soon: that is rare by itself.
+// replaceAll replaces all processes at once when everything committed is archived. It gives up
+// after replaceWait.
 func (faults *faults) replaceAll() {
 	cluster := faults.cluster
 	end := cluster.now + replaceWait
@@ -106,8 +106,8 @@
 	try()
 }
 
-// undo ends the fault, and leaves the groups time to replace a member before
-// the next.
+// undo reverts the fault after a time, and allows the next one after the groups had time to
+// recover.
 func (faults *faults) undo(length time.Duration, end func()) {
 	faults.cluster.after(length, func() {
 		end()
@@ -115,9 +115,9 @@
 	})
 }
 
-// budgetViolation checks the money at this moment, over all shards. Of each
-// shard the replica that has applied most speaks: one that lags still shows
-// reservations which have been settled, and whose escrow may be in use elsewhere.
+// budgetViolation checks that money spent, reserved and granted is within the budget, over all
+// shards. It reads the most advanced replica of each shard: others may still show reservations
+// whose escrow is in use elsewhere.
 func (cluster *testCluster) budgetViolation(budget uint64) string {
 	key := shard.TierKey{Tenant: testTenant, Tier: testTier}
 	total := uint64(0)
@@ -129,16 +129,16 @@
 		escrow := host.state.Escrow(key)
 		total += uint64(escrow.Spent() + escrow.Reserved())
 		if outstanding := uint64(host.state.Account(key).Outstanding()); outstanding > budget {
-			return fmt.Sprintf("outstanding escrow %d is over the budget %d", outstanding, budget)
+			return fmt.Sprintf("outstanding escrow %d exceeds the budget %d", outstanding, budget)
 		}
 	}
 	if total > budget {
-		return fmt.Sprintf("spent and reserved %d are over the budget %d", total, budget)
+		return fmt.Sprintf("spent and reserved %d exceed the budget %d", total, budget)
 	}
 	return ""
 }
 
-// furthest returns the replica of a shard that has applied most.
+// furthest returns the replica of a shard with the highest committed index.
 func (cluster *testCluster) furthest(number uint32) *host {
 	var found *host
 	for _, name := range sortedKeys(cluster.nodes) {
@@ -153,8 +153,8 @@
 	return found
 }
 
-// runSchedule runs one seeded schedule of faults and returns what was violated,
-// and how often every process was replaced at once.
+// runSchedule runs one seeded fault schedule. It returns the violations and the number of times
+// that all processes were replaced at once.
 func runSchedule(seed int64) ([]string, int) {
 	cluster := newTestCluster(seed, 4)
 	cluster.callSteps = 20
@@ -162,7 +162,7 @@
 	var clients []*testClient
 	for number := range scheduleClients {
 		client := cluster.addClient(fmt.Sprintf("p%d", number), scheduleTurns)
-		client.think = scheduleThinkTime
+		client.maximumThinkTime = scheduleThinkTime
 		clients = append(clients, client)
 	}
 	var found []string
@@ -174,9 +174,9 @@
 		cluster.after(20*time.Millisecond, check)
 	}
 	check()
-	thrower := &faults{cluster: cluster}
-	cluster.after(faultStart, thrower.throw)
-	cluster.runUntil(faultTime+healTime, func() bool {
+	injector := &faults{cluster: cluster}
+	cluster.after(faultStart, injector.inject)
+	cluster.runUntil(faultTime+completionTime, func() bool {
 		for _, client := range clients {
 			if !client.finished {
 				return false
@@ -196,7 +196,7 @@
 var _ = Describe("scheduler under seeded faults", func() {
 	It("keeps order, history, at-most-once and budgets", func() {
 		replacements := 0
-		for seed := int64(1); seed <= int64(schedules()); seed++ {
+		for seed := int64(1); seed <= int64(scheduleCount()); seed++ {
 			violations, replaced := runSchedule(seed)
 			Expect(violations).To(BeEmpty(), "seed %d", seed)
 			replacements += replaced
--- a/internal/scheduler/scheduler_suite_test.go
+++ b/internal/scheduler/scheduler_suite_test.go
@@ -9,7 +9,7 @@
 )
 
 func TestScheduler(t *testing.T) {
-	// A fixed seed gives the same verdict on each run.
+	// A fixed seed makes the results reproducible.
 	if err := flag.Set("rapid.seed", "1"); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/scheduler/server.go
+++ b/internal/scheduler/server.go
@@ -16,37 +16,38 @@
 	"github.com/magpielug/magpielug/internal/outside"
 )
 
-// Dependencies are the parts that a scheduler works with.
+// Dependencies are the external services and settings of a scheduler.
 type Dependencies struct {
 	Log      outside.Log
 	Machines MachineList
 	Engines  outside.Engine
 	Tools    outside.Tool
-	// Client speaks to the other schedulers.
+	// Client is used for requests to other schedulers.
 	Client *http.Client
 	Logger *zap.Logger
-	// PollInterval is how often a kept engine is asked for its load report.
+	// PollInterval is the interval at which managed engines are polled for load reports.
 	PollInterval time.Duration
-	// ListInterval is how often the machine list is read.
+	// ListInterval is the interval at which the machine list is read.
 	ListInterval time.Duration
 }
 
-// MachineList is the platform's machine list as this process last read it.
+// MachineList is the platform's machine list as last read by this process.
 type MachineList interface {
-	// Newest returns the list and when it was asked for.
+	// Newest returns the list and the time at which it was requested, which is zero if there is
+	// no list yet.
 	Newest(ctx context.Context) (machines []outside.Machine, askedAt time.Time)
 }
 
-// Scheduler is one scheduler process.
+// Scheduler is a scheduler process.
 type Scheduler struct {
 	loop         *Loop
 	dependencies Dependencies
 	incarnation  string
-	begun        time.Time
-	arrivals     *arrival.Receiver
+	startedAt    time.Time
+	receiver     *arrival.Receiver
 }
 
-// New makes a scheduler that does nothing until Run.
+// New returns a scheduler, which is idle until Run is called.
 func New(config Config, dependencies Dependencies) (*Scheduler, error) {
 	random, err := seededRandom()
 	if err != nil {
@@ -57,77 +58,77 @@
 		loop:         newLoop(core, dependencies.Logger),
 		dependencies: dependencies,
 		incarnation:  core.Incarnation(),
-		begun:        time.Now(),
-		arrivals:     arrival.NewReceiver(),
+		startedAt:    time.Now(),
+		receiver:     arrival.NewReceiver(),
 	}, nil
 }
 
-// seededRandom draws a seed from the system: two starts of a process must not
-// draw the same incarnation.
+// seededRandom returns a random source with a seed from the system, because two starts of a
+// process must not draw the same incarnation.
 func seededRandom() (*mathrand.Rand, error) {
 	var seed [8]byte
 	if _, err := rand.Read(seed[:]); err != nil {
-		return nil, eris.Wrap(err, "draw a seed")
+		return nil, eris.Wrap(err, "read random seed")
 	}
 	return mathrand.New(mathrand.NewSource(int64(binary.LittleEndian.Uint64(seed[:])))), nil
 }
 
-// Run drives the scheduler until the context ends.
+// Run drives the scheduler until the context is done.
 func (scheduler *Scheduler) Run(ctx context.Context) {
-	scheduler.loop.traffic = newTraffic(ctx, scheduler.loop, scheduler.dependencies)
-	soon := make(chan struct{}, 1)
-	scheduler.loop.traffic.readMachines = func() {
+	scheduler.loop.executor = newExecutor(ctx, scheduler.loop, scheduler.dependencies)
+	refresh := make(chan struct{}, 1)
+	scheduler.loop.executor.readMachines = func() {
 		select {
-		case soon <- struct{}{}:
+		case refresh <- struct{}{}:
 		default:
 		}
 	}
-	go scheduler.readMachines(ctx, soon)
+	go scheduler.readMachines(ctx, refresh)
 	scheduler.loop.Run(ctx)
 }
 
-// readMachines brings the machine list at intervals, and when told to.
-func (scheduler *Scheduler) readMachines(ctx context.Context, soon <-chan struct{}) {
+// readMachines reads the machine list at intervals and on request.
+func (scheduler *Scheduler) readMachines(ctx context.Context, refresh <-chan struct{}) {
 	ticker := time.NewTicker(scheduler.dependencies.ListInterval)
 	defer ticker.Stop()
 	for {
 		machines, askedAt := scheduler.dependencies.Machines.Newest(ctx)
 		if !askedAt.IsZero() {
-			scheduler.loop.Post(ctx, MachinesListed{Machines: machines, AskedAt: askedAt.Sub(scheduler.loop.started)})
+			scheduler.loop.Post(ctx, MachinesListed{Machines: machines, RequestedAt: askedAt.Sub(scheduler.loop.started)})
 		}
 		select {
 		case <-ctx.Done():
 			return
 		case <-ticker.C:
-		case <-soon:
+		case <-refresh:
 		}
 	}
 }
 
-// SetConfiguration brings a newer configuration.
+// SetConfiguration applies a newer configuration.
 func (scheduler *Scheduler) SetConfiguration(ctx context.Context, view ConfigurationView) {
 	scheduler.loop.Post(ctx, ConfigurationChanged{View: view})
 }
 
-// SetFresh tells whether the configuration is known to be current.
+// SetFresh sets whether the configuration is known to be current.
 func (scheduler *Scheduler) SetFresh(ctx context.Context, fresh bool) {
 	scheduler.loop.Post(ctx, FreshnessChanged{Fresh: fresh})
 }
 
 const (
 	handOverInterval = 100 * time.Millisecond
-	// settleTime lets the last hand-over reach the other members.
-	settleTime = 500 * time.Millisecond
+	// handOverGrace is the time for the last leadership transfer to reach the other members.
+	handOverGrace = 500 * time.Millisecond
 )
 
-// HandOver is the first part of a planned stop: leadership of every shard goes to
-// other members. It returns once no shard is led here, or when ctx ends.
+// HandOver starts a planned stop by transferring the leadership of all shards. It returns once
+// this process leads no shard, or when ctx is done.
 func (scheduler *Scheduler) HandOver(ctx context.Context) {
-	defer time.Sleep(settleTime)
+	defer time.Sleep(handOverGrace)
 	ticker := time.NewTicker(handOverInterval)
 	defer ticker.Stop()
 	for {
-		scheduler.loop.Post(ctx, StopOrdered{})
+		scheduler.loop.Post(ctx, StopRequested{})
 		status, err := scheduler.Status(ctx, nil)
 		if err != nil || len(status.ShardsLed) == 0 {
 			return
@@ -140,9 +141,9 @@
 	}
 }
 
-// Status returns the process's own view of itself.
+// Status returns the status of the process.
 func (scheduler *Scheduler) Status(ctx context.Context, _ *schedulerv1.StatusRequest) (*schedulerv1.StatusReply, error) {
-	answer, err := scheduler.loop.Ask(ctx, func(ask AskID) Event { return StatusAsked{Ask: ask} })
+	answer, err := scheduler.loop.Ask(ctx, func(replyTo ReplyID) Event { return StatusRequested{ReplyTo: replyTo} })
 	if err != nil {
 		return nil, err
 	}
--- a/internal/scheduler/state_benchmark_test.go
+++ b/internal/scheduler/state_benchmark_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// heapBytes returns the live heap. Pools keep garbage over one collection.
+// heapBytes returns the size of the live heap. Two collections are needed to empty sync.Pools.
 func heapBytes() float64 {
 	runtime.GC()
 	runtime.GC()
@@ -16,8 +16,9 @@
 	return float64(statistics.HeapAlloc)
 }
 
-// BenchmarkProgramMemory is the memory of programs in progress, in all three
-// processes of a group together: just created, then with one call running. Buffers of back-end connections are not in it.
+// BenchmarkProgramMemory measures the memory per live program in all three processes of a group
+// together, after its creation and with one call running. Buffers of back-end connections are
+// not included.
 func BenchmarkProgramMemory(b *testing.B) {
 	for _, count := range []int{2_000, 8_000} {
 		b.Run(fmt.Sprintf("programs=%d", count), func(b *testing.B) {
@@ -34,9 +35,9 @@
 	programs := group.programs(count)
 	group.makeAll(programs)
 	created := heapBytes()
-	group.holding = true
+	group.holdRuns = true
 	group.makeAll(programs)
-	for end := group.now + benchmarkSettling; group.running() < count; {
+	for end := group.now + benchmarkWarmup; group.running() < count; {
 		if group.now > end {
 			b.Fatalf("%d of %d calls run", group.running(), count)
 		}
@@ -48,7 +49,7 @@
 	runtime.KeepAlive(programs)
 }
 
-// running counts the calls that have been sent to an engine and not ended.
+// running counts the calls that run at engines.
 func (group *benchmarkGroup) running() int {
 	count := 0
 	for _, core := range group.cores {
@@ -63,11 +64,11 @@
 	return count
 }
 
-// makeAll takes every program one step on, a few at a time.
+// makeAll advances every program once, in groups of benchmarkPrograms.
 func (group *benchmarkGroup) makeAll(programs []*benchmarkProgram) {
 	for begin := 0; begin < len(programs); begin += benchmarkPrograms {
 		for _, program := range programs[begin:min(begin+benchmarkPrograms, len(programs))] {
-			program.next()
+			program.advance()
 		}
 		for range 8 {
 			group.hop()
@@ -75,8 +76,8 @@
 	}
 }
 
-// BenchmarkIdleTick is the time of one tick of a process that hosts replicas of
-// all shards and leads a part of them, with no calls.
+// BenchmarkIdleTick measures one tick of an idle process that hosts replicas of all shards and
+// leads some of them.
 func BenchmarkIdleTick(b *testing.B) {
 	for _, shards := range []uint32{4, 16, 64} {
 		b.Run(fmt.Sprintf("shards=%d", shards), func(b *testing.B) {
@@ -91,23 +92,22 @@
 	}
 }
 
-// BenchmarkIdlePeers shows what three processes without calls say to one another
-// in a second of virtual time: messages with their answers, and their bytes
-// without HTTP, for each process.
+// BenchmarkIdlePeers measures the traffic between three idle processes: messages including
+// replies, and bytes without HTTP overhead, per process and second of virtual time.
 func BenchmarkIdlePeers(b *testing.B) {
-	const watched = 20 * time.Second
+	const duration = 20 * time.Second
 	for _, shards := range []uint32{4, 16, 32, 64} {
 		b.Run(fmt.Sprintf("shards=%d", shards), func(b *testing.B) {
 			for range b.N {
 				group := newBenchmarkGroup(3, shards)
-				for end := group.now + watched; group.now < end; {
+				for end := group.now + duration; group.now < end; {
 					group.hop()
 				}
 				group.messages, group.bytes = 0, 0
-				for end := group.now + watched; group.now < end; {
+				for end := group.now + duration; group.now < end; {
 					group.hop()
 				}
-				seconds := watched.Seconds() * float64(len(group.names))
+				seconds := duration.Seconds() * float64(len(group.names))
 				b.ReportMetric(float64(group.messages)/seconds, "messages/s")
 				b.ReportMetric(float64(group.bytes)/seconds, "B/s")
 			}
--- a/internal/scheduler/stats.go
+++ b/internal/scheduler/stats.go
@@ -10,50 +10,49 @@
 	"github.com/magpielug/magpielug/internal/resultcode"
 )
 
-// Stats is what a scheduler process holds at one moment, and what it has
-// counted since it started.
+// Stats is a snapshot of a scheduler process's gauges and counters.
 type Stats struct {
 	ShardsHosted int
 	ShardsLed    int
-	// Programs counts those of the shards led, over or not.
+	// Programs counts the live and ended programs of the shards led.
 	Programs int
-	// OpenCalls are accepted and have no final answer; ParkedCalls wait for
-	// escrow and are not accepted.
+	// OpenCalls counts accepted calls without a final answer, ParkedCalls the calls that wait
+	// for escrow and are not accepted yet.
 	OpenCalls   int
 	ParkedCalls int
-	// BacklogBytes is committed and not yet archived, over all shards hosted.
+	// BacklogBytes is the size of the committed but unarchived entries of all hosted shards.
 	BacklogBytes int
-	PoolsKept    int
+	PoolsManaged int
 	Counters     Counters
 }
 
-// Counters only rise.
+// Counters are counted since the start of the process.
 type Counters struct {
 	Accepted uint64
 	Finished uint64
 	Requeued uint64
-	// Ended counts calls without a result by their code, refusals among them.
+	// Ended counts calls without a result, including refused ones, by code.
 	Ended map[resultcode.Code]uint64
 }
 
-// StatsAsked asks for the process's stats.
-type StatsAsked struct{ Ask AskID }
+// StatsRequested requests the process's stats.
+type StatsRequested struct{ ReplyTo ReplyID }
 
-func (StatsAsked) event() {}
+func (StatsRequested) event() {}
 
-// StatsTaken answers a StatsAsked.
-type StatsTaken struct {
-	Ask   AskID
-	Stats Stats
+// StatsReply answers a StatsRequested.
+type StatsReply struct {
+	ReplyTo ReplyID
+	Stats   Stats
 }
 
-func (StatsTaken) effect() {}
+func (StatsReply) effect() {}
 
 func newCounters() Counters {
 	return Counters{Ended: make(map[resultcode.Code]uint64)}
 }
 
-// copied returns counters that the core no longer changes.
+// copied returns a copy that does not share the map with the core.
 func (counters Counters) copied() Counters {
 	ended := make(map[resultcode.Code]uint64, len(counters.Ended))
 	for code, count := range counters.Ended {
@@ -64,43 +63,43 @@
 }
 
 func (core *Core) stats() Stats {
-	taken := Stats{
+	stats := Stats{
 		ShardsHosted: len(core.hosts),
-		PoolsKept:    len(core.pools),
+		PoolsManaged: len(core.pools),
 		Counters:     core.counters.copied(),
 	}
 	for _, host := range core.hosts {
-		taken.BacklogBytes += host.replica.BacklogBytes()
+		stats.BacklogBytes += host.replica.BacklogBytes()
 		if !host.leads() {
 			continue
 		}
-		taken.ShardsLed++
-		taken.Programs += host.state.Len()
-		taken.OpenCalls += len(host.calls)
-		for _, need := range host.needs {
-			taken.ParkedCalls += len(need.parked)
+		stats.ShardsLed++
+		stats.Programs += host.state.Len()
+		stats.OpenCalls += len(host.calls)
+		for _, demand := range host.escrowDemands {
+			stats.ParkedCalls += len(demand.parked)
 		}
 	}
-	return taken
+	return stats
 }
 
-// Collector shows a scheduler's stats to Prometheus.
+// Collector exports a scheduler's stats to Prometheus.
 type Collector struct{ scheduler *Scheduler }
 
-// NewCollector returns the collector of a running scheduler.
+// NewCollector returns a collector for a running scheduler.
 func NewCollector(scheduler *Scheduler) *Collector { return &Collector{scheduler: scheduler} }
 
-// collectTimeout bounds the wait for the control loop at a scrape.
+// collectTimeout bounds the wait for the control loop during a scrape.
 const collectTimeout = time.Second
 
 var (
 	shardsHosted = describe("shards_hosted", "Shards with a replica here.")
 	shardsLed    = describe("shards_led", "Shards led here, under a valid lease.")
-	programsHeld = describe("programs", "Programs of the shards led here.")
+	programsLed  = describe("programs", "Programs of the shards led here.")
 	callsOpen    = describe("calls_open", "Accepted calls without a final answer.")
 	callsParked  = describe("calls_parked", "Calls that wait for escrow.")
 	backlogBytes = describe("archive_backlog_bytes", "Committed entries that are not yet archived.")
-	poolsKept    = describe("pools_kept", "Engine pools kept here.")
+	poolsManaged = describe("pools_kept", "Engine pools kept here.")
 	accepted     = describe("calls_accepted_total", "Calls accepted.")
 	finished     = describe("calls_finished_total", "Calls with a result.")
 	requeued     = describe("calls_requeued_total", "Attempts that were lost or did not run.")
@@ -111,41 +110,41 @@
 	return prometheus.NewDesc("magpielug_scheduler_"+name, help, labels, nil)
 }
 
-// Describe implements prometheus.Collector. It names nothing, since the codes
-// that will be counted are not known ahead.
+// Describe implements prometheus.Collector. It sends no descriptors because the result codes are
+// not known in advance, which makes the collector unchecked.
 func (collector *Collector) Describe(chan<- *prometheus.Desc) {}
 
-// Collect implements prometheus.Collector. A control loop that does not answer
-// in time shows nothing.
+// Collect implements prometheus.Collector. It sends no metrics if the control loop does not
+// answer in time.
 func (collector *Collector) Collect(metrics chan<- prometheus.Metric) {
 	ctx, cancel := context.WithTimeout(context.Background(), collectTimeout)
 	defer cancel()
-	answer, err := collector.scheduler.loop.Ask(ctx, func(ask AskID) Event { return StatsAsked{Ask: ask} })
+	answer, err := collector.scheduler.loop.Ask(ctx, func(replyTo ReplyID) Event { return StatsRequested{ReplyTo: replyTo} })
 	if err != nil {
 		return
 	}
-	taken := answer.stats
+	stats := answer.stats
 	gauges := map[*prometheus.Desc]int{
-		shardsHosted: taken.ShardsHosted,
-		shardsLed:    taken.ShardsLed,
-		programsHeld: taken.Programs,
-		callsOpen:    taken.OpenCalls,
-		callsParked:  taken.ParkedCalls,
-		backlogBytes: taken.BacklogBytes,
-		poolsKept:    taken.PoolsKept,
+		shardsHosted: stats.ShardsHosted,
+		shardsLed:    stats.ShardsLed,
+		programsLed:  stats.Programs,
+		callsOpen:    stats.OpenCalls,
+		callsParked:  stats.ParkedCalls,
+		backlogBytes: stats.BacklogBytes,
+		poolsManaged: stats.PoolsManaged,
 	}
 	for description, value := range gauges {
 		metrics <- prometheus.MustNewConstMetric(description, prometheus.GaugeValue, float64(value))
 	}
 	counted := map[*prometheus.Desc]uint64{
-		accepted: taken.Counters.Accepted,
-		finished: taken.Counters.Finished,
-		requeued: taken.Counters.Requeued,
+		accepted: stats.Counters.Accepted,
+		finished: stats.Counters.Finished,
+		requeued: stats.Counters.Requeued,
 	}
 	for description, value := range counted {
 		metrics <- prometheus.MustNewConstMetric(description, prometheus.CounterValue, float64(value))
 	}
-	for code, count := range taken.Counters.Ended {
+	for code, count := range stats.Counters.Ended {
 		number := strconv.FormatUint(uint64(code), 10)
 		metrics <- prometheus.MustNewConstMetric(ended, prometheus.CounterValue, float64(count), number, code.String())
 	}
--- a/internal/scheduler/stream_open.go
+++ b/internal/scheduler/stream_open.go
@@ -9,34 +9,33 @@
 	"github.com/magpielug/magpielug/internal/replication"
 )
 
-// maximumSnapshotTries bounds how many snapshots a reader looks for before it
-// reads the stream from its start.
-const maximumSnapshotTries = 4
+// maximumSnapshotAttempts bounds the snapshots that a reader tries before it reads the stream
+// from its start.
+const maximumSnapshotAttempts = 4
 
-// streamReader reads a shard's streams outside the control goroutine. An error
-// is always the log's: what stands in the streams never stops a reader.
+// streamReader reads a shard's streams outside the control goroutine. It returns only errors of
+// the log: invalid records are skipped.
 type streamReader struct {
 	log   outside.Log
 	shard uint32
-	// records and bytes count what was read of the shard's stream.
+	// records and bytes count what was read from the shard's stream.
 	records int
 	bytes   int
 }
 
-// open returns a view of the whole stream, begun from the newest usable
-// snapshot, or from the stream's start. With below above 0, only snapshots of an
-// earlier generation are used.
+// open returns a view of the whole stream, starting from the newest usable snapshot or from the
+// stream's start. If below is not 0, only snapshots of earlier generations are used.
 func (reader *streamReader) open(ctx context.Context, below uint32) (*streamView, error) {
 	pointers, err := reader.pointers(ctx)
 	if err != nil {
 		return nil, err
 	}
-	tries := 0
+	attempts := 0
 	for _, pointer := range pointers {
 		if below > 0 && pointer.Generation >= below {
 			continue
 		}
-		if tries++; tries > maximumSnapshotTries {
+		if attempts++; attempts > maximumSnapshotAttempts {
 			break
 		}
 		view, err := reader.openAt(ctx, pointer)
@@ -51,8 +50,7 @@
 	return view, reader.readOn(ctx, view)
 }
 
-// pointers returns what the index stream holds, those that leave the least to
-// read first.
+// pointers returns the valid snapshot pointers, newest offset first.
 func (reader *streamReader) pointers(ctx context.Context) ([]replication.SnapshotPointer, error) {
 	var pointers []replication.SnapshotPointer
 	err := reader.each(ctx, indexStreamName(reader.shard), 0, func(record outside.Record) bool {
@@ -67,20 +65,19 @@
 	return pointers, err
 }
 
-// openAt reads from a pointer's offset to the stream's end. It returns no view
-// where the snapshot is not whole, can't be decoded, or is another than the
-// pointer says.
+// openAt reads from a pointer's offset to the stream's end. The view is nil if the snapshot is
+// incomplete, invalid or does not match the pointer.
 func (reader *streamReader) openAt(ctx context.Context, pointer replication.SnapshotPointer) (*streamView, error) {
-	search := &snapshotSearch{
+	loader := &snapshotLoader{
 		pointer:   pointer,
 		collector: replication.NewSnapshotCollector(reader.shard, pointer.SnapshotID),
 	}
 	err := reader.each(ctx, streamName(reader.shard), pointer.Offset, func(record outside.Record) bool {
 		reader.count(record)
-		search.take(record)
-		return !search.failed
+		loader.add(record)
+		return !loader.failed
 	})
-	return search.view, err
+	return loader.view, err
 }
 
 // readOn reads from the view's offset to the stream's end.
@@ -97,9 +94,8 @@
 	reader.bytes += len(record.Data)
 }
 
-// each hands the records of a stream over, up to the one that it found as the
-// last, or until take returns false.
-func (reader *streamReader) each(ctx context.Context, stream string, from uint64, take func(outside.Record) bool) error {
+// each visits the records of a stream until a read returns none or visit returns false.
+func (reader *streamReader) each(ctx context.Context, stream string, from uint64, visit func(outside.Record) bool) error {
 	for {
 		records, err := readRecords(ctx, reader.log, stream, from)
 		if err != nil || len(records) == 0 {
@@ -107,7 +103,7 @@
 		}
 		for _, record := range records {
 			from = record.Offset + 1
-			if !take(record) {
+			if !visit(record) {
 				return nil
 			}
 		}
@@ -120,29 +116,28 @@
 	return log.Read(bounded, stream, from, streamReadLimit)
 }
 
-// OpenStream asks for a view of a shard's whole stream.
+// OpenStream requests a view of a shard's whole stream.
 type OpenStream struct {
 	Shard uint32
-	// Below excludes snapshots of this generation and later ones; 0 excludes
-	// none.
+	// Below excludes snapshots of this and later generations; 0 excludes none.
 	Below uint32
 }
 
-// StreamOpened brings a view of a shard's stream.
+// StreamOpened delivers a view of a shard's stream.
 type StreamOpened struct {
 	Shard uint32
-	// Below is the effect's own.
+	// Below is the generation in the OpenStream.
 	Below uint32
-	// Bytes is what was read of the stream.
+	// Bytes is the number of bytes read from the stream.
 	Bytes int
-	// view is nil where the log did not answer.
+	// view is nil if the log did not answer.
 	view *streamView
 }
 
 func (OpenStream) effect()  {}
 func (StreamOpened) event() {}
 
-// openStream carries an OpenStream out.
+// openStream executes an OpenStream.
 func openStream(ctx context.Context, log outside.Log, effect OpenStream) StreamOpened {
 	opened := StreamOpened{Shard: effect.Shard, Below: effect.Below}
 	reader := &streamReader{log: log, shard: effect.Shard}
--- a/internal/scheduler/stream_open_test.go
+++ b/internal/scheduler/stream_open_test.go
@@ -15,9 +15,9 @@
 	"github.com/magpielug/magpielug/internal/replication"
 )
 
-// lateLog acknowledges appends that take effect later, in any order, more than
-// once or never: what a paused writer's appends may look like, and worse.
-type lateLog struct {
+// lateAppendLog acknowledges appends immediately, but applies them later, in any order, more
+// than once or never. This covers more than the appends of a paused writer can do.
+type lateAppendLog struct {
 	*testLog
 	waiting []lateAppend
 }
@@ -27,13 +27,13 @@
 	data   []byte
 }
 
-func (log *lateLog) Append(_ context.Context, stream string, data []byte) (uint64, error) {
+func (log *lateAppendLog) Append(_ context.Context, stream string, data []byte) (uint64, error) {
 	log.waiting = append(log.waiting, lateAppend{stream: stream, data: data})
 	return 0, nil
 }
 
-// drawEffect lets one waiting append take effect, or loses it.
-func (log *lateLog) drawEffect(t *rapid.T) {
+// drawEffect applies a pending append, or drops it.
+func (log *lateAppendLog) drawEffect(t *rapid.T) {
 	if len(log.waiting) == 0 {
 		return
 	}
@@ -48,9 +48,8 @@
 	}
 }
 
-// drawFalsePointer appends a pointer to a snapshot that is there, or may come, and
-// begins elsewhere.
-func (log *lateLog) drawFalsePointer(t *rapid.T, number uint32, step int) {
+// drawFalsePointer appends a pointer whose offset may not match its snapshot.
+func (log *lateAppendLog) drawFalsePointer(t *rapid.T, number uint32, step int) {
 	record, err := replication.EncodeSnapshotPointer(replication.SnapshotPointer{
 		Shard:      number,
 		SnapshotID: fmt.Sprint("s", rapid.IntRange(0, step).Draw(t, "false id")),
@@ -62,8 +61,8 @@
 	log.streams[indexStreamName(number)] = append(log.streams[indexStreamName(number)], record)
 }
 
-// drawStreamRecord appends what a claimant or a leader, present or past, would.
-func (log *lateLog) drawStreamRecord(t *rapid.T, number uint32) {
+// drawStreamRecord appends a record that a current or former claimant or leader could append.
+func (log *lateAppendLog) drawStreamRecord(t *rapid.T, number uint32) {
 	now := viewFromStart(log.testLog, number).archive
 	count := len(log.streams[streamName(number)])
 	generation := now.Claim().Generation
@@ -99,9 +98,9 @@
 	return entries
 }
 
-// verdict is everything that a process acts on: the claim, the group and the
-// state. With founds, the state is a founder's, without the claim's own entries.
-func (view *streamView) verdict(founds bool) string {
+// summary formats everything that a process acts on: claim, group and state. With founds, the
+// state is that of a founder, without the entries after the claim.
+func (view *streamView) summary(founds bool) string {
 	archive := view.archive
 	var text strings.Builder
 	fmt.Fprintf(&text, "%+v %v %v %v %d ", archive.Claim(), archive.Base(), archive.Last(), archive.Members(), view.offset)
@@ -119,17 +118,17 @@
 var _ = Describe("opening a shard's stream", func() {
 	const number = 2
 
-	It("gives the same from any snapshots as from the stream's start", func() {
+	It("gives the same result from any snapshot as from the stream's start", func() {
 		restored, founded := 0, 0
 		rapid.Check(GinkgoT(), func(t *rapid.T) {
-			log := &lateLog{testLog: newTestLog(nil)}
+			log := &lateAppendLog{testLog: newTestLog(nil)}
 			for step := range rapid.IntRange(1, 40).Draw(t, "steps") {
 				switch rapid.IntRange(0, 6).Draw(t, "step") {
 				case 6:
 					log.drawFalsePointer(t, number, step)
 				case 0:
 					snapshotStream(context.Background(), log, SnapshotStream{
-						Shard: number, ID: fmt.Sprint("s", step), Bytes: maximumSnapshotWait,
+						Shard: number, ID: fmt.Sprint("s", step), Bytes: maximumSnapshotDueBytes,
 					})
 				case 1, 2:
 					log.drawStreamRecord(t, number)
@@ -141,7 +140,7 @@
 			if opened.view.restored > 0 {
 				restored++
 			}
-			if got, want := opened.view.verdict(false), viewFromStart(log.testLog, number).verdict(false); got != want {
+			if got, want := opened.view.summary(false), viewFromStart(log.testLog, number).summary(false); got != want {
 				t.Fatalf("from a snapshot at %d: %s, from the start: %s", opened.view.restored, got, want)
 			}
 			generation := opened.view.archive.Claim().Generation
@@ -149,31 +148,31 @@
 			if founder.view.restored > 0 {
 				founded++
 			}
-			if got, want := founder.view.verdict(generation > 0), viewFromStart(log.testLog, number).verdict(generation > 0); got != want {
+			if got, want := founder.view.summary(generation > 0), viewFromStart(log.testLog, number).summary(generation > 0); got != want {
 				t.Fatalf("a founder from a snapshot at %d: %s, from the start: %s", founder.view.restored, got, want)
 			}
 		})
-		GinkgoWriter.Printf("begun from a snapshot: %d, as a founder: %d\n", restored, founded)
+		GinkgoWriter.Printf("restored from a snapshot: %d, as a founder: %d\n", restored, founded)
 		Expect(restored).To(BeNumerically(">", 0))
 	})
 
-	It("is not changed by a snapshot that fails at any point", func() {
+	It("is not affected by a snapshot that fails at any point", func() {
 		cluster := newTestCluster(26, 3)
 		cluster.create("p1")
 		cluster.callMany("p1", 0, 20)
 		shardNumber := cluster.nodes["s0"].core.shardOf("p1")
-		const enough = 100
+		const maximumOperations = 100
 		for operations := 1; ; operations++ {
-			Expect(operations).To(BeNumerically("<", enough))
+			Expect(operations).To(BeNumerically("<", maximumOperations))
 			cluster.log.breakAfter = operations
-			made := snapshotStream(context.Background(), cluster.log, SnapshotStream{
-				Shard: shardNumber, ID: fmt.Sprint(operations), Bytes: maximumSnapshotWait,
+			created := snapshotStream(context.Background(), cluster.log, SnapshotStream{
+				Shard: shardNumber, ID: fmt.Sprint(operations), Bytes: maximumSnapshotDueBytes,
 			})
 			cluster.log.breakAfter = 0
 			opened := openStream(context.Background(), cluster.log, OpenStream{Shard: shardNumber})
-			Expect(opened.view.verdict(false)).To(Equal(cluster.viewFromStart(shardNumber).verdict(false)))
-			if made.Written {
-				Expect(opened.view.restored).To(Equal(made.Index))
+			Expect(opened.view.summary(false)).To(Equal(cluster.viewFromStart(shardNumber).summary(false)))
+			if created.Written {
+				Expect(opened.view.restored).To(Equal(created.Index))
 				break
 			}
 		}
--- a/internal/scheduler/stream_snapshot.go
+++ b/internal/scheduler/stream_snapshot.go
@@ -10,39 +10,39 @@
 )
 
 const (
-	// snapshotChunkBytes bounds one record of a snapshot.
+	// snapshotChunkBytes bounds the size of one part of a snapshot.
 	snapshotChunkBytes = 256 << 10
-	// snapshotAppendTries bounds the appends of one part.
-	snapshotAppendTries = 3
-	// snapshotRetry is how long a leader waits after a snapshot that failed.
+	// snapshotAppendAttempts bounds the attempts to append one part.
+	snapshotAppendAttempts = 3
+	// snapshotRetry is the time between a failed snapshot and the next attempt.
 	snapshotRetry = 30 * time.Second
-	// maximumSnapshotWait bounds what a pointer's size can make leaders wait for:
-	// pointers prove nothing.
-	maximumSnapshotWait = 64 << 20
+	// maximumSnapshotDueBytes bounds the influence of a pointer's size on the snapshot interval,
+	// since pointers are not verified.
+	maximumSnapshotDueBytes = 64 << 20
 )
 
-// SnapshotStream asks for a snapshot of a shard's stream, if one is due. It is
-// made from the stream alone, beside the shard's work.
+// SnapshotStream requests a snapshot of a shard's stream if one is due. The snapshot is made
+// from the stream alone, outside the control goroutine.
 type SnapshotStream struct {
 	Shard uint32
-	// ID names the snapshot and is used once.
+	// ID is the unique id of the snapshot.
 	ID string
-	// ArchivedIndex is the last index known to stand in the stream, and Bytes is
-	// what this leader has appended since the last snapshot that it knows of.
+	// ArchivedIndex is the last index known to be archived, Bytes the number of bytes that this
+	// leader has appended since the last known snapshot.
 	ArchivedIndex uint64
 	Bytes         int
-	// DueBytes and DueEntries are the bounds above which a snapshot is due.
+	// DueBytes and DueEntries are the thresholds for a new snapshot.
 	DueBytes   int
 	DueEntries uint64
 }
 
-// StreamSnapshotted tells what became of a SnapshotStream.
+// StreamSnapshotted reports the result of a SnapshotStream.
 type StreamSnapshotted struct {
 	Shard uint32
-	// Index and Size are of the newest snapshot that the stream has now.
+	// Index and Size describe the newest snapshot in the stream.
 	Index uint64
 	Size  int
-	// Written is true where it is a new one.
+	// Written is true if that snapshot was written now.
 	Written bool
 	Failure string
 }
@@ -50,7 +50,7 @@
 func (SnapshotStream) effect()   {}
 func (StreamSnapshotted) event() {}
 
-// snapshotStream carries a SnapshotStream out.
+// snapshotStream executes a SnapshotStream.
 func snapshotStream(ctx context.Context, log outside.Log, effect SnapshotStream) StreamSnapshotted {
 	reader := &streamReader{log: log, shard: effect.Shard}
 	pointers, err := reader.pointers(ctx)
@@ -76,15 +76,16 @@
 	}
 }
 
-// due weighs what was archived since a snapshot against what a new one costs.
+// due reports whether enough was archived since the newest snapshot to justify the cost of
+// another.
 func (effect SnapshotStream) due(newest replication.SnapshotPointer) bool {
-	size := int(min(newest.Size, maximumSnapshotWait))
+	size := int(min(newest.Size, maximumSnapshotDueBytes))
 	return effect.Bytes >= max(effect.DueBytes, size) ||
 		effect.ArchivedIndex >= newest.LastIndex+effect.DueEntries
 }
 
-// writeSnapshot reads the stream to its end, appends what it gives as a
-// snapshot and then the pointer to it.
+// writeSnapshot reads the stream to its end, and appends a snapshot of it followed by the
+// pointer.
 func writeSnapshot(ctx context.Context, reader *streamReader, id string) (replication.SnapshotPointer, error) {
 	view, err := reader.open(ctx, 0)
 	if err != nil {
@@ -118,10 +119,10 @@
 	return pointer, appendRecord(ctx, reader.log, indexStreamName(reader.shard), record)
 }
 
-// appendRecord appends a record that may stand in the stream more than once.
+// appendRecord appends a record with retries, which may duplicate it.
 func appendRecord(ctx context.Context, log outside.Log, stream string, record []byte) error {
 	var err error
-	for range snapshotAppendTries {
+	for range snapshotAppendAttempts {
 		bounded, cancel := context.WithTimeout(ctx, logTimeout)
 		_, err = log.Append(bounded, stream, record)
 		cancel()
@@ -132,27 +133,27 @@
 	return err
 }
 
-// snapshotHome has a snapshot of the shard's stream made where it has grown by
-// enough, one at a time in this process: each holds a second copy of a state.
-func (core *Core) snapshotHome(host *host, home *home) {
-	if core.snapshotting || core.config.SnapshotBytes == 0 || core.now < home.snapshotAfter {
+// snapshotAssignment requests a snapshot of the shard's stream if it has grown enough. Only one
+// is made at a time per process, because each needs a second copy of a shard's state.
+func (core *Core) snapshotAssignment(host *host, assignment *assignment) {
+	if core.snapshotting || core.config.SnapshotBytes == 0 || core.now < assignment.nextSnapshotAt {
 		return
 	}
 	archived := host.replica.ArchivedIndex()
-	grown := home.archivedBytes >= max(core.config.SnapshotBytes, home.snapshotSize)
-	// A new leader does not know what its predecessors have archived.
-	firstLook := home.lookedAt != host.epoch && archived >= home.snapshotIndex+core.config.SnapshotEntries
-	if !grown && !firstLook {
+	grown := assignment.archivedBytes >= max(core.config.SnapshotBytes, assignment.snapshotSize)
+	// A new leader does not know how much its predecessors have archived.
+	firstCheck := assignment.snapshotCheckedAt != host.epoch && archived >= assignment.snapshotIndex+core.config.SnapshotEntries
+	if !grown && !firstCheck {
 		return
 	}
 	core.snapshotting = true
-	home.lookedAt = host.epoch
+	assignment.snapshotCheckedAt = host.epoch
 	core.snapshotCount++
 	core.emit(SnapshotStream{
-		Shard:         home.number,
+		Shard:         assignment.number,
 		ID:            fmt.Sprintf("%s/%d", core.Incarnation(), core.snapshotCount),
 		ArchivedIndex: archived,
-		Bytes:         home.archivedBytes,
+		Bytes:         assignment.archivedBytes,
 		DueBytes:      core.config.SnapshotBytes,
 		DueEntries:    core.config.SnapshotEntries,
 	})
@@ -163,18 +164,18 @@
 	if event.Failure != "" {
 		core.log("stream_snapshot_failed", event.Shard, "", "", event.Failure)
 	}
-	home := core.homes[event.Shard]
-	if home == nil {
+	assignment := core.assignments[event.Shard]
+	if assignment == nil {
 		return
 	}
 	if event.Failure != "" {
-		home.snapshotAfter = core.now + snapshotRetry
+		assignment.nextSnapshotAt = core.now + snapshotRetry
 		return
 	}
-	home.snapshotIndex = max(home.snapshotIndex, event.Index)
-	home.snapshotSize = min(event.Size, maximumSnapshotWait)
+	assignment.snapshotIndex = max(assignment.snapshotIndex, event.Index)
+	assignment.snapshotSize = min(event.Size, maximumSnapshotDueBytes)
 	if event.Written {
-		home.archivedBytes = 0
-		core.log("stream_snapshot_written", event.Shard, "", "", fmt.Sprintf("up to %d in %d bytes", event.Index, event.Size))
+		assignment.archivedBytes = 0
+		core.log("stream_snapshot_written", event.Shard, "", "", fmt.Sprintf("last index %d, %d bytes", event.Index, event.Size))
 	}
 }
--- a/internal/scheduler/stream_view.go
+++ b/internal/scheduler/stream_view.go
@@ -6,19 +6,17 @@
 	"github.com/magpielug/magpielug/internal/shard"
 )
 
-// streamView is what a shard's stream says up to an offset.
+// streamView is the result of reading a shard's stream up to an offset.
 type streamView struct {
 	archive *replication.Archive
-	// state holds the stream's entries up to the claim in force, and tail those
-	// after it, which a group's own log brings to a founder's replica. A view
-	// that was begun from a snapshot holds the snapshot's entries in state, also
-	// where some come after the claim: see beyondBase.
+	// state contains the entries up to the current claim, and tail those after it, which a
+	// founder's replica gets from the group's own log. If the view was restored from a snapshot,
+	// state contains all entries in the snapshot, even those after the claim; see beyondBase.
 	state *shard.State
 	tail  []replication.Entry
-	// offset is of the record to read next.
+	// offset is the offset of the next record to read.
 	offset uint64
-	// restored is the last index of the snapshot that the view was begun from, 0
-	// for a view from the stream's start.
+	// restored is the last index in the snapshot that the view was restored from, or 0.
 	restored uint64
 	// unreadable counts the records that could not be decoded.
 	unreadable int
@@ -28,7 +26,7 @@
 	return &streamView{archive: replication.NewArchive(number), state: shard.New()}
 }
 
-// restoreStreamView begins a view from a snapshot of the stream.
+// restoreStreamView returns a view restored from a snapshot of the stream.
 func restoreStreamView(snapshot replication.ArchiveSnapshot) (*streamView, error) {
 	state := shard.New()
 	if err := state.Restore(snapshot.State); err != nil {
@@ -42,8 +40,7 @@
 	}, nil
 }
 
-// read takes in the stream's next record. A new claim's group starts from
-// everything before the claim.
+// read handles the next record. A new claim's group starts from the state before the claim.
 func (view *streamView) read(record outside.Record) error {
 	view.offset = record.Offset + 1
 	before := view.archive.Claim().Generation
@@ -66,14 +63,14 @@
 	view.tail = nil
 }
 
-// beyondBase tells whether state holds entries of the claim in force. A founder
-// of that claim's group must not begin with them.
+// beyondBase reports whether state contains entries after the current claim. A founder of the
+// claim's group must not start from such a state.
 func (view *streamView) beyondBase() bool {
 	return view.restored > view.archive.Base().Index
 }
 
-// snapshot returns the view as a snapshot of the stream. It applies the tail:
-// the view is of no use to a founder afterwards.
+// snapshot encodes the view as a snapshot of the stream. It applies the tail, so the view can't
+// be used by a founder afterwards.
 func (view *streamView) snapshot() ([]byte, error) {
 	view.applyTail()
 	state, err := view.state.Snapshot()
--- a/internal/scheduler/tool_pick.go
+++ b/internal/scheduler/tool_pick.go
@@ -7,51 +7,51 @@
 	"github.com/magpielug/magpielug/internal/outside"
 )
 
-// toolAvoidance is how long a tool back end that failed a call is passed over
-// for others of its service. One that is gone has no calls under way, and would
-// otherwise get each attempt of each call until the machine list drops it.
-const toolAvoidance = 3 * time.Second
+// toolFailureCooldown is how long other back ends of the service are preferred to one that
+// failed a call. Without it, a lost back end would be selected for every attempt, since it has
+// no calls in progress.
+const toolFailureCooldown = 3 * time.Second
 
-// pickTool returns the live back end of a tool service on which this process
-// has the fewest calls under way, one that has failed none lately if there is.
-func (core *Core) pickTool(service string) (outside.Machine, bool) {
-	busy := core.toolLoad()
+// selectTool returns the live back end of a tool service with the fewest calls in progress from
+// this process, preferring those without a recent failure.
+func (core *Core) selectTool(service string) (outside.Machine, bool) {
+	load := core.toolLoad()
 	fewest := math.MaxInt
-	avoided := true
-	var picked outside.Machine
+	selectedFailed := true
+	var selected outside.Machine
 	for _, machine := range core.directory.toolsOf(service) {
 		if core.configuration != nil && core.configuration.Drained(machine.ID) {
 			continue
 		}
-		failed := core.toolFailedLately(machine.ID)
-		better := busy[machine.ID] < fewest
-		if failed != avoided {
-			better = avoided
+		failed := core.toolFailedRecently(machine.ID)
+		preferred := load[machine.ID] < fewest
+		if failed != selectedFailed {
+			preferred = selectedFailed
 		}
-		if better {
-			fewest = busy[machine.ID]
-			avoided = failed
-			picked = machine
+		if preferred {
+			fewest = load[machine.ID]
+			selectedFailed = failed
+			selected = machine
 		}
 	}
-	return picked, fewest < math.MaxInt
+	return selected, fewest < math.MaxInt
 }
 
-// toolLoad counts this process's tool calls under way by back end.
+// toolLoad counts this process's tool calls in progress by back end.
 func (core *Core) toolLoad() map[string]int {
-	busy := make(map[string]int)
+	load := make(map[string]int)
 	for _, host := range core.hosts {
 		for _, live := range host.calls {
 			if live.isTool() && live.call.Intent() != nil {
-				busy[live.call.Intent().BackEnd]++
+				load[live.call.Intent().BackEnd]++
 			}
 		}
 	}
-	return busy
+	return load
 }
 
-// noteToolEnd remembers which back end has failed a call. A hung call says
-// nothing about its back end.
+// noteToolEnd records whether the back end failed the call. A timeout is not attributed to the
+// back end.
 func (core *Core) noteToolEnd(live *liveCall, end RunEnd) {
 	intent := live.call.Intent()
 	if !live.isTool() || intent == nil {
@@ -65,15 +65,15 @@
 	}
 }
 
-func (core *Core) toolFailedLately(backEnd string) bool {
+func (core *Core) toolFailedRecently(backEnd string) bool {
 	failedAt, failed := core.toolFailedAt[backEnd]
-	return failed && core.now-failedAt < toolAvoidance
+	return failed && core.now-failedAt < toolFailureCooldown
 }
 
-// forgetToolFailures drops what no longer counts.
-func (core *Core) forgetToolFailures() {
+// expireToolFailures removes failures older than toolFailureCooldown.
+func (core *Core) expireToolFailures() {
 	for backEnd, failedAt := range core.toolFailedAt {
-		if core.now-failedAt >= toolAvoidance {
+		if core.now-failedAt >= toolFailureCooldown {
 			delete(core.toolFailedAt, backEnd)
 		}
 	}
