--- a/internal/node/admission_test.go
+++ b/internal/node/admission_test.go
@@ -67,14 +67,14 @@
 			node.admission.controller.Observe(node.admission.state(now), now.Add(time.Duration(step-20)*200*time.Millisecond))
 		}
 	}
-	// own makes the node the shard's owner and skips the warm-up.
-	own := func() {
+	// acquireShard makes the node the shard's owner and skips the warm-up.
+	acquireShard := func() {
 		Expect(reserve(program, program+"/0", "").Verdict).To(Equal(nodev1.Verdict_VERDICT_GRANTED))
 		node.admission.warmUp = 0
 	}
 
 	It("refuses a new program without reserving tokens, with a retry delay", func() {
-		own()
+		acquireShard()
 		overload()
 		reply := reserve("q", "q/0", "")
 		Expect(reply.Verdict).To(Equal(nodev1.Verdict_VERDICT_NO_ROOM))
@@ -89,14 +89,14 @@
 	})
 
 	It("admits further turns of a started program regardless of the load", func() {
-		own()
+		acquireShard()
 		overload()
 		Expect(reserve(program, program+"/1", "").Verdict).To(Equal(nodev1.Verdict_VERDICT_GRANTED), "a program without recorded turns")
 		Expect(reserve("elsewhere", "elsewhere/1", "turn-1").Verdict).To(Equal(nodev1.Verdict_VERDICT_GRANTED), "a program whose turn names a previous one")
 	})
 
 	It("admits a program's other turns while its first one is being reserved", func() {
-		own()
+		acquireShard()
 		overload()
 		first := &nodev1.ReserveRequest{Program: "q", Tenant: "t", Request: "q/0", Route: "r", Rank: 2, Service: "models", Session: "q", Prompt: 700}
 		second := &nodev1.ReserveRequest{Program: "q", Tenant: "t", Request: "q/1", Route: "r", Rank: 2, Service: "models", Session: "helper", Prompt: 700}
@@ -116,7 +116,7 @@
 	})
 
 	It("admits every program without a load view or with the feature disabled", func() {
-		own()
+		acquireShard()
 		Expect(reserve("q", "q/0", "").Verdict).To(Equal(nodev1.Verdict_VERDICT_GRANTED))
 		overload()
 		Expect(feature.Disable(string(feature.Admission))).To(Succeed())
@@ -125,7 +125,7 @@
 	})
 
 	It("counts turns from reservation to settlement", func() {
-		own()
+		acquireShard()
 		turns := func() int {
 			routes, _ := node.admission.report()
 			return routes[name].Turns
@@ -136,15 +136,15 @@
 	})
 
 	It("exports its inputs and outcomes as metrics", func() {
-		own()
+		acquireShard()
 		overload()
 		reserve("q", "q/0", "")
 		registry := prometheus.NewRegistry()
 		registry.MustRegister(node.admission.metrics)
-		answer := httptest.NewRecorder()
-		promhttp.HandlerFor(registry, promhttp.HandlerOpts{}).ServeHTTP(answer, httptest.NewRequest(http.MethodGet, "/metrics", nil))
-		Expect(answer.Body.String()).To(ContainSubstring(`magpielug_programs_refused_total{rank="2",reason="slots",route="r"} 1`))
-		Expect(answer.Body.String()).To(ContainSubstring(`magpielug_admission_capacity{resource="slots",service="models"} 12`))
-		Expect(answer.Body.String()).To(ContainSubstring(`magpielug_programs_under_way{rank="2",route="r"} 1`))
+		response := httptest.NewRecorder()
+		promhttp.HandlerFor(registry, promhttp.HandlerOpts{}).ServeHTTP(response, httptest.NewRequest(http.MethodGet, "/metrics", nil))
+		Expect(response.Body.String()).To(ContainSubstring(`magpielug_programs_refused_total{rank="2",reason="slots",route="r"} 1`))
+		Expect(response.Body.String()).To(ContainSubstring(`magpielug_admission_capacity{resource="slots",service="models"} 12`))
+		Expect(response.Body.String()).To(ContainSubstring(`magpielug_programs_under_way{rank="2",route="r"} 1`))
 	})
 })
--- a/internal/node/breaker_test.go
+++ b/internal/node/breaker_test.go
@@ -76,7 +76,7 @@
 
 var _ = Describe("Engine speeds", func() {
 	It("are sent to nodes that request them", func() {
-		node := newReader(0)
+		node := newLogReader(0)
 		node.engines.Upsert(backend.Instance{ID: "e0", Service: "models"}, time.Time{})
 		node.engines.AddLatencyStats(map[string]backend.LatencyStats{"e0": {Weight: 5, Sum: 10}}, time.Now())
 		learn := func(wants bool) map[string]float32 {
@@ -90,9 +90,9 @@
 		other := &learner{node: &Node{engines: backend.NewDirectory()}}
 		other.node.engines.Upsert(backend.Instance{ID: "e0", Service: "models"}, time.Time{})
 		other.applySpeeds(learn(false))
-		Expect(other.speedsAt).To(BeZero())
+		Expect(other.speedsReceivedAt).To(BeZero())
 		other.applySpeeds(learn(true))
-		Expect(other.speedsAt).NotTo(BeZero())
+		Expect(other.speedsReceivedAt).NotTo(BeZero())
 		Expect(other.node.engines.Slowness("e0", time.Now())).To(BeNumerically("~", 1.5, 0.01))
 	})
 })
--- a/internal/node/cold.go
+++ b/internal/node/cold_limit.go
@@ -4,8 +4,8 @@
 	"github.com/magpielug/magpielug/internal/backend"
 )
 
-// coldLimit returns the request rate that a service's cold engines may receive from all nodes; the
-// zero value is unlimited.
+// coldLimit returns the limit on requests from all nodes to each cold engine of a service; the zero
+// value is unlimited.
 func (node *Node) coldLimit(service string) backend.ColdLimit {
 	configuration := node.routes.Load()
 	if configuration == nil {
@@ -18,7 +18,7 @@
 
 // senderRank returns this node's rank among the senders to an engine and the number of nodes.
 // known is false until the nodes' records have been read.
-func (node *Node) senderRank(engine string) (rank, nodes int, members bool) {
+func (node *Node) senderRank(engine string) (rank, nodes int, known bool) {
 	if !node.memberView.loaded() {
 		return 0, 0, false
 	}
--- a/internal/node/engine_source.go
+++ b/internal/node/engine_source.go
@@ -24,33 +24,33 @@
 // reader, and the second while the first is not current.
 type engineSource struct {
 	learner *learner
-	// trustedUntil is when the engine records have to be read from the durable log again.
-	trustedUntil atomicTime
-	// staleSince is when the sources stopped being current, zero while one is.
+	// skipLogUntil is when the engine records have to be read from the durable log again.
+	skipLogUntil atomicTime
+	// staleSince is when refresh first found no current source, zero while one is current.
 	staleSince time.Time
-	// unreached is true if no source answered the last refresh.
-	unreached atomic.Bool
+	// sourcesUnreachable is true if no source answered the last refresh.
+	sourcesUnreachable atomic.Bool
 	// currentSource is the source in use, kept to log changes.
 	currentSource string
 }
 
 // skipsLog reports whether another node supplies the engine list now, or is about to.
 func (source *engineSource) skipsLog() bool {
-	return source.learner.hasReader() || source.trustedUntil.age(time.Now()) < 0 || source.awaitsFirstList()
+	return source.learner.hasReader() || source.skipLogUntil.age(time.Now()) < 0 || source.awaitsFirstList()
 }
 
 // awaitsFirstList reports whether a newly started node is waiting for its first engine list. If
 // all nodes started at once and read the list from the log, they would saturate its links.
 func (source *engineSource) awaitsFirstList() bool {
 	node := source.learner.node
-	if node.engineView.loaded() || time.Since(source.learner.started) > firstListTimeout || source.unreached.Load() || !feature.Enabled(feature.SharedReader) {
+	if node.engineView.loaded() || time.Since(source.learner.started) > firstListTimeout || source.sourcesUnreachable.Load() || !feature.Enabled(feature.SharedReader) {
 		return false
 	}
 	return !node.memberView.loaded() || len(node.members.engineSources(node.self())) > 0
 }
 
-// extendTrust defers reading the durable log by learnTTL.
-func (source *engineSource) extendTrust() { source.trustedUntil.set(time.Now().Add(learnTTL)) }
+// extendLogSkip defers reading the durable log by learnTTL.
+func (source *engineSource) extendLogSkip() { source.skipLogUntil.set(time.Now().Add(learnTTL)) }
 
 // refresh merges the engine records of the first current source, or of those reached if none is
 // current, and decides whether this node has to read the durable log itself.
@@ -58,7 +58,7 @@
 	node := source.learner.node
 	sources := node.members.engineSources(node.self())
 	if len(sources) == 0 || !feature.Enabled(feature.SharedReader) {
-		source.trustedUntil.set(now)
+		source.skipLogUntil.set(now)
 		source.setSource("")
 		return
 	}
@@ -69,21 +69,21 @@
 		if err == nil && current {
 			source.staleSince = time.Time{}
 			source.setSource(member.Name)
-			source.extendTrust()
+			source.extendLogSkip()
 			return
 		}
 	}
 	source.setSource("")
-	source.unreached.Store(!reached)
+	source.sourcesUnreachable.Store(!reached)
 	if source.staleSince.IsZero() {
 		source.staleSince = now
 	}
 	// A node with a single source is the zone's second reader or has no alternative.
 	if reached && len(sources) > 1 && now.Sub(source.staleSince) < staleListTolerance {
-		source.extendTrust()
+		source.extendLogSkip()
 		return
 	}
-	source.trustedUntil.set(now)
+	source.skipLogUntil.set(now)
 }
 
 // setSource records the source in use and logs a change.
--- a/internal/node/engine_source_test.go
+++ b/internal/node/engine_source_test.go
@@ -24,7 +24,7 @@
 func newReaderZone(first, second *Node) *readerZone {
 	zone := &readerZone{members: newMembers()}
 	for number := range 3 * nodesPerReader {
-		zone.members.put(Member{Name: "node-" + strconv.Itoa(number), Zone: "zone", Capacity: 800, Address: deadAddress})
+		zone.members.put(Member{Name: "node-" + strconv.Itoa(number), Zone: "zone", Capacity: 800, Address: unusedAddress})
 	}
 	zone.readers = zone.members.logReaders("zone")
 	for index, served := range []*Node{first, second} {
@@ -41,12 +41,12 @@
 	return zone
 }
 
-// deadAddress has no listener.
-const deadAddress = "127.0.0.1:1"
+// unusedAddress has no listener.
+const unusedAddress = "127.0.0.1:1"
 
 // member returns a node of the zone.
 func (zone *readerZone) member(self Member) *Node {
-	node := newReader(0)
+	node := newLogReader(0)
 	node.members = zone.members
 	node.settings = Settings{Name: self.Name, Zone: self.Zone}
 	node.logger = &logging.Logger{Logger: zap.NewNop()}
@@ -55,9 +55,9 @@
 }
 
 // newCurrentReader and newStaleReader return readers with a current and an outdated engine list.
-func newCurrentReader() *Node { return newReader(0) }
+func newCurrentReader() *Node { return newLogReader(0) }
 func newStaleReader() *Node {
-	node := newReader(0)
+	node := newLogReader(0)
 	node.engineView.confirmedAt.set(time.Now().Add(-time.Minute))
 	return node
 }
@@ -65,37 +65,37 @@
 // Guards against readers that all fall back to reading the log when the reader before them is not
 // current, which saturates a slow link.
 var _ = Describe("The engine records of a zone", func() {
-	// reads reports whether a member has to read the log after a refresh.
-	reads := func(member *Node) bool {
+	// readsLog reports whether a member has to read the log after a refresh.
+	readsLog := func(member *Node) bool {
 		member.learner.engineSource.refresh(context.Background(), time.Now())
 		return !member.learner.engineSource.skipsLog()
 	}
 
 	It("are read from the log by the first reader and passed on to the others", func() {
 		zone := newReaderZone(newCurrentReader(), nil)
-		Expect(reads(zone.member(zone.readers[0]))).To(BeTrue())
-		Expect(reads(zone.member(zone.readers[1]))).To(BeFalse())
-		Expect(reads(zone.member(zone.readers[2]))).To(BeFalse())
+		Expect(readsLog(zone.member(zone.readers[0]))).To(BeTrue())
+		Expect(readsLog(zone.member(zone.readers[1]))).To(BeFalse())
+		Expect(readsLog(zone.member(zone.readers[2]))).To(BeFalse())
 	})
 
 	It("are read by the second reader, and no other, while the first is not current", func() {
 		zone := newReaderZone(newStaleReader(), newCurrentReader())
-		Expect(reads(zone.member(zone.readers[1]))).To(BeTrue())
-		Expect(reads(zone.member(zone.readers[2]))).To(BeFalse())
+		Expect(readsLog(zone.member(zone.readers[1]))).To(BeTrue())
+		Expect(readsLog(zone.member(zone.readers[2]))).To(BeFalse())
 	})
 
 	It("are not read by further nodes until staleListTolerance has passed if no source is current", func() {
 		zone := newReaderZone(newStaleReader(), newStaleReader())
 		third := zone.member(zone.readers[2])
-		Expect(reads(third)).To(BeFalse())
-		Expect(reads(third)).To(BeFalse())
+		Expect(readsLog(third)).To(BeFalse())
+		Expect(readsLog(third)).To(BeFalse())
 		third.learner.engineSource.staleSince = time.Now().Add(-staleListTolerance)
-		Expect(reads(third)).To(BeTrue())
+		Expect(readsLog(third)).To(BeTrue())
 	})
 
 	It("are read by a node that reaches neither source", func() {
 		zone := newReaderZone(nil, nil)
-		Expect(reads(zone.member(zone.readers[2]))).To(BeTrue())
+		Expect(readsLog(zone.member(zone.readers[2]))).To(BeTrue())
 	})
 
 	It("are not read by a newly started node with sources before firstListTimeout", func() {
--- a/internal/node/fleet_benchmark_test.go
+++ b/internal/node/fleet_benchmark_test.go
@@ -12,7 +12,7 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// The costs of fleet size to a single node; they must not keep growing with the fleet.
+// Cluster size of the benchmarks, which measure the cost to a single node.
 const (
 	fleetNodes   = 1000
 	fleetEngines = 10000
--- a/internal/node/follow.go
+++ b/internal/node/follow.go
@@ -22,8 +22,8 @@
 	// minRetryDelay follows a first failed read; the delay doubles up to maxRetryDelay.
 	minRetryDelay = 100 * time.Millisecond
 	maxRetryDelay = 400 * time.Millisecond
-	// staleRereadDelay is the delay before a full reread while the log serves an older state than
-	// seen before, which can happen after its history was trimmed.
+	// staleRereadDelay is the delay before a full reread while the log returns an older state than
+	// one already seen, as it may after trimming.
 	staleRereadDelay = 700 * time.Millisecond
 	// delegatedPollInterval is how often a follower checks whether another node still reads the
 	// topic on its behalf.
@@ -46,9 +46,9 @@
 	interval func() time.Duration
 	// apply receives each update with a time as of which it was valid.
 	apply func(update durable.Update, asOf time.Time)
-	// lost is true while the log does not answer. lastFailedReadStart is when the last failed read
-	// began.
-	lost                atomic.Bool
+	// failing is true after a failed read until the next success. lastFailedReadStart is when the
+	// last failed read began.
+	failing             atomic.Bool
 	lastFailedReadStart atomicTime
 	// freezes detects intervals in which the process did not run.
 	freezes *freeze.Detector
@@ -65,7 +65,7 @@
 // silent reports whether the log has not answered for longer than a read may take.
 func (follower *follower) silent(now time.Time) bool {
 	allowed := learnSilenceThreshold + follower.maxWait
-	if follower.lost.Load() {
+	if follower.failing.Load() {
 		allowed = learnSilenceThreshold
 	}
 	return follower.lastResponse.age(now) > allowed+follower.interval()
@@ -147,7 +147,7 @@
 		return
 	}
 	follower.lastFailedReadStart.advance(requestedAt)
-	if !follower.lost.Swap(true) {
+	if !follower.failing.Swap(true) {
 		follower.logger.Warn("view update failed", zap.String("view", follower.name), logging.Cause(err))
 	}
 	follower.retryDelay = min(max(2*follower.retryDelay, minRetryDelay), maxRetryDelay)
@@ -156,7 +156,7 @@
 
 func (follower *follower) recordSuccess() {
 	follower.lastResponse.set(time.Now())
-	if follower.lost.Swap(false) {
+	if follower.failing.Swap(false) {
 		follower.logger.Info("view update recovered", zap.String("view", follower.name))
 	}
 	follower.retryDelay = 0
--- a/internal/node/freeze_test.go
+++ b/internal/node/freeze_test.go
@@ -19,7 +19,7 @@
 
 // newResumedNode returns a node that has just resumed from a freeze, with views read before it.
 func newResumedNode() *Node {
-	node := newReader(0)
+	node := newLogReader(0)
 	before := time.Now().Add(-frozenFor)
 	node.configurationView.confirmedAt.set(before)
 	node.engineView.confirmedAt.set(before)
--- a/internal/node/learn.go
+++ b/internal/node/learn.go
@@ -45,16 +45,16 @@
 type learner struct {
 	node    *Node
 	started time.Time
-	// trustedUntil is when the log has to be read again.
-	trustedUntil atomicTime
+	// skipLogUntil is when the log has to be read again.
+	skipLogUntil atomicTime
 	// engineSource obtains engine records when this node reads the other topics itself.
 	engineSource engineSource
 	// retryReaderAt is when to ask the zone's reader again after a failure.
 	retryReaderAt time.Time
 	// currentReader is the reader in use, kept to log changes.
 	currentReader string
-	// speedsAt is when engine speeds were last received.
-	speedsAt time.Time
+	// speedsReceivedAt is when engine speeds were last received.
+	speedsReceivedAt time.Time
 }
 
 func newLearner(node *Node) *learner {
@@ -65,7 +65,7 @@
 
 // hasReader reports whether another node currently reads the log for this one.
 func (learner *learner) hasReader() bool {
-	return learner.trustedUntil.age(time.Now()) < 0
+	return learner.skipLogUntil.age(time.Now()) < 0
 }
 
 // run requests records until ctx ends.
@@ -127,18 +127,18 @@
 	node := learner.node
 	reader := node.members.logReaderFor(node.self())
 	if reader.Name == "" || reader.Name == node.settings.Name || !feature.Enabled(feature.SharedReader) {
-		learner.trustedUntil.set(now)
+		learner.skipLogUntil.set(now)
 		learner.setReader("")
 		return
 	}
 	current, err := learner.learnFrom(ctx, reader.Address)
 	if err == nil && current {
 		learner.setReader(reader.Name)
-		learner.trustedUntil.set(time.Now().Add(learnTTL))
+		learner.skipLogUntil.set(time.Now().Add(learnTTL))
 		return
 	}
-	learner.engineSource.extendTrust()
-	learner.trustedUntil.set(now)
+	learner.engineSource.extendLogSkip()
+	learner.skipLogUntil.set(now)
 	learner.setReader("")
 	if !learner.engineSource.awaitsFirstList() {
 		learner.retryReaderAt = now.Add(readerRetryDelay)
@@ -168,8 +168,8 @@
 	node := learner.node
 	request := node.learnRequest()
 	request.Avoided = node.engines.Avoided(time.Now())
-	request.Paces = toPaceMessages(node.engines.DrainLatencyStats())
-	request.WantsSpeeds = time.Since(learner.speedsAt) >= backend.SpeedPollInterval
+	request.Paces = toLatencyMessages(node.engines.DrainLatencyStats())
+	request.WantsSpeeds = time.Since(learner.speedsReceivedAt) >= backend.SpeedPollInterval
 	reply, err := learner.sendLearn(ctx, address, request)
 	if err != nil {
 		return false, err
@@ -195,7 +195,7 @@
 	bounded, cancel := context.WithTimeout(ctx, learner.timeout())
 	defer cancel()
 	requestedAt := time.Now()
-	reply, err := node.peers.at(address).Learn(bounded, request)
+	reply, err := node.peers.clientAt(address).Learn(bounded, request)
 	if err != nil {
 		node.logger.Debug("learn request failed", zap.String("address", address), logging.Cause(err))
 		return nil, err
@@ -214,7 +214,7 @@
 	}
 	now := time.Now()
 	learner.node.engines.SetRemoteSpeeds(speeds, now)
-	learner.speedsAt = now
+	learner.speedsReceivedAt = now
 }
 
 // anyFollowerSilent reports whether the log has not answered some follower for too long.
@@ -222,8 +222,8 @@
 	return slices.ContainsFunc(followers, func(follower *follower) bool { return follower.silent(now) })
 }
 
-// readsLog reports whether others may rely on this node's views: it reads them from the log, its
-// engines possibly through the zone's first reader, and they are recent. Views learned from
+// readsLog reports whether other nodes may rely on this node's views: it reads them from the log
+// (engine records possibly through the zone's first reader) and they are recent. Views learned from
 // arbitrary nodes do not qualify, since delays would add up from node to node.
 func (node *Node) readsLog(now time.Time) bool {
 	return !node.learner.hasReader() && !anyFollowerSilent(node.followers, now) && node.engineView.loaded() && node.engineView.age() < maxCurrentAge
--- a/internal/node/learn_message.go
+++ b/internal/node/learn_message.go
@@ -25,7 +25,7 @@
 	now := time.Now()
 	node.engines.AddReported(request.Avoided, now)
 	node.logHealth.observeRemote(request.LogAnswerAgeMs, now)
-	node.engines.AddLatencyStats(fromPaceMessages(request.Paces), now)
+	node.engines.AddLatencyStats(fromLatencyMessages(request.Paces), now)
 	reply := &nodev1.LearnReply{
 		ConfigurationAgeMs: node.configurationView.age().Milliseconds(),
 		EnginesAgeMs:       node.engineView.age().Milliseconds(),
@@ -43,20 +43,20 @@
 	return reply, nil
 }
 
-func toPaceMessages(paces map[string]backend.LatencyStats) map[string]*nodev1.Pace {
-	messages := make(map[string]*nodev1.Pace, len(paces))
-	for engine, pace := range paces {
-		messages[engine] = &nodev1.Pace{Weight: pace.Weight, Sum: pace.Sum}
+func toLatencyMessages(stats map[string]backend.LatencyStats) map[string]*nodev1.Pace {
+	messages := make(map[string]*nodev1.Pace, len(stats))
+	for engine, stat := range stats {
+		messages[engine] = &nodev1.Pace{Weight: stat.Weight, Sum: stat.Sum}
 	}
 	return messages
 }
 
-func fromPaceMessages(messages map[string]*nodev1.Pace) map[string]backend.LatencyStats {
-	paces := make(map[string]backend.LatencyStats, len(messages))
+func fromLatencyMessages(messages map[string]*nodev1.Pace) map[string]backend.LatencyStats {
+	stats := make(map[string]backend.LatencyStats, len(messages))
 	for engine, message := range messages {
-		paces[engine] = backend.LatencyStats{Weight: message.GetWeight(), Sum: message.GetSum()}
+		stats[engine] = backend.LatencyStats{Weight: message.GetWeight(), Sum: message.GetSum()}
 	}
-	return paces
+	return stats
 }
 
 func toRecords(records []durable.KeyedRecord, end int64) *nodev1.Records {
--- a/internal/node/learn_test.go
+++ b/internal/node/learn_test.go
@@ -15,8 +15,8 @@
 	"go.uber.org/zap"
 )
 
-// newReader returns a node with fresh views whose log last answered a given time ago.
-func newReader(sinceStore time.Duration) *Node {
+// newLogReader returns a node with fresh views whose log last answered a given time ago.
+func newLogReader(logSilence time.Duration) *Node {
 	node := &Node{engines: backend.NewDirectory()}
 	node.learner = newLearner(node)
 	node.learner.started = time.Now().Add(-time.Minute)
@@ -26,7 +26,7 @@
 	node.memberView = newRecordView("nodes", zap.NewNop(), ignore)
 	pause := func() time.Duration { return enginePollInterval }
 	follower := &follower{name: "engines", interval: pause, logger: zap.NewNop()}
-	follower.lastResponse.set(time.Now().Add(-sinceStore))
+	follower.lastResponse.set(time.Now().Add(-logSilence))
 	node.followers = append(node.followers, follower)
 	node.engineView.merge(durable.Update{End: 1}, time.Now())
 	return node
@@ -39,10 +39,10 @@
 }
 
 var _ = Describe("A node that answers learn requests", func() {
-	answer := func(sinceStore time.Duration) *nodev1.LearnReply { return learnReplyOf(newReader(sinceStore)) }
+	replyAfterSilence := func(logSilence time.Duration) *nodev1.LearnReply { return learnReplyOf(newLogReader(logSilence)) }
 
 	It("is current only with recent engine records, whose age it reports", func() {
-		node := newReader(0)
+		node := newLogReader(0)
 		node.engineView = newRecordView("engines", zap.NewNop(), func(durable.KeyedRecord) bool { return false })
 		Expect(learnReplyOf(node).Current).To(BeFalse())
 		node.engineView.merge(durable.Update{End: 1}, time.Now())
@@ -54,32 +54,32 @@
 	})
 
 	It("is current while the log answers it", func() {
-		Expect(answer(0).Current).To(BeTrue())
+		Expect(replyAfterSilence(0).Current).To(BeTrue())
 	})
 
 	// Guards against treating the reply of a newly started node, which has read nothing, as a
 	// confirmation of one's own views.
 	It("does not confirm views that it has not loaded", func() {
-		started := newReader(0)
+		started := newLogReader(0)
 		started.configurationView = newRecordView("configuration", zap.NewNop(), func(durable.KeyedRecord) bool { return false })
 		started.engineView = newRecordView("engines", zap.NewNop(), func(durable.KeyedRecord) bool { return false })
 		server := httptest.NewServer(nodev1.NewNodeServer(&peerServer{node: started}))
 		DeferCleanup(server.Close)
-		asker := newReader(0)
-		asker.logger = &logging.Logger{Logger: zap.NewNop()}
-		asker.members = newMembers()
-		asker.peers = newPeers(asker.members, http.DefaultClient)
+		requester := newLogReader(0)
+		requester.logger = &logging.Logger{Logger: zap.NewNop()}
+		requester.members = newMembers()
+		requester.peers = newPeers(requester.members, http.DefaultClient)
 		longAgo := time.Now().Add(-time.Minute)
-		asker.configurationView.merge(durable.Update{End: 5}, longAgo)
-		asker.configurationView.confirmedAt.set(longAgo)
-		asker.engineView.confirmedAt.set(longAgo)
-		_, err := asker.learner.learnRecordsFrom(context.Background(), server.Listener.Addr().String())
+		requester.configurationView.merge(durable.Update{End: 5}, longAgo)
+		requester.configurationView.confirmedAt.set(longAgo)
+		requester.engineView.confirmedAt.set(longAgo)
+		_, err := requester.learner.learnRecordsFrom(context.Background(), server.Listener.Addr().String())
 		Expect(err).NotTo(HaveOccurred())
-		Expect(asker.configurationView.age()).To(BeNumerically(">=", time.Minute))
-		Expect(asker.engineView.age()).To(BeNumerically(">=", time.Minute))
+		Expect(requester.configurationView.age()).To(BeNumerically(">=", time.Minute))
+		Expect(requester.engineView.age()).To(BeNumerically(">=", time.Minute))
 	})
 
 	It("is not current while the log is silent to it, even with fresh views from other nodes", func() {
-		Expect(answer(time.Minute).Current).To(BeFalse())
+		Expect(replyAfterSilence(time.Minute).Current).To(BeFalse())
 	})
 })
--- a/internal/node/load.go
+++ b/internal/node/load.go
@@ -223,8 +223,9 @@
 	return nil
 }
 
-// lastReportTo returns this node's contribution to an aggregator's reply. That is the report
-// before the one being answered, since totals are computed ahead of it.
+// lastReportTo returns the last report that an aggregator acknowledged, or an empty one. It is this
+// node's contribution to the total in the next reply, which is computed before the new report is
+// added.
 func (sharing *loadSharing) lastReportTo(target string) load.Report {
 	if sharing.lastSent.aggregator != target {
 		return load.NewReport()
--- a/internal/node/load_message_test.go
+++ b/internal/node/load_message_test.go
@@ -139,12 +139,12 @@
 		const maxInterval = load.ReportTTL / 2 // Two reports arrive within the TTL.
 		node := reportSize(reports[100]) + replySize(engineLoadOnly(total))
 		owner := reportSize(reports[0]) + replySize(total)
-		sum := reportSize(sumReports(reports[:targetNodes/targetZones]))
+		zoneTotal := reportSize(sumReports(reports[:targetNodes/targetZones]))
 		Expect(intervalFor(node, reportBytesPerSecond)).To(BeNumerically("<", maxInterval), "%d bytes", node)
 		Expect(intervalFor(owner, ownerReportBytesPerSecond)).To(BeNumerically("<", maxInterval), "%d bytes", owner)
-		Expect(intervalFor(sum, exchangeBytesPerSecond)).To(BeNumerically("<", maxInterval), "%d bytes", sum)
-		GinkgoWriter.Printf("bytes: node %d, owner %d, sum %d; paces: %s %s %s\n", node, owner, sum,
-			intervalFor(node, reportBytesPerSecond), intervalFor(owner, ownerReportBytesPerSecond), intervalFor(sum, exchangeBytesPerSecond))
+		Expect(intervalFor(zoneTotal, exchangeBytesPerSecond)).To(BeNumerically("<", maxInterval), "%d bytes", zoneTotal)
+		GinkgoWriter.Printf("bytes: node %d, owner %d, zone total %d; intervals: %s %s %s\n", node, owner, zoneTotal,
+			intervalFor(node, reportBytesPerSecond), intervalFor(owner, ownerReportBytesPerSecond), intervalFor(zoneTotal, exchangeBytesPerSecond))
 	})
 
 	It("are sent no faster than their byte rate allows", func() {
--- a/internal/node/load_metrics.go
+++ b/internal/node/load_metrics.go
@@ -31,8 +31,8 @@
 // Collect implements prometheus.Collector.
 func (collector *loadCollector) Collect(collected chan<- prometheus.Metric) {
 	now := time.Now()
-	age, taken := collector.node.load.Age(now)
-	if taken {
+	age, hasView := collector.node.load.Age(now)
+	if hasView {
 		collected <- prometheus.MustNewConstMetric(loadAge, prometheus.GaugeValue, age.Seconds())
 	}
 	collected <- prometheus.MustNewConstMetric(loadReportingNodes, prometheus.GaugeValue, float64(collector.node.sharing.aggregator.NodeCount(now)))
--- a/internal/node/load_status.go
+++ b/internal/node/load_status.go
@@ -82,7 +82,7 @@
 
 func (node *Node) viewStatus(known bool, now time.Time) load.ViewStatus {
 	status := load.ViewStatus{Known: known, Nodes: node.members.activeCount(), ReportingNodes: node.sharing.aggregator.NodeCount(now)}
-	if age, taken := node.load.Age(now); taken {
+	if age, hasView := node.load.Age(now); hasView {
 		milliseconds := age.Milliseconds()
 		status.AgeMillis = &milliseconds
 	}
--- a/internal/node/load_status_test.go
+++ b/internal/node/load_status_test.go
@@ -45,20 +45,20 @@
 		node.engines.Upsert(backend.Instance{ID: "tool", Service: "tools", Zone: "b", Slots: 4}, time.Time{})
 	})
 
-	ask := func(method, target string) *httptest.ResponseRecorder {
+	serve := func(method, target string) *httptest.ResponseRecorder {
 		response := httptest.NewRecorder()
 		node.serveLoad(response, httptest.NewRequest(method, target, nil))
 		return response
 	}
 	statusOf := func(target string) load.Status {
-		response := ask(http.MethodGet, target)
+		response := serve(http.MethodGet, target)
 		Expect(response.Code).To(Equal(http.StatusOK), response.Body.String())
 		var status load.Status
 		Expect(json.Unmarshal(response.Body.Bytes(), &status)).To(Succeed())
 		return status
 	}
-	// busy sets a load view above the engines' capacity.
-	busy := func(tenants int) {
+	// overload sets a load view above the engines' capacity.
+	overload := func(tenants int) {
 		total := load.NewReport()
 		total.Engines["e0"] = load.Engine{Running: 9}
 		total.Engines["e1"] = load.Engine{Running: 7}
@@ -74,7 +74,7 @@
 	}
 
 	It("reports engine and service load over all nodes and waiting calls by priority", func() {
-		busy(3)
+		overload(3)
 		status := statusOf("/load")
 		Expect(status.Node).To(Equal("self"))
 		Expect(status.View.Known).To(BeTrue())
@@ -101,7 +101,7 @@
 	})
 
 	It("lists the tenants with the most programs and counts the others", func() {
-		busy(70)
+		overload(70)
 		status := statusOf("/load")
 		Expect(status.Tenants).To(HaveLen(load.MaxStatusTenants))
 		Expect(status.Tenants[0].Tenant).To(Equal("t69"))
@@ -111,11 +111,11 @@
 
 	It("stays below 200 KB at the target size", func() {
 		const engines, maxBytes = 600, 200_000
-		busy(320)
+		overload(320)
 		for number := range engines {
 			node.engines.Upsert(backend.Instance{ID: fmt.Sprint("i-0123456", number), Service: "models", Zone: "a", Slots: 90}, time.Time{})
 		}
-		response := ask(http.MethodGet, "/load")
+		response := serve(http.MethodGet, "/load")
 		GinkgoWriter.Println(response.Body.Len(), "bytes")
 		Expect(response.Body.Len()).To(BeNumerically("<", maxBytes))
 	})
@@ -147,7 +147,7 @@
 	})
 
 	It("filters by service", func() {
-		busy(1)
+		overload(1)
 		status := statusOf("/load?service=tools")
 		Expect(status.Services).To(HaveLen(1))
 		Expect(status.Engines).To(HaveLen(1))
@@ -155,7 +155,7 @@
 	})
 
 	DescribeTable("rejects invalid requests with an error code", func(method, target string, code resultcode.Code) {
-		response := ask(method, target)
+		response := serve(method, target)
 		Expect(response.Code).To(Equal(resultcode.Lookup(code).Status))
 		var body httpserver.ErrorBody
 		Expect(json.Unmarshal(response.Body.Bytes(), &body)).To(Succeed())
--- a/internal/node/load_test.go
+++ b/internal/node/load_test.go
@@ -59,13 +59,13 @@
 }
 
 // partition cuts two groups of nodes off from each other.
-func (network *fakeNetwork) partition(some, others []*Node) {
+func (network *fakeNetwork) partition(left, right []*Node) {
 	network.mutex.Lock()
 	defer network.mutex.Unlock()
-	for _, one := range some {
-		for _, other := range others {
-			network.cut[[2]string{one.settings.Name, other.settings.Name}] = true
-			network.cut[[2]string{other.settings.Name, one.settings.Name}] = true
+	for _, first := range left {
+		for _, second := range right {
+			network.cut[[2]string{first.settings.Name, second.settings.Name}] = true
+			network.cut[[2]string{second.settings.Name, first.settings.Name}] = true
 		}
 	}
 }
@@ -114,13 +114,13 @@
 		}
 	}
 
-	othersAt := func(node *Node, engine string) func() int {
+	remoteRunning := func(node *Node, engine string) func() int {
 		return func() int {
-			others, known := node.load.RemoteEngine(engine, time.Now())
+			remote, known := node.load.RemoteEngine(engine, time.Now())
 			if !known {
 				return -1
 			}
-			return others.Running
+			return remote.Running
 		}
 	}
 
@@ -130,22 +130,22 @@
 		start(7, 2)
 		run()
 		for _, node := range nodes {
-			Eventually(othersAt(node, "e"), eventuallyTimeout).Should(Equal(6))
-			Expect(othersAt(node, "engine-3")()).To(Equal(map[bool]int{true: 0, false: 1}[node.settings.Name == "node-3"]))
+			Eventually(remoteRunning(node, "e"), eventuallyTimeout).Should(Equal(6))
+			Expect(remoteRunning(node, "engine-3")()).To(Equal(map[bool]int{true: 0, false: 1}[node.settings.Name == "node-3"]))
 		}
 	})
 
 	It("continues after the loss of an aggregator", func() {
 		start(6, 2)
 		run()
-		isolated := nodes[0].sharing.aggregatorOf("zone-0", time.Now())
+		aggregator := nodes[0].sharing.aggregatorOf("zone-0", time.Now())
 		for _, node := range nodes {
-			Eventually(othersAt(node, "e"), eventuallyTimeout).Should(Equal(5))
+			Eventually(remoteRunning(node, "e"), eventuallyTimeout).Should(Equal(5))
 		}
-		network.isolate(isolated)
+		network.isolate(aggregator)
 		for _, node := range nodes {
-			if node.settings.Name != isolated {
-				Eventually(othersAt(node, "e"), eventuallyTimeout).Should(Equal(4))
+			if node.settings.Name != aggregator {
+				Eventually(remoteRunning(node, "e"), eventuallyTimeout).Should(Equal(4))
 			}
 		}
 	})
@@ -162,25 +162,25 @@
 		network.cut[[2]string{last, aggregator}] = true
 		run()
 		for _, node := range nodes {
-			Eventually(othersAt(node, "e"), eventuallyTimeout).Should(Equal(5), node.settings.Name)
+			Eventually(remoteRunning(node, "e"), eventuallyTimeout).Should(Equal(5), node.settings.Name)
 		}
 	})
 
 	It("covers one side of a partition between zones", func() {
 		start(6, 2)
 		run()
-		var some, others []*Node
+		var left, right []*Node
 		for _, node := range nodes {
-			Eventually(othersAt(node, "e"), eventuallyTimeout).Should(Equal(5))
+			Eventually(remoteRunning(node, "e"), eventuallyTimeout).Should(Equal(5))
 			if node.settings.Zone == "zone-0" {
-				some = append(some, node)
+				left = append(left, node)
 			} else {
-				others = append(others, node)
+				right = append(right, node)
 			}
 		}
-		network.partition(some, others)
+		network.partition(left, right)
 		for _, node := range nodes {
-			Eventually(othersAt(node, "e"), eventuallyTimeout).Should(Equal(2))
+			Eventually(remoteRunning(node, "e"), eventuallyTimeout).Should(Equal(2))
 		}
 	})
 
@@ -190,10 +190,10 @@
 		run()
 		for _, node := range nodes {
 			if node.settings.Name != "node-3" {
-				Eventually(othersAt(node, "e"), eventuallyTimeout).Should(Equal(4))
+				Eventually(remoteRunning(node, "e"), eventuallyTimeout).Should(Equal(4))
 			}
 		}
-		Expect(othersAt(nodes[3], "e")()).To(Equal(-1))
+		Expect(remoteRunning(nodes[3], "e")()).To(Equal(-1))
 		Expect(nodes[3].runningByEngine()).To(BeEmpty(), "owners do not assign engines here")
 	})
 
@@ -201,13 +201,13 @@
 		start(4, 2)
 		run()
 		for _, node := range nodes {
-			Eventually(othersAt(node, "e"), eventuallyTimeout).Should(Equal(3))
+			Eventually(remoteRunning(node, "e"), eventuallyTimeout).Should(Equal(3))
 		}
 		nodes[1].engines.Upsert(backend.Instance{ID: "new", Service: "n"}, time.Time{})
 		nodes[1].engines.Pick(&backend.Request{Service: "n"}, time.Now())
 		for _, node := range nodes {
 			if node.settings.Name != "node-1" {
-				Eventually(othersAt(node, "new"), eventuallyTimeout).Should(Equal(1))
+				Eventually(remoteRunning(node, "new"), eventuallyTimeout).Should(Equal(1))
 			}
 		}
 	})
@@ -219,9 +219,9 @@
 		nodes[2].programLoad = func() (map[string]load.Route, map[load.TenantPriority]int) {
 			return map[string]load.Route{"r": {Service: "s", Programs: 2}}, map[load.TenantPriority]int{{Tenant: "t"}: 2}
 		}
-		answer := func(owns bool) load.Report {
+		replyTotal := func(ownsPrograms bool) load.Report {
 			aggregator := nodes[0]
-			request := &nodev1.ShareLoadRequest{Node: "node-2", Zone: "zone-0", OwnsPrograms: owns, Sequence: 1, Report: toLoadReport(nodes[2].localLoad(), engineList{})}
+			request := &nodev1.ShareLoadRequest{Node: "node-2", Zone: "zone-0", OwnsPrograms: ownsPrograms, Sequence: 1, Report: toLoadReport(nodes[2].localLoad(), engineList{})}
 			_, err := aggregator.sharing.handleReport(request, time.Now())
 			Expect(err).NotTo(HaveOccurred())
 			request.Sequence++
@@ -233,11 +233,11 @@
 			Expect(err).NotTo(HaveOccurred())
 			return fromLoadReport(message, list)
 		}
-		Expect(answer(true).Routes).To(HaveKey("r"))
-		Expect(answer(true).Tenants).To(HaveLen(1))
-		Expect(answer(true).Waiting).To(HaveKeyWithValue(queue, 4))
-		Expect(answer(false).Routes).To(BeEmpty())
-		Expect(answer(false).Waiting).To(HaveKeyWithValue(queue, 4))
+		Expect(replyTotal(true).Routes).To(HaveKey("r"))
+		Expect(replyTotal(true).Tenants).To(HaveLen(1))
+		Expect(replyTotal(true).Waiting).To(HaveKeyWithValue(queue, 4))
+		Expect(replyTotal(false).Routes).To(BeEmpty())
+		Expect(replyTotal(false).Waiting).To(HaveKeyWithValue(queue, 4))
 	})
 
 	It("includes programs for the standby owners of a shard", func() {
@@ -256,7 +256,7 @@
 		start(2, 1)
 		nodes[0].memberView = newRecordView("nodes", nodes[0].logger.Logger, func(durable.KeyedRecord) bool { return false })
 		nodes[0].sharing.aggregateLocally(nodes[0].localLoad(), time.Now())
-		Expect(othersAt(nodes[0], "e")()).To(Equal(-1), "the node would consider itself the only one")
+		Expect(remoteRunning(nodes[0], "e")()).To(Equal(-1), "the node would consider itself the only one")
 	})
 
 	It("does not extend the suspicion of an aggregator for concurrent failures", func() {
@@ -290,7 +290,7 @@
 		nodes[0].sharing.run(context.Background())
 		_, err := (&peerServer{node: nodes[1]}).ShareLoad(context.Background(), &nodev1.ShareLoadRequest{})
 		Expect(err).To(MatchError(errNoLoadSharing))
-		Expect(othersAt(nodes[0], "e")()).To(Equal(-1))
+		Expect(remoteRunning(nodes[0], "e")()).To(Equal(-1))
 	})
 
 	It("is exported by service", func() {
@@ -300,18 +300,18 @@
 		registry.MustRegister(&loadCollector{node: nodes[0]})
 		families, err := registry.Gather()
 		Expect(err).NotTo(HaveOccurred())
-		shown := map[string]float64{}
+		values := map[string]float64{}
 		for _, family := range families {
 			for _, metric := range family.GetMetric() {
 				name := family.GetName()
 				for _, label := range metric.GetLabel() {
 					name += "/" + label.GetValue()
 				}
-				shown[name] = metric.GetGauge().GetValue()
+				values[name] = metric.GetGauge().GetValue()
 			}
 		}
-		Expect(shown).To(HaveKeyWithValue("magpielug_load_running/s", 1.0))
-		Expect(shown).To(HaveKeyWithValue("magpielug_load_running/t", 1.0))
-		Expect(shown).To(HaveKey("magpielug_load_view_age_seconds"))
+		Expect(values).To(HaveKeyWithValue("magpielug_load_running/s", 1.0))
+		Expect(values).To(HaveKeyWithValue("magpielug_load_running/t", 1.0))
+		Expect(values).To(HaveKey("magpielug_load_view_age_seconds"))
 	})
 })
--- a/internal/node/log_health_test.go
+++ b/internal/node/log_health_test.go
@@ -14,33 +14,33 @@
 var _ = Describe("The health of the durable log", func() {
 	longAgo := time.Now().Add(-time.Hour)
 
-	// waitingNode returns a node whose log last answered any node at a given time.
-	waitingNode := func(answered time.Time) *Node {
+	// nodeWithLogResponse returns a node whose log last answered any node at a given time.
+	nodeWithLogResponse := func(answered time.Time) *Node {
 		node := &Node{recorder: history.NewRecorder(durable.NewMemory(), 1)}
 		node.logHealth.lastResponse.set(answered)
 		return node
 	}
 
 	It("is unavailable after it has answered no node for long", func() {
-		Expect(waitingNode(longAgo).recordingUnavailable()).To(BeTrue())
-		Expect(waitingNode(time.Now()).recordingUnavailable()).To(BeFalse())
+		Expect(nodeWithLogResponse(longAgo).recordingUnavailable()).To(BeTrue())
+		Expect(nodeWithLogResponse(time.Now()).recordingUnavailable()).To(BeFalse())
 	})
 
 	It("is derived from answers, including rejections, and not from failures", func() {
 		for _, answer := range []error{nil, durable.ErrConflict, durable.ErrFenced, durable.ErrOutOfSequence, &durable.TrimmedError{}} {
-			node := waitingNode(longAgo)
+			node := nodeWithLogResponse(longAgo)
 			node.logHealth.observe(answer)
 			Expect(node.recordingUnavailable()).To(BeFalse(), "%v", answer)
 		}
 		for _, failure := range []error{durable.ErrUnavailable, errors.New("no answer")} {
-			node := waitingNode(longAgo)
+			node := nodeWithLogResponse(longAgo)
 			node.logHealth.observe(failure)
 			Expect(node.recordingUnavailable()).To(BeTrue(), "%v", failure)
 		}
 	})
 
 	It("counts answers that other nodes report", func() {
-		node := waitingNode(longAgo)
+		node := nodeWithLogResponse(longAgo)
 		node.logHealth.observeRemote(0, time.Now())
 		Expect(node.recordingUnavailable()).To(BeTrue(), "the other node reports no answer")
 		node.logHealth.observeRemote(300, time.Now())
--- a/internal/node/members.go
+++ b/internal/node/members.go
@@ -60,8 +60,8 @@
 	return &members{byName: map[string]Member{}, zones: map[string]string{}, candidatesByShard: map[int][]Member{}}
 }
 
-// set stores a member. The caller holds the mutex.
-func (members *members) set(member Member) {
+// store adds or replaces a member. The caller holds the mutex.
+func (members *members) store(member Member) {
 	members.byName[member.Name] = member
 	members.zones[member.Address] = member.Zone
 	clear(members.candidatesByShard)
@@ -74,7 +74,7 @@
 	if members.byName[member.Name] == member {
 		return false
 	}
-	members.set(member)
+	members.store(member)
 	return true
 }
 
@@ -86,7 +86,7 @@
 	members.mutex.Lock()
 	defer members.mutex.Unlock()
 	if _, found := members.byName[name]; !found {
-		members.set(Member{Name: name, Address: address})
+		members.store(Member{Name: name, Address: address})
 	}
 }
 
--- a/internal/node/members_test.go
+++ b/internal/node/members_test.go
@@ -12,7 +12,7 @@
 
 var _ = Describe("Candidates of a shard", func() {
 	const shards = 400
-	firsts := func(nodes *members) map[string]int {
+	countFirstCandidates := func(nodes *members) map[string]int {
 		count := map[string]int{}
 		for shard := range shards {
 			count[nodes.candidates(shard)[0].Name]++
@@ -28,7 +28,7 @@
 		for number := range 14 {
 			nodes.put(Member{Name: "weak-" + strconv.Itoa(number), Capacity: 192})
 		}
-		count := firsts(nodes)
+		count := countFirstCandidates(nodes)
 		strong := 0
 		for number := range 4 {
 			strong += count["strong-"+strconv.Itoa(number)]
--- a/internal/node/meter.go
+++ b/internal/node/meter.go
@@ -224,9 +224,9 @@
 }
 
 // Collect implements prometheus.Collector.
-func (waiting waitQueueCollector) Collect(metrics chan<- prometheus.Metric) {
-	for queue, calls := range waiting.queue.Counts() {
-		metrics <- prometheus.MustNewConstMetric(waitingDescription, prometheus.GaugeValue, float64(calls),
+func (collector waitQueueCollector) Collect(collected chan<- prometheus.Metric) {
+	for queue, calls := range collector.queue.Counts() {
+		collected <- prometheus.MustNewConstMetric(waitingDescription, prometheus.GaugeValue, float64(calls),
 			queue.Service, strconv.Itoa(queue.Priority))
 	}
 }
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -37,8 +37,8 @@
 var (
 	errUnknownNode   = errors.New("unknown node")
 	errUnknownShard  = errors.New("shard out of range")
-	errLogRefused    = errors.New("the durable log rejects this node too")
-	errNoLimit       = errors.New("the tenant has no limit")
+	errLogRefused    = errors.New("the durable log has recently rejected this node")
+	errNoLimit       = errors.New("admission request for a tenant without a limit")
 	errNoLoadSharing = twirp.Unimplemented.Error("load sharing is disabled on this node")
 	errStillReading  = errors.New("the turns before are still being read")
 )
--- a/internal/node/peer_server.go
+++ b/internal/node/peer_server.go
@@ -53,6 +53,6 @@
 
 // requestHandover asks the node that made a claim whether it gives up the shard.
 func (node *Node) requestHandover(ctx context.Context, claim *nodev1.Claim, shard int) (*nodev1.YieldReply, error) {
-	client := node.peers.at(claim.Address)
+	client := node.peers.clientAt(claim.Address)
 	return client.Yield(ctx, &nodev1.YieldRequest{Shard: uint32(shard), Epoch: claim.Epoch})
 }
--- a/internal/node/peers.go
+++ b/internal/node/peers.go
@@ -25,11 +25,11 @@
 	if !known {
 		return nil, errUnknownNode
 	}
-	return peers.at(member.Address), nil
+	return peers.clientAt(member.Address), nil
 }
 
-// at returns a client for an address.
-func (peers *peers) at(address string) nodev1.Node {
+// clientAt returns a client for an address, creating it on first use.
+func (peers *peers) clientAt(address string) nodev1.Node {
 	peers.mutex.Lock()
 	defer peers.mutex.Unlock()
 	found := peers.clients[address]
--- a/internal/node/quota_coordinator.go
+++ b/internal/node/quota_coordinator.go
@@ -12,7 +12,7 @@
 
 // decide answers a request as the coordinator of its group.
 func (quotas *quotas) decide(request *nodev1.AdmitRequest) *nodev1.AdmitReply {
-	answer := quotas.coordinator.Decide(quota.Request{
+	decision := quotas.coordinator.Decide(quota.Request{
 		Node:          request.Node,
 		Nodes:         int(request.Nodes),
 		Group:         int(request.Group),
@@ -25,19 +25,19 @@
 		Continues:     request.Continues,
 		MaxWait:       milliseconds(request.PatienceMs),
 	}, time.Now())
-	if answer.Verdict == quota.Refused {
+	if decision.Verdict == quota.Refused {
 		quotas.node.logger.Info("request over limit", zap.String("request", request.Request), zap.String("tenant", request.Tenant),
 			zap.String("program", request.Program), zap.Bool("continues", request.Continues), zap.String("asker", request.Node),
 			zap.Int64("configuration", request.Configuration), zap.Float64("per_second", request.PerSecond), zap.Float64("burst", request.Burst),
-			zap.Float64("share", answer.Share), zap.Float64("room", answer.Available),
-			zap.Duration("retry_after", answer.RetryAfter))
+			zap.Float64("share", decision.Share), zap.Float64("room", decision.Available),
+			zap.Duration("retry_after", decision.RetryAfter))
 	}
 	return &nodev1.AdmitReply{
-		Clock:        toClock(answer.Clock),
-		Admission:    admissionByVerdict[answer.Verdict],
-		DelayMs:      answer.Delay.Milliseconds(),
-		RetryAfterMs: answer.RetryAfter.Milliseconds(),
-		Share:        answer.Share,
+		Clock:        toClock(decision.Clock),
+		Admission:    admissionByVerdict[decision.Verdict],
+		DelayMs:      decision.Delay.Milliseconds(),
+		RetryAfterMs: decision.RetryAfter.Milliseconds(),
+		Share:        decision.Share,
 	}
 }
 
--- a/internal/node/quotas.go
+++ b/internal/node/quotas.go
@@ -198,7 +198,7 @@
 }
 
 // renewLeases renews this node's leases while any tenant has a limit, even without requests: a
-// coordinator grants only what is leased to it.
+// coordinator can grant only the shares that nodes have leased to it.
 func (quotas *quotas) renewLeases(ctx context.Context) {
 	for ctx.Err() == nil {
 		wait.Sleep(ctx, leasePollInterval)
--- a/internal/node/quotas_test.go
+++ b/internal/node/quotas_test.go
@@ -15,8 +15,8 @@
 var _ = Describe("Tenant limits", func() {
 	holder := &tenant.Tenant{Name: "t", Limit: tenant.Limit{PerSecond: 1000, Burst: 1000}}
 
-	// newAlone returns a node without reachable peers.
-	newAlone := func() *Node {
+	// newNodeWithoutPeers returns a node without reachable peers.
+	newNodeWithoutPeers := func() *Node {
 		logger, err := logging.New("error", GinkgoWriter)
 		Expect(err).NotTo(HaveOccurred())
 		node := &Node{settings: Settings{Name: "self", Shards: 16}, incarnation: "life", members: newMembers(), meter: newMeter(), logger: logger.Bounded()}
@@ -26,31 +26,31 @@
 		return node
 	}
 
-	order := func() *forward.AdmissionRequest {
+	newRequest := func() *forward.AdmissionRequest {
 		return &forward.AdmissionRequest{Call: &forward.Call{ID: "r"}, Holder: holder, MaxWait: time.Second}
 	}
 
 	It("are coordinated by a node itself if it is the only one", func() {
-		node := newAlone()
+		node := newNodeWithoutPeers()
 		Expect(node.quotas.groups).To(HaveLen(4))
-		Expect(node.quotas.Admit(context.Background(), order()).Verdict).To(Equal(forward.Admitted))
+		Expect(node.quotas.Admit(context.Background(), newRequest()).Verdict).To(Equal(forward.Admitted))
 	})
 
 	It("are coordinated by the next candidate if the first does not answer", func() {
-		node := newAlone()
+		node := newNodeWithoutPeers()
 		group := node.quotas.groupOf(holder.Name)
 		first := func() string { return node.members.candidates(quotaPseudoShard - group.number)[0].Name }
 		for number := 0; first() == "self"; number++ {
 			node.members.put(Member{Name: string(rune('a' + number)), Address: "127.0.0.1:1"})
 		}
-		Expect(node.quotas.Admit(context.Background(), order()).Verdict).NotTo(Equal(forward.OverLimit))
+		Expect(node.quotas.Admit(context.Background(), newRequest()).Verdict).NotTo(Equal(forward.OverLimit))
 		Expect(node.quotas.suspects.contains(first(), time.Now())).To(BeTrue())
 	})
 
 	It("abandon a request whose caller has left", func() {
-		node := newAlone()
-		ctx, leave := context.WithCancel(context.Background())
-		leave()
-		Expect(node.quotas.Admit(ctx, order()).Verdict).To(Equal(forward.LimitUnavailable))
+		node := newNodeWithoutPeers()
+		ctx, cancel := context.WithCancel(context.Background())
+		cancel()
+		Expect(node.quotas.Admit(ctx, newRequest()).Verdict).To(Equal(forward.LimitUnavailable))
 	})
 })
--- a/internal/node/registration_test.go
+++ b/internal/node/registration_test.go
@@ -16,9 +16,9 @@
 	registrationTimeout := 20 * time.Second
 	before := Member{Name: "node-1", Address: "10.0.0.1:7000", Zone: "a", Incarnation: "before", Capacity: 800}
 
-	// writer runs the registration of a restarted node that has read a given record, and returns a
-	// function that counts the records in the log.
-	writer := func(log durable.Log, recorded, self Member) func() int64 {
+	// startRegistration runs the registration of a restarted node that has read a given record, and
+	// returns a function that counts the records in the log.
+	startRegistration := func(log durable.Log, recorded, self Member) func() int64 {
 		self.Incarnation = "now"
 		registration := newRegistration(log, topic, zap.NewNop(), func() Member { return self }, func() bool { return true })
 		registration.observe(recorded)
@@ -40,23 +40,23 @@
 	}
 
 	It("is not written if the log already holds it", func() {
-		written := writer(durable.NewMemory(), before, before)
-		Consistently(written, 3*registerCheckInterval).Should(BeZero())
+		recordCount := startRegistration(durable.NewMemory(), before, before)
+		Consistently(recordCount, 3*registerCheckInterval).Should(BeZero())
 	})
 
 	It("is written if the log holds none", func() {
-		written := writer(durable.NewMemory(), Member{}, before)
-		Eventually(written, registrationTimeout).Should(BeEquivalentTo(1))
-		Consistently(written, 2*registerCheckInterval).Should(BeEquivalentTo(1))
+		recordCount := startRegistration(durable.NewMemory(), Member{}, before)
+		Eventually(recordCount, registrationTimeout).Should(BeEquivalentTo(1))
+		Consistently(recordCount, 2*registerCheckInterval).Should(BeEquivalentTo(1))
 	})
 
 	It("is written if the log holds another address or the draining state", func() {
 		readdressed := before
 		readdressed.Address = "10.0.0.9:7000"
-		Eventually(writer(durable.NewMemory(), before, readdressed), registrationTimeout).Should(BeEquivalentTo(1))
+		Eventually(startRegistration(durable.NewMemory(), before, readdressed), registrationTimeout).Should(BeEquivalentTo(1))
 		draining := before
 		draining.Draining = true
-		Eventually(writer(durable.NewMemory(), draining, before), registrationTimeout).Should(BeEquivalentTo(1))
+		Eventually(startRegistration(durable.NewMemory(), draining, before), registrationTimeout).Should(BeEquivalentTo(1))
 	})
 
 	It("is rewritten after a late append of an earlier incarnation", func() {
--- a/internal/node/reserve.go
+++ b/internal/node/reserve.go
@@ -103,8 +103,8 @@
 }
 
 // runningByEngine returns this node's running requests by engine, for owners that assign engines.
-// They are sent with each reservation because they are newer than the shared load view, and
-// assignments based on older figures make more programs miss their deadlines.
+// They are sent with each reservation because they are newer than the shared load view;
+// assignments based on older counts make more programs miss their deadlines.
 func (node *Node) runningByEngine() map[string]int32 {
 	if !node.engines.UsesAssignment() {
 		return nil
@@ -191,7 +191,7 @@
 // forwardToOwner forwards a request to the shard's owner for a node that cannot reach it.
 func (node *Node) forwardToOwner(ctx context.Context, owner ownership.Owner, request *nodev1.ReserveRequest) *nodev1.ReserveReply {
 	refusal := &nodev1.ReserveReply{Verdict: nodev1.Verdict_VERDICT_UNSURE, Reason: "the owner does not answer"}
-	client := node.peers.at(owner.Address)
+	client := node.peers.clientAt(owner.Address)
 	bounded, cancel := context.WithTimeout(ctx, forwardTimeout)
 	defer cancel()
 	forwarded := proto.Clone(request).(*nodev1.ReserveRequest)
--- a/internal/node/settings_file_test.go
+++ b/internal/node/settings_file_test.go
@@ -12,7 +12,7 @@
 
 var _ = Describe("Settings from a settings file", func() {
 	It("are converted completely and contain no seeds", func() {
-		taken := SettingsFromFile(settings.NodeSettings{
+		converted := SettingsFromFile(settings.NodeSettings{
 			Node:   settings.NodeIdentity{Name: "node-1", Zone: "zone-1", Regions: "zone-1=north,zone-2=south", Placement: "least", Disabled: "egress"},
 			Listen: settings.NodeListen{Callers: "127.0.0.1:1", Readiness: "127.0.0.1:2", Peers: "127.0.0.1:3", Metrics: "127.0.0.1:4"},
 			Store:  settings.NodeStore{Address: "127.0.0.1:5", Partitions: 6},
@@ -21,8 +21,8 @@
 			Cold:   settings.NodeCold{Overage: 1.5, Slack: 5},
 			Log:    settings.Log{Level: "warn"},
 		})
-		Expect(taken.Check()).To(Succeed())
-		Expect(taken).To(Equal(Settings{
+		Expect(converted.Check()).To(Succeed())
+		Expect(converted).To(Equal(Settings{
 			Name:             "node-1",
 			Zone:             "zone-1",
 			CallerAddress:    "127.0.0.1:1",
--- a/internal/node/turns.go
+++ b/internal/node/turns.go
@@ -159,7 +159,7 @@
 	lastError := errUnknownNode
 	for _, other := range others[:min(maxRecordNodes, len(others))] {
 		bounded, cancel := context.WithTimeout(ctx, recordTimeout)
-		_, err := node.peers.at(other.Address).Record(bounded, &nodev1.RecordRequest{Shard: uint32(shard), Turn: history.ToProto(turn)})
+		_, err := node.peers.clientAt(other.Address).Record(bounded, &nodev1.RecordRequest{Shard: uint32(shard), Turn: history.ToProto(turn)})
 		cancel()
 		if err == nil {
 			node.logger.Info("turn recorded by another node", zap.String("request", turn.ID), zap.String("program", turn.Program), zap.String("node", other.Name))
--- a/internal/node/zones.go
+++ b/internal/node/zones.go
@@ -45,7 +45,7 @@
 	if !feature.Enabled(feature.ZoneReachability) {
 		return
 	}
-	unreached := map[string]bool{}
+	lastUnreachable := map[string]bool{}
 	isolated := false
 	for ctx.Err() == nil {
 		wait.Sleep(ctx, probeInterval)
@@ -53,7 +53,7 @@
 		for _, zone := range node.zones.ProbeTargets(node.otherZones(), node.logSilent(now), now) {
 			go node.probeZone(ctx, zone)
 		}
-		node.logZones(unreached, now)
+		node.logZones(lastUnreachable, now)
 		if node.zoneIsolated(now) != isolated {
 			isolated = !isolated
 			node.logger.Warn("zone isolated", zap.Bool("active", isolated), zap.Duration("store_silent", node.logHealth.lastResponse.age(now)))
@@ -61,12 +61,13 @@
 	}
 }
 
-// logZones logs when zones become unreachable and reachable again.
-func (node *Node) logZones(unreached map[string]bool, now time.Time) {
+// logZones logs when zones become unreachable and reachable again. lastUnreachable holds the states
+// last logged.
+func (node *Node) logZones(lastUnreachable map[string]bool, now time.Time) {
 	for _, zone := range node.otherZones() {
 		unreachable := !node.zones.Reachable(zone, now)
-		if unreachable != unreached[zone] {
-			unreached[zone] = unreachable
+		if unreachable != lastUnreachable[zone] {
+			lastUnreachable[zone] = unreachable
 			node.logger.Warn("zone unreachable", zap.String("zone", zone), zap.Bool("active", unreachable))
 		}
 	}
@@ -81,7 +82,7 @@
 	sentAt := time.Now()
 	bounded, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
-	_, err := node.peers.at(member.Address).Learn(bounded, node.probeRequest())
+	_, err := node.peers.clientAt(member.Address).Learn(bounded, node.probeRequest())
 	if err != nil && !node.mayBeSingleNodeFailure(zone) {
 		node.zones.RecordProbeTimeout(zone, sentAt, time.Now())
 	}
--- a/internal/node/zones_test.go
+++ b/internal/node/zones_test.go
@@ -22,14 +22,14 @@
 
 // newZonedNode returns a node in zone a that knows a peer there and one in zone b at the given
 // address. The log has been silent for a long time.
-func newZonedNode(farAddress string) *Node {
+func newZonedNode(remoteAddress string) *Node {
 	node := newSilentNode(time.Now().Add(-time.Hour))
 	node.settings.Zone = "a"
 	node.zones = reach.NewZones("a")
 	node.engines = backend.NewDirectory()
 	node.engines.SetZones(node.zones)
 	node.members.put(Member{Name: "near", Address: "near", Zone: "a"})
-	node.members.put(Member{Name: "far", Address: farAddress, Zone: "b"})
+	node.members.put(Member{Name: "far", Address: remoteAddress, Zone: "b"})
 	node.peers = newPeers(node.members, &http.Client{Transport: node.zoneTransport(http.DefaultTransport)})
 	node.createViews()
 	node.programs = newPrograms(node)
@@ -83,32 +83,32 @@
 	It("is not assumed if a zone's only node is silent while its engines answer", func() {
 		node := newZonedNode(newUnresponsiveServer().Listener.Addr().String())
 		node.engines.Upsert(backend.Instance{ID: "e", Service: "s", Zone: "b"}, time.Time{})
-		end := func(outcome backend.Outcome) {
+		finishRequest := func(outcome backend.Outcome) {
 			node.engines.Finish(node.engines.Pick(&backend.Request{Service: "s"}, time.Now()), outcome, time.Now())
 		}
-		end(backend.Succeeded)
+		finishRequest(backend.Succeeded)
 		ctx, cancel := context.WithCancel(context.Background())
 		defer cancel()
 		go node.probeZones(ctx)
-		reached := func() bool { return node.nodeReachable("far", time.Now()) }
-		Consistently(reached, "2s").Should(BeTrue(), "an engine there has answered")
-		end(backend.NoResponse)
-		Eventually(reached, "10s").Should(BeFalse())
+		reachable := func() bool { return node.nodeReachable("far", time.Now()) }
+		Consistently(reachable, "2s").Should(BeTrue(), "an engine there has answered")
+		finishRequest(backend.NoResponse)
+		Eventually(reachable, "10s").Should(BeFalse())
 	})
 
 	// Guards against probes that transfer the full engine list, from every probed zone on every
 	// probe.
 	It("is probed without transferring records", func() {
-		probed := newReader(0)
+		probed := newLogReader(0)
 		update := durable.Update{End: 3000}
 		for offset := range update.End {
 			update.Records = append(update.Records, durable.KeyedRecord{Key: strconv.FormatInt(offset, 10), Value: make([]byte, 250), Offset: offset})
 		}
 		probed.engineView.merge(update, time.Now())
-		prober := newReader(0)
-		whole, err := (&peerServer{node: probed}).Learn(context.Background(), prober.learnRequest())
+		prober := newLogReader(0)
+		fullReply, err := (&peerServer{node: probed}).Learn(context.Background(), prober.learnRequest())
 		Expect(err).NotTo(HaveOccurred())
-		Expect(proto.Size(whole)).To(BeNumerically(">", 3000*250))
+		Expect(proto.Size(fullReply)).To(BeNumerically(">", 3000*250))
 		reply, err := (&peerServer{node: probed}).Learn(context.Background(), prober.probeRequest())
 		Expect(err).NotTo(HaveOccurred())
 		Expect(proto.Size(reply)).To(BeNumerically("<", 100))
