--- a/internal/feature/feature.go
+++ b/internal/feature/feature.go
@@ -85,6 +85,7 @@
 	ZoneReachability Feature = "zone-reach"
 )
 
+// All lists every feature.
 var All = []Feature{
 	Allowances, HedgedAppends, HedgedReads, LearningFromPeers, SharedReader, AvoidUnresponsiveEngines, EngineReports, AvoidSlowEngines, EngineLimits,
 	QueueOrder, LongerToolWait, SafeRepeats, RemoteRecording, OwnershipHandover, OwnershipByCapacity, ClaimRefusal, Isolation,
@@ -92,18 +93,19 @@
 	LoadSharing, LoadBasedCapacity, RetryBudget, Admission, TenantShares, MemoryAdmission, EngineBreaker, SpeedWeighting, HeldBytes, ZoneReachability,
 }
 
+// disabled holds the disabled features, nil before Disable is called.
 var disabled atomic.Pointer[map[Feature]bool]
 
 // Enabled reports whether a feature is enabled.
 func Enabled(feature Feature) bool {
-	off := disabled.Load()
-	return off == nil || !(*off)[feature]
+	current := disabled.Load()
+	return current == nil || !(*current)[feature]
 }
 
 // Disable disables the features in a comma-separated list and enables all others. An unknown
 // name is an InvalidSettings error and changes nothing.
 func Disable(list string) error {
-	off := map[Feature]bool{}
+	disabledFeatures := map[Feature]bool{}
 	for name := range strings.SplitSeq(list, ",") {
 		name = strings.TrimSpace(name)
 		if name == "" {
@@ -112,8 +114,8 @@
 		if !slices.Contains(All, Feature(name)) {
 			return resultcode.New(resultcode.InvalidSettings, "unknown feature %q, want one of %v", name, All)
 		}
-		off[Feature(name)] = true
+		disabledFeatures[Feature(name)] = true
 	}
-	disabled.Store(&off)
+	disabled.Store(&disabledFeatures)
 	return nil
 }
