--- a/internal/assignment/assignment.go
+++ b/internal/assignment/assignment.go
@@ -142,7 +142,7 @@
 }
 
 // RecordFailure records that an engine has failed a turn of a session. The session's program
-// avoids the engine for a while.
+// avoids the engine for failureTTL.
 func (assigner *Assigner) RecordFailure(session Session, engine string, now time.Time) {
 	assigner.mutex.Lock()
 	defer assigner.mutex.Unlock()
@@ -155,22 +155,22 @@
 	}
 }
 
-// withoutFailures returns the candidates that have not recently failed the program, or all if
-// there are no others.
+// withoutFailures returns the candidates that have not failed the program within failureTTL, or
+// all candidates if there are no others.
 func (assigner *Assigner) withoutFailures(session Session, candidates []Candidate, now time.Time) []Candidate {
 	failures := assigner.failures[session.Program]
 	if len(failures) == 0 {
 		return candidates
 	}
-	left := slices.DeleteFunc(slices.Clone(candidates), func(candidate Candidate) bool {
+	remaining := slices.DeleteFunc(slices.Clone(candidates), func(candidate Candidate) bool {
 		return slices.ContainsFunc(failures, func(failed failure) bool {
 			return failed.engine == candidate.ID && now.Sub(failed.at) <= failureTTL
 		})
 	})
-	if len(left) == 0 {
+	if len(remaining) == 0 {
 		return candidates
 	}
-	return left
+	return remaining
 }
 
 // Assign returns the engine of a session, empty if there are no candidates.
@@ -183,7 +183,7 @@
 	candidates = assigner.withoutFailures(session, candidates, now)
 	assigner.updateMeanPromptTokens(session.PromptTokens)
 	requests := assigner.requestsByEngine(now)
-	engine, found := assigner.existing(session, candidates, requests)
+	engine, found := assigner.existingAssignment(session, candidates, requests)
 	if !found {
 		engine = cheapest(assigner.withFreeMemory(candidates, session.PromptTokens, now), requests, session.Zone)
 		assigner.recentAssignments = append(assigner.recentAssignments, recentAssignment{engine: engine.ID, at: now})
@@ -195,10 +195,11 @@
 	return engine.ID
 }
 
-// existing returns the engine to which the session, or else its program, is assigned already.
-func (assigner *Assigner) existing(session Session, candidates []Candidate, requests map[string]int) (*Candidate, bool) {
+// existingAssignment returns the engine to which the session, or else its program, is already
+// assigned, false if there is none that it should use.
+func (assigner *Assigner) existingAssignment(session Session, candidates []Candidate, requests map[string]int) (*Candidate, bool) {
 	if placed, known := assigner.sessions[session.key()]; known {
-		if candidate := find(candidates, placed); candidate != nil && candidate.slowness() <= maxSlowness {
+		if candidate := findPlaced(candidates, placed); candidate != nil && candidate.slowness() <= maxSlowness {
 			return candidate, true
 		}
 	}
@@ -206,7 +207,7 @@
 	if !known {
 		return nil, false
 	}
-	candidate := find(candidates, placed)
+	candidate := findPlaced(candidates, placed)
 	if candidate == nil || candidate.slowness() > maxSlowness || (candidate.Slots > 0 && requests[candidate.ID] >= assigner.maxRequestsToFollow(candidate)) {
 		return nil, false
 	}
@@ -233,8 +234,9 @@
 	}
 }
 
-// find returns the candidate of a placement, nil if it is no candidate or was restarted since.
-func find(candidates []Candidate, placed placement) *Candidate {
+// findPlaced returns the candidate of a placement, nil if the engine is not a candidate or
+// has restarted since.
+func findPlaced(candidates []Candidate, placed placement) *Candidate {
 	for index := range candidates {
 		if candidates[index].ID == placed.engine && candidates[index].Incarnation == placed.incarnation {
 			return &candidates[index]
--- a/internal/assignment/assignment_test.go
+++ b/internal/assignment/assignment_test.go
@@ -121,8 +121,8 @@
 	})
 
 	Describe("with engines of unequal speed", func() {
-		// uneven returns candidates of which a third are slow.
-		uneven := func() []assignment.Candidate {
+		// unequalCandidates returns candidates of which a third are slow.
+		unequalCandidates := func() []assignment.Candidate {
 			list := candidates(6)
 			for index := range list {
 				list[index].Slowness = []float64{0.75, 0.75, 1.5}[index%3]
@@ -135,7 +135,7 @@
 			counts := map[string]int{}
 			for number := range programs {
 				name := fmt.Sprint(number)
-				counts[assigner.Assign(sessionOf(name, name), uneven(), now)]++
+				counts[assigner.Assign(sessionOf(name, name), unequalCandidates(), now)]++
 			}
 			return counts
 		}
@@ -150,7 +150,7 @@
 
 		It("moves a session off an engine only once that is very slow", func() {
 			assigner := assignment.New()
-			list := uneven()
+			list := unequalCandidates()
 			first := assigner.Assign(sessionOf("p", "p"), list, now)
 			for index := range list {
 				if list[index].ID == first {
@@ -175,11 +175,11 @@
 
 	It("separates programs and sessions of different tenants with equal IDs", func() {
 		assigner := assignment.New()
-		of := func(holder string) assignment.Session {
-			return assignment.Session{Program: tenant.Program{Tenant: holder, ID: "p"}, ID: "s", Zone: "z"}
+		sessionOfTenant := func(tenantID string) assignment.Session {
+			return assignment.Session{Program: tenant.Program{Tenant: tenantID, ID: "p"}, ID: "s", Zone: "z"}
 		}
-		first := assigner.Assign(of("a"), candidates(2), now)
-		Expect(assigner.Assign(of("b"), candidates(2), now)).NotTo(Equal(first), "the less busy engine, not that of the other tenant's session")
-		Expect(assigner.Assign(of("a"), candidates(2), now)).To(Equal(first))
+		first := assigner.Assign(sessionOfTenant("a"), candidates(2), now)
+		Expect(assigner.Assign(sessionOfTenant("b"), candidates(2), now)).NotTo(Equal(first), "the less busy engine, not that of the other tenant's session")
+		Expect(assigner.Assign(sessionOfTenant("a"), candidates(2), now)).To(Equal(first))
 	})
 })
--- a/internal/assignment/memory.go
+++ b/internal/assignment/memory.go
@@ -17,24 +17,26 @@
 	ampleMemoryFraction = 0.5
 )
 
-// withFreeMemory excludes engines without memory for the prompt, by this owner's assignments,
-// while others have ample memory. Beyond its memory an engine evicts prompts of running
-// programs, which must then be recomputed.
-func (assigner *Assigner) withFreeMemory(candidates []Candidate, prompt int, now time.Time) []Candidate {
-	if slices.ContainsFunc(candidates, func(candidate Candidate) bool { return candidate.OwnerMemoryTokens <= minPromptsForEstimate*prompt }) {
+// withFreeMemory excludes engines whose memory, judged by this owner's assignments, cannot hold
+// the prompt, while another engine has ample memory. Beyond its memory an engine evicts prompts
+// of running programs, which must then be recomputed.
+func (assigner *Assigner) withFreeMemory(candidates []Candidate, promptTokens int, now time.Time) []Candidate {
+	if slices.ContainsFunc(candidates, func(candidate Candidate) bool {
+		return candidate.OwnerMemoryTokens <= minPromptsForEstimate*promptTokens
+	}) {
 		return candidates
 	}
 	resident := assigner.residentTokens(candidates, now)
 	var fitting []Candidate
-	roomy := false
+	anyAmple := false
 	for _, candidate := range candidates {
 		tokens := resident[candidate.ID]
-		if tokens+prompt <= candidate.OwnerMemoryTokens {
+		if tokens+promptTokens <= candidate.OwnerMemoryTokens {
 			fitting = append(fitting, candidate)
 		}
-		roomy = roomy || float64(tokens) <= ampleMemoryFraction*float64(candidate.OwnerMemoryTokens)
+		anyAmple = anyAmple || float64(tokens) <= ampleMemoryFraction*float64(candidate.OwnerMemoryTokens)
 	}
-	if !roomy || len(fitting) == 0 {
+	if !anyAmple || len(fitting) == 0 {
 		return candidates
 	}
 	return fitting
