--- a/internal/backend/breaker_simulation_test.go
+++ b/internal/backend/breaker_simulation_test.go
@@ -117,11 +117,11 @@
 
 // maxOpenBreakers is the largest number of open breakers at any node.
 func (sim *breakerSim) maxOpenBreakers() int {
-	most := 0
+	largest := 0
 	for _, node := range sim.nodes {
-		most = max(most, node.OpenBreakers()[service])
+		largest = max(largest, node.OpenBreakers()[service])
 	}
-	return most
+	return largest
 }
 
 type simEvent struct {
--- a/internal/backend/breaker_test.go
+++ b/internal/backend/breaker_test.go
@@ -42,8 +42,8 @@
 		sim.sharesLoad = false
 		return sim
 	}
-	// without simulates with the breaker disabled.
-	without := func(sim *breakerSim, answer func(string, string, time.Duration) (backend.Outcome, time.Duration)) *outcomeTally {
+	// withoutBreaker simulates with the breaker disabled.
+	withoutBreaker := func(sim *breakerSim, answer func(string, string, time.Duration) (backend.Outcome, time.Duration)) *outcomeTally {
 		Expect(feature.Disable(string(feature.EngineBreaker))).To(Succeed())
 		defer func() { _ = feature.Disable("") }()
 		return simulate(sim, answer)
@@ -51,7 +51,7 @@
 
 	It("limits failures when four of 44 engines return errors and 60 nodes share their load", func() {
 		tally := simulate(newBreakerSim(60, 44), returnErrors)
-		baseline := without(newBreakerSim(60, 44), returnErrors)
+		baseline := withoutBreaker(newBreakerSim(60, 44), returnErrors)
 		Expect(baseline.failedBetween(failFrom, failUntil)).To(BeNumerically(">", 200))
 		Expect(tally.failedBetween(failFrom, failUntil)).To(BeNumerically("<", baseline.failedBetween(failFrom, failUntil)/2))
 		Expect(tally.failedBetween(failFrom+time.Second, failUntil)).To(BeNumerically("<", 70), "probes")
@@ -59,8 +59,8 @@
 	})
 
 	It("limits failures by each node's own observations, and does no harm when many nodes share nothing", func() {
-		Expect(simulate(isolatedNodes(6), returnErrors).failedBetween(failFrom, failUntil)).To(BeNumerically("<", without(isolatedNodes(6), returnErrors).failedBetween(failFrom, failUntil)/2))
-		Expect(simulate(isolatedNodes(60), returnErrors).failedBetween(failFrom, failUntil)).To(BeNumerically("<", without(isolatedNodes(60), returnErrors).failedBetween(failFrom, failUntil)*6/5))
+		Expect(simulate(isolatedNodes(6), returnErrors).failedBetween(failFrom, failUntil)).To(BeNumerically("<", withoutBreaker(isolatedNodes(6), returnErrors).failedBetween(failFrom, failUntil)/2))
+		Expect(simulate(isolatedNodes(60), returnErrors).failedBetween(failFrom, failUntil)).To(BeNumerically("<", withoutBreaker(isolatedNodes(60), returnErrors).failedBetween(failFrom, failUntil)*6/5))
 	})
 
 	It("readmits engines within seconds of their recovery", func() {
@@ -177,7 +177,7 @@
 		enabled, baseline := 0, 0
 		for range 3 {
 			enabled += simulate(newBreakerSim(60, 44), failAlternately).failedBetween(failFrom, duration)
-			baseline += without(newBreakerSim(60, 44), failAlternately).failedBetween(failFrom, duration)
+			baseline += withoutBreaker(newBreakerSim(60, 44), failAlternately).failedBetween(failFrom, duration)
 		}
 		Expect(enabled).To(BeNumerically("<", baseline*4/5))
 	})
--- a/internal/backend/capacity.go
+++ b/internal/backend/capacity.go
@@ -21,7 +21,7 @@
 	directory.eligible("")
 	var all []Capacity
 	for service := range directory.eligibleByService {
-		all = append(all, capacityOf(service, directory.eligibleNow(service, now), now))
+		all = append(all, capacityOf(service, directory.eligibleReachable(service, now), now))
 	}
 	return all
 }
--- a/internal/backend/connection_pool_test.go
+++ b/internal/backend/connection_pool_test.go
@@ -44,7 +44,7 @@
 func TestMayDialRateWhileEngineRefuses(t *testing.T) {
 	expect := NewWithT(t)
 	pool := NewConnectionPool()
-	opened := func(from, to time.Duration) int {
+	allowedDials := func(from, to time.Duration) int {
 		count := 0
 		for since := from; since < to; since += 10 * time.Millisecond {
 			if pool.mayDial("a", testNow.Add(since)) {
@@ -53,15 +53,15 @@
 		}
 		return count
 	}
-	expect.Expect(opened(0, time.Second)).To(Equal(100))
+	expect.Expect(allowedDials(0, time.Second)).To(Equal(100))
 	pool.RecordRefusal("a", testNow)
-	expect.Expect(opened(0, refusalWindow)).To(Equal(3))
-	expect.Expect(opened(refusalWindow+10*time.Millisecond, time.Second)).To(Equal(49), "the refusal window has passed")
+	expect.Expect(allowedDials(0, refusalWindow)).To(Equal(3))
+	expect.Expect(allowedDials(refusalWindow+10*time.Millisecond, time.Second)).To(Equal(49), "the refusal window has passed")
 
 	t.Cleanup(func() { _ = feature.Disable("") })
 	expect.Expect(feature.Disable(string(feature.LoadBasedCapacity))).To(Succeed())
 	pool.RecordRefusal("a", testNow)
-	expect.Expect(opened(0, refusalWindow)).To(Equal(50))
+	expect.Expect(allowedDials(0, refusalWindow)).To(Equal(50))
 }
 
 func TestExpiredRefusalsAreRemoved(t *testing.T) {
--- a/internal/backend/directory.go
+++ b/internal/backend/directory.go
@@ -274,9 +274,9 @@
 	directory.mutex.Lock()
 	defer directory.mutex.Unlock()
 	var warm, cold []Instance
-	engines := directory.closedEngines(service, now)
+	engines := directory.enginesWithClosedBreaker(service, now)
 	filter := notAvoided{honorSuspicion: honorsSuspicion(engines, now)}
-	for _, engine := range inZones(directory.eligibleNow(service, now), zones) {
+	for _, engine := range inZones(directory.eligibleReachable(service, now), zones) {
 		switch {
 		case !filter.Admits(engine, nil, now):
 		case engine.isCold(now):
@@ -402,7 +402,7 @@
 	}
 }
 
-// backoff doubles an initial delay with each repetition, up to maxAvoidance.
+// backoff returns an initial delay doubled with each repetition, at most maxAvoidance.
 func backoff(initial time.Duration, repetitions int) time.Duration {
 	const maxDoublings = 8
 	return min(initial<<min(repetitions, maxDoublings), maxAvoidance)
@@ -447,19 +447,19 @@
 // Avoided returns the engines that this node avoids because of its own observations, to be
 // reported to other nodes.
 func (directory *Directory) Avoided(now time.Time) []string {
-	return directory.matching(func(engine *Engine) bool {
+	return directory.idsMatching(func(engine *Engine) bool {
 		return now.Before(engine.avoidUntil) || now.Before(engine.noResponseUntil)
 	})
 }
 
-// AvoidedByAny also returns engines reported by other nodes.
+// AvoidedByAny returns the engines of Avoided and those that other nodes have reported.
 func (directory *Directory) AvoidedByAny(now time.Time) []string {
-	return directory.matching(func(engine *Engine) bool {
+	return directory.idsMatching(func(engine *Engine) bool {
 		return now.Before(engine.avoidUntil) || engine.suspected(now)
 	})
 }
 
-func (directory *Directory) matching(matches func(engine *Engine) bool) []string {
+func (directory *Directory) idsMatching(matches func(engine *Engine) bool) []string {
 	directory.mutex.Lock()
 	defer directory.mutex.Unlock()
 	var ids []string
--- a/internal/backend/engine_breaker.go
+++ b/internal/backend/engine_breaker.go
@@ -126,7 +126,7 @@
 	return engine
 }
 
-// UncountFailed reverts a CountFailed after the response has continued.
+// UncountFailed reverts one CountFailed, because the response has continued after all.
 func (directory *Directory) UncountFailed(instance Instance, now time.Time) {
 	directory.mutex.Lock()
 	defer directory.mutex.Unlock()
@@ -145,9 +145,9 @@
 	}
 }
 
-// closedEngines returns the engines of a service whose breakers are closed. The caller holds
-// the mutex.
-func (directory *Directory) closedEngines(service string, now time.Time) []*Engine {
+// enginesWithClosedBreaker returns the eligible engines of a service whose breakers are closed,
+// all of them if the feature is disabled. The caller holds the mutex.
+func (directory *Directory) enginesWithClosedBreaker(service string, now time.Time) []*Engine {
 	engines := directory.eligible(service)
 	if !feature.Enabled(feature.EngineBreaker) {
 		return engines
@@ -238,7 +238,7 @@
 	if !feature.Enabled(feature.EngineBreaker) || len(request.Tried) > 0 {
 		return nil
 	}
-	for _, engine := range inZones(directory.eligibleNow(request.Service, now), request.Zones) {
+	for _, engine := range inZones(directory.eligibleReachable(request.Service, now), request.Zones) {
 		if engine.breaker.open && directory.probeDue(engine, request, now) && directory.withinColdLimit(engine, now) {
 			engine.breaker.probing = true
 			engine.breaker.lastProbe = now
--- a/internal/backend/evacuation_test.go
+++ b/internal/backend/evacuation_test.go
@@ -8,8 +8,8 @@
 	. "github.com/onsi/gomega"
 )
 
-// twoZones returns a directory with one engine in each of two zones.
-func twoZones() *backend.Directory {
+// newTwoZoneDirectory returns a directory with one engine in each of two zones.
+func newTwoZoneDirectory() *backend.Directory {
 	directory := backend.NewDirectory()
 	directory.Upsert(backend.Instance{ID: "a1", Service: service, Zone: "a", Slots: 4}, now)
 	directory.Upsert(backend.Instance{ID: "b1", Service: service, Zone: "b", Slots: 4}, now)
@@ -18,7 +18,7 @@
 
 func TestEvacuatedZoneGetsNoNewRequests(t *testing.T) {
 	expect := NewWithT(t)
-	directory := twoZones()
+	directory := newTwoZoneDirectory()
 	request := &backend.Request{Service: service, Zone: "a", Assigned: "a1"}
 	running := directory.Pick(request, now)
 	expect.Expect(running.ID).To(Equal("a1"))
@@ -40,7 +40,7 @@
 
 func TestNewEngineInEvacuatedZoneIsNotEligible(t *testing.T) {
 	expect := NewWithT(t)
-	directory := twoZones()
+	directory := newTwoZoneDirectory()
 	directory.SetEvacuated("a", true)
 	directory.Upsert(backend.Instance{ID: "a2", Service: service, Zone: "a", Slots: 4}, now)
 	expect.Expect(directory.EligibleCount(service)).To(Equal(1))
@@ -48,7 +48,7 @@
 
 func TestNoneAvailable(t *testing.T) {
 	expect := NewWithT(t)
-	directory := twoZones()
+	directory := newTwoZoneDirectory()
 	expect.Expect(directory.NoneAvailable(service, nil)).To(BeFalse())
 	expect.Expect(directory.NoneAvailable(service, region.ZoneSet{"c"})).To(BeTrue())
 	expect.Expect(directory.NoneAvailable("unknown", nil)).To(BeFalse(), "its engines may not be known yet")
@@ -61,7 +61,7 @@
 
 func TestRequestStaysInItsZones(t *testing.T) {
 	expect := NewWithT(t)
-	directory := twoZones()
+	directory := newTwoZoneDirectory()
 	request := &backend.Request{Service: service, Zone: "a", Assigned: "a1", Zones: region.ZoneSet{"b"}}
 	for range 4 {
 		expect.Expect(directory.Pick(request, now).ID).To(Equal("b1"))
--- a/internal/backend/free_capacity.go
+++ b/internal/backend/free_capacity.go
@@ -133,11 +133,11 @@
 	if limit := engine.limit.current(now); limit > 0 && feature.Enabled(feature.EngineLimits) {
 		free = min(free, limit-float64(engine.running))
 	}
-	return max(math.Floor(free+roundingSlack), 0)
+	return max(math.Floor(free+roundingTolerance), 0)
 }
 
-// roundingSlack compensates for floating-point errors when rounding down.
-const roundingSlack = 1e-6
+// roundingTolerance compensates for floating-point errors when rounding down.
+const roundingTolerance = 1e-6
 
 // hasCapacity admits engines with capacity for one more request, according to the load of all
 // nodes or, without a view, of this node. It avoids requests that would be refused: refusals
@@ -176,7 +176,7 @@
 }
 
 func (directory *Directory) freeCapacity(service string, now time.Time) int {
-	engines := directory.eligibleNow(service, now)
+	engines := directory.eligibleReachable(service, now)
 	directory.estimateRemoteLoad(service, engines, now)
 	healthy := notAvoided{honorSuspicion: honorsSuspicion(engines, now)}
 	share := directory.queueShare(service, engines)
--- a/internal/backend/free_capacity_test.go
+++ b/internal/backend/free_capacity_test.go
@@ -248,28 +248,28 @@
 func TestRetryBudget(t *testing.T) {
 	expect := NewWithT(t)
 	budget := &RetryBudget{}
-	take := func(at time.Time) int {
-		taken := 0
-		for taken < 1000 && budget.Acquire(at) {
-			taken++
+	acquireAll := func(at time.Time) int {
+		acquired := 0
+		for acquired < 1000 && budget.Acquire(at) {
+			acquired++
 		}
-		return taken
+		return acquired
 	}
-	expect.Expect(take(testNow)).To(Equal(10), "the full burst")
+	expect.Expect(acquireAll(testNow)).To(Equal(10), "the full burst")
 	expect.Expect(budget.Remaining(testNow)).To(BeNumerically("~", 0, 1e-6))
-	expect.Expect(take(testNow.Add(3*time.Second))).To(Equal(3), "the minimum rate")
+	expect.Expect(acquireAll(testNow.Add(3*time.Second))).To(Equal(3), "the minimum rate")
 	for range 40 {
 		budget.RecordSuccess()
 	}
-	expect.Expect(take(testNow.Add(3*time.Second))).To(Equal(4), "a tenth of the successes")
+	expect.Expect(acquireAll(testNow.Add(3*time.Second))).To(Equal(4), "a tenth of the successes")
 	budget.Release()
-	expect.Expect(take(testNow.Add(3 * time.Second))).To(Equal(1))
+	expect.Expect(acquireAll(testNow.Add(3 * time.Second))).To(Equal(1))
 	expect.Expect(budget.DeniedCount()).To(Equal(int64(4)))
-	expect.Expect(take(testNow.Add(time.Hour))).To(Equal(10), "limited to the burst")
+	expect.Expect(acquireAll(testNow.Add(time.Hour))).To(Equal(10), "limited to the burst")
 
 	t.Cleanup(func() { _ = feature.Disable("") })
 	expect.Expect(feature.Disable(string(feature.RetryBudget))).To(Succeed())
-	expect.Expect(take(testNow.Add(time.Hour))).To(Equal(1000))
+	expect.Expect(acquireAll(testNow.Add(time.Hour))).To(Equal(1000))
 }
 
 func TestRefusalState(t *testing.T) {
@@ -294,17 +294,17 @@
 func TestRetryScheduler(t *testing.T) {
 	expect := NewWithT(t)
 	scheduler := &RetryScheduler{}
-	after := func(predicted time.Duration) time.Duration {
+	retryAfter := func(predicted time.Duration) time.Duration {
 		return scheduler.RetryAfter("s", predicted*time.Millisecond, 20*time.Millisecond, 400*time.Millisecond, testNow)
 	}
-	expect.Expect(after(300)).To(Equal(300 * time.Millisecond))
-	expect.Expect(after(300)).To(Equal(320 * time.Millisecond))
-	expect.Expect(after(350)).To(Equal(350 * time.Millisecond))
-	expect.Expect(after(350)).To(Equal(370 * time.Millisecond))
-	expect.Expect(after(1000)).To(Equal(390*time.Millisecond), "within the maximum delay")
+	expect.Expect(retryAfter(300)).To(Equal(300 * time.Millisecond))
+	expect.Expect(retryAfter(300)).To(Equal(320 * time.Millisecond))
+	expect.Expect(retryAfter(350)).To(Equal(350 * time.Millisecond))
+	expect.Expect(retryAfter(350)).To(Equal(370 * time.Millisecond))
+	expect.Expect(retryAfter(1000)).To(Equal(390*time.Millisecond), "within the maximum delay")
 	var spread []time.Duration
 	for range 10 {
-		spread = append(spread, after(1000))
+		spread = append(spread, retryAfter(1000))
 	}
 	expect.Expect(spread[0]).To(Equal(200 * time.Millisecond))
 	expect.Expect(spread[9]).To(Equal(380 * time.Millisecond))
--- a/internal/backend/incarnation_test.go
+++ b/internal/backend/incarnation_test.go
@@ -64,7 +64,7 @@
 	expect.Expect(pickAssigned(directory, "e")).NotTo(BeNil())
 }
 
-func TestFirstIncarnationNumberIsNoRestart(t *testing.T) {
+func TestFirstReportedIncarnationIsNoRestart(t *testing.T) {
 	expect := NewWithT(t)
 	directory := backend.NewDirectory()
 	withoutIncarnation := firstIncarnation
--- a/internal/backend/latency_test.go
+++ b/internal/backend/latency_test.go
@@ -11,7 +11,7 @@
 
 var _ = Describe("Recent slowness", func() {
 	const route = "tool"
-	const typical = 20 * time.Millisecond
+	const typicalLatency = 20 * time.Millisecond
 
 	// recordResponses records responses of an engine.
 	recordResponses := func(directory *backend.Directory, id string, took time.Duration, count int) {
@@ -37,9 +37,9 @@
 
 	It("sends few requests to slow engines, even if several are slow", func() {
 		directory := newDirectory(4)
-		recordResponses(directory, "e0", typical, 20)
-		recordResponses(directory, "e1", 8*typical, 5)
-		recordResponses(directory, "e2", 8*typical, 5)
+		recordResponses(directory, "e0", typicalLatency, 20)
+		recordResponses(directory, "e1", 8*typicalLatency, 5)
+		recordResponses(directory, "e2", 8*typicalLatency, 5)
 		Expect(directory.SlowEngines(now)["e1"]).To(BeNumerically(">", 4))
 		Expect(directory.SlowEngines(now)).NotTo(HaveKey("e0"))
 		Expect(shareOf(directory, "e1", now)).To(BeZero())
@@ -48,16 +48,16 @@
 
 	It("ignores a single slow response", func() {
 		directory := newDirectory(2)
-		recordResponses(directory, "e0", typical, 20)
-		recordResponses(directory, "e1", typical, 9)
-		recordResponses(directory, "e1", 8*typical, 1)
+		recordResponses(directory, "e0", typicalLatency, 20)
+		recordResponses(directory, "e1", typicalLatency, 9)
+		recordResponses(directory, "e1", 8*typicalLatency, 1)
 		Expect(directory.SlowEngines(now)).To(BeEmpty())
 	})
 
 	It("tries a slow engine again after some seconds", func() {
 		directory := newDirectory(2)
-		recordResponses(directory, "e0", typical, 20)
-		recordResponses(directory, "e1", 8*typical, 5)
+		recordResponses(directory, "e0", typicalLatency, 20)
+		recordResponses(directory, "e1", 8*typicalLatency, 5)
 		Expect(directory.SlowEngines(now.Add(time.Second))["e1"]).To(BeNumerically(">", 4))
 		Expect(directory.SlowEngines(now.Add(4 * time.Second))).To(BeEmpty())
 	})
@@ -66,8 +66,8 @@
 		aggregating := newDirectory(2)
 		for range 3 {
 			reporting := newDirectory(2)
-			recordResponses(reporting, "e0", typical, 20)
-			recordResponses(reporting, "e1", 8*typical, 1)
+			recordResponses(reporting, "e0", typicalLatency, 20)
+			recordResponses(reporting, "e1", 8*typicalLatency, 1)
 			aggregating.AddLatencyStats(reporting.DrainLatencyStats(), now)
 			Expect(reporting.DrainLatencyStats()).To(BeEmpty(), "drained once")
 		}
--- a/internal/backend/node_quota.go
+++ b/internal/backend/node_quota.go
@@ -21,8 +21,8 @@
 // nodeQuotas holds this node's maximum number of requests by service, until the next view.
 type nodeQuotas map[string]int
 
-// UpdateLoad recomputes the node's quotas after the load view has changed. waiting
-// counts the calls waiting at this node.
+// UpdateLoad recomputes the node's quotas after the load view has changed. waiting counts the
+// calls waiting at this node.
 //
 // Nodes receive the same view at the same time. If each used all the capacity that it shows,
 // they would overload the engines together and all hold back at the next view. Therefore each
@@ -41,7 +41,7 @@
 		if !directory.viewApplies(service) {
 			continue
 		}
-		engines := directory.eligibleNow(service, now)
+		engines := directory.eligibleReachable(service, now)
 		directory.estimateRemoteLoad(service, engines, now)
 		share := directory.queueShare(service, engines)
 		free, running, local, limited := 0.0, 0.0, 0, true
--- a/internal/backend/overload_simulation_test.go
+++ b/internal/backend/overload_simulation_test.go
@@ -188,7 +188,7 @@
 	remaining := sim.workload.maxWait - sim.clock.Sub(call.arrived)
 	forecast, known := node.directory.Predict(call.waiter, node.queue.Ahead(call.waiter, sim.clock), node.queue.CountByPriority(simService), sim.clock)
 	if remaining <= 0 || call.refusals.Exhausted() || feature.Enabled(feature.LoadBasedCapacity) && known && forecast.Exceeds(remaining) {
-		sim.refuse(call, forecast)
+		sim.reject(call, forecast)
 		return
 	}
 	call.queued = newQueuedRequest(call.waiter, sim.clock)
@@ -196,8 +196,8 @@
 	node.waiting = append(node.waiting, call)
 }
 
-// refuse rejects a call, which is retried once after the returned delay.
-func (sim *overloadSim) refuse(call *simCall, forecast Forecast) {
+// reject rejects a call, which is retried once after the returned delay.
+func (sim *overloadSim) reject(call *simCall, forecast Forecast) {
 	if call.isRetry {
 		sim.lost[call.waiter.Priority]++
 		return
--- a/internal/backend/pick.go
+++ b/internal/backend/pick.go
@@ -67,13 +67,13 @@
 func (directory *Directory) Pick(request *Request, now time.Time) *Engine {
 	directory.mutex.Lock()
 	defer directory.mutex.Unlock()
-	candidates := directory.inReachableZones(inZones(directory.closedEngines(request.Service, now), request.Zones), request, now)
+	candidates := directory.inReachableZones(inZones(directory.enginesWithClosedBreaker(request.Service, now), request.Zones), request, now)
 	if probe := directory.dueProbe(request, now); probe != nil {
 		return probe.startRequest(now)
 	}
 	directory.estimateRemoteLoad(request.Service, candidates, now)
 	for _, filters := range directory.filterSets(request.Service, candidates, now) {
-		admitted := admit(candidates, filters, request, now)
+		admitted := admittedEngines(candidates, filters, request, now)
 		if len(admitted) > 0 {
 			return directory.choose(admitted, request, now).startRequest(now)
 		}
@@ -121,17 +121,17 @@
 	return nil
 }
 
-func admit(candidates []*Engine, filters []Filter, request *Request, now time.Time) []*Engine {
+func admittedEngines(candidates []*Engine, filters []Filter, request *Request, now time.Time) []*Engine {
 	admitted := make([]*Engine, 0, len(candidates))
 	for _, candidate := range candidates {
-		if admits(filters, candidate, request, now) {
+		if passesAll(filters, candidate, request, now) {
 			admitted = append(admitted, candidate)
 		}
 	}
 	return admitted
 }
 
-func admits(filters []Filter, candidate *Engine, request *Request, now time.Time) bool {
+func passesAll(filters []Filter, candidate *Engine, request *Request, now time.Time) bool {
 	for _, filter := range filters {
 		if !filter.Admits(candidate, request, now) {
 			return false
--- a/internal/backend/policy.go
+++ b/internal/backend/policy.go
@@ -43,7 +43,7 @@
 	PolicyRandom:      randomPolicy{},
 }
 
-// SetPolicy activates the policy with a name; the empty name means PolicyAssigned. An unknown
+// SetPolicy activates the named policy; the empty name means PolicyAssigned. An unknown
 // name is an InvalidSettings error.
 func (directory *Directory) SetPolicy(name string) error {
 	if name == "" {
@@ -104,14 +104,14 @@
 // sampleCandidates returns random engines to compare. It prevents herding: if all nodes chose
 // the least loaded engine of the same view, it would be the most loaded one in the next.
 func sampleCandidates(admitted []*Engine, zone string) []*Engine {
-	nearby := make([]*Engine, 0, len(admitted))
+	sameZone := make([]*Engine, 0, len(admitted))
 	for _, engine := range admitted {
 		if engine.Zone == zone {
-			nearby = append(nearby, engine)
+			sameZone = append(sameZone, engine)
 		}
 	}
 	compared := make([]*Engine, 0, sampleSize+sampleSize)
-	for _, group := range [][]*Engine{nearby, admitted} {
+	for _, group := range [][]*Engine{sameZone, admitted} {
 		if len(group) == 0 {
 			continue
 		}
@@ -166,7 +166,7 @@
 	if key == "" {
 		return leastLoadedPolicy{}.Choose(admitted, request, now)
 	}
-	first, second := firstTwo(admitted, key)
+	first, second := topTwo(admitted, key)
 	if second != nil && first.estimatedRunning() > second.estimatedRunning()+affinitySpillThreshold {
 		return second
 	}
@@ -184,8 +184,8 @@
 // load is equal.
 func RendezvousWeight(session, engine string) uint64 { return rendezvousHash(session, engine) }
 
-// firstTwo returns the first two engines in a key's order; second is nil if there is only one.
-func firstTwo(admitted []*Engine, key string) (first, second *Engine) {
+// topTwo returns the first two engines in a key's order; second is nil if there is only one.
+func topTwo(admitted []*Engine, key string) (first, second *Engine) {
 	var firstWeight, secondWeight uint64
 	for _, candidate := range admitted {
 		weight := rendezvousHash(key, candidate.ID)
@@ -201,7 +201,7 @@
 }
 
 // rendezvousHash returns an engine's weight for an affinity key (rendezvous hashing). The
-// engine with the highest weight comes first; an engine that leaves moves only its own keys.
+// engine with the highest weight comes first; if an engine leaves, only its own keys move.
 func rendezvousHash(key, id string) uint64 {
 	var digest xxhash.Digest
 	digest.Reset()
--- a/internal/backend/retry_budget.go
+++ b/internal/backend/retry_budget.go
@@ -48,7 +48,7 @@
 	budget.mutex.Lock()
 	defer budget.mutex.Unlock()
 	budget.refill(now)
-	if budget.spent+1 > retryBurst+roundingSlack && feature.Enabled(feature.RetryBudget) {
+	if budget.spent+1 > retryBurst+roundingTolerance && feature.Enabled(feature.RetryBudget) {
 		budget.denied++
 		return false
 	}
@@ -58,7 +58,7 @@
 
 // Available reports whether a retry is available.
 func (budget *RetryBudget) Available(now time.Time) bool {
-	return budget.Remaining(now) >= 1-roundingSlack || !feature.Enabled(feature.RetryBudget)
+	return budget.Remaining(now) >= 1-roundingTolerance || !feature.Enabled(feature.RetryBudget)
 }
 
 // Release returns a retry that was not used.
--- a/internal/backend/retry_scheduler.go
+++ b/internal/backend/retry_scheduler.go
@@ -15,8 +15,8 @@
 }
 
 // RetryAfter returns when a call to a service should be retried: after its predicted wait, and
-// one interval after the previously scheduled retry. If that is later than maxDelay,
-// retries are spread over its second half.
+// one interval after the previously scheduled retry. If that is later than maxDelay, retries
+// are spread over its second half.
 func (scheduler *RetryScheduler) RetryAfter(service string, predicted, interval, maxDelay time.Duration, now time.Time) time.Duration {
 	scheduler.mutex.Lock()
 	defer scheduler.mutex.Unlock()
--- a/internal/backend/speed_test.go
+++ b/internal/backend/speed_test.go
@@ -14,8 +14,8 @@
 )
 
 var _ = Describe("Long-term slowness", func() {
-	const typical = 40 * time.Millisecond
-	speeds := []float64{0.7, 0.7, 1.7}
+	const typicalLatency = 40 * time.Millisecond
+	slownessFactors := []float64{0.7, 0.7, 1.7}
 
 	// recordStream records a finished stream of an engine.
 	recordStream := func(directory *backend.Directory, id string, events int, interval time.Duration, at time.Time) {
@@ -23,13 +23,13 @@
 		directory.ObserveEvents(engine, events, time.Duration(events-1)*interval, at)
 		directory.Finish(engine, backend.Succeeded, at)
 	}
-	// recordStreamsWithFactor records a stream of each of six engines of unequal speed every half second,
-	// with those of e0 slowed down by factor. It returns the end time.
+	// recordStreamsWithFactor records a stream of each of six engines of unequal speed every
+	// half second, with those of e0 slowed down by factor. It returns the end time.
 	recordStreamsWithFactor := func(directory *backend.Directory, at time.Time, duration time.Duration, factor float64) time.Time {
 		random := rand.New(rand.NewPCG(1, 2))
 		for until := at.Add(duration); at.Before(until); at = at.Add(500 * time.Millisecond) {
 			for number := range 6 {
-				interval := float64(typical) * speeds[number%3] * (0.8 + 0.4*random.Float64())
+				interval := float64(typicalLatency) * slownessFactors[number%3] * (0.8 + 0.4*random.Float64())
 				if number == 0 {
 					interval *= factor
 				}
@@ -57,11 +57,11 @@
 
 	It("is nearly average with few observations, and ignores short streams", func() {
 		directory := newDirectory(3)
-		recordStream(directory, "e0", 5, typical, now)
-		recordStream(directory, "e1", 5, 17*typical/10, now)
+		recordStream(directory, "e0", 5, typicalLatency, now)
+		recordStream(directory, "e1", 5, 17*typicalLatency/10, now)
 		Expect(directory.Slowness("e1", now)).To(BeNumerically("<", 1.15))
 		for range 20 {
-			recordStream(directory, "e2", 2, 2*typical, now)
+			recordStream(directory, "e2", 2, 2*typicalLatency, now)
 		}
 		Expect(directory.Slowness("e2", now)).To(BeNumerically("==", 1))
 	})
@@ -99,26 +99,26 @@
 		directory := newDirectory(6)
 		Expect(directory.SetPolicy(backend.PolicyLeastLoaded)).To(Succeed())
 		type call struct {
-			engine *backend.Engine
-			began  time.Time
+			engine    *backend.Engine
+			startedAt time.Time
 		}
-		finishing := map[time.Time][]call{}
+		finishingAt := map[time.Time][]call{}
 		served := map[string]int{}
 		for at := now; at.Sub(now) < 60*time.Second; at = at.Add(2 * time.Millisecond) {
-			for _, finished := range finishing[at] {
-				directory.RecordFirstByte(finished.engine, "tool", at.Sub(finished.began), at)
+			for _, finished := range finishingAt[at] {
+				directory.RecordFirstByte(finished.engine, "tool", at.Sub(finished.startedAt), at)
 				directory.Finish(finished.engine, backend.Succeeded, at)
 				if at.Sub(now) > 30*time.Second {
 					served[finished.engine.ID]++
 				}
 			}
-			delete(finishing, at)
+			delete(finishingAt, at)
 			engine := directory.Pick(&backend.Request{Service: service, Zone: "z"}, at)
 			var number int
 			_, err := fmt.Sscanf(engine.ID, "e%d", &number)
 			Expect(err).NotTo(HaveOccurred())
-			took := time.Duration(speeds[number%3] * float64(typical)).Truncate(2 * time.Millisecond)
-			finishing[at.Add(took)] = append(finishing[at.Add(took)], call{engine: engine, began: at})
+			took := time.Duration(slownessFactors[number%3] * float64(typicalLatency)).Truncate(2 * time.Millisecond)
+			finishingAt[at.Add(took)] = append(finishingAt[at.Add(took)], call{engine: engine, startedAt: at})
 		}
 		slow, fast := served["e2"]+served["e5"], served["e0"]+served["e1"]+served["e3"]+served["e4"]
 		Expect(fast / 4).To(BeNumerically(">", slow/2*17/7))
--- a/internal/backend/wait_forecast.go
+++ b/internal/backend/wait_forecast.go
@@ -42,12 +42,13 @@
 // Exceeds reports whether the predicted wait is longer than maxWait.
 func (forecast Forecast) Exceeds(maxWait time.Duration) bool { return forecast.Wait > maxWait }
 
-// Predict returns the forecast for a call with ahead local calls in front of it. waiting
-// counts the local waiting calls by priority. It returns false if there is no basis for a prediction.
+// Predict returns the forecast for a call behind the given number of local calls. waiting counts
+// the local waiting calls by priority. It returns false if no request is running or the mean
+// duration is not known.
 func (directory *Directory) Predict(waiter Waiter, ahead int, waiting map[int]int, now time.Time) (Forecast, bool) {
 	directory.mutex.Lock()
 	defer directory.mutex.Unlock()
-	engines := directory.eligibleNow(waiter.Service, now)
+	engines := directory.eligibleReachable(waiter.Service, now)
 	directory.estimateRemoteLoad(waiter.Service, engines, now)
 	running := 0.0
 	for _, engine := range engines {
@@ -57,7 +58,7 @@
 	if known {
 		ahead += remoteAhead(remoteWaiting(total, waiter.Service, waiting), waiter.Priority)
 	}
-	return forecastWait(ahead, int(running+roundingSlack), localRunning(engines), directory.meanDurations[waiter.Service])
+	return forecastWait(ahead, int(running+roundingTolerance), localRunning(engines), directory.meanDurations[waiter.Service])
 }
 
 // remoteAhead returns the number of calls at other nodes assumed to be ahead of a call of the
--- a/internal/backend/wait_queue.go
+++ b/internal/backend/wait_queue.go
@@ -221,7 +221,7 @@
 	return maxPollInterval
 }
 
-// poll wakes requests if there is capacity, unless the poll is obsolete.
+// poll wakes requests if there is capacity, unless another poll has been scheduled in its place.
 func (queue *WaitQueue) poll(service string, pollAt time.Time) {
 	queue.mutex.Lock()
 	defer queue.mutex.Unlock()
@@ -277,8 +277,8 @@
 	}
 }
 
-// wakeAtMost wakes the first requests that may be sent, at most limit of them. The caller holds the
-// mutex.
+// wakeAtMost wakes the first requests that may be sent, at most limit of them. The caller holds
+// the mutex.
 func (queue *WaitQueue) wakeAtMost(pending *serviceQueue, limit int) {
 	var skipped []*queuedRequest
 	for woken := 0; woken < limit && len(pending.requests) > 0; {
--- a/internal/backend/wait_queue_capacity_test.go
+++ b/internal/backend/wait_queue_capacity_test.go
@@ -45,7 +45,8 @@
 	return queue
 }
 
-func (queue *manualQueue) enqueueAt(priority int, untilDeadline time.Duration) *queuedRequest {
+// enqueueWith adds a request whose soft deadline is untilDeadline after testNow.
+func (queue *manualQueue) enqueueWith(priority int, untilDeadline time.Duration) *queuedRequest {
 	request := newQueuedRequest(Waiter{Priority: priority, SoftDeadline: testNow.Add(untilDeadline)}, testNow)
 	queue.enqueue("s", request)
 	return request
@@ -55,8 +56,8 @@
 	expect := NewWithT(t)
 	queue := newManualQueue()
 	queue.source.free = 1
-	overdueUrgent, later, soon := queue.enqueueAt(0, -time.Second), queue.enqueueAt(2, time.Hour), queue.enqueueAt(2, time.Second)
-	urgent := queue.enqueueAt(0, time.Hour)
+	overdueUrgent, later, soon := queue.enqueueWith(0, -time.Second), queue.enqueueWith(2, time.Hour), queue.enqueueWith(2, time.Second)
+	urgent := queue.enqueueWith(0, time.Hour)
 	expect.Expect(queue.Counts()).To(Equal(map[load.QueueKey]int{{Service: "s", Priority: 0}: 2, {Service: "s", Priority: 2}: 2}))
 	expect.Expect(queue.Ahead(Waiter{Service: "s", Priority: 1, SoftDeadline: testNow}, testNow)).To(Equal(2))
 	for _, next := range []*queuedRequest{urgent, overdueUrgent, soon, later} {
@@ -69,7 +70,7 @@
 	expect := NewWithT(t)
 	queue := newManualQueue()
 	for range 5 {
-		queue.enqueueAt(1, time.Hour)
+		queue.enqueueWith(1, time.Hour)
 	}
 	queue.WakeNext("s")
 	expect.Expect(queue.CountByPriority("s")).To(Equal(map[int]int{1: 5}), "no free capacity after a request has finished")
@@ -84,12 +85,12 @@
 func TestWaitQueuePollsWhenEngineMayBeRetried(t *testing.T) {
 	expect := NewWithT(t)
 	queue := newManualQueue()
-	request := queue.enqueueAt(1, time.Hour)
+	request := queue.enqueueWith(1, time.Hour)
 	expect.Expect(queue.delays).To(Equal([]time.Duration{maxPollInterval}), "no backoff to wait for")
 	queue.source.retryAt = testNow.Add(fullBackoff)
-	queue.enqueueAt(1, time.Hour)
+	queue.enqueueWith(1, time.Hour)
 	expect.Expect(queue.delays).To(Equal([]time.Duration{maxPollInterval, fullBackoff}))
-	queue.enqueueAt(1, time.Hour)
+	queue.enqueueWith(1, time.Hour)
 	expect.Expect(queue.delays).To(HaveLen(2), "an earlier poll is scheduled")
 	queue.source.free = 1
 	queue.timers[0]()
@@ -104,7 +105,7 @@
 	queue.source.free = 1
 	ctx, cancel := context.WithCancel(context.Background())
 	returned := make(chan struct{})
-	next := queue.enqueueAt(2, time.Hour)
+	next := queue.enqueueWith(2, time.Hour)
 	// The caller leaves just as its request is woken.
 	queue.after = func(time.Duration, func()) {}
 	queue.mutex.Lock()
--- a/internal/backend/zones.go
+++ b/internal/backend/zones.go
@@ -40,9 +40,9 @@
 	return candidates
 }
 
-// eligibleNow returns the eligible engines of a service, preferring those in reachable zones.
-// The caller holds the mutex.
-func (directory *Directory) eligibleNow(service string, now time.Time) []*Engine {
+// eligibleReachable returns the eligible engines of a service in reachable zones, or all of its
+// eligible engines if none is in one. The caller holds the mutex.
+func (directory *Directory) eligibleReachable(service string, now time.Time) []*Engine {
 	return directory.inReachableZones(directory.eligible(service), &Request{}, now)
 }
 
