--- a/internal/forward/admission.go
+++ b/internal/forward/admission.go
@@ -47,8 +47,8 @@
 }
 
 const (
-	// admissionWaitFraction of its remaining time is how long a call waits for admission. A
-	// refused caller would lose as much time by retrying.
+	// admissionWaitFraction is the fraction of a call's remaining time for which it may wait for
+	// admission. A refused caller would lose as much time by retrying.
 	admissionWaitFraction = 0.35
 	// quotaRetryAfter is the delay before a retry on another node if this one reaches no
 	// coordinator of the tenant's limit.
--- a/internal/forward/first_byte.go
+++ b/internal/forward/first_byte.go
@@ -20,19 +20,19 @@
 	minWriteAllowance = 5 * time.Millisecond
 )
 
-// failureCount counts a request as failed by its engine while the first byte is overdue. It is safe
-// for concurrent use.
-type failureCount struct {
+// provisionalFailure counts a request as failed by its engine while the first byte of the response
+// is overdue. It is safe for concurrent use.
+type provisionalFailure struct {
 	engines *backend.Directory
 	engine  backend.Instance
 
 	mutex   sync.Mutex
 	counted bool
-	// ended is true once nothing more may be counted.
+	// ended is true once the failure can no longer be counted.
 	ended bool
 }
 
-func (failure *failureCount) count() {
+func (failure *provisionalFailure) count() {
 	failure.mutex.Lock()
 	defer failure.mutex.Unlock()
 	if !failure.ended {
@@ -41,8 +41,8 @@
 	}
 }
 
-// end stops counting, and reverts a counted failure if revert is set.
-func (failure *failureCount) end(revert bool) {
+// end prevents any later count. If revert is set, it reverts a failure that was counted.
+func (failure *provisionalFailure) end(revert bool) {
 	failure.mutex.Lock()
 	defer failure.mutex.Unlock()
 	failure.ended = true
@@ -61,7 +61,7 @@
 	timeout := max(firstByteObjectiveFactor*inflight.route.Objective, minFirstByteTimeout, engines.FirstByteTimeout(inflight.serviceName))
 	inflight.endFirstByteWait = sync.OnceFunc(func() { engines.EndFirstByteWait(engine) })
 	var overdue atomic.Bool
-	count := &failureCount{engines: engines, engine: engine.Instance}
+	count := &provisionalFailure{engines: engines, engine: engine.Instance}
 	timer := inflight.service.FreezeDetector.AfterFunc(timeout, func() {
 		overdue.Store(true)
 		engines.Suspect(engine, time.Now())
@@ -88,7 +88,7 @@
 	}
 	return func(outcome backend.Outcome) backend.Outcome {
 		timer.Stop()
-		// The release of a failed attempt counts the failure, so it must not be counted here too.
+		// releaseEngine counts the failure of a failed attempt, which must not be counted twice.
 		count.end(outcome == backend.Failed)
 		if outcome == backend.Abandoned && overdue.Load() && !inflight.responseStarted {
 			return backend.NoResponse
--- a/internal/forward/freeze_test.go
+++ b/internal/forward/freeze_test.go
@@ -91,7 +91,7 @@
 		Expect(failure.RetryAfter).To(BeNumerically(">", 0))
 	})
 
-	It("chooses an engine again for a call that a freeze delayed before it was sent, without blaming one", func() {
+	It("chooses an engine again for a call that a freeze delayed before it was sent, and counts no failure", func() {
 		views.current.Store(true)
 		frozen := true
 		sender.responses = nil
--- a/internal/forward/log_wait.go
+++ b/internal/forward/log_wait.go
@@ -10,22 +10,21 @@
 )
 
 const (
-	// logWaitFraction of its time is how long a turn that must be recorded waits for the log to
-	// become available. It leaves the caller time for a retry, and stays below the two seconds
-	// that callers wait for the first event of a stream.
+	// logWaitFraction is the fraction of its remaining time for which a turn that must be recorded
+	// waits for an unavailable log. It leaves the caller time for a retry, and keeps the wait below
+	// the two seconds after which callers abandon a stream without an event.
 	logWaitFraction = 0.4
-	// logRetryFraction of the time that is then left is the retry delay: callers do not retry
-	// after more than a third of it.
-	logRetryFraction = 0.3
+	// maxRetryAfterFraction is the largest retry delay as a fraction of the call's remaining time:
+	// callers do not retry after more than a third of it.
+	maxRetryAfterFraction = 0.3
 	// IsolatedRetryAfter is the retry delay in an isolated zone. The load balancer in front of the
 	// nodes needs two health checks, a second apart, to send callers to other zones.
 	IsolatedRetryAfter = time.Second
 	logPollInterval    = 25 * time.Millisecond
 )
 
-// waitForLog makes a turn that must be recorded wait while the log is unavailable. Its response
-// could not be completed without the log, and the engine's work would be wasted if the caller gives
-// up meanwhile.
+// waitForLog makes a turn that must be recorded wait while the log is unavailable. Its response can
+// complete only once it is recorded, so running it earlier could waste the engine's work.
 func (inflight *inflightCall) waitForLog(ctx context.Context) error {
 	if !inflight.mustRecord() || !inflight.service.logUnavailable() {
 		return nil
@@ -40,7 +39,7 @@
 			return inflight.timeoutError(ctx)
 		}
 		if time.Now().After(waitUntil) {
-			retryAfter := time.Duration(logRetryFraction * float64(time.Until(inflight.deadline)))
+			retryAfter := time.Duration(maxRetryAfterFraction * float64(time.Until(inflight.deadline)))
 			return resultcode.New(resultcode.LogAway, "log unavailable for too long to record the turn").After(retryAfter)
 		}
 		wait.Sleep(ctx, logPollInterval)
--- a/internal/forward/outcome.go
+++ b/internal/forward/outcome.go
@@ -12,7 +12,7 @@
 	"go.uber.org/zap"
 )
 
-// finish records the call's result, and sends the failure if there is one.
+// finish records the call's result. If the call failed, it sends the error or aborts the response.
 func (inflight *inflightCall) finish(ctx context.Context, failure error) {
 	took := time.Since(inflight.call.Received)
 	code := resultcode.OK
--- a/internal/forward/send.go
+++ b/internal/forward/send.go
@@ -84,7 +84,8 @@
 	defer func() {
 		outcome = stopFirstByteWatch(outcome)
 		if outcome == backend.Failed && inflight.service.FreezeDetector.FrozenSince(began) {
-			// The engine may have closed the connection because the frozen node did not read.
+			// The engine may have closed the connection because this node read nothing during the
+			// freeze.
 			outcome = backend.Abandoned
 		}
 		inflight.releaseEngine(outcome)
@@ -158,8 +159,8 @@
 	}
 }
 
-// drainRefusal reads the body of a refusal so that the connection can be reused: opening a new one
-// for each attempt costs a full engine more than the attempt itself. If the body cannot be read in
+// drainRefusal reads the body of a refusal so that the connection can be reused: accepting a new
+// connection costs an overloaded engine more than refusing a request. If the body is not read in
 // time, closing it closes the connection.
 func drainRefusal(response *EngineResponse, cancel context.CancelFunc) {
 	timer := time.AfterFunc(refusalDrainTimeout, cancel)
@@ -207,7 +208,8 @@
 	return outcome
 }
 
-// recordFailedEngine records the engine that ran and failed the call, for the program's owner.
+// recordFailedEngine records the engine if it failed the call, for the report to the program's
+// owner.
 func (inflight *inflightCall) recordFailedEngine(engine *backend.Engine, outcome backend.Outcome) {
 	switch outcome {
 	case backend.EngineError, backend.Failed, backend.FailedRemotely, backend.NoResponse:
@@ -218,8 +220,8 @@
 func isSuccess(status int) bool { return status >= 200 && status < 300 }
 
 // egressNodesPerEngine is the number of egress nodes among which an engine's connections are
-// divided. It is higher than the usual number, which leaves connections for changes of the egress
-// nodes and for nodes that send directly.
+// divided. It exceeds the usual number, to leave connections for newly chosen egress nodes and for
+// nodes that send directly.
 const egressNodesPerEngine = 4
 
 // maxConnections returns this node's share of the engine's connections, 0 for unlimited.
@@ -268,7 +270,7 @@
 
 var (
 	errCallerCanceled      = errors.New("caller canceled the request")
-	errResponseInterrupted = errors.New("engine broke off its response")
+	errResponseInterrupted = errors.New("response ended before it was complete")
 )
 
 // relayBuffered buffers a response until it is complete, so that an interrupted one can be retried
@@ -315,7 +317,8 @@
 	}
 }
 
-// interruptedResponse distinguishes an engine's failure from the end of the call.
+// interruptedResponse returns the outcome and the error of a response that ended early: failure, or
+// the timeout error if the call itself has ended.
 func (inflight *inflightCall) interruptedResponse(ctx context.Context, failure error) (backend.Outcome, error) {
 	if ctx.Err() != nil {
 		return backend.Abandoned, inflight.timeoutError(ctx)
--- a/internal/forward/service.go
+++ b/internal/forward/service.go
@@ -50,7 +50,7 @@
 	Key   string
 }
 
-// TurnEnd is the outcome of a turn that its owner is told.
+// TurnEnd is the outcome of a turn as reported to the owner of its program.
 type TurnEnd struct {
 	// Tokens is the number of tokens that the turn used.
 	Tokens int64
@@ -136,45 +136,47 @@
 	// otherNodeRetryAfter is the retry delay if another node may be able to serve the call.
 	otherNodeRetryAfter = 50 * time.Millisecond
 	// defaultCapacityRetryAfter is the retry delay if all engines are full and no wait is
-	// predicted. A predicted delay is never shorter.
+	// predicted, and the minimum of a predicted delay.
 	defaultCapacityRetryAfter = 100 * time.Millisecond
 	// maxCapacityRetryFraction limits a predicted retry delay to a fraction of the call's
 	// remaining time: callers do not retry after a longer one.
 	maxCapacityRetryFraction = 0.3
-	// engineWaitFraction of the route's objective is how long a call waits for an engine.
+	// engineWaitFraction is the fraction of the route's objective for which a call may wait for an
+	// engine.
 	engineWaitFraction = 0.8
-	// toolWaitFraction of its total time is how long a program's tool call waits for an engine.
-	// It is longer because a failed tool call wastes all previous work of the program.
+	// toolWaitFraction is the fraction of the time from receipt to deadline for which a program's
+	// tool call may wait for an engine. Tool calls wait longer because a failed one wastes all
+	// previous work of the program.
 	toolWaitFraction = 0.5
-	// continuedTurnWaitFraction is the same for a turn of a program that already has turns. It is
-	// shorter than for tools because a refused turn gets the full time again when it is retried.
+	// continuedTurnWaitFraction is the fraction for a turn of a program that already has turns. It
+	// is smaller than toolWaitFraction because the caller's retry of a refused turn has the full
+	// time again.
 	continuedTurnWaitFraction = 0.3
-	// refusalDrainTimeout and maxRefusalBytes limit the reading of an engine's refusal, which is
-	// read to the end so that the connection can be reused.
+	// refusalDrainTimeout and maxRefusalBytes limit how much of an engine's refusal is read so that
+	// the connection can be reused.
 	refusalDrainTimeout = 50 * time.Millisecond
 	maxRefusalBytes     = 4 << 10
 	// defaultObjective applies to routes without an objective.
 	defaultObjective = 200 * time.Millisecond
 	// defaultTimeout applies if neither the caller nor the route sets a deadline.
 	defaultTimeout = 30 * time.Second
-	// responseMargin is how much earlier than the caller's deadline the engine's is.
+	// responseMargin is subtracted from the caller's deadline to get the engine's.
 	responseMargin = 5 * time.Millisecond
-	// minRemaining is the least remaining time with which a request is still sent.
+	// minRemaining is the minimum time before the deadline at which a request is still sent.
 	minRemaining = 3 * time.Millisecond
-	// firstByteObjectiveFactor times the objective, and at least minFirstByteTimeout, is how long
-	// an engine may take to send the first byte of a response before other requests avoid it.
+	// Other requests avoid an engine that has not sent the first byte of a response within
+	// firstByteObjectiveFactor times the route's objective, and at least minFirstByteTimeout.
 	firstByteObjectiveFactor = 3
 	minFirstByteTimeout      = 600 * time.Millisecond
 	// minRetryTimeout is the shortest time without a response after which a safe request is
 	// retried on another engine.
 	minRetryTimeout = 50 * time.Millisecond
-	// maxBufferedBytes is how much of a response is buffered before it is relayed. It is
-	// initialBufferBytes times a power of two.
+	// maxBufferedBytes is how much of a response is buffered before it is relayed. It must be
+	// initialBufferBytes times a power of two, because buffers grow by doubling.
 	maxBufferedBytes = 1 << 20
 	// initialBufferBytes is the initial size of a response's buffer.
 	initialBufferBytes = 4 << 10
-	// relayBufferBytes is the size of the reads that relay the rest of a response that is longer
-	// than its buffer.
+	// relayBufferBytes is the read size for the part of a response that exceeds its buffer.
 	relayBufferBytes = 16 << 10
 )
 
@@ -194,7 +196,7 @@
 	tenant   *tenant.Tenant
 	deadline time.Time
 	body     []byte
-	// triedEngines are the engines not to choose again.
+	// triedEngines are the engines that are not chosen again because the call has tried them.
 	triedEngines []string
 	// executions counts the attempts that an engine may have run.
 	executions int
@@ -205,7 +207,7 @@
 	lastEngine       string
 	// lastStatus is the HTTP status of the last engine's response.
 	lastStatus int
-	// failedEngine is the engine that ran the call and failed, empty if none did.
+	// failedEngine is the engine that last failed the call, empty if none did.
 	failedEngine string
 	// via is the node to which the last attempt was delegated.
 	via             string
@@ -221,8 +223,8 @@
 	eventCount      int64
 	firstEventAt    time.Time
 	lastEventAt     time.Time
-	// awaitingSince is when the wait for the engine's next event began, writeDuration how long
-	// the caller took to read events.
+	// awaitingSince is when the wait for the engine's next event began; writeDuration is the total
+	// time spent writing events to the caller.
 	awaitingSince   time.Time
 	writeDuration   time.Duration
 	reserved        bool
@@ -267,8 +269,8 @@
 		return inflight.denialError(resultcode.UnknownRoute, "no route for this host and path")
 	}
 	if inflight.route.StoresTurns && inflight.call.Resumes {
-		// The turn's record must contain all of the response, and the node that has the
-		// beginning may be gone.
+		// The turn's record must contain the whole response, but this node may not have the part
+		// that the caller already received.
 		return resultcode.New(resultcode.ResumeNotHeld, "stream cannot be resumed: its beginning is not available").After(transientRetryAfter)
 	}
 	failure := inflight.authenticate(configuration)
@@ -380,7 +382,7 @@
 // clampRetryAfter limits a retry delay to a fraction of the call's remaining time: callers do not
 // retry after a longer one.
 func (inflight *inflightCall) clampRetryAfter(delay time.Duration) time.Duration {
-	return max(min(delay, time.Duration(logRetryFraction*float64(time.Until(inflight.deadline)))), 0)
+	return max(min(delay, time.Duration(maxRetryAfterFraction*float64(time.Until(inflight.deadline)))), 0)
 }
 
 // settle reports the outcome of the reserved turn to its owner.
--- a/internal/forward/service_test.go
+++ b/internal/forward/service_test.go
@@ -283,7 +283,7 @@
 		Expect(wait(time.Minute)).To(Equal(1200 * time.Millisecond))
 	})
 
-	It("does not resend a turn that an egress node may have sent, and blames no engine for it", func() {
+	It("does not resend a turn that an egress node may have sent, and counts no engine as failed", func() {
 		sender.responses = []func() (*forward.EngineResponse, error){func() (*forward.EngineResponse, error) { return nil, backend.ErrNodeLost }}
 		for range 4 {
 			sender.sent = nil
@@ -437,7 +437,7 @@
 		events(2)
 		Expect(directory.DrainLatencyStats()).To(BeEmpty())
 		events(4)
-		// The first stream establishes what is usual.
+		// The first stream sets the baseline.
 		observed := 0.0
 		for _, pace := range directory.DrainLatencyStats() {
 			observed += pace.Weight
@@ -533,7 +533,7 @@
 		Expect(failure.RetryAfter).To(BeNumerically(">", 0))
 	})
 
-	It("does not hammer engines that refuse everything", func() {
+	It("limits the rate of attempts while all engines refuse", func() {
 		refusing := &refusingSender{}
 		service.Sender = refusing
 		var calls sync.WaitGroup
--- a/internal/forward/tool_calls.go
+++ b/internal/forward/tool_calls.go
@@ -33,7 +33,8 @@
 	}
 }
 
-// trackToolCall counts the call if it is a tool call. The returned function uncounts it.
+// trackToolCall counts the call if it is a tool call. The returned function must be called when the
+// call ends.
 func (inflight *inflightCall) trackToolCall() func() {
 	calls := inflight.service.ToolCalls
 	if calls == nil || inflight.call.Program == "" || inflight.route.Kind == routing.Streaming {
--- a/internal/forward/views.go
+++ b/internal/forward/views.go
@@ -27,9 +27,9 @@
 	ConfigurationAge() time.Duration
 }
 
-// AwaitFreshViews waits until the configuration and the list of engines have been refreshed since
-// the process last froze, for at most freshViewTimeout. The node could otherwise send the request
-// to an engine that no longer exists, or accept a route or key that is no longer valid.
+// AwaitFreshViews waits, for at most freshViewTimeout, until the configuration and the list of
+// engines have been refreshed since the process last froze. Otherwise the node could send the
+// request to a removed engine, or accept a route or key that is no longer valid.
 func AwaitFreshViews(ctx context.Context, views Views, request string, logger *zap.Logger) {
 	if views == nil || views.Current() {
 		return
--- a/internal/forward/wait.go
+++ b/internal/forward/wait.go
@@ -65,9 +65,9 @@
 	return forecast, known
 }
 
-// maxWait returns how long the call may still wait, or why it must be refused now. Under overload,
-// refusing early calls that cannot be served in time lets their callers retry elsewhere and keeps
-// them from delaying others.
+// maxWait returns how long the call may still wait, or why it must be refused now. A call that
+// cannot be served in time is refused early, so that its caller can retry elsewhere and it does not
+// delay other calls.
 func (inflight *inflightCall) maxWait(forecast backend.Forecast, predicted bool) (time.Duration, CapacityRefusal) {
 	if inflight.service.Engines.NoneAvailable(inflight.serviceName, inflight.zones) {
 		return 0, NoEngineAvailable
@@ -92,8 +92,8 @@
 	return min(wait, slack), ""
 }
 
-// refuseForCapacity returns the error of a call without an engine. If an engine may have run an
-// earlier attempt, the outcome is unknown instead.
+// refuseForCapacity returns the error of a call for which no engine has capacity, or an unknown
+// outcome if an engine may have run an earlier attempt.
 func (inflight *inflightCall) refuseForCapacity(reason CapacityRefusal, forecast backend.Forecast) error {
 	if inflight.executions > 0 {
 		return inflight.outcomeUnknownError()
