--- a/internal/egress/handler.go
+++ b/internal/egress/handler.go
@@ -17,10 +17,10 @@
 )
 
 const (
-	// relayBufferBytes is the most of a response that is relayed in one write.
+	// relayBufferBytes is the maximum size of one write of a relayed response.
 	relayBufferBytes = 16 << 10
-	// responseGrace is added to the engine's deadline. The bound is needed because a requesting
-	// node that loses power does not close its connection.
+	// responseGrace is added to the engine's time limit to bound a request. A requesting node that
+	// loses power does not close its connection, which would otherwise end the request.
 	responseGrace = time.Second
 )
 
@@ -31,7 +31,7 @@
 	// FirstByteTimeout returns how long a request to a service may normally wait for its first
 	// byte.
 	FirstByteTimeout(service string) time.Duration
-	// CountFailed counts a request that an engine failed, UncountFailed reverts it.
+	// CountFailed counts a request as failed by its engine; UncountFailed reverts that.
 	CountFailed(engine backend.Instance, now time.Time)
 	UncountFailed(engine backend.Instance, now time.Time)
 }
--- a/internal/egress/sender.go
+++ b/internal/egress/sender.go
@@ -20,14 +20,13 @@
 )
 
 const (
-	// acceptTimeout is how long an egress node may take to confirm that a request has arrived. A
-	// turn without a confirmation counts as lost, even if one of the nodes was only slow. The
-	// timeout is therefore longer than those of other calls between nodes, and shorter than the
-	// one after which an engine counts as unresponsive.
+	// acceptTimeout is how long an egress node may take to confirm that a request has arrived. It
+	// is longer than the timeouts of other calls between nodes, because a turn that is not
+	// confirmed counts as lost, and shorter than the timeout after which an engine counts as
+	// unresponsive.
 	acceptTimeout = 500 * time.Millisecond
-	// initialBackoff is how long an egress node is skipped after a failure: about as long as a
-	// host freezes or restarts. It doubles with each further failure up to maxBackoff, because
-	// the node may be gone permanently.
+	// initialBackoff is how long an egress node is skipped after a failure: about the duration of a
+	// host's freeze or restart. It doubles with each further failure up to maxBackoff.
 	initialBackoff = 3 * time.Second
 	maxBackoff     = 24 * time.Second
 	// maxDoublings is the number of doublings from initialBackoff to maxBackoff.
@@ -42,12 +41,12 @@
 // Sender implements forward.Sender. It delegates turns to egress nodes if that saves
 // connections, and sends everything else directly. It is safe for concurrent use.
 type Sender struct {
-	direct   forward.Sender
-	topology Topology
-	client   *http.Client
-	logger   *zap.Logger
-	observe  Observe
-	demand   *demand
+	direct      forward.Sender
+	topology    Topology
+	client      *http.Client
+	logger      *zap.Logger
+	observe     Observe
+	turnCounter *turnCounter
 
 	// mutex guards backoffs.
 	mutex    sync.Mutex
@@ -63,7 +62,7 @@
 // NewSender returns a sender that uses direct for what it does not delegate.
 func NewSender(direct forward.Sender, topology Topology, client *http.Client, logger *zap.Logger, observe Observe) *Sender {
 	return &Sender{direct: direct, topology: topology, client: client, logger: logger, observe: observe,
-		demand: newDemand(), backoffs: map[string]backoff{}}
+		turnCounter: newTurnCounter(), backoffs: map[string]backoff{}}
 }
 
 // Observe is called with the outcome of each delegation, one of the Delegation constants.
@@ -116,7 +115,7 @@
 		return nil
 	}
 	now := time.Now()
-	turns := sender.demand.record(attempt.Engine.Service+"/"+attempt.Engine.Zone, now)
+	turns := sender.turnCounter.record(attempt.Engine.Service+"/"+attempt.Engine.Zone, now)
 	if turns >= minTurnsPerEngine*float64(sender.topology.EngineCount(attempt.Engine)) {
 		return nil
 	}
--- a/internal/egress/sender_test.go
+++ b/internal/egress/sender_test.go
@@ -212,7 +212,7 @@
 		Expect(failed.Load()).To(BeZero())
 	})
 
-	It("ends at the engine once its caller has left", func() {
+	It("is canceled at the engine once its caller disconnects", func() {
 		engineContexts := make(chan context.Context, 1)
 		egressSend = func(ctx context.Context, _ *forward.Attempt) (*forward.EngineResponse, error) {
 			engineContexts <- ctx
@@ -342,13 +342,13 @@
 	})
 })
 
-var _ = Describe("Demand", func() {
+var _ = Describe("Turn counter", func() {
 	It("decays, and is counted separately for each group", func() {
-		demand := newDemand()
+		counter := newTurnCounter()
 		now := time.Now()
-		Expect(demand.record("a", now)).To(BeNumerically("==", 1))
-		Expect(demand.record("a", now)).To(BeNumerically("==", 2))
-		Expect(demand.record("b", now)).To(BeNumerically("==", 1))
-		Expect(demand.record("a", now.Add(10*connectionIdleTimeout))).To(BeNumerically("~", 1, 0.01))
+		Expect(counter.record("a", now)).To(BeNumerically("==", 1))
+		Expect(counter.record("a", now)).To(BeNumerically("==", 2))
+		Expect(counter.record("b", now)).To(BeNumerically("==", 1))
+		Expect(counter.record("a", now.Add(10*engineIdleTimeout))).To(BeNumerically("~", 1, 0.01))
 	})
 })
--- a/internal/egress/stall_monitor.go
+++ b/internal/egress/stall_monitor.go
@@ -10,12 +10,12 @@
 )
 
 // minStallTimeout is the shortest time without a byte after which an engine counts as stalled. It
-// equals the one for requests that a node sends itself.
+// equals the minimum first-byte timeout of requests that a node sends itself.
 const minStallTimeout = 600 * time.Millisecond
 
-// stallMonitor counts a delegated request as failed by its engine while the engine sends nothing
-// of its response for too long, and when it breaks the response off. The requesting node cannot
-// tell either from the loss of this node. It is safe for concurrent use.
+// stallMonitor counts a delegated request as failed by its engine while the engine sends no data
+// for too long, and when its response ends early. The requesting node cannot distinguish either
+// from the loss of this node. It is safe for concurrent use.
 type stallMonitor struct {
 	// requester is done when the requesting node is gone.
 	requester      context.Context
--- a/internal/egress/turn_counter.go
+++ b/internal/egress/turn_counter.go
@@ -7,17 +7,16 @@
 )
 
 const (
-	// connectionIdleTimeout approximates the idle time after which engines close a connection.
-	connectionIdleTimeout = 10 * time.Second
-	// minTurnsPerEngine is the number of turns per engine within connectionIdleTimeout from
-	// which a node sends directly. With fewer, most turns would need a new connection or wait
-	// for one.
+	// engineIdleTimeout is the approximate idle time after which engines close a connection.
+	engineIdleTimeout = 10 * time.Second
+	// minTurnsPerEngine is the minimum number of turns per engine within engineIdleTimeout for a
+	// node to send directly. With fewer, most turns would need a new connection or wait for one.
 	minTurnsPerEngine = 4.0
 )
 
-// demand tracks the rate of this node's turns by group of engines with an exponentially decaying
-// count. It is safe for concurrent use.
-type demand struct {
+// turnCounter approximates the number of this node's recent turns for each group of engines with an
+// exponentially decaying count. It is safe for concurrent use.
+type turnCounter struct {
 	mutex  sync.Mutex
 	counts map[string]decayingCount
 }
@@ -27,16 +26,16 @@
 	updatedAt time.Time
 }
 
-func newDemand() *demand { return &demand{counts: map[string]decayingCount{}} }
+func newTurnCounter() *turnCounter { return &turnCounter{counts: map[string]decayingCount{}} }
 
 // record counts a turn for a group of engines and returns the approximate number of its turns
-// within the last connectionIdleTimeout.
-func (demand *demand) record(group string, now time.Time) float64 {
-	demand.mutex.Lock()
-	defer demand.mutex.Unlock()
-	current := demand.counts[group]
-	decay := math.Exp(-max(now.Sub(current.updatedAt), 0).Seconds() / connectionIdleTimeout.Seconds())
+// within the last engineIdleTimeout.
+func (counter *turnCounter) record(group string, now time.Time) float64 {
+	counter.mutex.Lock()
+	defer counter.mutex.Unlock()
+	current := counter.counts[group]
+	decay := math.Exp(-max(now.Sub(current.updatedAt), 0).Seconds() / engineIdleTimeout.Seconds())
 	current = decayingCount{count: current.count*decay + 1, updatedAt: now}
-	demand.counts[group] = current
+	counter.counts[group] = current
 	return current.count
 }
