--- a/internal/freeze/freeze.go
+++ b/internal/freeze/freeze.go
@@ -13,9 +13,9 @@
 )
 
 const (
-	// freezeThreshold is the gap between two heartbeats that counts as a freeze. It is longer
-	// than scheduling delays and CPU throttling make a heartbeat late, and short compared with
-	// the times within which changes must take effect.
+	// freezeThreshold is the gap between two heartbeats that counts as a freeze. It exceeds
+	// the delays caused by scheduling and CPU throttling, and is short compared with the time
+	// within which configuration changes must take effect.
 	freezeThreshold = 500 * time.Millisecond
 	// heartbeatInterval makes freezes of an idle process detectable.
 	heartbeatInterval = 200 * time.Millisecond
@@ -95,8 +95,8 @@
 	timer    *time.Timer
 }
 
-// AfterFunc runs a function after a duration. A freeze during that time restarts the timer: the
-// event that the function would report as missing may have arrived meanwhile.
+// AfterFunc runs a function after a duration. A freeze during that time restarts the timer, because
+// the event whose absence the timer detects may have arrived during the freeze.
 func (detector *Detector) AfterFunc(duration time.Duration, function func()) *Timer {
 	timer := &Timer{detector: detector, function: function}
 	timer.Reset(duration)
