--- a/internal/reach/reach.go
+++ b/internal/reach/reach.go
@@ -14,15 +14,15 @@
 	// unreachableAfter is how long a zone must be silent to count as unreachable. Callers
 	// abandon a stream after two seconds without an event; this leaves time for a retry.
 	unreachableAfter = 700 * time.Millisecond
-	// minUnansweredProbes is the number of consecutive unanswered probes before which no zone
-	// counts as unreachable. Silence alone does not suffice, as there may be no traffic between
+	// minUnansweredProbes is the minimum number of consecutive unanswered probes for a zone to
+	// count as unreachable. Silence alone does not suffice, as there may be no traffic between
 	// two zones.
 	minUnansweredProbes = 2
 	// probeAfter is how long after its last response a suspected zone is probed.
 	probeAfter = 300 * time.Millisecond
-	// failureTTL is how long a failure counts. It limits how long a zone stays suspected after
-	// a failed call, and unreachable after the last probe: a zone without nodes is not probed
-	// any more, and its engines would otherwise never get requests again.
+	// failureTTL is how long a failure counts: a zone stays suspected for that long after a failed
+	// call, and unreachable after the last failed probe. Without it, the engines of a zone that is
+	// no longer probed because it has no nodes would never get requests again.
 	failureTTL = 2 * time.Second
 )
 
@@ -59,7 +59,8 @@
 	return &Zones{localZone: localZone, zones: map[string]*zoneState{}}
 }
 
-// remoteZone returns a zone's state, nil for the local zone. The caller holds the mutex.
+// remoteZone returns a zone's state and creates it if needed, nil for the local zone. The caller
+// must hold the mutex.
 func (zones *Zones) remoteZone(name string) *zoneState {
 	if name == "" || name == zones.localZone {
 		return nil
