--- a/internal/history/history.go
+++ b/internal/history/history.go
@@ -1,5 +1,5 @@
 // Package history stores finished turns of agent programs. A turn is immutable,
-// identified by its request's id, and linked to its predecessor, forming a chain.
+// identified by its request's ID, and linked to its predecessor, forming a chain.
 package history
 
 import (
@@ -17,7 +17,7 @@
 	// Tenant is the owner of the turn, empty if no tenants were configured.
 	Tenant  string
 	Program string
-	// PreviousID is the id of the turn that this one continues, empty at the start of
+	// PreviousID is the ID of the turn that this one continues, empty at the start of
 	// a chain.
 	PreviousID string
 	// Input is the caller's input and Output the model's, as they appear in the next
@@ -33,7 +33,7 @@
 	Zones region.ZoneSet
 }
 
-// Key identifies a turn. Tenants may use the same id for different turns.
+// Key identifies a turn. Tenants may use the same ID for different turns.
 type Key struct {
 	// Tenant is empty for a call without a tenant.
 	Tenant string
@@ -55,8 +55,8 @@
 const (
 	// turnOverhead is the memory that the indexes need for a turn, in bytes.
 	turnOverhead = 256
-	// maxChain bounds the length of a chain, so that a corrupt record can't cause an
-	// endless loop.
+	// maxChain bounds the length of a chain, so that a corrupt record cannot cause
+	// an endless loop.
 	maxChain = 4096
 	// retentionMargin is added to a turn's retention to allow for clock skew.
 	retentionMargin = 10 * time.Second
--- a/internal/history/reader.go
+++ b/internal/history/reader.go
@@ -17,7 +17,7 @@
 // Reader finds turns in the log that are not in this node's store. It reads each
 // partition once from its oldest retained record, then only new records. With
 // SetRemoteLookup, other nodes are queried for the partitions of other shards, so that
-// not every node reads every partition after the loss of all nodes. It is safe for
+// each node need not read every partition after a restart of all nodes. It is safe for
 // concurrent use.
 type Reader struct {
 	log          durable.Log
--- a/internal/history/reader_test.go
+++ b/internal/history/reader_test.go
@@ -105,7 +105,7 @@
 		Expect(err).To(HaveOccurred())
 	})
 
-	It("records a turn in another partition if its own does not answer, and finds it", func() {
+	It("records a turn in another partition if its own does not respond, and finds it", func() {
 		log.Intercept = func(operation string, partition durable.Partition) error {
 			if operation == "append" && partition == (durable.Partition{Topic: history.Topic, Number: 1}) {
 				return durable.ErrUnavailable
@@ -143,7 +143,7 @@
 		bounded, cancel := context.WithTimeout(ctx, time.Second)
 		defer cancel()
 		Expect(history.NewRecorder(log, shards).Record(bounded, 1, turn("c", "b", "x", "y\n"))).NotTo(Succeed())
-		// Backoff of 40, 80, 160 and then 250 ms. A fixed 40 ms would make 25 calls.
+		// The backoff is 40, 80, 160 and then 250 ms; a constant 40 ms would make 25 calls.
 		Expect(calls.Load()).To(BeNumerically("<=", 10))
 	})
 
--- a/internal/history/recorder.go
+++ b/internal/history/recorder.go
@@ -12,14 +12,15 @@
 
 const (
 	// Topic holds turns, partitioned by the shard of their program. A turn is in another
-	// partition if its own did not answer in time.
+	// partition if its shard's did not respond in time.
 	Topic = "turns"
 	// initialBackoff is the delay after all appends of a turn have failed. It doubles up
-	// to maxBackoff to limit the load on a store that recovers.
+	// to maxBackoff to limit the load on a recovering store.
 	initialBackoff = 40 * time.Millisecond
 	maxBackoff     = 250 * time.Millisecond
-	// refusalWindow is how long RecentlyRefused is true after a failed append.
-	refusalWindow = 500 * time.Millisecond
+	// appendFailureWindow is how long RecentlyRefused returns true after a failed
+	// append.
+	appendFailureWindow = 500 * time.Millisecond
 	// relayRetryDelay is the delay after a failed relay call.
 	relayRetryDelay = 100 * time.Millisecond
 	// maxBatchBytes bounds the size of the records in one append.
@@ -38,13 +39,13 @@
 	queues        map[durable.Partition]*partitionQueue
 	appendLatency durable.AppendLatency
 	relay         Relay
-	// inFlight counts the unfinished recordings. lastProgress is when a turn was last
-	// recorded, or when the first of them began. The mutex guards both.
+	// inFlight counts the recordings in progress. lastProgress is when a turn was last
+	// recorded, or when the first of those began if that is later. The mutex guards both.
 	inFlight     int
 	lastProgress time.Time
-	// lastRefused is when the latest append failed, zero if it succeeded. The mutex guards
-	// it.
-	lastRefused time.Time
+	// lastAppendFailure is when the latest append failed, zero if it succeeded. The mutex
+	// guards it.
+	lastAppendFailure time.Time
 }
 
 // partitionQueue holds the records that wait for an append to a partition.
@@ -71,20 +72,20 @@
 }
 
 // SetRelay sets the function that asks another node to record a turn when the store does
-// not answer this node. It must be called before the first Record.
+// not respond to this node. It must be called before the first Record.
 func (recorder *Recorder) SetRelay(relay Relay) { recorder.relay = relay }
 
-// RecentlyRefused reports whether the latest append failed less than refusalWindow ago.
-// Such a node can't record turns for other nodes.
+// RecentlyRefused reports whether the latest append failed less than appendFailureWindow
+// ago. Such a node cannot record turns for other nodes.
 func (recorder *Recorder) RecentlyRefused() bool {
 	recorder.mutex.Lock()
 	defer recorder.mutex.Unlock()
-	return time.Since(recorder.lastRefused) < refusalWindow
+	return time.Since(recorder.lastAppendFailure) < appendFailureWindow
 }
 
 // Record writes a turn and returns nil once the log has acknowledged it. It begins with the
-// shard's partition, adds other partitions one by one while none answers, and uses the
-// Relay, if set, in parallel. It retries until ctx ends.
+// shard's partition, adds other partitions one by one while none responds, and uses the
+// Relay, if set, in parallel. It retries until ctx is done.
 func (recorder *Recorder) Record(ctx context.Context, shard int, turn *Turn) error {
 	return recorder.record(ctx, shard, turn, recorder.relay)
 }
@@ -153,7 +154,8 @@
 	// done receives the results of appends, relayed those of relay calls.
 	done    chan error
 	relayed chan error
-	// pendingAppends counts the partitions tried that have not answered.
+	// partitionsTried counts the partitions to which the turn was sent, pendingAppends those
+	// that have not responded.
 	partitionsTried int
 	pendingAppends  int
 	relaying        bool
@@ -163,7 +165,8 @@
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	operation.tryNextPartition()
-	// Another partition is tried after hedgeDelay, which doubles each time.
+	// Without a response, another partition is tried after hedgeDelay, which doubles each
+	// time.
 	hedgeDelay := operation.recorder.appendLatency.HedgeDelay()
 	timer := time.NewTimer(hedgeDelay)
 	defer timer.Stop()
@@ -175,7 +178,7 @@
 				return nil
 			}
 			operation.pendingAppends--
-			operation.askRelay(ctx)
+			operation.startRelay(ctx)
 			if operation.pendingAppends == 0 {
 				timer.Reset(backoff)
 				backoff = min(2*backoff, maxBackoff)
@@ -187,7 +190,7 @@
 			operation.relaying = false
 		case <-timer.C:
 			if operation.partitionsTried > 1 {
-				operation.askRelay(ctx)
+				operation.startRelay(ctx)
 			}
 			operation.tryNextPartition()
 			hedgeDelay = min(2*hedgeDelay, appendTimeout)
@@ -206,8 +209,8 @@
 	operation.pendingAppends++
 }
 
-// askRelay starts a relay call unless one is in progress.
-func (operation *recordOperation) askRelay(ctx context.Context) {
+// startRelay starts a relay call unless one is in progress.
+func (operation *recordOperation) startRelay(ctx context.Context) {
 	if operation.relaying || operation.relay == nil {
 		return
 	}
@@ -262,7 +265,7 @@
 	}
 }
 
-// observeAppend updates the append latency and lastRefused.
+// observeAppend updates the append latency and lastAppendFailure.
 func (recorder *Recorder) observeAppend(start time.Time, err error) {
 	if err == nil {
 		recorder.appendLatency.Observe(time.Since(start))
@@ -270,10 +273,10 @@
 	recorder.mutex.Lock()
 	defer recorder.mutex.Unlock()
 	if err == nil {
-		recorder.lastRefused = time.Time{}
+		recorder.lastAppendFailure = time.Time{}
 		return
 	}
-	recorder.lastRefused = time.Now()
+	recorder.lastAppendFailure = time.Now()
 }
 
 // dequeueBatch removes the records of the next append from a queue.
--- a/internal/history/tenant_test.go
+++ b/internal/history/tenant_test.go
@@ -36,7 +36,7 @@
 		Expect(find(log, "", "2").Found).To(BeFalse())
 	})
 
-	It("are separate if two tenants use the same id", func() {
+	It("are separate if two tenants use the same ID", func() {
 		log := durable.NewMemory()
 		recorder := history.NewRecorder(log, shards)
 		Expect(recorder.Record(ctx, 0, turnOf("a", "1", "", "of a"))).To(Succeed())
