--- a/internal/durable/hedge.go
+++ b/internal/durable/hedge.go
@@ -48,10 +48,10 @@
 // deduplicates it by its fence's sequence number, or duplicates are harmless.
 type IdempotentAppend func(ctx context.Context) error
 
-// Hedge sends an append, and sends further attempts while none is answered: a
-// response lost by the store never arrives on the first connection. The first
-// attempt with a known outcome decides. Hedge returns the last error once all
-// attempts sent have failed, or ctx's error when it ends.
+// Hedge sends an append, and sends further attempts while none has completed,
+// because an attempt whose response was lost never completes. It returns the result
+// of the first attempt with a known outcome, the last error once all attempts sent
+// have failed, or ctx's error when it is done.
 func Hedge(ctx context.Context, latency *AppendLatency, send IdempotentAppend) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
--- a/internal/durable/hedged_reads.go
+++ b/internal/durable/hedged_reads.go
@@ -9,7 +9,7 @@
 
 const (
 	// readRetryInterval is how long to wait for a response to begin before another
-	// attempt: a store that recovers answers new calls, not those it has dropped.
+	// attempt. A store that recovers responds to new calls, not to those it dropped.
 	readRetryInterval = 400 * time.Millisecond
 	// maxReadAttempts bounds the concurrent attempts of one read; a new attempt
 	// cancels the oldest.
@@ -20,7 +20,7 @@
 	transferRetryInterval = 2500 * time.Millisecond
 )
 
-// HedgedReads is a Log that repeats reads for which no response arrives.
+// HedgedReads is a Log that repeats reads while no response arrives.
 type HedgedReads struct{ Log }
 
 // Read implements Log. A read with a wait is sent once.
@@ -50,7 +50,7 @@
 }
 
 // hedgeRead sends a read, and further attempts until a response begins to arrive.
-// The first result decides, even if it is an error.
+// It returns the first result, even if that is an error.
 func hedgeRead[Content any](ctx context.Context, send func(ctx context.Context) (Content, error)) (Content, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
--- a/internal/durable/hedged_reads_test.go
+++ b/internal/durable/hedged_reads_test.go
@@ -10,7 +10,7 @@
 	. "github.com/onsi/gomega"
 )
 
-// unresponsiveLog never answers a call that began while it was unresponsive.
+// unresponsiveLog never responds to a call that began while it was unresponsive.
 type unresponsiveLog struct {
 	*durable.Memory
 	unresponsive atomic.Bool
@@ -42,7 +42,7 @@
 	return log.Memory.Latest(ctx, topic)
 }
 
-// slowTransferLog never answers the first call. The responses of later calls begin
+// slowTransferLog never responds to the first call. The responses of later calls begin
 // once begin is closed and are complete once complete is set.
 type slowTransferLog struct {
 	*durable.Memory
@@ -70,7 +70,7 @@
 var _ = Describe("HedgedReads", func() {
 	const timeout = 20 * time.Second
 
-	It("gets a response from a store that did not answer when the read began", func() {
+	It("gets a response from a store that did not respond when the read began", func() {
 		store := &unresponsiveLog{Memory: durable.NewMemory()}
 		log := &durable.HedgedReads{Log: store}
 		store.unresponsive.Store(true)
--- a/internal/durable/memory.go
+++ b/internal/durable/memory.go
@@ -6,8 +6,9 @@
 	"time"
 )
 
-// keptResults is the number of a writer's latest appends that are deduplicated.
-const keptResults = 5
+// maxDeduplicatedAppends is the number of each writer's latest appends whose results are kept
+// for deduplication.
+const maxDeduplicatedAppends = 5
 
 // Memory is an in-process Log for tests and for deployments without a store.
 type Memory struct {
@@ -122,7 +123,7 @@
 	writer.hasAppended = true
 	writer.lastSequence = fence.Sequence
 	writer.results[fence.Sequence] = result
-	delete(writer.results, fence.Sequence-keptResults)
+	delete(writer.results, fence.Sequence-maxDeduplicatedAppends)
 }
 
 func (partition *memoryPartition) end() int64 {
