--- a/internal/routing/routing.go
+++ b/internal/routing/routing.go
@@ -22,7 +22,7 @@
 	Unsafe Kind = iota
 	// Safe requests may be repeated.
 	Safe
-	// Streaming requests are answered with a stream of events.
+	// Streaming requests are responded to with a stream of events.
 	Streaming
 )
 
@@ -48,12 +48,12 @@
 	Objective time.Duration
 	// Priority is 0 for the most urgent requests.
 	Priority int
-	// Resumable streams may continue at another engine.
+	// Resumable is true if the route's streams may be continued by another engine.
 	Resumable bool
-	// StoresTurns keeps conversation history for Retention.
+	// StoresTurns is true if turns are recorded and kept for Retention.
 	StoresTurns bool
 	Retention   time.Duration
-	// AllowsAnonymous accepts calls without a key, even if tenants are configured.
+	// AllowsAnonymous is true if calls without a key are accepted even if tenants are configured.
 	AllowsAnonymous bool
 	// Regions are the regions in which the route's requests may be served and stored; empty for
 	// all.
@@ -102,7 +102,7 @@
 	MaxConnections int
 	// Slots is the number of requests that an engine runs concurrently, 0 if not configured.
 	Slots int
-	// MemoryTokens is the number of prompt tokens that an engine holds, 0 if not configured.
+	// MemoryTokens is the capacity of an engine's KV cache in tokens, 0 if not configured.
 	MemoryTokens int
 	// TokensPerEvent is the number of tokens that one event of a stream represents.
 	TokensPerEvent int
@@ -172,8 +172,8 @@
 	return host[:colon]
 }
 
-// ActiveConfiguration holds the active configuration. It never returns to an older version. It
-// is safe for concurrent use.
+// ActiveConfiguration holds the active configuration, which is never replaced by an older version.
+// It is safe for concurrent use.
 type ActiveConfiguration struct {
 	pointer atomic.Pointer[Configuration]
 }
