--- a/internal/tenant/tenant.go
+++ b/internal/tenant/tenant.go
@@ -21,7 +21,7 @@
 type Limit struct {
 	// PerSecond is the sustained number of requests per second, 0 for no limit.
 	PerSecond float64
-	// Burst is the number of requests that may run at once in addition.
+	// Burst is the number of requests by which the sustained rate may be exceeded at once.
 	Burst float64
 }
 
@@ -38,7 +38,8 @@
 // WithoutTenant returns the program as identified by a node without configured tenants.
 func (program Program) WithoutTenant() Program { return Program{ID: program.ID} }
 
-// keyDigest stands for a key, so that a memory dump or a log line does not disclose it.
+// keyDigest is the SHA-256 digest of a key. It is kept instead of the key, so that a memory dump or
+// a log line does not disclose the key.
 type keyDigest [sha256.Size]byte
 
 // Directory finds the tenant of a key. The zero value has no tenants. It is immutable.
@@ -48,7 +49,7 @@
 	requiresKey bool
 	// hasLimits is true if any tenant has a limit.
 	hasLimits bool
-	// rates are the tenants' limits in requests per second, of those that have one.
+	// rates maps the names of tenants with a limit to that limit in requests per second.
 	rates map[string]float64
 }
 
