--- a/internal/forward/first_byte.go
+++ b/internal/forward/first_byte.go
@@ -61,12 +61,12 @@
 	timeout := max(firstByteObjectiveFactor*inflight.route.Objective, minFirstByteTimeout, engines.FirstByteTimeout(inflight.serviceName))
 	inflight.endFirstByteWait = sync.OnceFunc(func() { engines.EndFirstByteWait(engine) })
 	var overdue atomic.Bool
-	count := &provisionalFailure{engines: engines, engine: engine.Instance}
+	failure := &provisionalFailure{engines: engines, engine: engine.Instance}
 	timer := inflight.service.FreezeDetector.AfterFunc(timeout, func() {
 		overdue.Store(true)
 		engines.Suspect(engine, time.Now())
 		if !attempt.Delegated.Load() {
-			count.count()
+			failure.count()
 		}
 		inflight.service.Logger.Info("engine suspected", zap.String("request", inflight.call.ID),
 			zap.String("engine", engine.ID), zap.Duration("silent", timeout))
@@ -77,7 +77,7 @@
 		if !inflight.service.FreezeDetector.FrozenSince(began) {
 			engines.RecordFirstByte(engine, inflight.latencyRoute(), time.Since(began), time.Now())
 		}
-		count.end(true)
+		failure.end(true)
 	}
 	inflight.streamCompleted = func() {
 		duration := inflight.lastEventAt.Sub(inflight.firstEventAt)
@@ -89,7 +89,7 @@
 	return func(outcome backend.Outcome) backend.Outcome {
 		timer.Stop()
 		// releaseEngine counts the failure of a failed attempt, which must not be counted twice.
-		count.end(outcome == backend.Failed)
+		failure.end(outcome == backend.Failed)
 		if outcome == backend.Abandoned && overdue.Load() && !inflight.responseStarted {
 			return backend.NoResponse
 		}
