--- a/internal/history/history.go
+++ b/internal/history/history.go
@@ -173,11 +173,11 @@
 	store.mutex.Lock()
 	defer store.mutex.Unlock()
 	for element := store.lru.Back(); element != nil; {
-		before := element.Prev()
+		previous := element.Prev()
 		if now.After(element.Value.(*entry).keepUntil) {
 			store.remove(element)
 		}
-		element = before
+		element = previous
 	}
 }
 
--- a/internal/history/recorder.go
+++ b/internal/history/recorder.go
@@ -18,8 +18,7 @@
 	// to maxBackoff to limit the load on a recovering store.
 	initialBackoff = 40 * time.Millisecond
 	maxBackoff     = 250 * time.Millisecond
-	// appendFailureWindow is how long RecentlyRefused returns true after a failed
-	// append.
+	// appendFailureWindow is how long a failed append counts as recent.
 	appendFailureWindow = 500 * time.Millisecond
 	// relayRetryDelay is the delay after a failed relay call.
 	relayRetryDelay = 100 * time.Millisecond
