--- a/internal/backend/latency.go
+++ b/internal/backend/latency.go
@@ -120,9 +120,9 @@
 // of the engine: a decoding step takes some milliseconds.
 const minEventInterval = time.Millisecond
 
-// ObserveEvents records how long a stream took from its first to its last event. Unlike the
+// RecordStreamEvents records how long a stream took from its first to its last event. Unlike the
 // time to the first byte, the event interval hardly depends on the prompt and earlier turns.
-func (directory *Directory) ObserveEvents(engine *Engine, events int, took time.Duration, now time.Time) {
+func (directory *Directory) RecordStreamEvents(engine *Engine, events int, took time.Duration, now time.Time) {
 	interval := took / time.Duration(max(events-1, 1))
 	if events < minStreamEvents || interval < minEventInterval || !feature.Enabled(feature.SpeedWeighting) {
 		return
--- a/internal/backend/speed_test.go
+++ b/internal/backend/speed_test.go
@@ -20,7 +20,7 @@
 	// recordStream records a finished stream of an engine.
 	recordStream := func(directory *backend.Directory, id string, events int, interval time.Duration, at time.Time) {
 		engine := directory.Pick(&backend.Request{Service: service, Assigned: id}, at)
-		directory.ObserveEvents(engine, events, time.Duration(events-1)*interval, at)
+		directory.RecordStreamEvents(engine, events, time.Duration(events-1)*interval, at)
 		directory.Finish(engine, backend.Succeeded, at)
 	}
 	// recordStreamsWithFactor records a stream of each of six engines of unequal speed every
@@ -135,7 +135,7 @@
 	}
 	observe := func(exclude string, interval time.Duration) {
 		engine := directory.Pick(&backend.Request{Service: "s", Tried: []string{exclude}}, now)
-		directory.ObserveEvents(engine, 4, 3*interval, now)
+		directory.RecordStreamEvents(engine, 4, 3*interval, now)
 		directory.Finish(engine, backend.Succeeded, now)
 	}
 	observe("b", 10*time.Microsecond)
--- a/internal/backend/wait_forecast.go
+++ b/internal/backend/wait_forecast.go
@@ -19,9 +19,9 @@
 	directory.meanDurations[service] = mean + time.Duration(durationWeight*float64(took-mean))
 }
 
-// TypicalDuration returns the moving average of request durations of a service, 0 if none was
+// MeanDuration returns the moving average of request durations of a service, 0 if none was
 // recorded.
-func (directory *Directory) TypicalDuration(service string) time.Duration {
+func (directory *Directory) MeanDuration(service string) time.Duration {
 	directory.mutex.Lock()
 	defer directory.mutex.Unlock()
 	return directory.meanDurations[service]
--- a/internal/command/load.go
+++ b/internal/command/load.go
@@ -119,7 +119,7 @@
 func (command *LoadCommand) statusURL() string {
 	target := url.URL{Scheme: "http", Host: command.Address, Path: load.StatusPath}
 	if command.Service != "" {
-		target.RawQuery = url.Values{load.StatusService: {command.Service}}.Encode()
+		target.RawQuery = url.Values{load.StatusServiceParameter: {command.Service}}.Encode()
 	}
 	return target.String()
 }
--- a/internal/command/load_test.go
+++ b/internal/command/load_test.go
@@ -40,7 +40,7 @@
 			writer.WriteHeader(http.StatusNotFound)
 			return
 		}
-		if service := request.URL.Query().Get(load.StatusService); service == "nowhere" {
+		if service := request.URL.Query().Get(load.StatusServiceParameter); service == "nowhere" {
 			httpserver.WriteError(writer, resultcode.New(resultcode.UnknownTarget, "no engine of a service %q is known", service))
 			return
 		}
--- a/internal/configuration/fixture_test.go
+++ b/internal/configuration/fixture_test.go
@@ -149,7 +149,7 @@
 				continue
 			}
 			sent := time.Now()
-			receiver.reader.PeerReported(sender.zone, sender.reader.Version(), sent)
+			receiver.reader.RecordPeerVersion(sender.zone, sender.reader.Version(), sent)
 			round := sender.reader.Round()
 			if round.GetNextOffset() > receiver.reader.Round().GetNextOffset() {
 				receiver.reader.Offer(round)
--- a/internal/configuration/publisher.go
+++ b/internal/configuration/publisher.go
@@ -154,7 +154,7 @@
 	case errors.Is(err, outside.ErrOutcomeUnknown), bounded.Err() != nil:
 		publication.maybeAppended = true
 	case !publication.maybeAppended:
-		return resultcode.New(resultcode.LogUnavailable, "append to the configuration log failed: %v", err).After(unknownRetryAfter)
+		return resultcode.New(resultcode.LogUnavailable, "append to the configuration log failed: %v", err).WithRetryAfter(unknownRetryAfter)
 	}
 	return nil
 }
@@ -200,7 +200,7 @@
 	if publication.maybeAppended {
 		return outcomeUnknown("the change may have been appended but was not read back in time")
 	}
-	return resultcode.New(resultcode.LogUnavailable, "the log does not answer").After(unknownRetryAfter)
+	return resultcode.New(resultcode.LogUnavailable, "the log does not answer").WithRetryAfter(unknownRetryAfter)
 }
 
 func versionConflict(version uint64) error {
@@ -208,5 +208,5 @@
 }
 
 func outcomeUnknown(format string, arguments ...any) error {
-	return resultcode.New(resultcode.PublishUnknown, format, arguments...).After(unknownRetryAfter)
+	return resultcode.New(resultcode.PublishUnknown, format, arguments...).WithRetryAfter(unknownRetryAfter)
 }
--- a/internal/configuration/reader.go
+++ b/internal/configuration/reader.go
@@ -94,23 +94,23 @@
 	reader.update(func() { reader.fresh.setZones(names) })
 }
 
-// PeerReported records the version that a process in zone returned in response to a
+// RecordPeerVersion records the version that a process in zone returned in response to a
 // request sent at sent, on this process's clock.
-func (reader *Reader) PeerReported(zone string, version uint64, sent time.Time) {
+func (reader *Reader) RecordPeerVersion(zone string, version uint64, sent time.Time) {
 	reader.update(func() { reader.fresh.recordPeerVersion(zone, version, sent) })
 }
 
-// LogHeard returns the start time of the latest read that reached the stream's end; the
+// LastLogRead returns the start time of the latest read that reached the stream's end; the
 // zero time if there is none.
-func (reader *Reader) LogHeard() time.Time {
+func (reader *Reader) LastLogRead() time.Time {
 	reader.mutex.Lock()
 	defer reader.mutex.Unlock()
 	return reader.fresh.lastLogRead
 }
 
-// PeerAhead requests an immediate read if version, sent by a peer in a request, is above
+// ReadIfBehind requests an immediate read if version, sent by a peer in a request, is above
 // this process's version.
-func (reader *Reader) PeerAhead(version uint64) {
+func (reader *Reader) ReadIfBehind(version uint64) {
 	if version > reader.Version() {
 		reader.requestRead()
 	}
--- a/internal/durable/durable.go
+++ b/internal/durable/durable.go
@@ -41,8 +41,8 @@
 // AppendResult is the position of appended records.
 type AppendResult struct {
 	// Offset is that of the first record; End is the partition's end afterwards.
-	Offset int64
-	End    int64
+	Offset    int64
+	EndOffset int64
 }
 
 // Batch is the result of a read.
@@ -65,8 +65,8 @@
 // Snapshot holds the latest record of each key of a keyed topic up to End. Its
 // pages are read one after another, so some records may be newer than End.
 type Snapshot struct {
-	Records []KeyedRecord
-	End     int64
+	Records   []KeyedRecord
+	EndOffset int64
 }
 
 // Log is the client interface of the store. It is safe for concurrent use.
@@ -96,11 +96,11 @@
 )
 
 // TrimmedError means that a read began before the oldest retained record.
-type TrimmedError struct{ First int64 }
+type TrimmedError struct{ FirstOffset int64 }
 
 // Error implements error.
 func (trimmed *TrimmedError) Error() string {
-	return fmt.Sprintf("records before offset %d have been trimmed", trimmed.First)
+	return fmt.Sprintf("records before offset %d have been trimmed", trimmed.FirstOffset)
 }
 
 // NotApplied reports whether err guarantees that an append was not applied and
--- a/internal/durable/instrumented.go
+++ b/internal/durable/instrumented.go
@@ -12,14 +12,14 @@
 	OperationLatest = "newest"
 )
 
-// Observe is called after each call of a Log with its operation, topic, duration
+// ObserveFunc is called after each call of a Log with its operation, topic, duration
 // and error.
-type Observe func(operation, topic string, took time.Duration, err error)
+type ObserveFunc func(operation, topic string, took time.Duration, err error)
 
 // Instrumented is a Log that reports every call to Observe.
 type Instrumented struct {
 	Log     Log
-	Observe Observe
+	Observe ObserveFunc
 }
 
 // Append implements Log.
--- a/internal/durable/memory.go
+++ b/internal/durable/memory.go
@@ -74,7 +74,7 @@
 		}
 	}
 	if condition.ExpectedEnd != nil && *condition.ExpectedEnd != partition.end() {
-		return AppendResult{End: partition.end()}, ErrConflict
+		return AppendResult{EndOffset: partition.end()}, ErrConflict
 	}
 	result := partition.append(records)
 	if condition.Fence != nil {
@@ -144,7 +144,7 @@
 		close(partition.changed)
 		partition.changed = make(chan struct{})
 	}
-	return AppendResult{Offset: offset, End: partition.end()}
+	return AppendResult{Offset: offset, EndOffset: partition.end()}
 }
 
 // Read implements Log.
@@ -174,7 +174,7 @@
 	defer log.mutex.Unlock()
 	partition := log.partition(name)
 	if from < partition.firstOffset {
-		return Batch{}, nil, &TrimmedError{First: partition.firstOffset}
+		return Batch{}, nil, &TrimmedError{FirstOffset: partition.firstOffset}
 	}
 	batch := Batch{Offset: from, FirstOffset: partition.firstOffset, EndOffset: partition.end()}
 	if from < partition.end() {
@@ -192,7 +192,7 @@
 	log.mutex.Lock()
 	defer log.mutex.Unlock()
 	partition := log.partition(name)
-	snapshot := Snapshot{End: partition.end()}
+	snapshot := Snapshot{EndOffset: partition.end()}
 	for _, record := range partition.latest {
 		if len(record.Value) > 0 {
 			snapshot.Records = append(snapshot.Records, record)
--- a/internal/durable/read.go
+++ b/internal/durable/read.go
@@ -14,8 +14,8 @@
 	for {
 		batch, err := log.Read(ctx, partition, from, 0)
 		var trimmed *TrimmedError
-		if errors.As(err, &trimmed) && trimmed.First > from {
-			from = trimmed.First
+		if errors.As(err, &trimmed) && trimmed.FirstOffset > from {
+			from = trimmed.FirstOffset
 			continue
 		}
 		if err != nil {
--- a/internal/durable/topic_follower.go
+++ b/internal/durable/topic_follower.go
@@ -32,8 +32,8 @@
 	// Full is true if Records is a snapshot of all keys.
 	Full    bool
 	Records []KeyedRecord
-	// End is the offset up to which this and the earlier updates are complete.
-	End int64
+	// EndOffset is the offset up to which this and the earlier updates are complete.
+	EndOffset int64
 }
 
 // Next returns the new records. If there are none, it waits for one for at most wait.
@@ -59,7 +59,7 @@
 
 func (follower *TopicFollower) advance(batch Batch) Update {
 	follower.nextOffset = batch.Offset + int64(len(batch.Records))
-	update := Update{End: follower.nextOffset}
+	update := Update{EndOffset: follower.nextOffset}
 	for index, record := range batch.Records {
 		key, value, valid := DecodeKeyed(record)
 		if valid {
@@ -75,8 +75,8 @@
 		return Update{}, err
 	}
 	follower.loaded = true
-	follower.nextOffset = snapshot.End
-	return Update{Full: true, Records: snapshot.Records, End: snapshot.End}, nil
+	follower.nextOffset = snapshot.EndOffset
+	return Update{Full: true, Records: snapshot.Records, EndOffset: snapshot.EndOffset}, nil
 }
 
 // SkipTo continues from an offset up to which the receiver already has the records
--- a/internal/egress/handler.go
+++ b/internal/egress/handler.go
@@ -105,7 +105,7 @@
 // writeFailure sends a response head that says why no engine response follows.
 func (handler *Handler) writeFailure(writer http.ResponseWriter, message *nodev1.EgressRequest, outcome nodev1.EgressOutcome, cause error) {
 	handler.Logger.Info("delegated request failed", zap.String("request", message.Request),
-		zap.String("engine", message.Engine), zap.Stringer("outcome", outcome), logging.Cause(cause))
+		zap.String("engine", message.Engine), zap.Stringer("outcome", outcome), logging.ErrorField(cause))
 	head := &nodev1.EgressHead{Outcome: outcome}
 	if cause != nil {
 		head.Failure = cause.Error()
--- a/internal/egress/sender.go
+++ b/internal/egress/sender.go
@@ -45,7 +45,7 @@
 	topology    Topology
 	client      *http.Client
 	logger      *zap.Logger
-	observe     Observe
+	observe     OutcomeFunc
 	turnCounter *turnCounter
 
 	// mutex guards backoffs.
@@ -60,13 +60,13 @@
 }
 
 // NewSender returns a sender that uses direct for what it does not delegate.
-func NewSender(direct forward.Sender, topology Topology, client *http.Client, logger *zap.Logger, observe Observe) *Sender {
+func NewSender(direct forward.Sender, topology Topology, client *http.Client, logger *zap.Logger, observe OutcomeFunc) *Sender {
 	return &Sender{direct: direct, topology: topology, client: client, logger: logger, observe: observe,
 		turnCounter: newTurnCounter(), backoffs: map[string]backoff{}}
 }
 
-// Observe is called with the outcome of each delegation, one of the Delegation constants.
-type Observe func(outcome string)
+// OutcomeFunc is called with the outcome of each delegation, one of the Delegation constants.
+type OutcomeFunc func(outcome string)
 
 // Outcomes of a delegation.
 const (
@@ -104,7 +104,7 @@
 		}
 		attempt.Delegated.Store(false)
 		sender.logger.Info("delegation failed", zap.String("request", attempt.Call.ID),
-			zap.String("engine", attempt.Engine.ID), zap.String("node", node.Name), logging.Cause(err))
+			zap.String("engine", attempt.Engine.ID), zap.String("node", node.Name), logging.ErrorField(err))
 	}
 	return sender.direct.Send(ctx, attempt)
 }
--- a/internal/feature/feature.go
+++ b/internal/feature/feature.go
@@ -78,8 +78,8 @@
 	EngineBreaker Feature = "engine-breaker"
 	// SpeedWeighting: requests are distributed regardless of the engines' speed.
 	SpeedWeighting Feature = "engine-speed"
-	// HeldBytes: response data not yet read by callers is buffered without an overall limit.
-	HeldBytes Feature = "held-bytes"
+	// ResponseBufferLimit: response data not yet read by callers is buffered without an overall limit.
+	ResponseBufferLimit Feature = "held-bytes"
 	// ZoneReachability: nodes and engines are judged individually, even if a whole zone is
 	// unreachable.
 	ZoneReachability Feature = "zone-reach"
@@ -90,7 +90,7 @@
 	Allowances, HedgedAppends, HedgedReads, LearningFromPeers, SharedReader, AvoidUnresponsiveEngines, EngineReports, AvoidSlowEngines, EngineLimits,
 	QueueOrder, LongerToolWait, SafeRepeats, RemoteRecording, OwnershipHandover, OwnershipByCapacity, ClaimRefusal, Isolation,
 	EnginePriority, LogGate, Egress, StaggeredRetries, ProgramsFirst,
-	LoadSharing, LoadBasedCapacity, RetryBudget, Admission, TenantShares, MemoryAdmission, EngineBreaker, SpeedWeighting, HeldBytes, ZoneReachability,
+	LoadSharing, LoadBasedCapacity, RetryBudget, Admission, TenantShares, MemoryAdmission, EngineBreaker, SpeedWeighting, ResponseBufferLimit, ZoneReachability,
 }
 
 // disabled holds the disabled features, nil before Disable is called.
--- a/internal/forward/admission.go
+++ b/internal/forward/admission.go
@@ -18,7 +18,7 @@
 // AdmissionRequest asks for the admission of a call under its tenant's limit.
 type AdmissionRequest struct {
 	Call   *Call
-	Holder *tenant.Tenant
+	Tenant *tenant.Tenant
 	// Configuration is the version of the configuration that defines the tenant's limit.
 	Configuration int64
 	// Continues is true if the call's program is known to have started.
@@ -71,7 +71,7 @@
 func (inflight *inflightCall) admissionRequest() *AdmissionRequest {
 	request := &AdmissionRequest{
 		Call:          inflight.call,
-		Holder:        inflight.tenant,
+		Tenant:        inflight.tenant,
 		Configuration: inflight.configurationVersion,
 		MaxWait:       time.Duration(admissionWaitFraction * float64(time.Until(inflight.deadline))),
 	}
@@ -85,11 +85,11 @@
 	switch {
 	case admission.Verdict == OverLimit:
 		return resultcode.New(resultcode.QuotaExceeded, "tenant %s exceeded its limit of %g requests per second", inflight.tenant.Name,
-			inflight.tenant.Limit.PerSecond).After(admission.RetryAfter)
+			inflight.tenant.Limit.PerSecond).WithRetryAfter(admission.RetryAfter)
 	case ctx.Err() != nil:
 		return inflight.timeoutError(ctx)
 	case admission.Verdict == Admitted:
 		return nil
 	}
-	return resultcode.New(resultcode.QuotaUnknown, "no coordinator of the limit of tenant %s could be reached", inflight.tenant.Name).After(quotaRetryAfter)
+	return resultcode.New(resultcode.QuotaUnknown, "no coordinator of the limit of tenant %s could be reached", inflight.tenant.Name).WithRetryAfter(quotaRetryAfter)
 }
--- a/internal/forward/capacity_test.go
+++ b/internal/forward/capacity_test.go
@@ -85,7 +85,7 @@
 		}, []routing.Service{{Name: "s"}}, routing.Limits{}))
 		waitQueue := backend.NewWaitQueue()
 		waitQueue.SetCapacitySource(directory)
-		service = &forward.Service{Routes: routes, Engines: directory, WaitQueue: waitQueue, Meter: metrics, Logger: zap.New(core),
+		service = &forward.Service{Routes: routes, Engines: directory, WaitQueue: waitQueue, Metrics: metrics, Logger: zap.New(core),
 			Programs: &fakePrograms{reservation: forward.Reservation{Verdict: nodev1.Verdict_VERDICT_GRANTED}},
 			Nodes:    func() int { return 1 }, ViewAge: func() time.Duration { return 0 }}
 	})
--- a/internal/forward/first_byte.go
+++ b/internal/forward/first_byte.go
@@ -83,7 +83,7 @@
 		duration := inflight.lastEventAt.Sub(inflight.firstEventAt)
 		readPromptly := inflight.writeDuration <= max(time.Duration(maxWriteFraction*float64(duration)), minWriteAllowance)
 		if readPromptly && !inflight.service.FreezeDetector.FrozenSince(inflight.firstEventAt) {
-			engines.ObserveEvents(engine, int(inflight.eventCount), duration, time.Now())
+			engines.RecordStreamEvents(engine, int(inflight.eventCount), duration, time.Now())
 		}
 	}
 	return func(outcome backend.Outcome) backend.Outcome {
--- a/internal/forward/freeze_test.go
+++ b/internal/forward/freeze_test.go
@@ -45,7 +45,7 @@
 		views = &fakeViews{}
 		routes := &routing.ActiveConfiguration{}
 		routes.Apply(singleRouteConfiguration(1, "/tool/"))
-		service = &forward.Service{Routes: routes, Engines: directory, Sender: sender, WaitQueue: backend.NewWaitQueue(), Meter: noopMetrics{},
+		service = &forward.Service{Routes: routes, Engines: directory, Sender: sender, WaitQueue: backend.NewWaitQueue(), Metrics: noopMetrics{},
 			Logger: zap.NewNop(), Nodes: func() int { return 1 }, ViewAge: func() time.Duration { return 0 }, Views: views}
 	})
 
@@ -110,7 +110,7 @@
 	It("reports to its sender that it was frozen since the engine was chosen", func() {
 		views.current.Store(true)
 		frozen := []bool{}
-		for _, detector := range []*freeze.Detector{nil, freezetest.JustWoken(0), resumingAfter(time.Minute)} {
+		for _, detector := range []*freeze.Detector{nil, freezetest.JustResumed(0), resumingAfter(time.Minute)} {
 			service.FreezeDetector = detector
 			sender.sent = nil
 			serve("/tool/x")
@@ -125,11 +125,11 @@
 		for range 10 {
 			serve("/tool/x")
 		}
-		Expect(directory.TypicalDuration("s")).To(BeZero())
+		Expect(directory.MeanDuration("s")).To(BeZero())
 		Expect(directory.FirstByteTimeout("s")).To(BeZero())
 		service.FreezeDetector = nil
 		serve("/tool/x")
-		Expect(directory.TypicalDuration("s")).NotTo(BeZero())
+		Expect(directory.MeanDuration("s")).NotTo(BeZero())
 		Expect(directory.FirstByteTimeout("s")).NotTo(BeZero())
 	})
 
--- a/internal/forward/log_wait.go
+++ b/internal/forward/log_wait.go
@@ -30,7 +30,7 @@
 		return nil
 	}
 	if inflight.service.ZoneIsolated != nil && inflight.service.ZoneIsolated() {
-		return resultcode.New(resultcode.LogAway, "zone is isolated from the other zones and the log").After(inflight.clampRetryAfter(IsolatedRetryAfter))
+		return resultcode.New(resultcode.LogAway, "zone is isolated from the other zones and the log").WithRetryAfter(inflight.clampRetryAfter(IsolatedRetryAfter))
 	}
 	began := time.Now()
 	waitUntil := began.Add(time.Duration(logWaitFraction * float64(inflight.deadline.Sub(began))))
@@ -40,7 +40,7 @@
 		}
 		if time.Now().After(waitUntil) {
 			retryAfter := time.Duration(maxRetryAfterFraction * float64(time.Until(inflight.deadline)))
-			return resultcode.New(resultcode.LogAway, "log unavailable for too long to record the turn").After(retryAfter)
+			return resultcode.New(resultcode.LogAway, "log unavailable for too long to record the turn").WithRetryAfter(retryAfter)
 		}
 		wait.Sleep(ctx, logPollInterval)
 	}
--- a/internal/forward/outcome.go
+++ b/internal/forward/outcome.go
@@ -28,7 +28,7 @@
 		kind = inflight.route.Kind
 		routeName = inflight.route.Name
 	}
-	inflight.service.Meter.Finished(kind, code, took)
+	inflight.service.Metrics.Finished(kind, code, took)
 	inflight.logResult(routeName, code, took, failure)
 	switch {
 	case failure == nil:
--- a/internal/forward/region_test.go
+++ b/internal/forward/region_test.go
@@ -46,7 +46,7 @@
 	sender := &engineRecorder{}
 	waitQueue := backend.NewWaitQueue()
 	waitQueue.SetCapacitySource(directory)
-	service := &forward.Service{Routes: routes, Engines: directory, WaitQueue: waitQueue, Meter: &fakeMetrics{}, Logger: zap.NewNop(),
+	service := &forward.Service{Routes: routes, Engines: directory, WaitQueue: waitQueue, Metrics: &fakeMetrics{}, Logger: zap.NewNop(),
 		Programs: &fakePrograms{}, Sender: sender, Zone: "b", Regions: region.Map{"a": "north", "b": "south"},
 		Nodes: func() int { return 1 }, ViewAge: func() time.Duration { return 0 }}
 	serve := func(path, key string) *fakeResponseWriter {
--- a/internal/forward/response_buffer_test.go
+++ b/internal/forward/response_buffer_test.go
@@ -26,7 +26,7 @@
 		routes.Apply(routing.New(1, []*routing.Route{{Name: "safe", Host: "h", Prefix: "/", Kind: routing.Safe, MaxAttempts: 2,
 			Shares: []routing.Share{{Service: "s", Weight: 1}}}}, []routing.Service{{Name: "s"}}, routing.Limits{}))
 		service := &forward.Service{Routes: routes, Engines: directory, Sender: sender, WaitQueue: backend.NewWaitQueue(),
-			Programs: &fakePrograms{}, Meter: &fakeMetrics{}, Logger: zap.NewNop(), Nodes: func() int { return 1 },
+			Programs: &fakePrograms{}, Metrics: &fakeMetrics{}, Logger: zap.NewNop(), Nodes: func() int { return 1 },
 			ViewAge: func() time.Duration { return 0 }, HeldResponses: limiter}
 		response = &fakeResponseWriter{}
 		defer func() { _ = recover() }()
--- a/internal/forward/send.go
+++ b/internal/forward/send.go
@@ -236,7 +236,7 @@
 // handleSendFailure returns true and the call's error unless another engine may be tried.
 func (inflight *inflightCall) handleSendFailure(ctx context.Context, err error) (bool, error) {
 	inflight.service.Logger.Info("send failed", zap.String("request", inflight.call.ID),
-		zap.String("engine", inflight.lastEngine), zap.Duration("after", time.Since(inflight.call.Received)), logging.Cause(err))
+		zap.String("engine", inflight.lastEngine), zap.Duration("after", time.Since(inflight.call.Received)), logging.ErrorField(err))
 	if errors.Is(err, backend.ErrNotSent) {
 		return false, nil
 	}
@@ -265,7 +265,7 @@
 	if inflight.executions > 0 || inflight.responseStarted {
 		return resultcode.New(resultcode.ToolTimeout, "no response before the deadline")
 	}
-	return resultcode.New(resultcode.NoBackEnd, "no engine accepted the request before the deadline").After(defaultCapacityRetryAfter)
+	return resultcode.New(resultcode.NoBackEnd, "no engine accepted the request before the deadline").WithRetryAfter(defaultCapacityRetryAfter)
 }
 
 var (
--- a/internal/forward/service.go
+++ b/internal/forward/service.go
@@ -50,8 +50,8 @@
 	Key   string
 }
 
-// TurnEnd is the outcome of a turn as reported to the owner of its program.
-type TurnEnd struct {
+// TurnResult is the outcome of a turn as reported to the owner of its program.
+type TurnResult struct {
 	// Tokens is the number of tokens that the turn used.
 	Tokens int64
 	// Turn is the stored record of the turn, nil if none is stored.
@@ -66,7 +66,7 @@
 	// its program may start.
 	Reserve(ctx context.Context, request *ReservationRequest) Reservation
 	// Settle reports the outcome of a reserved turn. It does not block.
-	Settle(call *Call, grant Grant, end TurnEnd)
+	Settle(call *Call, grant Grant, end TurnResult)
 	// Record stores a turn and returns nil once it is durable.
 	Record(ctx context.Context, turn *history.Turn) error
 }
@@ -97,7 +97,7 @@
 	Quotas Quotas
 	// ToolCalls counts the tool calls in flight; nil if they are not counted.
 	ToolCalls *ToolCalls
-	Meter     Metrics
+	Metrics   Metrics
 	Logger    *zap.Logger
 	Zone      string
 	// Regions maps each zone to its region.
@@ -261,7 +261,7 @@
 func (inflight *inflightCall) prepare() error {
 	configuration := inflight.service.Routes.Load()
 	if configuration == nil {
-		return resultcode.New(resultcode.ConfigurationStale, "no configuration loaded yet").After(inflight.service.configurationRetryAfter())
+		return resultcode.New(resultcode.ConfigurationStale, "no configuration loaded yet").WithRetryAfter(inflight.service.configurationRetryAfter())
 	}
 	inflight.configurationVersion = configuration.Version
 	inflight.route = configuration.Match(inflight.call.Host, inflight.call.Path)
@@ -271,7 +271,7 @@
 	if inflight.route.StoresTurns && inflight.call.Resumes {
 		// The turn's record must contain the whole response, but this node may not have the part
 		// that the caller already received.
-		return resultcode.New(resultcode.ResumeNotHeld, "stream cannot be resumed: its beginning is not available").After(transientRetryAfter)
+		return resultcode.New(resultcode.ResumeNotHeld, "stream cannot be resumed: its beginning is not available").WithRetryAfter(transientRetryAfter)
 	}
 	failure := inflight.authenticate(configuration)
 	if failure != nil {
@@ -366,7 +366,7 @@
 	case nodev1.Verdict_VERDICT_NO_SUCH_TURN:
 		return resultcode.New(resultcode.UnknownTurn, "previous turn %s does not exist", inflight.call.Turn.Previous)
 	case nodev1.Verdict_VERDICT_NO_ROOM:
-		return resultcode.New(resultcode.NoRoom, "no capacity to start the program: %s", reservation.Reason).After(reservation.RetryAfter)
+		return resultcode.New(resultcode.NoRoom, "no capacity to start the program: %s", reservation.Reason).WithRetryAfter(reservation.RetryAfter)
 	default:
 		retryAfter := ownerRetryAfter
 		switch {
@@ -375,7 +375,7 @@
 		case reservation.TryOtherNode:
 			retryAfter = otherNodeRetryAfter
 		}
-		return resultcode.New(resultcode.NoLeader, "program owner cannot decide now: %s", reservation.Reason).After(retryAfter)
+		return resultcode.New(resultcode.NoLeader, "program owner cannot decide now: %s", reservation.Reason).WithRetryAfter(retryAfter)
 	}
 }
 
@@ -388,7 +388,7 @@
 // settle reports the outcome of the reserved turn to its owner.
 func (inflight *inflightCall) settle(turn *history.Turn) {
 	inflight.reserved = false
-	inflight.service.Programs.Settle(inflight.call, inflight.reservation.Grant, TurnEnd{
+	inflight.service.Programs.Settle(inflight.call, inflight.reservation.Grant, TurnResult{
 		Tokens:       inflight.eventCount * int64(inflight.serviceConfig.TokensPerEvent),
 		Turn:         turn,
 		FailedEngine: inflight.failedEngine,
--- a/internal/forward/service_test.go
+++ b/internal/forward/service_test.go
@@ -139,7 +139,7 @@
 	return programs.reservation
 }
 
-func (programs *fakePrograms) Settle(_ *forward.Call, _ forward.Grant, end forward.TurnEnd) {
+func (programs *fakePrograms) Settle(_ *forward.Call, _ forward.Grant, end forward.TurnResult) {
 	programs.mutex.Lock()
 	defer programs.mutex.Unlock()
 	programs.settled = append(programs.settled, end.Tokens)
@@ -159,8 +159,8 @@
 func (*noopPrograms) Reserve(context.Context, *forward.ReservationRequest) forward.Reservation {
 	return forward.Reservation{Verdict: nodev1.Verdict_VERDICT_GRANTED}
 }
-func (*noopPrograms) Settle(*forward.Call, forward.Grant, forward.TurnEnd) {}
-func (*noopPrograms) Record(context.Context, *history.Turn) error          { return nil }
+func (*noopPrograms) Settle(*forward.Call, forward.Grant, forward.TurnResult) {}
+func (*noopPrograms) Record(context.Context, *history.Turn) error             { return nil }
 
 // noopMetrics records nothing.
 type noopMetrics struct{}
@@ -251,7 +251,7 @@
 			{Name: "tool", Host: "h", Prefix: "/tool/", Shares: share, Objective: 50 * time.Millisecond},
 			{Name: "safe", Host: "h", Prefix: "/safe/", Kind: routing.Safe, Shares: share, MaxAttempts: 2},
 		}, []routing.Service{{Name: "s", TokensPerEvent: 9}}, routing.Limits{}))
-		service = &forward.Service{Routes: routes, Engines: directory, Sender: sender, WaitQueue: backend.NewWaitQueue(), Programs: programs, Meter: metrics,
+		service = &forward.Service{Routes: routes, Engines: directory, Sender: sender, WaitQueue: backend.NewWaitQueue(), Programs: programs, Metrics: metrics,
 			Logger: zap.New(core), Nodes: func() int { return 1 }, ViewAge: func() time.Duration { return 0 }}
 	})
 
@@ -324,7 +324,7 @@
 			barrier.arrived.Add(3)
 			service.Sender = barrier
 			service.Programs = &noopPrograms{}
-			service.Meter = noopMetrics{}
+			service.Metrics = noopMetrics{}
 			var calls sync.WaitGroup
 			for range 3 {
 				calls.Go(func() { serve("/stream/x") })
--- a/internal/forward/stream.go
+++ b/internal/forward/stream.go
@@ -127,7 +127,7 @@
 	if !inflight.responseStarted {
 		inflight.responseStarted = true
 		inflight.firstByteReceived()
-		inflight.service.Meter.FirstEvent(time.Since(inflight.call.Received))
+		inflight.service.Metrics.FirstEvent(time.Since(inflight.call.Received))
 		err := inflight.writer.Begin(response.Status, response.Header)
 		if err != nil {
 			return errCallerCanceled
@@ -167,7 +167,7 @@
 		return outcome, inflight.timeoutError(ctx)
 	}
 	inflight.service.Logger.Info("stream interrupted", zap.String("request", inflight.call.ID),
-		zap.String("engine", inflight.lastEngine), zap.Int64("events", inflight.eventCount), logging.Cause(err))
+		zap.String("engine", inflight.lastEngine), zap.Int64("events", inflight.eventCount), logging.ErrorField(err))
 	return outcome, inflight.outcomeUnknownError()
 }
 
@@ -188,7 +188,7 @@
 		inflight.recordDuration = time.Since(began)
 		if err != nil {
 			inflight.service.Logger.Warn("turn not recorded", zap.String("request", inflight.call.ID),
-				zap.String("program", inflight.call.Program), logging.Cause(err))
+				zap.String("program", inflight.call.Program), logging.ErrorField(err))
 			return recordError(err)
 		}
 	}
@@ -207,7 +207,7 @@
 		PreviousID: inflight.call.Turn.Previous,
 		Input:      inflight.call.Body,
 		Output:     output,
-		Ended:      time.Now(),
+		EndedAt:    time.Now(),
 		Retention:  inflight.route.Retention,
 		Zones:      inflight.zones,
 	}
--- a/internal/forward/tenant_test.go
+++ b/internal/forward/tenant_test.go
@@ -65,7 +65,7 @@
 		routes := &routing.ActiveConfiguration{}
 		routes.Apply(configuration)
 		service = &forward.Service{Routes: routes, Engines: directory, Sender: sender, WaitQueue: backend.NewWaitQueue(), Programs: programs,
-			Quotas: quotas, Meter: &fakeMetrics{}, Logger: zap.New(core), Nodes: func() int { return 1 }, ViewAge: func() time.Duration { return 0 }}
+			Quotas: quotas, Metrics: &fakeMetrics{}, Logger: zap.New(core), Nodes: func() int { return 1 }, ViewAge: func() time.Duration { return 0 }}
 	})
 
 	serve := func(path, key, previous string) *fakeResponseWriter {
--- a/internal/forward/views.go
+++ b/internal/forward/views.go
@@ -55,5 +55,5 @@
 		return resultcode.New(code, "%s", reason)
 	}
 	return resultcode.New(resultcode.ConfigurationStale, "%s (configuration last confirmed %s ago)", reason,
-		views.ConfigurationAge().Round(time.Millisecond)).After(otherNodeRetryAfter)
+		views.ConfigurationAge().Round(time.Millisecond)).WithRetryAfter(otherNodeRetryAfter)
 }
--- a/internal/forward/wait.go
+++ b/internal/forward/wait.go
@@ -82,7 +82,7 @@
 	if !feature.Enabled(feature.LoadBasedCapacity) {
 		return wait, ""
 	}
-	slack := time.Until(inflight.deadline) - inflight.service.Engines.TypicalDuration(inflight.serviceName)
+	slack := time.Until(inflight.deadline) - inflight.service.Engines.MeanDuration(inflight.serviceName)
 	switch {
 	case slack <= 0:
 		return 0, DeadlineTooClose
@@ -98,10 +98,10 @@
 	if inflight.executions > 0 {
 		return inflight.outcomeUnknownError()
 	}
-	inflight.service.Meter.RefusedForCapacity(inflight.serviceName, reason)
+	inflight.service.Metrics.RefusedForCapacity(inflight.serviceName, reason)
 	return resultcode.New(resultcode.NoBackEnd, "none of %d engines of %s has capacity (%s): %d refusals, %d calls ahead, predicted wait %s",
 		inflight.service.Engines.EligibleCount(inflight.serviceName), inflight.serviceName, reason, inflight.refusalState.Refusals, forecast.Ahead, forecast.Wait).
-		After(inflight.capacityRetryAfter(forecast))
+		WithRetryAfter(inflight.capacityRetryAfter(forecast))
 }
 
 // capacityRetryAfter returns the retry delay until capacity is predicted. The scheduler spreads the
--- a/internal/freeze/freezetest/freezetest.go
+++ b/internal/freeze/freezetest/freezetest.go
@@ -7,8 +7,8 @@
 	"github.com/magpielug/magpielug/internal/freeze"
 )
 
-// JustWoken returns the detector of a process that resumes now from a freeze of the given duration.
-func JustWoken(duration time.Duration) *freeze.Detector {
+// JustResumed returns the detector of a process that resumes now from a freeze of the given duration.
+func JustResumed(duration time.Duration) *freeze.Detector {
 	now := time.Now()
 	clock := now.Add(-duration)
 	detector := freeze.NewDetectorWithClock(func() time.Time { return clock })
--- a/internal/gateway/authenticate.go
+++ b/internal/gateway/authenticate.go
@@ -25,7 +25,7 @@
 	configuration := gateway.dependencies.Configuration()
 	if configuration == nil {
 		stale := resultcode.New(resultcode.ConfigurationStale, "this gateway has no current configuration")
-		return stale.After(gateway.config.RetryAfter)
+		return stale.WithRetryAfter(gateway.config.RetryAfter)
 	}
 	tier, known := configuration.TierByKey(bearerKey(exchange.request.Header.Get("Authorization")))
 	if !known {
--- a/internal/gateway/errors.go
+++ b/internal/gateway/errors.go
@@ -18,7 +18,7 @@
 		return unknownProgramError()
 	}
 	wait := time.Duration(failure.GetRetryAfterMs()) * time.Millisecond
-	return resultcode.New(code, "%s", failure.GetMessage()).After(wait)
+	return resultcode.New(code, "%s", failure.GetMessage()).WithRetryAfter(wait)
 }
 
 func unknownProgramError() *resultcode.Error {
--- a/internal/gateway/leader_lookup.go
+++ b/internal/gateway/leader_lookup.go
@@ -95,7 +95,7 @@
 }
 
 func (lookup *leaderLookup) noLeaderError(message string) error {
-	return resultcode.New(resultcode.NoLeader, "%s", message).After(lookup.client.config.RetryAfter)
+	return resultcode.New(resultcode.NoLeader, "%s", message).WithRetryAfter(lookup.client.config.RetryAfter)
 }
 
 // recordNotLeader records that address does not lead the shard and follows its
--- a/internal/gateway/program.go
+++ b/internal/gateway/program.go
@@ -98,7 +98,7 @@
 	if parent == "" {
 		return nil
 	}
-	exchange.programID = parent + membership.FamilySeparator + exchange.programID
+	exchange.programID = parent + membership.SubAgentSeparator + exchange.programID
 	if !isValidIdentifier(exchange.programID) {
 		return resultcode.New(resultcode.BadRequest, "sub-agents are nested too deeply")
 	}
--- a/internal/gateway/relay.go
+++ b/internal/gateway/relay.go
@@ -288,5 +288,5 @@
 func (relay *relay) outcomeUnknown(cause string) error {
 	failure := resultcode.New(resultcode.OutcomeUnknown,
 		"%s; the call may have run: resume its stream or retry with the same request id to learn its outcome", cause)
-	return failure.After(relay.client.config.RetryAfter)
+	return failure.WithRetryAfter(relay.client.config.RetryAfter)
 }
--- a/internal/gateway/scheduler_client.go
+++ b/internal/gateway/scheduler_client.go
@@ -121,7 +121,7 @@
 	}
 	unknown := resultcode.New(resultcode.OutcomeUnknown,
 		"the scheduler's reply was lost; the request may have taken effect, and the same request can be retried")
-	return unknown.After(failure.RetryAfter)
+	return unknown.WithRetryAfter(failure.RetryAfter)
 }
 
 // handleNotLeader reports whether the scheduler rejected the request without
--- a/internal/history/history.go
+++ b/internal/history/history.go
@@ -24,8 +24,8 @@
 	// prompt.
 	Input  []byte
 	Output []byte
-	// Ended is when the response was complete.
-	Ended time.Time
+	// EndedAt is when the response was complete.
+	EndedAt time.Time
 	// Retention is how long after Ended the turn and its chain must be kept.
 	Retention time.Duration
 	// Zones are those whose nodes may fetch the turn from the node that served it. It is
@@ -91,7 +91,7 @@
 	if existing := store.turns[turn.Key()]; existing != nil {
 		return
 	}
-	keepUntil := turn.Ended.Add(turn.Retention + retentionMargin)
+	keepUntil := turn.EndedAt.Add(turn.Retention + retentionMargin)
 	store.turns[turn.Key()] = store.lru.PushFront(&entry{turn: turn, keepUntil: keepUntil})
 	store.bytes += turn.size()
 	store.extendRetention(turn.previousKey(turn.Tenant), keepUntil)
--- a/internal/history/reader.go
+++ b/internal/history/reader.go
@@ -52,8 +52,8 @@
 // called before the first Find.
 func (reader *Reader) SetRemoteLookup(lookup RemoteLookup) { reader.remoteLookup = lookup }
 
-// Lookup is the result of Find.
-type Lookup struct {
+// LookupResult is the result of Find.
+type LookupResult struct {
 	Chain []*Turn
 	// Found is false if the log has no such turn: it never existed or its retention has
 	// ended.
@@ -63,27 +63,27 @@
 // Find returns the chain that ends with a turn. It searches the shard's partition first,
 // then all others, as a program may continue another program's turn. An error means that
 // the turn may or may not exist.
-func (reader *Reader) Find(ctx context.Context, shard int, key Key) (Lookup, error) {
+func (reader *Reader) Find(ctx context.Context, shard int, key Key) (LookupResult, error) {
 	for range maxLookups {
 		chain, missing, complete := reader.store.Chain(key)
 		if complete {
-			return Lookup{Chain: chain, Found: true}, nil
+			return LookupResult{Chain: chain, Found: true}, nil
 		}
 		found, err := reader.search(ctx, shard, missing)
 		if err != nil {
-			return Lookup{}, err
+			return LookupResult{}, err
 		}
 		if len(found) == 0 && missing == key {
-			return Lookup{}, nil
+			return LookupResult{}, nil
 		}
 		if len(found) == 0 {
-			return Lookup{}, eris.Errorf("turn %s of the chain is missing", missing.ID)
+			return LookupResult{}, eris.Errorf("turn %s of the chain is missing", missing.ID)
 		}
 		for _, turn := range found {
 			reader.store.Add(turn)
 		}
 	}
-	return Lookup{}, eris.Errorf("chain of turn %s exceeds the lookup limit", key.ID)
+	return LookupResult{}, eris.Errorf("chain of turn %s exceeds the lookup limit", key.ID)
 }
 
 // search looks up a turn in the shard's partition, then in all others concurrently.
--- a/internal/history/reader_test.go
+++ b/internal/history/reader_test.go
@@ -19,7 +19,7 @@
 
 func turn(id, previous, input, output string) *history.Turn {
 	return &history.Turn{ID: id, Program: "p", PreviousID: previous, Input: []byte(input), Output: []byte(output),
-		Ended: time.Now(), Retention: time.Minute}
+		EndedAt: time.Now(), Retention: time.Minute}
 }
 
 var _ = Describe("Reader", func() {
@@ -127,8 +127,8 @@
 		bounded, cancel := context.WithTimeout(ctx, 5*time.Second)
 		defer cancel()
 		Expect(recorder.Record(bounded, 1, turn("c", "b", "x", "y\n"))).To(Succeed())
-		Expect(recorder.RecentlyRefused()).To(BeTrue())
-		Expect(other.RecentlyRefused()).To(BeFalse())
+		Expect(recorder.AppendFailedRecently()).To(BeTrue())
+		Expect(other.AppendFailedRecently()).To(BeFalse())
 		found, err := newReader().Find(ctx, 1, key("c"))
 		Expect(err).NotTo(HaveOccurred())
 		Expect(found.Chain).To(HaveLen(3))
--- a/internal/history/record.go
+++ b/internal/history/record.go
@@ -16,7 +16,7 @@
 		Previous:    turn.PreviousID,
 		Input:       turn.Input,
 		Output:      turn.Output,
-		EndedUnixMs: turn.Ended.UnixMilli(),
+		EndedUnixMs: turn.EndedAt.UnixMilli(),
 		RetentionMs: turn.Retention.Milliseconds(),
 	}
 }
@@ -30,7 +30,7 @@
 		PreviousID: message.Previous,
 		Input:      message.Input,
 		Output:     message.Output,
-		Ended:      time.UnixMilli(message.EndedUnixMs),
+		EndedAt:    time.UnixMilli(message.EndedUnixMs),
 		Retention:  time.Duration(message.RetentionMs) * time.Millisecond,
 	}
 }
--- a/internal/history/recorder.go
+++ b/internal/history/recorder.go
@@ -74,9 +74,9 @@
 // not respond to this node. It must be called before the first Record.
 func (recorder *Recorder) SetRelay(relay Relay) { recorder.relay = relay }
 
-// RecentlyRefused reports whether the latest append failed less than appendFailureWindow
+// AppendFailedRecently reports whether the latest append failed less than appendFailureWindow
 // ago. Such a node cannot record turns for other nodes.
-func (recorder *Recorder) RecentlyRefused() bool {
+func (recorder *Recorder) AppendFailedRecently() bool {
 	recorder.mutex.Lock()
 	defer recorder.mutex.Unlock()
 	return time.Since(recorder.lastAppendFailure) < appendFailureWindow
--- a/internal/history/tenant_test.go
+++ b/internal/history/tenant_test.go
@@ -20,7 +20,7 @@
 		return created
 	}
 
-	find := func(log durable.Log, tenant, id string) history.Lookup {
+	find := func(log durable.Log, tenant, id string) history.LookupResult {
 		found, err := history.NewReader(log, history.NewStore(1<<20), shards).Find(ctx, 0, history.Key{Tenant: tenant, ID: id})
 		Expect(err).NotTo(HaveOccurred())
 		return found
@@ -49,7 +49,7 @@
 		log := durable.NewMemory()
 		// Such a node does not set the tenant.
 		record, err := proto.Marshal(&nodev1.Turn{Id: "1", Program: "p", Input: []byte("first"), Output: []byte("said\n"),
-			EndedUnixMs: turn("1", "", "", "").Ended.UnixMilli(), RetentionMs: 60_000})
+			EndedUnixMs: turn("1", "", "", "").EndedAt.UnixMilli(), RetentionMs: 60_000})
 		Expect(err).NotTo(HaveOccurred())
 		_, err = log.Append(ctx, durable.Partition{Topic: history.Topic, Number: 0}, [][]byte{record}, durable.Condition{})
 		Expect(err).NotTo(HaveOccurred())
--- a/internal/httpclient/client.go
+++ b/internal/httpclient/client.go
@@ -17,7 +17,7 @@
 const (
 	DefaultDialTimeout     = 2 * time.Second
 	DefaultIdleTimeout     = 60 * time.Second
-	DefaultIdlePerAddress  = 64
+	DefaultMaxIdlePerHost  = 64
 	keepAliveProbeInterval = 5 * time.Second
 )
 
@@ -40,12 +40,12 @@
 	// TLS, if set, enables TLS for all requests, including those with an http URL.
 	// It is called for each new connection, so that certificates can be rotated.
 	TLS func() *tls.Config
-	// IdlePerAddress is the maximum number of idle connections kept per host.
-	IdlePerAddress int
+	// MaxIdlePerHost is the maximum number of idle connections kept per host.
+	MaxIdlePerHost int
 	IdleTimeout    time.Duration
-	// SilenceTimeout, if positive, closes connections whose peer has not
+	// DeadPeerTimeout, if positive, closes connections whose peer has not
 	// acknowledged sent data for this long.
-	SilenceTimeout time.Duration
+	DeadPeerTimeout time.Duration
 }
 
 // New returns a client with its own connection pool. The client ignores proxy
@@ -56,8 +56,8 @@
 		Timeout:   orDefault(options.DialTimeout, DefaultDialTimeout),
 		KeepAlive: keepAliveProbeInterval,
 	}
-	if options.SilenceTimeout > 0 {
-		dialer = deadpeer.Dialer(dialer.Timeout, options.SilenceTimeout)
+	if options.DeadPeerTimeout > 0 {
+		dialer = deadpeer.Dialer(dialer.Timeout, options.DeadPeerTimeout)
 	}
 	if options.SourceAddress != "" {
 		source := net.ParseIP(options.SourceAddress)
@@ -66,9 +66,9 @@
 		}
 		dialer.LocalAddr = &net.TCPAddr{IP: source}
 	}
-	idlePerAddress := options.IdlePerAddress
+	idlePerAddress := options.MaxIdlePerHost
 	if idlePerAddress == 0 {
-		idlePerAddress = DefaultIdlePerAddress
+		idlePerAddress = DefaultMaxIdlePerHost
 	}
 	transport := &http.Transport{
 		Proxy:                 nil,
--- a/internal/httpserver/buffered_bytes.go
+++ b/internal/httpserver/buffered_bytes.go
@@ -27,8 +27,8 @@
 		return false
 	}
 	if len(requests.complete) > 0 {
-		server.currentLimits().Sent.ForceAcquire(int64(count))
-	} else if !server.currentLimits().Sent.TryAcquire(int64(count)) {
+		server.currentLimits().RequestBytes.ForceAcquire(int64(count))
+	} else if !server.currentLimits().RequestBytes.TryAcquire(int64(count)) {
 		return false
 	}
 	requests.incomplete += int64(count)
@@ -50,7 +50,7 @@
 	if len(requests.complete) == 0 {
 		return
 	}
-	server.currentLimits().Sent.Release(requests.complete[0])
+	server.currentLimits().RequestBytes.Release(requests.complete[0])
 	requests.complete = requests.complete[1:]
 }
 
@@ -63,7 +63,7 @@
 	for _, bytes := range requests.complete {
 		total += bytes
 	}
-	server.currentLimits().Sent.Release(total)
+	server.currentLimits().RequestBytes.Release(total)
 	requests.incomplete = 0
 	requests.complete = nil
 	requests.closed = true
@@ -84,7 +84,7 @@
 		return
 	}
 	responses.bytes += int64(count)
-	server.currentLimits().Unread.ForceAcquire(int64(count))
+	server.currentLimits().ResponseBytes.ForceAcquire(int64(count))
 }
 
 // release releases up to count bytes that have been sent. Error responses to incomplete
@@ -99,7 +99,7 @@
 func (responses *responseBytes) releaseLocked(server *Server, count int64) {
 	released := min(count, responses.bytes)
 	responses.bytes -= released
-	server.currentLimits().Unread.Release(released)
+	server.currentLimits().ResponseBytes.Release(released)
 }
 
 // close releases all counted bytes and makes later calls of add do nothing. The lock
@@ -116,7 +116,7 @@
 // clients that keep reading still make progress.
 func (connection *connection) writeBufferLimit() int {
 	limits := connection.server.currentLimits()
-	if limits.Unread.Exhausted() {
+	if limits.ResponseBytes.Exhausted() {
 		return maxWriteSize
 	}
 	return limits.WriteBufferBytes
--- a/internal/httpserver/buffered_bytes_close_test.go
+++ b/internal/httpserver/buffered_bytes_close_test.go
@@ -27,7 +27,7 @@
 
 	It("are released for requests", func() {
 		bound := heldbytes.New(1 << 40)
-		server := serverWith(Limits{Sent: bound})
+		server := serverWith(Limits{RequestBytes: bound})
 		for range rounds {
 			requests := &requestBytes{}
 			concurrently(func() { requests.reserve(server, 1) }, func() { requests.close(server) })
@@ -37,7 +37,7 @@
 
 	It("are released for responses", func() {
 		bound := heldbytes.New(1 << 40)
-		server := serverWith(Limits{Unread: bound})
+		server := serverWith(Limits{ResponseBytes: bound})
 		for range rounds {
 			responses := &responseBytes{}
 			concurrently(func() { responses.add(server, 1) }, func() { responses.close(server) })
--- a/internal/httpserver/buffered_bytes_test.go
+++ b/internal/httpserver/buffered_bytes_test.go
@@ -32,7 +32,7 @@
 					return
 				}
 			}
-		}, Limits{WriteBufferBytes: 512 << 10, WriteTimeout: testTimeout, Unread: buffered})
+		}, Limits{WriteBufferBytes: 512 << 10, WriteTimeout: testTimeout, ResponseBytes: buffered})
 		var connections []net.Conn
 		for range clients {
 			stalled := dial(server)
@@ -61,7 +61,7 @@
 			_, _ = io.Copy(io.Discard, request.Body)
 			entered <- struct{}{}
 			<-finish
-		}, Limits{Sent: buffered})
+		}, Limits{RequestBytes: buffered})
 		post := func() (*http.Response, error) {
 			return newClient().Post("http://"+server.Address(), "text/plain", strings.NewReader(string(content(1, 80_000))))
 		}
@@ -91,7 +91,7 @@
 		server := start(func(writer http.ResponseWriter, request *http.Request) {
 			_, _ = io.Copy(io.Discard, request.Body)
 			<-finish
-		}, Limits{Sent: buffered})
+		}, Limits{RequestBytes: buffered})
 		client := dial(server)
 		const length = 60_000
 		for range 2 {
@@ -112,7 +112,7 @@
 
 	It("are released when a client disconnects in the middle of a body", func() {
 		buffered := heldbytes.New(100_000)
-		server := start(echo, Limits{Sent: buffered})
+		server := start(echo, Limits{RequestBytes: buffered})
 		interrupted := dial(server)
 		fmt.Fprintf(interrupted, "POST / HTTP/1.1\r\nHost: x\r\nContent-Length: 90000\r\n\r\n%s", content(1, 50_000))
 		Eventually(buffered.InUse, testTimeout).Should(BeNumerically(">", 0))
--- a/internal/httpserver/error_response.go
+++ b/internal/httpserver/error_response.go
@@ -32,11 +32,11 @@
 // with Retry-After (whole seconds, rounded up) if a retry can help. An error without
 // a result code is reported as Internal, without its text.
 func WriteError(writer http.ResponseWriter, err error) {
-	WriteErrorIn(writer, err, retryAfterSeconds)
+	WriteErrorWithRetryAfter(writer, err, retryAfterSeconds)
 }
 
-// WriteErrorIn is WriteError with a custom format of the Retry-After header.
-func WriteErrorIn(writer http.ResponseWriter, err error, retryAfter func(time.Duration) string) {
+// WriteErrorWithRetryAfter is WriteError with a custom format of the Retry-After header.
+func WriteErrorWithRetryAfter(writer http.ResponseWriter, err error, retryAfter func(time.Duration) string) {
 	resultError := asResultError(err)
 	header := writer.Header()
 	header.Set("Content-Type", "application/json")
@@ -92,17 +92,17 @@
 
 func tooManyRequests(limits *Limits) *resultcode.Error {
 	resultError := resultcode.New(resultcode.TooManyConnections, "%d calls are under way already", limits.MaxInFlight)
-	return resultError.After(limits.RetryAfter)
+	return resultError.WithRetryAfter(limits.RetryAfter)
 }
 
 func tooManyConnections(limits *Limits) *resultcode.Error {
 	resultError := resultcode.New(resultcode.TooManyConnections, "%d connections are open already", limits.MaxConnections)
-	return resultError.After(limits.RetryAfter)
+	return resultError.WithRetryAfter(limits.RetryAfter)
 }
 
 func requestBytesExhausted(limits *Limits) *resultcode.Error {
 	resultError := resultcode.New(resultcode.TooManyConnections, "the requests under way hold all the memory that is kept for their bodies")
-	return resultError.After(limits.RetryAfter)
+	return resultError.WithRetryAfter(limits.RetryAfter)
 }
 
 // reject sends an error response to a request that is not complete, discards further
--- a/internal/httpserver/handler.go
+++ b/internal/httpserver/handler.go
@@ -54,7 +54,7 @@
 
 // keepAlivesDisabled reports whether responses should ask clients to close the connection.
 func (server *Server) keepAlivesDisabled() bool {
-	disabled := server.currentLimits().TurnAway
+	disabled := server.currentLimits().DisableKeepAlives
 	return disabled != nil && disabled()
 }
 
--- a/internal/httpserver/keep_alive_test.go
+++ b/internal/httpserver/keep_alive_test.go
@@ -13,7 +13,7 @@
 		var disabled atomic.Bool
 		server := start(func(writer http.ResponseWriter, _ *http.Request) {
 			_, _ = writer.Write([]byte("ok"))
-		}, Limits{TurnAway: disabled.Load})
+		}, Limits{DisableKeepAlives: disabled.Load})
 		asksToClose := func() bool {
 			response, err := newClient().Get("http://" + server.Address())
 			Expect(err).NotTo(HaveOccurred())
--- a/internal/httpserver/limits.go
+++ b/internal/httpserver/limits.go
@@ -40,15 +40,15 @@
 	MaxHeaderBytes int
 	// WriteBufferBytes is the maximum number of response bytes buffered per connection.
 	WriteBufferBytes int
-	// Sent bounds the request bytes buffered over all connections; nil means no bound.
+	// RequestBytes bounds the request bytes buffered over all connections; nil means no bound.
 	// Requests that do not fit are rejected with code TooManyConnections.
-	Sent *heldbytes.Limiter
-	// Unread bounds the response bytes buffered over all connections; nil means no bound.
+	RequestBytes *heldbytes.Limiter
+	// ResponseBytes bounds the response bytes buffered over all connections; nil means no bound.
 	// Once it is reached, each connection buffers a single write at a time.
-	Unread *heldbytes.Limiter
-	// TurnAway reports whether responses should carry Connection: close, so that clients
+	ResponseBytes *heldbytes.Limiter
+	// DisableKeepAlives reports whether responses should carry Connection: close, so that clients
 	// reconnect, possibly to another process; nil means never.
-	TurnAway func() bool
+	DisableKeepAlives func() bool
 	// IdleTimeout closes a connection without a request.
 	IdleTimeout time.Duration
 	// RequestTimeout closes a connection whose request is not complete this long after
@@ -95,9 +95,9 @@
 	return fallback
 }
 
-// Bounds are the limits that can change while a server runs. Zero fields leave
+// AdjustableLimits are the limits that can change while a server runs. Zero fields leave
 // their limit unchanged.
-type Bounds struct {
+type AdjustableLimits struct {
 	MaxHeaderBytes int
 	MaxBodyBytes   int
 	RequestTimeout time.Duration
@@ -106,7 +106,7 @@
 
 // Adjust changes limits for requests and idle periods that begin afterwards. Size limits
 // cannot exceed those that the server was started with.
-func (server *Server) Adjust(update Bounds) {
+func (server *Server) Adjust(update AdjustableLimits) {
 	adjusted := *server.currentLimits()
 	adjusted.MaxHeaderBytes = min(positive(update.MaxHeaderBytes, adjusted.MaxHeaderBytes), server.initialLimits.MaxHeaderBytes)
 	adjusted.MaxBodyBytes = min(positive(update.MaxBodyBytes, adjusted.MaxBodyBytes), server.initialLimits.MaxBodyBytes)
--- a/internal/keeper/admission.go
+++ b/internal/keeper/admission.go
@@ -179,5 +179,5 @@
 	if code == resultcode.Overloaded {
 		predicted = keeper.predictWait(keeper.policies.Order.Rank(keeper.orderCall(request)).Band)
 	}
-	keeper.emit(Refuse{Request: *request, Code: code, RetryAfter: after, Why: why, Grounds: keeper.refusalContext(predicted)})
+	keeper.emit(Refuse{Request: *request, Code: code, RetryAfter: after, Why: why, Context: keeper.refusalContext(predicted)})
 }
--- a/internal/keeper/effect.go
+++ b/internal/keeper/effect.go
@@ -28,8 +28,8 @@
 	Code       resultcode.Code
 	RetryAfter time.Duration
 	Why        string
-	// Grounds is the state of the pool at the refusal.
-	Grounds Grounds
+	// Context is the state of the pool at the refusal.
+	Context RefusalContext
 }
 
 // Preempt tells the leader to cancel a running call and offer it again.
--- a/internal/keeper/refusal.go
+++ b/internal/keeper/refusal.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Grounds is the state of the pool when a call was refused, for logging.
-type Grounds struct {
+// RefusalContext is the state of the pool when a call was refused, for logging.
+type RefusalContext struct {
 	// Engines is the number of known engines, Ready the number that get grants.
 	Engines int
 	Ready   int
@@ -24,14 +24,14 @@
 }
 
 // String formats the fields as key=value pairs.
-func (refusal Grounds) String() string {
+func (refusal RefusalContext) String() string {
 	return fmt.Sprintf("engines=%d ready=%d slots=%d free=%d waiting=%d newest_report=%s predicted_wait=%s",
 		refusal.Engines, refusal.Ready, refusal.Slots, refusal.Free, refusal.Waiting, refusal.NewestReport, refusal.Predicted)
 }
 
 // refusalContext returns the current state of the pool for a refusal.
-func (keeper *Keeper) refusalContext(predicted time.Duration) Grounds {
-	refusal := Grounds{Engines: len(keeper.engines), Waiting: len(keeper.waiting), Predicted: predicted}
+func (keeper *Keeper) refusalContext(predicted time.Duration) RefusalContext {
+	refusal := RefusalContext{Engines: len(keeper.engines), Waiting: len(keeper.waiting), Predicted: predicted}
 	newest := time.Duration(0)
 	for _, engine := range keeper.engines {
 		newest = max(newest, engine.reportedAt)
--- a/internal/load/status.go
+++ b/internal/load/status.go
@@ -1,10 +1,10 @@
 package load
 
-// StatusPath is the path under a node's metrics address that serves its Status. StatusService is
+// StatusPath is the path under a node's metrics address that serves its Status. StatusServiceParameter is
 // the query parameter that restricts the Status to one service.
 const (
-	StatusPath    = "/load"
-	StatusService = "service"
+	StatusPath             = "/load"
+	StatusServiceParameter = "service"
 )
 
 // MaxStatusTenants and MaxStatusRoutes bound the tenants and routes that a Status lists, those
--- a/internal/logging/logging.go
+++ b/internal/logging/logging.go
@@ -24,9 +24,9 @@
 	sampleThereafter = 100
 )
 
-// Bounded returns a logger that samples repeated messages, which limits the
+// Sampled returns a logger that samples repeated messages, which limits the
 // number of lines a second.
-func (logger *Logger) Bounded() *Logger {
+func (logger *Logger) Sampled() *Logger {
 	sampled := logger.WithOptions(zap.WrapCore(func(core zapcore.Core) zapcore.Core {
 		return zapcore.NewSamplerWithOptions(core, sampleTick, sampleFirst, sampleThereafter)
 	}))
@@ -82,9 +82,9 @@
 	return fields
 }
 
-// Cause returns err's text on one line as field "error", without the
+// ErrorField returns err's text on one line as field "error", without the
 // errorVerbose field that zap.Error adds. It skips a nil err.
-func Cause(err error) zap.Field {
+func ErrorField(err error) zap.Field {
 	if err == nil {
 		return zap.Skip()
 	}
--- a/internal/logging/nonblocking.go
+++ b/internal/logging/nonblocking.go
@@ -8,9 +8,9 @@
 // queueCapacity is the maximum number of lines waiting to be written.
 const queueCapacity = 4096
 
-// NonBlocking is an io.Writer that queues lines for a background goroutine and
+// NonBlockingWriter is an io.Writer that queues lines for a background goroutine and
 // drops them when the queue is full, so that logging never blocks a request.
-type NonBlocking struct {
+type NonBlockingWriter struct {
 	queue   chan []byte
 	dropped atomic.Int64
 	// closing is closed by Close. queue is never closed, because goroutines may
@@ -19,9 +19,9 @@
 	done    chan struct{}
 }
 
-// NewNonBlocking returns a writer that forwards lines to output.
-func NewNonBlocking(output io.Writer) *NonBlocking {
-	writer := &NonBlocking{
+// NewNonBlockingWriter returns a writer that forwards lines to output.
+func NewNonBlockingWriter(output io.Writer) *NonBlockingWriter {
+	writer := &NonBlockingWriter{
 		queue:   make(chan []byte, queueCapacity),
 		closing: make(chan struct{}),
 		done:    make(chan struct{}),
@@ -30,7 +30,7 @@
 	return writer
 }
 
-func (writer *NonBlocking) run(output io.Writer) {
+func (writer *NonBlockingWriter) run(output io.Writer) {
 	defer close(writer.done)
 	var batch []byte
 	for {
@@ -47,7 +47,7 @@
 }
 
 // flush writes all queued lines.
-func (writer *NonBlocking) flush(output io.Writer) {
+func (writer *NonBlockingWriter) flush(output io.Writer) {
 	for {
 		batch := writer.drainQueue(nil)
 		if len(batch) == 0 {
@@ -62,7 +62,7 @@
 const maxBatchBytes = 16 << 10
 
 // drainQueue appends queued lines to batch, without blocking.
-func (writer *NonBlocking) drainQueue(batch []byte) []byte {
+func (writer *NonBlockingWriter) drainQueue(batch []byte) []byte {
 	for len(batch) < maxBatchBytes {
 		select {
 		case line := <-writer.queue:
@@ -75,7 +75,7 @@
 }
 
 // Write queues a copy of line. It never blocks and never returns an error.
-func (writer *NonBlocking) Write(line []byte) (int, error) {
+func (writer *NonBlockingWriter) Write(line []byte) (int, error) {
 	copied := append([]byte(nil), line...)
 	select {
 	case writer.queue <- copied:
@@ -86,11 +86,11 @@
 }
 
 // Dropped returns the number of dropped lines.
-func (writer *NonBlocking) Dropped() int64 { return writer.dropped.Load() }
+func (writer *NonBlockingWriter) Dropped() int64 { return writer.dropped.Load() }
 
 // Close writes the queued lines and stops the goroutine. Lines written
 // afterwards are lost. It must be called only once.
-func (writer *NonBlocking) Close() {
+func (writer *NonBlockingWriter) Close() {
 	close(writer.closing)
 	<-writer.done
 }
--- a/internal/logging/nonblocking_test.go
+++ b/internal/logging/nonblocking_test.go
@@ -22,7 +22,7 @@
 var _ = Describe("NonBlocking", func() {
 	It("drops and counts lines when the output blocks", func() {
 		output := &blockedWriter{release: make(chan struct{})}
-		writer := logging.NewNonBlocking(output)
+		writer := logging.NewNonBlockingWriter(output)
 		const lines = 10000
 		for range lines {
 			_, err := writer.Write([]byte("line\n"))
@@ -37,7 +37,7 @@
 
 	It("accepts writes after Close", func() {
 		var output bytes.Buffer
-		writer := logging.NewNonBlocking(&output)
+		writer := logging.NewNonBlockingWriter(&output)
 		_, err := writer.Write([]byte("before\n"))
 		Expect(err).NotTo(HaveOccurred())
 		writer.Close()
--- a/internal/membership/preference.go
+++ b/internal/membership/preference.go
@@ -5,11 +5,11 @@
 	"slices"
 )
 
-// PoolsFor returns the names of the pools that can serve a program's calls to a
+// PoolsByPreference returns the names of the pools that can serve a program's calls to a
 // model, in order of preference. Only pools in the region are returned if there
 // are any. Rendezvous hashing of the root program keeps the order stable when
 // pools are added or removed, which preserves prefix cache locality.
-func PoolsFor(pools []Pool, model, region, programID string) []string {
+func PoolsByPreference(pools []Pool, model, region, programID string) []string {
 	names := poolsOfModel(pools, model, func(pool Pool) bool { return pool.Region == region })
 	if len(names) == 0 {
 		names = poolsOfModel(pools, model, func(Pool) bool { return true })
--- a/internal/membership/shard.go
+++ b/internal/membership/shard.go
@@ -6,9 +6,9 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// FamilySeparator separates a root program's ID from the suffix that identifies
+// SubAgentSeparator separates a root program's ID from the suffix that identifies
 // one of its sub-agents.
-const FamilySeparator = "."
+const SubAgentSeparator = "."
 
 // ShardOf returns the shard of a program, in [0, shards). Sub-agents are on the
 // same shard as their root program, whose ID is the part of theirs before the
@@ -19,6 +19,6 @@
 
 // rootID returns the ID of the root program of a program or sub-agent.
 func rootID(programID string) string {
-	root, _, _ := strings.Cut(programID, FamilySeparator)
+	root, _, _ := strings.Cut(programID, SubAgentSeparator)
 	return root
 }
--- a/internal/node/admission.go
+++ b/internal/node/admission.go
@@ -62,7 +62,7 @@
 
 // ownedElsewhere reports whether this node does not own a program's shard.
 func (admitter *admitter) ownedElsewhere(program tenant.Program) bool {
-	return !admitter.node.ownership.Owns(admitter.node.programs.shardOf(program.ID))
+	return !admitter.node.ownership.OwnsOrClaims(admitter.node.programs.shardOf(program.ID))
 }
 
 // report returns the load of the programs of this node's shards and of the tool calls that it
--- a/internal/node/admission_test.go
+++ b/internal/node/admission_test.go
@@ -35,7 +35,7 @@
 		DeferCleanup(cancel)
 		logger, err := logging.New("error", GinkgoWriter)
 		Expect(err).NotTo(HaveOccurred())
-		node = &Node{settings: Settings{Name: "self", Shards: 1}, members: newMembers(), logger: logger.Bounded(), engines: backend.NewDirectory(),
+		node = &Node{settings: Settings{Name: "self", Shards: 1}, members: newMembers(), logger: logger.Sampled(), engines: backend.NewDirectory(),
 			load: load.NewView(), routes: &routing.ActiveConfiguration{}, assigner: assignment.New()}
 		node.members.put(Member{Name: "self"})
 		node.peers = newPeers(node.members, &http.Client{})
--- a/internal/node/buffer_limits.go
+++ b/internal/node/buffer_limits.go
@@ -23,7 +23,7 @@
 // newBufferLimits returns the limits for a process memory limit in bytes. Without a known memory
 // limit they are unlimited.
 func newBufferLimits(memoryBytes int64) bufferLimits {
-	if !feature.Enabled(feature.HeldBytes) {
+	if !feature.Enabled(feature.ResponseBufferLimit) {
 		memoryBytes = 0
 	}
 	limiter := func(fraction float64) *heldbytes.Limiter {
--- a/internal/node/fleet_benchmark_test.go
+++ b/internal/node/fleet_benchmark_test.go
@@ -39,7 +39,7 @@
 // fleetRecords returns an update with one record of each engine, with offsets from the given one.
 func fleetRecords(offset int64) durable.Update {
 	const recordBytes = 250
-	update := durable.Update{End: offset + fleetEngines}
+	update := durable.Update{EndOffset: offset + fleetEngines}
 	for number := range fleetEngines {
 		update.Records = append(update.Records, durable.KeyedRecord{Key: fmt.Sprintf("engine-%05d", number), Value: make([]byte, recordBytes), Offset: offset + int64(number)})
 	}
--- a/internal/node/follow.go
+++ b/internal/node/follow.go
@@ -89,7 +89,7 @@
 		follower.lastReadStart = requestedAt
 		follower.recordSuccess()
 		if update.Full && !first {
-			follower.logger.Info("view reread in full", zap.String("view", follower.name), zap.Int64("end", update.End), zap.Int64("before", follower.lastEnd))
+			follower.logger.Info("view reread in full", zap.String("view", follower.name), zap.Int64("end", update.EndOffset), zap.Int64("before", follower.lastEnd))
 		}
 		first = false
 		follower.apply(update, validAsOf(update, requestedAt, wait))
@@ -130,8 +130,8 @@
 // returned an old state; it is restarted, since continuing from its end would only repeat known
 // records.
 func (follower *follower) pauseAfterRead(ctx context.Context, update durable.Update) {
-	stale := update.Full && update.End < follower.lastEnd
-	follower.lastEnd = max(follower.lastEnd, update.End)
+	stale := update.Full && update.EndOffset < follower.lastEnd
+	follower.lastEnd = max(follower.lastEnd, update.EndOffset)
 	if stale {
 		follower.topic.Restart()
 		wait.Sleep(ctx, staleRereadDelay)
@@ -148,7 +148,7 @@
 	}
 	follower.lastFailedReadStart.advance(requestedAt)
 	if !follower.failing.Swap(true) {
-		follower.logger.Warn("view update failed", zap.String("view", follower.name), logging.Cause(err))
+		follower.logger.Warn("view update failed", zap.String("view", follower.name), logging.ErrorField(err))
 	}
 	follower.retryDelay = min(max(2*follower.retryDelay, minRetryDelay), maxRetryDelay)
 	wait.Sleep(ctx, follower.retryDelay)
--- a/internal/node/follow_test.go
+++ b/internal/node/follow_test.go
@@ -98,7 +98,7 @@
 	It("does not revert to an older state after trimming, and reaches the newest", func() {
 		old, err := log.Memory.Latest(context.Background(), "t")
 		Expect(err).NotTo(HaveOccurred())
-		old.End--
+		old.EndOffset--
 		put("a", "2")
 		Eventually(value("a"), eventuallyTimeout).Should(Equal("2"))
 		log.mutex.Lock()
@@ -124,9 +124,9 @@
 
 	It("deletes a key missing from a full read", func() {
 		log.mutex.Lock()
-		log.stale = []durable.Snapshot{{Records: []durable.KeyedRecord{{Key: "a", Value: []byte("1"), Offset: 0}}, End: 9}}
+		log.stale = []durable.Snapshot{{Records: []durable.KeyedRecord{{Key: "a", Value: []byte("1"), Offset: 0}}, EndOffset: 9}}
 		log.mutex.Unlock()
-		view.merge(durable.Update{Full: true, Records: []durable.KeyedRecord{{Key: "a", Value: []byte("1")}}, End: 9}, time.Now())
+		view.merge(durable.Update{Full: true, Records: []durable.KeyedRecord{{Key: "a", Value: []byte("1")}}, EndOffset: 9}, time.Now())
 		Expect(value("b")()).To(BeEmpty())
 		Expect(value("a")()).To(Equal("1"))
 	})
--- a/internal/node/freeze_test.go
+++ b/internal/node/freeze_test.go
@@ -23,7 +23,7 @@
 	before := time.Now().Add(-frozenFor)
 	node.configurationView.confirmedAt.set(before)
 	node.engineView.confirmedAt.set(before)
-	node.freezes = freezetest.JustWoken(frozenFor)
+	node.freezes = freezetest.JustResumed(frozenFor)
 	return node
 }
 
@@ -33,12 +33,12 @@
 		views := callViews{node}
 		Expect(views.Current()).To(BeFalse())
 		beforeResume := time.Now().Add(-frozenFor / 2)
-		node.engineView.merge(durable.Update{End: 1}, beforeResume)
-		node.configurationView.merge(durable.Update{End: 1}, beforeResume)
+		node.engineView.merge(durable.Update{EndOffset: 1}, beforeResume)
+		node.configurationView.merge(durable.Update{EndOffset: 1}, beforeResume)
 		Expect(views.Current()).To(BeFalse(), "responses requested before the resume do not count")
-		node.engineView.merge(durable.Update{End: 1}, time.Now())
+		node.engineView.merge(durable.Update{EndOffset: 1}, time.Now())
 		Expect(views.Current()).To(BeFalse())
-		node.configurationView.merge(durable.Update{End: 1}, time.Now())
+		node.configurationView.merge(durable.Update{EndOffset: 1}, time.Now())
 		Expect(views.Current()).To(BeTrue())
 	})
 
@@ -46,7 +46,7 @@
 		node := newResumedNode()
 		failing := &follower{name: "configuration", logger: zap.NewNop()}
 		node.followers = append(node.followers, failing)
-		node.engineView.merge(durable.Update{End: 1}, time.Now())
+		node.engineView.merge(durable.Update{EndOffset: 1}, time.Now())
 		failing.recordFailure(context.Background(), time.Now().Add(-frozenFor/2), errors.New("read begun before the resume"))
 		Expect(callViews{node}.Current()).To(BeFalse())
 		failing.recordFailure(context.Background(), time.Now(), errors.New("no answer"))
@@ -54,7 +54,7 @@
 	})
 
 	It("reads at once without waiting for a change", func() {
-		reader := &follower{maxWait: configurationMaxWait, freezes: freezetest.JustWoken(frozenFor), lastReadStart: time.Now().Add(-frozenFor)}
+		reader := &follower{maxWait: configurationMaxWait, freezes: freezetest.JustResumed(frozenFor), lastReadStart: time.Now().Add(-frozenFor)}
 		Expect(reader.nextMaxWait()).To(BeZero())
 		reader.lastReadStart = time.Now()
 		Expect(reader.nextMaxWait()).To(Equal(configurationMaxWait))
@@ -70,7 +70,7 @@
 		Expect(node.recordingUnavailable()).To(BeTrue())
 		Expect(node.logSilent(time.Now())).To(BeTrue())
 		Expect(node.isolated()).To(BeTrue())
-		node.freezes = freezetest.JustWoken(frozenFor)
+		node.freezes = freezetest.JustResumed(frozenFor)
 		Expect(node.recordingUnavailable()).To(BeFalse())
 		Expect(node.logSilent(time.Now())).To(BeFalse())
 		Expect(node.isolated()).To(BeFalse())
--- a/internal/node/learn.go
+++ b/internal/node/learn.go
@@ -197,7 +197,7 @@
 	requestedAt := time.Now()
 	reply, err := node.peers.clientAt(address).Learn(bounded, request)
 	if err != nil {
-		node.logger.Debug("learn request failed", zap.String("address", address), logging.Cause(err))
+		node.logger.Debug("learn request failed", zap.String("address", address), logging.ErrorField(err))
 		return nil, err
 	}
 	node.configurationView.merge(fromRecords(reply.Configuration), requestedAt.Add(-milliseconds(reply.ConfigurationAgeMs)))
--- a/internal/node/learn_message.go
+++ b/internal/node/learn_message.go
@@ -68,7 +68,7 @@
 }
 
 func fromRecords(message *nodev1.Records) durable.Update {
-	update := durable.Update{End: message.GetEnd()}
+	update := durable.Update{EndOffset: message.GetEnd()}
 	for _, record := range message.GetRecords() {
 		update.Records = append(update.Records, durable.KeyedRecord{Key: record.Key, Value: record.Value, Offset: record.Offset})
 	}
--- a/internal/node/learn_test.go
+++ b/internal/node/learn_test.go
@@ -28,7 +28,7 @@
 	follower := &follower{name: "engines", interval: pause, logger: zap.NewNop()}
 	follower.lastResponse.set(time.Now().Add(-logSilence))
 	node.followers = append(node.followers, follower)
-	node.engineView.merge(durable.Update{End: 1}, time.Now())
+	node.engineView.merge(durable.Update{EndOffset: 1}, time.Now())
 	return node
 }
 
@@ -45,7 +45,7 @@
 		node := newLogReader(0)
 		node.engineView = newRecordView("engines", zap.NewNop(), func(durable.KeyedRecord) bool { return false })
 		Expect(learnReplyOf(node).Current).To(BeFalse())
-		node.engineView.merge(durable.Update{End: 1}, time.Now())
+		node.engineView.merge(durable.Update{EndOffset: 1}, time.Now())
 		node.engineView.confirmedAt.set(time.Now().Add(-time.Second))
 		Expect(learnReplyOf(node).EnginesAgeMs).To(BeNumerically(">=", 1000))
 		Expect(learnReplyOf(node).Current).To(BeTrue())
@@ -70,7 +70,7 @@
 		requester.members = newMembers()
 		requester.peers = newPeers(requester.members, http.DefaultClient)
 		longAgo := time.Now().Add(-time.Minute)
-		requester.configurationView.merge(durable.Update{End: 5}, longAgo)
+		requester.configurationView.merge(durable.Update{EndOffset: 5}, longAgo)
 		requester.configurationView.confirmedAt.set(longAgo)
 		requester.engineView.confirmedAt.set(longAgo)
 		_, err := requester.learner.learnRecordsFrom(context.Background(), server.Listener.Addr().String())
--- a/internal/node/listen.go
+++ b/internal/node/listen.go
@@ -52,14 +52,14 @@
 
 func (node *Node) callerLimits() httpserver.Limits {
 	return httpserver.Limits{
-		MaxConnections: node.settings.MaxConnections,
-		DrainGrace:     drainDelay,
-		MaxBodyBytes:   maxBodyBytes,
-		MaxHeaderBytes: maxHeaderBytes,
-		IdleTimeout:    callerIdleTimeout,
-		Sent:           node.bufferLimits.requests,
-		Unread:         node.bufferLimits.unreadResponses,
-		TurnAway:       node.isolated,
+		MaxConnections:    node.settings.MaxConnections,
+		DrainGrace:        drainDelay,
+		MaxBodyBytes:      maxBodyBytes,
+		MaxHeaderBytes:    maxHeaderBytes,
+		IdleTimeout:       callerIdleTimeout,
+		RequestBytes:      node.bufferLimits.requests,
+		ResponseBytes:     node.bufferLimits.unreadResponses,
+		DisableKeepAlives: node.isolated,
 	}
 }
 
@@ -76,7 +76,7 @@
 
 // applyCallerLimits applies the configured limits to the callers' server.
 func (node *Node) applyCallerLimits(limits routing.Limits) {
-	bounds := httpserver.Bounds{
+	bounds := httpserver.AdjustableLimits{
 		MaxBodyBytes:   limits.MaxBodyBytes,
 		RequestTimeout: limits.HeaderTimeout + bodyTimeout,
 		IdleTimeout:    limits.IdleTimeout,
--- a/internal/node/load.go
+++ b/internal/node/load.go
@@ -302,7 +302,7 @@
 	pause := sharing.suspicionAfter(target, cause)
 	sharing.suspects.add(target, time.Now().Add(pause))
 	sharing.mutex.Unlock()
-	sharing.node.logger.Info("load aggregator unreachable", zap.String("node", target), zap.Duration("passed_over", pause), logging.Cause(cause))
+	sharing.node.logger.Info("load aggregator unreachable", zap.String("node", target), zap.Duration("passed_over", pause), logging.ErrorField(cause))
 }
 
 // suspicionAfter returns how long to skip an aggregator after a failure, and counts the failure.
@@ -359,7 +359,7 @@
 	for shard := range node.settings.Shards {
 		candidates := node.members.candidates(shard)
 		standbys := candidates[:min(len(candidates), standbyOwners)]
-		if node.ownership.Owns(shard) || slices.ContainsFunc(standbys, func(member Member) bool { return member.Name == node.settings.Name }) {
+		if node.ownership.OwnsOrClaims(shard) || slices.ContainsFunc(standbys, func(member Member) bool { return member.Name == node.settings.Name }) {
 			return true
 		}
 	}
--- a/internal/node/load_status.go
+++ b/internal/node/load_status.go
@@ -32,15 +32,15 @@
 	}
 	query := request.URL.Query()
 	for name, values := range query {
-		if name != load.StatusService || len(values) != 1 {
-			return load.Status{}, resultcode.New(resultcode.BadRequest, "%s: invalid query %q: only a single %s=NAME is supported", load.StatusPath, request.URL.RawQuery, load.StatusService)
+		if name != load.StatusServiceParameter || len(values) != 1 {
+			return load.Status{}, resultcode.New(resultcode.BadRequest, "%s: invalid query %q: only a single %s=NAME is supported", load.StatusPath, request.URL.RawQuery, load.StatusServiceParameter)
 		}
 	}
 	status := node.loadStatus(time.Now())
-	if !query.Has(load.StatusService) {
+	if !query.Has(load.StatusServiceParameter) {
 		return status, nil
 	}
-	service := query.Get(load.StatusService)
+	service := query.Get(load.StatusServiceParameter)
 	if !slices.ContainsFunc(status.Services, func(known load.ServiceStatus) bool { return known.Service == service }) {
 		return load.Status{}, resultcode.New(resultcode.UnknownTarget, "no engine of a service %q is known", service)
 	}
--- a/internal/node/load_status_test.go
+++ b/internal/node/load_status_test.go
@@ -29,7 +29,7 @@
 	BeforeEach(func() {
 		logger, err := logging.New("error", GinkgoWriter)
 		Expect(err).NotTo(HaveOccurred())
-		node = &Node{settings: Settings{Name: "self", Zone: "a", Shards: 1}, members: newMembers(), logger: logger.Bounded(), engines: backend.NewDirectory(),
+		node = &Node{settings: Settings{Name: "self", Zone: "a", Shards: 1}, members: newMembers(), logger: logger.Sampled(), engines: backend.NewDirectory(),
 			load: load.NewView(), routes: &routing.ActiveConfiguration{}, zones: reach.NewZones("a")}
 		node.members.put(Member{Name: "self", Zone: "a"})
 		node.members.put(Member{Name: "other", Zone: "b"})
--- a/internal/node/load_test.go
+++ b/internal/node/load_test.go
@@ -84,12 +84,12 @@
 		for number := range count {
 			name := "node-" + strconv.Itoa(number)
 			node := &Node{settings: Settings{Name: name, Zone: "zone-" + strconv.Itoa(number%zones), Shards: 4}, members: newMembers(), meter: newMeter(),
-				logger: logger.Bounded(), engines: backend.NewDirectory(), load: load.NewView(),
+				logger: logger.Sampled(), engines: backend.NewDirectory(), load: load.NewView(),
 				ownership: ownership.NewManager(context.Background(), nil, logger.Logger, ownership.Identity{}, 4, ownership.Dependencies{})}
 			node.peers = newPeers(node.members, network.clientFor(name))
 			node.sharing = newLoadSharing(node)
 			node.memberView = newRecordView("nodes", logger.Logger, func(durable.KeyedRecord) bool { return false })
-			node.memberView.merge(durable.Update{End: 1}, time.Now())
+			node.memberView.merge(durable.Update{EndOffset: 1}, time.Now())
 			for engine := range count {
 				node.engines.Upsert(backend.Instance{ID: "engine-" + strconv.Itoa(engine), Service: "s"}, time.Time{})
 			}
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -117,7 +117,7 @@
 	// egress sends requests to engines on behalf of other nodes.
 	egress    *egress.Handler
 	meter     *meter
-	logOutput *logging.NonBlocking
+	logOutput *logging.NonBlockingWriter
 	stopping  atomic.Bool
 	servers   []*httpserver.Server
 }
@@ -136,13 +136,13 @@
 	if settings.MemoryBytes > 0 {
 		debug.SetMemoryLimit(int64(gcMemoryShare * float64(settings.MemoryBytes)))
 	}
-	output := logging.NewNonBlocking(os.Stdout)
+	output := logging.NewNonBlockingWriter(os.Stdout)
 	defer output.Close()
 	baseLogger, err := logging.New(settings.LogLevel, output)
 	if err != nil {
 		return err
 	}
-	logger := baseLogger.Bounded()
+	logger := baseLogger.Sampled()
 	node, err := build(ctx, settings, dependencies, logger)
 	if err != nil {
 		return err
@@ -155,7 +155,7 @@
 }
 
 func build(ctx context.Context, settings Settings, dependencies Dependencies, logger *logging.Logger) (*Node, error) {
-	client, err := httpclient.New(httpclient.Options{DialTimeout: peerDialTimeout, SilenceTimeout: peerSilenceTimeout})
+	client, err := httpclient.New(httpclient.Options{DialTimeout: peerDialTimeout, DeadPeerTimeout: peerSilenceTimeout})
 	if err != nil {
 		return nil, err
 	}
@@ -195,7 +195,7 @@
 		Node:        settings.Name,
 		Incarnation: node.incarnation,
 		Address:     settings.PeerAddress,
-	}, settings.Shards, ownership.Dependencies{RequestHandover: node.requestHandover, FreezeDetector: node.freezes, LogUnavailable: node.logUnavailable, CountsSecondAllowance: node.supportsSecondAllowance})
+	}, settings.Shards, ownership.Dependencies{RequestHandover: node.requestHandover, FreezeDetector: node.freezes, LogUnavailable: node.logUnavailable, SupportsSecondAllowance: node.supportsSecondAllowance})
 	node.programs = newPrograms(node)
 	node.admission = newAdmitter(node)
 	node.quotas = newQuotas(node)
@@ -236,7 +236,7 @@
 		Sender:         sender,
 		Programs:       node.programs,
 		Quotas:         node.quotas,
-		Meter:          node.meter,
+		Metrics:        node.meter,
 		Logger:         node.logger.Logger,
 		Zone:           node.settings.Zone,
 		Regions:        node.settings.Regions,
@@ -386,7 +386,7 @@
 	err := callers.Shutdown(ctx)
 	node.awaitEgress(ctx)
 	node.logger.Info("node stopped", zap.Duration("took", time.Since(started)), zap.Int("in_flight", callers.InFlight()),
-		zap.Int("for_others", node.egress.InFlight()), logging.Cause(err))
+		zap.Int("for_others", node.egress.InFlight()), logging.ErrorField(err))
 }
 
 // egressPollInterval is the interval at which awaitEgress checks for requests in flight.
--- a/internal/node/owner_search.go
+++ b/internal/node/owner_search.go
@@ -107,7 +107,7 @@
 	search.recordOutcome(err, time.Since(started))
 	if err != nil {
 		programs.node.logger.Info("shard owner unreachable", zap.Int("shard", search.shard), zap.String("node", target),
-			zap.String("request", search.requestID), logging.Cause(err))
+			zap.String("request", search.requestID), logging.ErrorField(err))
 		search.markFailed(target)
 		// The node may have granted the reservation before the failure.
 		go programs.settleAt(target, &nodev1.Settlement{Program: search.request.Program, Tenant: search.request.Tenant, Request: search.request.Request})
--- a/internal/node/peer_server.go
+++ b/internal/node/peer_server.go
@@ -35,7 +35,7 @@
 func (node *Node) settle(settlement *nodev1.Settlement, passedOn bool) {
 	shard := node.programs.shardOf(settlement.Program)
 	owner := node.programs.knownOwner(shard).Node
-	if node.ownership.Owns(shard) || passedOn || owner == "" || owner == node.settings.Name {
+	if node.ownership.OwnsOrClaims(shard) || passedOn || owner == "" || owner == node.settings.Name {
 		node.endTurn(shard, tenant.Program{Tenant: settlement.Tenant, ID: settlement.Program}, settlement.Request, settlement.Tokens)
 		node.recordFailedEngine(settlement)
 		return
--- a/internal/node/programs.go
+++ b/internal/node/programs.go
@@ -131,7 +131,7 @@
 }
 
 // Settle implements forward.Programs.
-func (programs *programs) Settle(call *forward.Call, grant forward.Grant, end forward.TurnEnd) {
+func (programs *programs) Settle(call *forward.Call, grant forward.Grant, end forward.TurnResult) {
 	settlement := &nodev1.Settlement{Program: call.Program, Tenant: call.Tenant, Request: grant.Key, Tokens: end.Tokens,
 		Session: call.Session, FailedEngine: end.FailedEngine}
 	if end.Turn != nil {
@@ -163,7 +163,7 @@
 		time.Sleep(settleRetryDelay)
 	}
 	programs.node.logger.Info("settlement lost", zap.String("key", request.Settlements[0].Request),
-		zap.String("program", request.Settlements[0].Program), zap.String("owner", owner), logging.Cause(err))
+		zap.String("program", request.Settlements[0].Program), zap.String("owner", owner), logging.ErrorField(err))
 }
 
 func (programs *programs) sendSettlementsOnce(owner string, request *nodev1.SettleRequest) error {
--- a/internal/node/quota_coordinator.go
+++ b/internal/node/quota_coordinator.go
@@ -13,17 +13,17 @@
 // decide answers a request as the coordinator of its group.
 func (quotas *quotas) decide(request *nodev1.AdmitRequest) *nodev1.AdmitReply {
 	decision := quotas.coordinator.Decide(quota.Request{
-		Node:          request.Node,
-		Nodes:         int(request.Nodes),
-		Group:         int(request.Group),
-		LeaseStart:    fromClock(request.Lent),
-		LeasedFor:     milliseconds(request.HeldMs),
-		Tenant:        request.Tenant,
-		Limit:         tenant.Limit{PerSecond: request.PerSecond, Burst: request.Burst},
-		Configuration: request.Configuration,
-		Program:       request.Program,
-		Continues:     request.Continues,
-		MaxWait:       milliseconds(request.PatienceMs),
+		Node:                 request.Node,
+		Nodes:                int(request.Nodes),
+		Group:                int(request.Group),
+		LeaseStart:           fromClock(request.Lent),
+		LeasedFor:            milliseconds(request.HeldMs),
+		Tenant:               request.Tenant,
+		Limit:                tenant.Limit{PerSecond: request.PerSecond, Burst: request.Burst},
+		ConfigurationVersion: request.Configuration,
+		Program:              request.Program,
+		Continues:            request.Continues,
+		MaxWait:              milliseconds(request.PatienceMs),
 	}, time.Now())
 	if decision.Verdict == quota.Refused {
 		quotas.node.logger.Info("request over limit", zap.String("request", request.Request), zap.String("tenant", request.Tenant),
--- a/internal/node/quotas.go
+++ b/internal/node/quotas.go
@@ -66,7 +66,7 @@
 	created := &quotas{
 		node: node,
 		coordinator: quota.NewCoordinator(node.incarnation, time.Now(), quota.Options{
-			Tolerance: node.settings.QuotaTolerance, ProgramsFirst: feature.Enabled(feature.ProgramsFirst)}),
+			Tolerance: node.settings.QuotaTolerance, PreferRunningPrograms: feature.Enabled(feature.ProgramsFirst)}),
 		suspects: newSuspects(),
 	}
 	for group := range max(node.settings.Shards/shardsPerQuotaGroup, 1) {
@@ -83,13 +83,13 @@
 // Admit implements forward.Quotas.
 func (quotas *quotas) Admit(ctx context.Context, callerRequest *forward.AdmissionRequest) forward.Admission {
 	admission := quotas.admit(ctx, callerRequest)
-	quotas.node.meter.countAdmission(callerRequest.Holder.Name, admission.Verdict)
+	quotas.node.meter.countAdmission(callerRequest.Tenant.Name, admission.Verdict)
 	return admission
 }
 
 func (quotas *quotas) admit(ctx context.Context, callerRequest *forward.AdmissionRequest) forward.Admission {
 	started := time.Now()
-	group := quotas.groupOf(callerRequest.Holder.Name)
+	group := quotas.groupOf(callerRequest.Tenant.Name)
 	request := quotas.admitRequest(group, callerRequest)
 	deadline := time.Now().Add(undeterminedTimeout)
 	unanswered := 0
@@ -110,7 +110,7 @@
 			wait.Sleep(ctx, undeterminedRetryDelay)
 		}
 	}
-	quotas.node.logger.Info("tenant limit undetermined", zap.String("request", callerRequest.Call.ID), zap.String("tenant", callerRequest.Holder.Name),
+	quotas.node.logger.Info("tenant limit undetermined", zap.String("request", callerRequest.Call.ID), zap.String("tenant", callerRequest.Tenant.Name),
 		zap.Int("group", group.number), zap.String("keeper", group.coordinatorName()), zap.Float64("share", share), zap.Duration("took", time.Since(started)))
 	return forward.Admission{Verdict: forward.LimitUnavailable}
 }
@@ -119,10 +119,10 @@
 
 func (quotas *quotas) admitRequest(group *leaseGroup, callerRequest *forward.AdmissionRequest) *nodev1.AdmitRequest {
 	request := quotas.leaseRequest(group)
-	request.Tenant = callerRequest.Holder.Name
+	request.Tenant = callerRequest.Tenant.Name
 	request.Configuration = callerRequest.Configuration
-	request.PerSecond = callerRequest.Holder.Limit.PerSecond
-	request.Burst = callerRequest.Holder.Limit.Burst
+	request.PerSecond = callerRequest.Tenant.Limit.PerSecond
+	request.Burst = callerRequest.Tenant.Limit.Burst
 	request.Program = callerRequest.Call.Program
 	request.Continues = callerRequest.Continues
 	request.PatienceMs = callerRequest.MaxWait.Milliseconds()
@@ -180,7 +180,7 @@
 
 func (quotas *quotas) suspect(name string, request *nodev1.AdmitRequest, cause error) {
 	quotas.node.logger.Info("quota coordinator unreachable", zap.String("node", name), zap.Uint32("group", request.Group),
-		zap.String("tenant", request.Tenant), logging.Cause(cause))
+		zap.String("tenant", request.Tenant), logging.ErrorField(cause))
 	quotas.suspects.add(name, time.Now().Add(coordinatorSuspicion))
 }
 
--- a/internal/node/quotas_test.go
+++ b/internal/node/quotas_test.go
@@ -19,7 +19,7 @@
 	newNodeWithoutPeers := func() *Node {
 		logger, err := logging.New("error", GinkgoWriter)
 		Expect(err).NotTo(HaveOccurred())
-		node := &Node{settings: Settings{Name: "self", Shards: 16}, incarnation: "life", members: newMembers(), meter: newMeter(), logger: logger.Bounded()}
+		node := &Node{settings: Settings{Name: "self", Shards: 16}, incarnation: "life", members: newMembers(), meter: newMeter(), logger: logger.Sampled()}
 		node.peers = newPeers(node.members, &http.Client{})
 		node.members.put(Member{Name: "self"})
 		node.quotas = newQuotas(node)
@@ -27,7 +27,7 @@
 	}
 
 	newRequest := func() *forward.AdmissionRequest {
-		return &forward.AdmissionRequest{Call: &forward.Call{ID: "r"}, Holder: holder, MaxWait: time.Second}
+		return &forward.AdmissionRequest{Call: &forward.Call{ID: "r"}, Tenant: holder, MaxWait: time.Second}
 	}
 
 	It("are coordinated by a node itself if it is the only one", func() {
--- a/internal/node/registration.go
+++ b/internal/node/registration.go
@@ -114,7 +114,7 @@
 		Understands: member.ProtocolVersion,
 	})
 	if err != nil {
-		registration.logger.Error("node record encoding failed", logging.Cause(err))
+		registration.logger.Error("node record encoding failed", logging.ErrorField(err))
 		return false
 	}
 	bounded, cancel := context.WithTimeout(ctx, logTimeout)
@@ -122,7 +122,7 @@
 	content := durable.EncodeKeyed(member.Name, record)
 	_, err = registration.log.Append(bounded, durable.Partition{Topic: registration.topic}, [][]byte{content}, durable.Condition{})
 	if err != nil {
-		registration.logger.Warn("node registration failed", logging.Cause(err))
+		registration.logger.Warn("node registration failed", logging.ErrorField(err))
 		return false
 	}
 	registration.observe(member)
--- a/internal/node/registration_test.go
+++ b/internal/node/registration_test.go
@@ -35,7 +35,7 @@
 		return func() int64 {
 			snapshot, err := log.Latest(context.Background(), topic)
 			Expect(err).NotTo(HaveOccurred())
-			return snapshot.End
+			return snapshot.EndOffset
 		}
 	}
 
--- a/internal/node/reserve.go
+++ b/internal/node/reserve.go
@@ -21,11 +21,11 @@
 func (node *Node) handleReserve(ctx context.Context, shard int, request *nodev1.ReserveRequest) *nodev1.ReserveReply {
 	reservation := ownershipRequest(request)
 	owner := node.programs.knownOwner(shard)
-	if owner.Node != "" && owner.Node != node.settings.Name && !node.ownership.Owns(shard) {
+	if owner.Node != "" && owner.Node != node.settings.Name && !node.ownership.OwnsOrClaims(shard) {
 		if !failedForRequester(request, owner) {
 			return &nodev1.ReserveReply{Verdict: nodev1.Verdict_VERDICT_NOT_OWNER, Owner: owner.Node, Epoch: owner.Epoch}
 		}
-		reservation.Claim = true
+		reservation.AllowClaim = true
 	}
 	reply := &nodev1.ReserveReply{}
 	// An owner looks up the chain first, so that no tokens are reserved in the meantime. A node
@@ -59,12 +59,12 @@
 
 func ownershipRequest(request *nodev1.ReserveRequest) ownership.ReserveRequest {
 	return ownership.ReserveRequest{
-		Program:   programOf(request),
-		RequestID: request.Request,
-		Budget:    request.Budget,
-		MaxTokens: request.Most,
-		ExpiresAt: time.Now().Add(milliseconds(request.TimeLeftMs)),
-		Claim:     request.TakeOver,
+		Program:    programOf(request),
+		RequestID:  request.Request,
+		Budget:     request.Budget,
+		MaxTokens:  request.Most,
+		ExpiresAt:  time.Now().Add(milliseconds(request.TimeLeftMs)),
+		AllowClaim: request.TakeOver,
 	}
 }
 
--- a/internal/node/turns.go
+++ b/internal/node/turns.go
@@ -39,7 +39,7 @@
 // findChain finds the chain that ends with a turn. It returns errStillReading after findReplyWait,
 // or when ctx ends, while the search continues in the background. Concurrent calls for the same
 // turn share one search.
-func (node *Node) findChain(ctx context.Context, shard int, key history.Key) (history.Lookup, error) {
+func (node *Node) findChain(ctx context.Context, shard int, key history.Key) (history.LookupResult, error) {
 	results := node.searches.DoChan(strconv.Quote(key.Tenant)+key.ID, func() (any, error) {
 		searchContext, cancel := context.WithTimeout(context.Background(), findTimeout)
 		defer cancel()
@@ -49,11 +49,11 @@
 	defer timer.Stop()
 	select {
 	case result := <-results:
-		return result.Val.(history.Lookup), result.Err
+		return result.Val.(history.LookupResult), result.Err
 	case <-timer.C:
-		return history.Lookup{}, errStillReading
+		return history.LookupResult{}, errStillReading
 	case <-ctx.Done():
-		return history.Lookup{}, errStillReading
+		return history.LookupResult{}, errStillReading
 	}
 }
 
@@ -75,7 +75,7 @@
 			return nil, ctx.Err() // Found in another shard, or the search has ended.
 		}
 		node.logger.Info("remote partition read failed", zap.String("turn", key.ID), zap.Int("shard", shard),
-			zap.String("node", target), logging.Cause(err))
+			zap.String("node", target), logging.ErrorField(err))
 	}
 	return node.localPartialChain(ctx, shard, key, 0)
 }
@@ -84,7 +84,7 @@
 // are limited; a read that cannot start within maxWait fails with errStillReading. A search over
 // all shards needs a maxWait as long as its timeout, since it starts all reads at once.
 func (node *Node) localPartialChain(ctx context.Context, shard int, key history.Key, maxWait time.Duration) ([]*history.Turn, error) {
-	if node.ownership.Owns(shard) {
+	if node.ownership.OwnsOrClaims(shard) {
 		return node.reader.PartialChain(ctx, shard, key)
 	}
 	chain := node.turns.PartialChain(key)
@@ -188,7 +188,7 @@
 	if int(request.Shard) >= server.node.settings.Shards || request.Turn == nil {
 		return nil, errUnknownShard
 	}
-	if server.node.recorder.RecentlyRefused() {
+	if server.node.recorder.AppendFailedRecently() {
 		return nil, errLogRefused
 	}
 	bounded, cancel := context.WithTimeout(ctx, recordTimeout)
--- a/internal/node/view.go
+++ b/internal/node/view.go
@@ -50,11 +50,11 @@
 		view.removeUnlisted(update)
 	}
 	view.isLoaded = true
-	if update.End >= view.end {
+	if update.EndOffset >= view.end {
 		// An update that ends earlier reflects an older state and confirms nothing.
 		view.confirmedAt.advance(requestedAt)
 	}
-	view.end = max(view.end, update.End)
+	view.end = max(view.end, update.EndOffset)
 }
 
 // unloadedAge is the age reported before the first update.
@@ -100,8 +100,8 @@
 		listed[record.Key] = true
 	}
 	for key, record := range view.records {
-		if !listed[key] && record.Offset < update.End && len(record.Value) > 0 {
-			view.mergeRecord(durable.KeyedRecord{Key: key, Offset: update.End - 1})
+		if !listed[key] && record.Offset < update.EndOffset && len(record.Value) > 0 {
+			view.mergeRecord(durable.KeyedRecord{Key: key, Offset: update.EndOffset - 1})
 		}
 	}
 }
--- a/internal/node/zones_test.go
+++ b/internal/node/zones_test.go
@@ -100,8 +100,8 @@
 	// probe.
 	It("is probed without transferring records", func() {
 		probed := newLogReader(0)
-		update := durable.Update{End: 3000}
-		for offset := range update.End {
+		update := durable.Update{EndOffset: 3000}
+		for offset := range update.EndOffset {
 			update.Records = append(update.Records, durable.KeyedRecord{Key: strconv.FormatInt(offset, 10), Value: make([]byte, 250), Offset: offset})
 		}
 		probed.engineView.merge(update, time.Now())
--- a/internal/operator/operator_test.go
+++ b/internal/operator/operator_test.go
@@ -166,7 +166,7 @@
 
 	It("round-trips every result code with its retry delay", func() {
 		for _, entry := range resultcode.Table[1:] {
-			sent := resultcode.New(entry.Code, "why").After(1500 * time.Millisecond)
+			sent := resultcode.New(entry.Code, "why").WithRetryAfter(1500 * time.Millisecond)
 			cluster.err = sent
 			client, ctx := newClient(dependencies, operatorKey)
 			_, err := client.ListNodes(ctx, &operatorv1.ListNodesRequest{})
--- a/internal/outside/httpadapter/adapter_test.go
+++ b/internal/outside/httpadapter/adapter_test.go
@@ -100,10 +100,10 @@
 		Entry("stale fence", 409, `{"code":"stale_fence","not_run":true}`, outside.ErrStaleFence, outside.ErrOutcomeUnknown),
 		Entry("internal error", 500, `{"code":"internal"}`, outside.ErrOutcomeUnknown, outside.ErrNotRun),
 		Entry("error without a body", 503, ``, outside.ErrOutcomeUnknown, outside.ErrNotRun),
-		Entry("HTML error page", 502, `<html>`, outside.ErrMalformedAnswer, outside.ErrNotRun),
-		Entry("garbage", 200, "\x00\xff{\n", outside.ErrMalformedAnswer, outside.ErrNotRun),
-		Entry("wrong type", 200, "[]\n", outside.ErrMalformedAnswer, outside.ErrNotRun),
-		Entry("fields missing", 200, "{}\n", outside.ErrMalformedAnswer, outside.ErrNotRun),
+		Entry("HTML error page", 502, `<html>`, outside.ErrMalformedResponse, outside.ErrNotRun),
+		Entry("garbage", 200, "\x00\xff{\n", outside.ErrMalformedResponse, outside.ErrNotRun),
+		Entry("wrong type", 200, "[]\n", outside.ErrMalformedResponse, outside.ErrNotRun),
+		Entry("fields missing", 200, "{}\n", outside.ErrMalformedResponse, outside.ErrNotRun),
 	)
 
 	It("report not run when the connection is refused", func() {
@@ -132,7 +132,7 @@
 	})
 
 	It("report an unknown outcome when a request or stream times out", func() {
-		pool := newPool(Config{OrderTimeout: shortTimeout, ToolTimeout: shortTimeout, StreamIdleTimeout: shortTimeout})
+		pool := newPool(Config{RequestTimeout: shortTimeout, ToolTimeout: shortTimeout, StreamIdleTimeout: shortTimeout})
 		silent := serve(serveThenHang(""))
 		_, err := NewLog(pool, silent).Append(context.Background(), "s", nil)
 		Expect(err).To(MatchError(outside.ErrOutcomeUnknown))
@@ -155,13 +155,13 @@
 	It("reject log records with a gap", func() {
 		address := serve(respond(http.StatusOK, `{"records":[{"offset":3},{"offset":5}]}`))
 		_, err := NewLog(newPool(Config{}), address).Read(context.Background(), "s", 3, 10)
-		Expect(err).To(MatchError(outside.ErrMalformedAnswer))
+		Expect(err).To(MatchError(outside.ErrMalformedResponse))
 	})
 
 	It("reject a response above the size limit", func() {
 		address := serve(respond(http.StatusOK, `{"output":"`+strings.Repeat("x", 100)+`"}`))
 		_, err := NewTool(newPool(Config{MaxResponseBytes: 64})).Call(context.Background(), address, outside.ToolRequest{})
-		Expect(err).To(MatchError(outside.ErrMalformedAnswer))
+		Expect(err).To(MatchError(outside.ErrMalformedResponse))
 	})
 
 	DescribeTable("check the order of chunks",
@@ -181,11 +181,11 @@
 		Entry("complete", uint64(0), `"sequence":1 "sequence":2,"finish":"stop"`, []uint64{1, 2}, nil),
 		Entry("resumed", uint64(4), `"sequence":5,"finish":"stop"`, []uint64{5}, nil),
 		Entry("finish repeated", uint64(5), `"sequence":5,"finish":"stop"`, []uint64{5}, nil),
-		Entry("gap", uint64(0), `"sequence":1 "sequence":3`, []uint64{1}, outside.ErrMalformedAnswer),
-		Entry("finish after a gap", uint64(0), `"sequence":1 "sequence":3,"finish":"stop"`, []uint64{1}, outside.ErrMalformedAnswer),
-		Entry("duplicate", uint64(0), `"sequence":1 "sequence":1`, []uint64{1}, outside.ErrMalformedAnswer),
-		Entry("older finish after a chunk", uint64(0), `"sequence":1 "sequence":2 "sequence":1,"finish":"stop"`, []uint64{1, 2}, outside.ErrMalformedAnswer),
-		Entry("negative tokens", uint64(0), `"sequence":1,"tokens":-1`, nil, outside.ErrMalformedAnswer),
+		Entry("gap", uint64(0), `"sequence":1 "sequence":3`, []uint64{1}, outside.ErrMalformedResponse),
+		Entry("finish after a gap", uint64(0), `"sequence":1 "sequence":3,"finish":"stop"`, []uint64{1}, outside.ErrMalformedResponse),
+		Entry("duplicate", uint64(0), `"sequence":1 "sequence":1`, []uint64{1}, outside.ErrMalformedResponse),
+		Entry("older finish after a chunk", uint64(0), `"sequence":1 "sequence":2 "sequence":1,"finish":"stop"`, []uint64{1, 2}, outside.ErrMalformedResponse),
+		Entry("negative tokens", uint64(0), `"sequence":1,"tokens":-1`, nil, outside.ErrMalformedResponse),
 		Entry("no finish", uint64(0), `"sequence":1`, []uint64{1}, outside.ErrOutcomeUnknown),
 	)
 
@@ -260,7 +260,7 @@
 		for _, blocks := range wanted {
 			report, err := engine.Report(context.Background(), address)
 			if blocks == nil {
-				Expect(err).To(MatchError(outside.ErrMalformedAnswer))
+				Expect(err).To(MatchError(outside.ErrMalformedResponse))
 				continue
 			}
 			Expect(err).NotTo(HaveOccurred())
--- a/internal/outside/httpadapter/config.go
+++ b/internal/outside/httpadapter/config.go
@@ -31,9 +31,9 @@
 	SourceAddress string
 	// DialTimeout bounds the establishment of a connection.
 	DialTimeout time.Duration
-	// OrderTimeout bounds every request except generations and tool calls, and the wait
+	// RequestTimeout bounds every request except generations and tool calls, and the wait
 	// for the response header of a generation.
-	OrderTimeout time.Duration
+	RequestTimeout time.Duration
 	// ToolTimeout bounds a tool call.
 	ToolTimeout time.Duration
 	// StreamIdleTimeout bounds the wait for the next event of a generation.
@@ -49,7 +49,7 @@
 
 func (config Config) withDefaults() Config {
 	config.DialTimeout = positiveOr(config.DialTimeout, defaultDialTimeout)
-	config.OrderTimeout = positiveOr(config.OrderTimeout, defaultRequestTimeout)
+	config.RequestTimeout = positiveOr(config.RequestTimeout, defaultRequestTimeout)
 	config.ToolTimeout = positiveOr(config.ToolTimeout, defaultToolTimeout)
 	config.StreamIdleTimeout = positiveOr(config.StreamIdleTimeout, defaultStreamIdleTimeout)
 	config.MaxLineBytes = positiveOr(config.MaxLineBytes, defaultMaxLineBytes)
@@ -77,7 +77,7 @@
 	pool, err := httpclient.New(httpclient.Options{
 		SourceAddress:  config.SourceAddress,
 		DialTimeout:    config.DialTimeout,
-		IdlePerAddress: config.IdlePerAddress,
+		MaxIdlePerHost: config.IdlePerAddress,
 	})
 	if err != nil {
 		return nil, err
--- a/internal/outside/httpadapter/engine.go
+++ b/internal/outside/httpadapter/engine.go
@@ -26,7 +26,7 @@
 
 // postCommand sends a command to an engine.
 func postCommand[Response any](ctx context.Context, engine *Engine, address, path string, body any) (Response, error) {
-	return post[Response](ctx, engine.pool, address, path, engine.pool.config.OrderTimeout, body)
+	return post[Response](ctx, engine.pool, address, path, engine.pool.config.RequestTimeout, body)
 }
 
 // Cancel implements outside.Engine.
@@ -38,21 +38,21 @@
 
 // Release implements outside.Engine.
 func (client *Engine) Release(ctx context.Context, address, program string, fence outside.Fence) error {
-	_, err := postCommand[wire.BlocksAnswer](ctx, client, address, wire.PathRelease,
+	_, err := postCommand[wire.BlocksResponse](ctx, client, address, wire.PathRelease,
 		wire.ProgramRequest{Program: program, Fence: wireFence(fence)})
 	return err
 }
 
 // Export implements outside.Engine.
 func (client *Engine) Export(ctx context.Context, address, program string, fence outside.Fence) ([]byte, error) {
-	response, err := postCommand[wire.ExportAnswer](ctx, client, address, wire.PathExport,
+	response, err := postCommand[wire.ExportResponse](ctx, client, address, wire.PathExport,
 		wire.ProgramRequest{Program: program, Fence: wireFence(fence)})
 	return response.Content, err
 }
 
 // Import implements outside.Engine.
 func (client *Engine) Import(ctx context.Context, address, program string, content []byte, fence outside.Fence) error {
-	_, err := postCommand[wire.BlocksAnswer](ctx, client, address, wire.PathImport,
+	_, err := postCommand[wire.BlocksResponse](ctx, client, address, wire.PathImport,
 		wire.ImportRequest{Program: program, Content: content, Fence: wireFence(fence)})
 	return err
 }
@@ -73,7 +73,7 @@
 
 // Events implements outside.Engine.
 func (client *Engine) Events(ctx context.Context, address string, after uint64, limit int) ([]outside.CacheEvent, error) {
-	response, err := get[wire.EventsAnswer](ctx, client.pool, address, wire.PathEvents, url.Values{
+	response, err := get[wire.EventsResponse](ctx, client.pool, address, wire.PathEvents, url.Values{
 		wire.ParameterAfter: {strconv.FormatUint(after, 10)},
 		wire.ParameterLimit: {strconv.Itoa(limit)},
 	})
--- a/internal/outside/httpadapter/exchange.go
+++ b/internal/outside/httpadapter/exchange.go
@@ -45,7 +45,7 @@
 func getIfChanged[Response any](ctx context.Context, client *Client, address, path string, query url.Values, tag string) (taggedResponse[Response], error) {
 	target := endpoint{operation: path, address: address}
 	spec := requestSpec{method: http.MethodGet, query: query.Encode(), tag: tag}
-	return exchange[Response](ctx, client, target, client.config.OrderTimeout, spec)
+	return exchange[Response](ctx, client, target, client.config.RequestTimeout, spec)
 }
 
 // requestSpec describes one HTTP request.
--- a/internal/outside/httpadapter/failure.go
+++ b/internal/outside/httpadapter/failure.go
@@ -55,7 +55,7 @@
 
 // malformed returns the failure of a request whose response is invalid.
 func (target endpoint) malformed(cause error) *Failure {
-	return target.failure(cause, outside.ErrOutcomeUnknown, outside.ErrMalformedAnswer)
+	return target.failure(cause, outside.ErrOutcomeUnknown, outside.ErrMalformedResponse)
 }
 
 // errorResponse converts a back end's error response to a failure.
--- a/internal/outside/httpadapter/generate.go
+++ b/internal/outside/httpadapter/generate.go
@@ -39,7 +39,7 @@
 	}
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	accept := time.AfterFunc(client.pool.config.OrderTimeout, func() { cancel(errAcceptTimeout) })
+	accept := time.AfterFunc(client.pool.config.RequestTimeout, func() { cancel(errAcceptTimeout) })
 	response, err := client.pool.send(ctx, target, requestSpec{method: http.MethodPost, body: encoded})
 	accept.Stop()
 	if err != nil {
--- a/internal/outside/httpadapter/services.go
+++ b/internal/outside/httpadapter/services.go
@@ -66,8 +66,8 @@
 
 // Append implements outside.Log.
 func (client *Log) Append(ctx context.Context, stream string, data []byte) (uint64, error) {
-	response, err := post[wire.AppendAnswer](ctx, client.pool, client.address, wire.PathLogAppend,
-		client.pool.config.OrderTimeout, wire.AppendRequest{Stream: stream, Data: data})
+	response, err := post[wire.AppendResponse](ctx, client.pool, client.address, wire.PathLogAppend,
+		client.pool.config.RequestTimeout, wire.AppendRequest{Stream: stream, Data: data})
 	if err != nil {
 		return 0, err
 	}
@@ -80,7 +80,7 @@
 // Read implements outside.Log. A response is malformed unless its offsets are consecutive
 // and start at offset.
 func (client *Log) Read(ctx context.Context, stream string, offset uint64, limit int) ([]outside.Record, error) {
-	response, err := get[wire.ReadAnswer](ctx, client.pool, client.address, wire.PathLogRead, url.Values{
+	response, err := get[wire.ReadResponse](ctx, client.pool, client.address, wire.PathLogRead, url.Values{
 		wire.ParameterStream: {stream},
 		wire.ParameterOffset: {strconv.FormatUint(offset, 10)},
 		wire.ParameterLimit:  {strconv.Itoa(limit)},
@@ -111,7 +111,7 @@
 	if last != nil {
 		tag = last.tag
 	}
-	result, err := getIfChanged[wire.MachinesAnswer](ctx, client.pool, client.address, wire.PathMachines, nil, tag)
+	result, err := getIfChanged[wire.MachinesResponse](ctx, client.pool, client.address, wire.PathMachines, nil, tag)
 	if err != nil {
 		return nil, err
 	}
@@ -126,7 +126,7 @@
 	return machines, nil
 }
 
-func machineList(response wire.MachinesAnswer) []outside.Machine {
+func machineList(response wire.MachinesResponse) []outside.Machine {
 	machines := make([]outside.Machine, len(response.Machines))
 	for index, machine := range response.Machines {
 		machines[index] = outside.Machine{
@@ -144,8 +144,8 @@
 
 // Reserve implements outside.Weights.
 func (client *Weights) Reserve(ctx context.Context, model, version string) (granted bool, wait time.Duration, err error) {
-	response, err := post[wire.ReserveAnswer](ctx, client.pool, client.address, wire.PathWeightsReserve,
-		client.pool.config.OrderTimeout, wire.ReserveRequest{Model: model, Version: version})
+	response, err := post[wire.ReserveResponse](ctx, client.pool, client.address, wire.PathWeightsReserve,
+		client.pool.config.RequestTimeout, wire.ReserveRequest{Model: model, Version: version})
 	if err != nil {
 		return false, 0, err
 	}
@@ -154,7 +154,7 @@
 
 // Call implements outside.Tool.
 func (client *Tool) Call(ctx context.Context, address string, request outside.ToolRequest) (string, error) {
-	response, err := post[wire.ToolAnswer](ctx, client.pool, address, wire.PathToolCall,
+	response, err := post[wire.ToolResponse](ctx, client.pool, address, wire.PathToolCall,
 		client.pool.config.ToolTimeout, wire.ToolRequest(request))
 	if err != nil {
 		return "", err
--- a/internal/outside/outside.go
+++ b/internal/outside/outside.go
@@ -19,9 +19,9 @@
 // request never reached it. Errors that wrap ErrStaleFence also wrap ErrNotRun.
 var ErrNotRun = errors.New("not run")
 
-// ErrMalformedAnswer means that a response is invalid. Errors that wrap it also wrap
+// ErrMalformedResponse means that a response is invalid. Errors that wrap it also wrap
 // ErrOutcomeUnknown.
-var ErrMalformedAnswer = errors.New("malformed response")
+var ErrMalformedResponse = errors.New("malformed response")
 
 // Record is one record of a log stream.
 type Record struct {
--- a/internal/outside/wire/wire.go
+++ b/internal/outside/wire/wire.go
@@ -113,14 +113,14 @@
 	Fence   Fence  `json:"fence"`
 }
 
-// BlocksAnswer is the response body of PathRelease and PathImport: the number of blocks
+// BlocksResponse is the response body of PathRelease and PathImport: the number of blocks
 // freed or imported.
-type BlocksAnswer struct {
+type BlocksResponse struct {
 	Blocks int `json:"blocks"`
 }
 
-// ExportAnswer is the response body of PathExport.
-type ExportAnswer struct {
+// ExportResponse is the response body of PathExport.
+type ExportResponse struct {
 	Content []byte `json:"content"`
 }
 
@@ -157,8 +157,8 @@
 	Blocks   int    `json:"blocks"`
 }
 
-// EventsAnswer is the response body of GET PathEvents.
-type EventsAnswer struct {
+// EventsResponse is the response body of GET PathEvents.
+type EventsResponse struct {
 	Events []CacheEvent `json:"events"`
 }
 
@@ -199,9 +199,9 @@
 	Data   []byte `json:"data"`
 }
 
-// AppendAnswer is the response body of PathLogAppend. Offset is a pointer to distinguish 0
+// AppendResponse is the response body of PathLogAppend. Offset is a pointer to distinguish 0
 // from a missing field.
-type AppendAnswer struct {
+type AppendResponse struct {
 	Offset *uint64 `json:"offset"`
 }
 
@@ -211,13 +211,13 @@
 	Data   []byte `json:"data"`
 }
 
-// ReadAnswer is the response body of GET PathLogRead.
-type ReadAnswer struct {
+// ReadResponse is the response body of GET PathLogRead.
+type ReadResponse struct {
 	Records []Record `json:"records"`
 }
 
-// StreamsAnswer is the response body of GET PathLogStreams.
-type StreamsAnswer struct {
+// StreamsResponse is the response body of GET PathLogStreams.
+type StreamsResponse struct {
 	Streams []StreamState `json:"streams"`
 }
 
@@ -238,8 +238,8 @@
 	Service string `json:"service,omitempty"`
 }
 
-// MachinesAnswer is the response body of GET PathMachines.
-type MachinesAnswer struct {
+// MachinesResponse is the response body of GET PathMachines.
+type MachinesResponse struct {
 	Machines []Machine `json:"machines"`
 }
 
@@ -249,9 +249,9 @@
 	Version string `json:"version"`
 }
 
-// ReserveAnswer is the response body of PathWeightsReserve. If Granted is false,
+// ReserveResponse is the response body of PathWeightsReserve. If Granted is false,
 // WaitMillis is the delay before the next attempt.
-type ReserveAnswer struct {
+type ReserveResponse struct {
 	Granted    bool  `json:"granted"`
 	WaitMillis int64 `json:"wait_ms"`
 }
@@ -265,8 +265,8 @@
 	Repeatable bool   `json:"repeatable"`
 }
 
-// ToolAnswer is the response body of PathToolCall. Output is a pointer to distinguish an
+// ToolResponse is the response body of PathToolCall. Output is a pointer to distinguish an
 // empty output from a missing field.
-type ToolAnswer struct {
+type ToolResponse struct {
 	Output *string `json:"output"`
 }
--- a/internal/outside/wire/wire_test.go
+++ b/internal/outside/wire/wire_test.go
@@ -53,9 +53,9 @@
 			wanted = append(wanted, string(code))
 		}
 		shapes := []any{
-			Error{}, GenerateRequest{}, Chunk{}, CancelRequest{}, ProgramRequest{}, BlocksAnswer{}, ExportAnswer{},
-			ImportRequest{}, LoadRequest{}, RoleRequest{}, EventsAnswer{}, LoadReport{}, AppendRequest{}, AppendAnswer{},
-			ReadAnswer{}, StreamsAnswer{}, MachinesAnswer{}, ReserveRequest{}, ReserveAnswer{}, ToolRequest{}, ToolAnswer{},
+			Error{}, GenerateRequest{}, Chunk{}, CancelRequest{}, ProgramRequest{}, BlocksResponse{}, ExportResponse{},
+			ImportRequest{}, LoadRequest{}, RoleRequest{}, EventsResponse{}, LoadReport{}, AppendRequest{}, AppendResponse{},
+			ReadResponse{}, StreamsResponse{}, MachinesResponse{}, ReserveRequest{}, ReserveResponse{}, ToolRequest{}, ToolResponse{},
 		}
 		for _, shape := range shapes {
 			wanted = append(wanted, names(reflect.TypeOf(shape))...)
--- a/internal/ownership/claim.go
+++ b/internal/ownership/claim.go
@@ -72,7 +72,7 @@
 		return
 	}
 	if err != nil {
-		manager.logger.Warn("claim failed", zap.Int("shard", shard.number), zap.Duration("took", took), logging.Cause(err))
+		manager.logger.Warn("claim failed", zap.Int("shard", shard.number), zap.Duration("took", took), logging.ErrorField(err))
 		manager.fire(shard, charts.OwnershipEventClaimFailed)
 		manager.lastClaimFailure = time.Now()
 		manager.refuseWaiters(shard, ReserveResult{Verdict: nodev1.Verdict_VERDICT_UNABLE, Reason: "the log fails this node's claim"})
@@ -162,7 +162,7 @@
 	}
 	allowance := spending.Allowance{}
 	if feature.Enabled(feature.Allowances) {
-		allowance = spending.ClaimAllowance(epoch, largestTurn, outstanding, manager.dependencies.CountsSecondAllowance())
+		allowance = spending.ClaimAllowance(epoch, largestTurn, outstanding, manager.dependencies.SupportsSecondAllowance())
 	}
 	ledger.SetAllowances(allowance, outstanding)
 	records := append([]*nodev1.SpendingRecord{encodeClaim(manager.self, epoch, sequence, allowance, closedEpoch)}, encodeCeilings(checkpoint)...)
--- a/internal/ownership/claim_test.go
+++ b/internal/ownership/claim_test.go
@@ -60,7 +60,7 @@
 		bounded, cancel := context.WithTimeout(ctx, timeout)
 		defer cancel()
 		return manager.Reserve(bounded, 0, ownership.ReserveRequest{
-			Program: program, RequestID: requestID, Budget: budget, MaxTokens: maxTokens, Claim: true,
+			Program: program, RequestID: requestID, Budget: budget, MaxTokens: maxTokens, AllowClaim: true,
 			ExpiresAt: time.Now().Add(timeout),
 		})
 	}
--- a/internal/ownership/manager.go
+++ b/internal/ownership/manager.go
@@ -47,8 +47,8 @@
 		dependencies: dependencies,
 		events:       make(chan func(), eventQueueSize),
 	}
-	if dependencies.CountsSecondAllowance == nil {
-		manager.dependencies.CountsSecondAllowance = func() bool { return false }
+	if dependencies.SupportsSecondAllowance == nil {
+		manager.dependencies.SupportsSecondAllowance = func() bool { return false }
 	}
 	manager.ownedOrClaiming = make([]atomic.Bool, shards)
 	manager.ownedSince = make([]atomic.Pointer[time.Time], shards)
@@ -113,8 +113,8 @@
 	manager.post(func() { manager.shards[number].settle(program, requestID, tokens, time.Now()) })
 }
 
-// Owns reports whether this node owns a shard or is claiming it.
-func (manager *Manager) Owns(number int) bool { return manager.ownedOrClaiming[number].Load() }
+// OwnsOrClaims reports whether this node owns a shard or is claiming it.
+func (manager *Manager) OwnsOrClaims(number int) bool { return manager.ownedOrClaiming[number].Load() }
 
 // OwnedSince returns when this node became a shard's owner, false if it is not.
 func (manager *Manager) OwnedSince(number int) (time.Time, bool) {
--- a/internal/ownership/shard.go
+++ b/internal/ownership/shard.go
@@ -69,8 +69,8 @@
 	MaxTokens int64
 	// ExpiresAt is the turn's deadline.
 	ExpiresAt time.Time
-	// Claim allows this node to take the shard over unless its owner keeps it.
-	Claim bool
+	// AllowClaim allows this node to take the shard over unless its owner keeps it.
+	AllowClaim bool
 }
 
 func (request ReserveRequest) ledgerRequest() spending.ReserveRequest {
@@ -126,9 +126,9 @@
 	// LogUnavailable reports whether the store has not answered this node for some time.
 	// The node then leaves claims to other nodes, which may reach the store.
 	LogUnavailable func() bool
-	// CountsSecondAllowance reports whether all nodes that may own shards support a second
+	// SupportsSecondAllowance reports whether all nodes that may own shards support a second
 	// allowance beside an outstanding one. Nil means false.
-	CountsSecondAllowance func() bool
+	SupportsSecondAllowance func() bool
 }
 
 // Identity identifies a node in its claims.
@@ -149,9 +149,9 @@
 		manager.decide(shard, waiting)
 	case shard.phase == charts.OwnershipStateClaiming:
 		shard.waiters = append(shard.waiters, waiting)
-	case shard.phase == charts.OwnershipStateElsewhere && waiting.request.Claim && manager.logUnavailable(time.Now()):
+	case shard.phase == charts.OwnershipStateElsewhere && waiting.request.AllowClaim && manager.logUnavailable(time.Now()):
 		waiting.reply <- ReserveResult{Verdict: nodev1.Verdict_VERDICT_UNABLE, Reason: "the log does not answer this node"}
-	case shard.phase == charts.OwnershipStateElsewhere && waiting.request.Claim:
+	case shard.phase == charts.OwnershipStateElsewhere && waiting.request.AllowClaim:
 		shard.waiters = append(shard.waiters, waiting)
 		manager.claim(shard)
 	default:
--- a/internal/ownership/write.go
+++ b/internal/ownership/write.go
@@ -74,7 +74,7 @@
 
 // loseShard gives up a shard after the store has rejected an append.
 func (manager *Manager) loseShard(shard *shard, err error) {
-	manager.logger.Info("shard lost", zap.Int("shard", shard.number), zap.Int64("epoch", shard.epoch), logging.Cause(err))
+	manager.logger.Info("shard lost", zap.Int("shard", shard.number), zap.Int64("epoch", shard.epoch), logging.ErrorField(err))
 	manager.fire(shard, charts.OwnershipEventFenced)
 	shard.ledger = nil
 	shard.owner = Owner{}
@@ -83,7 +83,7 @@
 	shard.waiters = nil
 	// A claim attempt reads the new owner from the log, if there is one.
 	for _, waiting := range waiters {
-		waiting.request.Claim = true
+		waiting.request.AllowClaim = true
 		manager.reserve(shard, waiting)
 	}
 }
--- a/internal/process/exchange.go
+++ b/internal/process/exchange.go
@@ -49,7 +49,7 @@
 // Compare handles a request from another process. The reply has a round only if
 // this process's is newer than the caller's.
 func (exchange *configurationExchange) Compare(_ context.Context, request *configurationv1.CompareRequest) (*configurationv1.CompareReply, error) {
-	exchange.reader.PeerAhead(request.Version)
+	exchange.reader.ReadIfBehind(request.Version)
 	round := exchange.reader.Round()
 	reply := &configurationv1.CompareReply{
 		Zone:       exchange.zone,
@@ -85,7 +85,7 @@
 		exchange.lastChanged = now
 	}
 	unchanged := now.Sub(exchange.lastChanged) >= exchangeIdleInterval
-	logAvailable := now.Sub(exchange.reader.LogHeard()) < exchangeLogTimeout
+	logAvailable := now.Sub(exchange.reader.LastLogRead()) < exchangeLogTimeout
 	if unchanged && logAvailable && now.Sub(exchange.lastCompared) < exchangeIdleInterval {
 		return false
 	}
@@ -133,5 +133,5 @@
 	if reply.Round != nil {
 		exchange.reader.Offer(reply.Round)
 	}
-	exchange.reader.PeerReported(reply.Zone, reply.Version, sent)
+	exchange.reader.RecordPeerVersion(reply.Zone, reply.Version, sent)
 }
--- a/internal/process/exchange_test.go
+++ b/internal/process/exchange_test.go
@@ -46,8 +46,8 @@
 		ctx, cancel := context.WithCancel(context.Background())
 		DeferCleanup(cancel)
 		go exchange.reader.Run(ctx)
-		Eventually(exchange.reader.LogHeard, time.Minute).ShouldNot(BeZero())
-		heard := exchange.reader.LogHeard()
+		Eventually(exchange.reader.LastLogRead, time.Minute).ShouldNot(BeZero())
+		heard := exchange.reader.LastLogRead()
 		exchange.lastCompared = heard
 		Expect(exchange.due(heard.Add(exchangeLogTimeout - 1))).To(BeFalse())
 		Expect(exchange.due(heard.Add(exchangeLogTimeout))).To(BeTrue())
--- a/internal/process/process.go
+++ b/internal/process/process.go
@@ -61,7 +61,7 @@
 	}
 	client, err := httpclient.New(httpclient.Options{
 		SourceAddress:  loaded.Node.Source,
-		IdlePerAddress: loaded.Platform.IdleConnections,
+		MaxIdlePerHost: loaded.Platform.IdleConnections,
 		TLS:            secure.clientConfig(),
 	})
 	if err != nil {
@@ -69,7 +69,7 @@
 	}
 	adapters, err := httpadapter.NewClient(httpadapter.Config{
 		SourceAddress:     loaded.Node.Source,
-		OrderTimeout:      loaded.Platform.EngineTimeout,
+		RequestTimeout:    loaded.Platform.EngineTimeout,
 		StreamIdleTimeout: loaded.Platform.EngineSilence,
 		IdlePerAddress:    loaded.Platform.IdleConnections,
 	})
--- a/internal/queue/order.go
+++ b/internal/queue/order.go
@@ -12,7 +12,7 @@
 // Order names accepted by ByName and in the configuration.
 const (
 	LeastAttained = "least-attained"
-	FirstCome     = "fcfs"
+	FCFS          = "fcfs"
 	CallPriority  = "call-priority"
 	Oracle        = "oracle"
 )
@@ -61,7 +61,7 @@
 	switch name {
 	case LeastAttained, "":
 		return DefaultLeastAttainedOrder(), nil
-	case FirstCome:
+	case FCFS:
 		return FCFSOrder{}, nil
 	case CallPriority:
 		return CallPriorityOrder{}, nil
--- a/internal/quota/coordinator.go
+++ b/internal/quota/coordinator.go
@@ -22,9 +22,9 @@
 // Options configures a coordinator.
 type Options struct {
 	Tolerance Tolerance
-	// ProgramsFirst keeps a part of each limit for running programs; otherwise all requests are
+	// PreferRunningPrograms keeps a part of each limit for running programs; otherwise all requests are
 	// treated alike.
-	ProgramsFirst bool
+	PreferRunningPrograms bool
 }
 
 // NewCoordinator returns a coordinator without leases. Its incarnation distinguishes it from
@@ -52,7 +52,7 @@
 		return response
 	}
 	bucket := group.bucket(request, now)
-	response.Verdict, response.Delay, response.RetryAfter = bucket.decide(request, leased, coordinator.options.ProgramsFirst)
+	response.Verdict, response.Delay, response.RetryAfter = bucket.decide(request, leased, coordinator.options.PreferRunningPrograms)
 	if response.Verdict == Refused {
 		response.Available = bucket.available(leased)
 		if leased.share < minDecisiveShare {
@@ -200,8 +200,8 @@
 		existing = newBucket(now)
 		group.buckets[request.Tenant] = existing
 	}
-	if request.Configuration >= existing.configurationVersion {
-		existing.configurationVersion = request.Configuration
+	if request.ConfigurationVersion >= existing.configurationVersion {
+		existing.configurationVersion = request.ConfigurationVersion
 		existing.envelope = group.tolerance.envelope(request.Limit)
 	}
 	return existing
--- a/internal/quota/coordinator_test.go
+++ b/internal/quota/coordinator_test.go
@@ -153,13 +153,13 @@
 	It("applies a lower limit of a newer configuration, and ignores older ones", func() {
 		cluster := newCluster(1, tenant.Limit{PerSecond: 100, Burst: 100}, quota.Options{})
 		cluster.advance(window, 1)
-		lower := quota.Request{Node: "0", Nodes: 1, Tenant: "t", Limit: tenant.Limit{PerSecond: 1, Burst: 2}, Configuration: 2}
+		lower := quota.Request{Node: "0", Nodes: 1, Tenant: "t", Limit: tenant.Limit{PerSecond: 1, Burst: 2}, ConfigurationVersion: 2}
 		Expect(cluster.coordinator.Decide(lower, cluster.now).Verdict).To(Equal(quota.Granted))
 		Expect(cluster.grantAll()).To(BeNumerically("<=", 3))
 	})
 
 	It("starts fewer programs while running ones are limited, with different retry times", func() {
-		cluster := newCluster(1, tenant.Limit{PerSecond: 4, Burst: 10}, quota.Options{ProgramsFirst: true})
+		cluster := newCluster(1, tenant.Limit{PerSecond: 4, Burst: 10}, quota.Options{PreferRunningPrograms: true})
 		cluster.advance(window, 1)
 		started := 0
 		for cluster.request(fmt.Sprint("p", started), 0).Verdict == quota.Granted {
@@ -178,7 +178,7 @@
 	})
 
 	It("starts programs even if the limit is tiny", func() {
-		cluster := newCluster(1, tenant.Limit{PerSecond: 0.5}, quota.Options{ProgramsFirst: true})
+		cluster := newCluster(1, tenant.Limit{PerSecond: 0.5}, quota.Options{PreferRunningPrograms: true})
 		cluster.advance(window, 1)
 		Expect(cluster.request("p1", time.Second).Verdict).To(Equal(quota.Granted))
 	})
--- a/internal/quota/quota.go
+++ b/internal/quota/quota.go
@@ -91,9 +91,9 @@
 	// LeasedFor is how long the node has leased its share to no other coordinator.
 	LeasedFor time.Duration
 	// Tenant sends the request; Limit is its limit in the given version of the configuration.
-	Tenant        string
-	Limit         tenant.Limit
-	Configuration int64
+	Tenant               string
+	Limit                tenant.Limit
+	ConfigurationVersion int64
 	// Program is empty for a request that belongs to none. Continues is true if the program is
 	// known to have started before.
 	Program   string
--- a/internal/replication/archive_snapshot.go
+++ b/internal/replication/archive_snapshot.go
@@ -121,10 +121,10 @@
 	return &SnapshotCollector{shard: shard, id: id, chunks: make(map[uint32][]byte)}
 }
 
-// Take processes one stream record and reports whether it is a chunk of the
+// AddRecord processes one stream record and reports whether it is a chunk of the
 // snapshot. Other records are ignored. After ErrInvalidSnapshot the snapshot cannot
 // be recovered.
-func (c *SnapshotCollector) Take(record []byte) (bool, error) {
+func (c *SnapshotCollector) AddRecord(record []byte) (bool, error) {
 	decoded := &replicationv1.ArchiveRecord{}
 	if proto.Unmarshal(record, decoded) != nil || decoded.GetShard() != c.shard {
 		return false, nil
@@ -148,9 +148,9 @@
 	return true, nil
 }
 
-// Encoded returns the encoded snapshot, or false while chunks are missing. The error
+// Assemble returns the encoded snapshot, or false while chunks are missing. The error
 // wraps ErrInvalidSnapshot.
-func (c *SnapshotCollector) Encoded() ([]byte, bool, error) {
+func (c *SnapshotCollector) Assemble() ([]byte, bool, error) {
 	if c.count == 0 || len(c.chunks) < int(c.count) {
 		return nil, false, nil
 	}
--- a/internal/replication/archive_snapshot_test.go
+++ b/internal/replication/archive_snapshot_test.go
@@ -21,7 +21,7 @@
 
 func (reader *streamReader) read(records [][]byte) {
 	for _, record := range records {
-		entries, _ := reader.archive.Read(record)
+		entries, _ := reader.archive.Apply(record)
 		for _, entry := range entries {
 			reader.state = fmt.Appendf(reader.state, "%d=%s;", entry.Index, entry.Data)
 		}
@@ -137,10 +137,10 @@
 func (model *streamModel) restore(id string) (*streamReader, int) {
 	collector := replication.NewSnapshotCollector(snapshotShard, id)
 	for _, record := range model.records {
-		_, err := collector.Take(record)
+		_, err := collector.AddRecord(record)
 		Expect(err).NotTo(HaveOccurred())
 	}
-	encoded, complete, err := collector.Encoded()
+	encoded, complete, err := collector.Assemble()
 	Expect(err).NotTo(HaveOccurred())
 	if !complete {
 		return nil, 0
@@ -197,10 +197,10 @@
 		others, err := replication.SplitArchiveSnapshot(snapshotShard, "s", append([]byte{0}, encoded...), 4)
 		Expect(err).NotTo(HaveOccurred())
 		collector := replication.NewSnapshotCollector(snapshotShard, "s")
-		isChunk, err := collector.Take(chunks[0])
+		isChunk, err := collector.AddRecord(chunks[0])
 		Expect(isChunk).To(BeTrue())
 		Expect(err).NotTo(HaveOccurred())
-		_, err = collector.Take(others[1])
+		_, err = collector.AddRecord(others[1])
 		Expect(err).To(MatchError(replication.ErrInvalidSnapshot))
 	})
 })
--- a/internal/replication/batcher.go
+++ b/internal/replication/batcher.go
@@ -123,10 +123,10 @@
 	return batch
 }
 
-// Open returns a batch's messages for the replicas of this process. It returns nil
+// Unpack returns a batch's messages for the replicas of this process. It returns nil
 // if the batch is for another process. The caller ignores messages for replicas
 // that do not exist.
-func (b *Batcher) Open(batch *replicationv1.Batch) []*replicationv1.Message {
+func (b *Batcher) Unpack(batch *replicationv1.Batch) []*replicationv1.Message {
 	from := Incarnation(batch.GetFrom())
 	process := from.Process()
 	if batch.GetToProcess() != b.boot.Process() || process == "" {
@@ -149,8 +149,8 @@
 	return messages
 }
 
-// Forget discards all state of a process that has left.
-func (b *Batcher) Forget(process string) {
+// RemovePeer discards all state of a process that has left.
+func (b *Batcher) RemovePeer(process string) {
 	delete(b.queues, process)
 	delete(b.senders, process)
 	delete(b.receivers, process)
--- a/internal/replication/batcher_test.go
+++ b/internal/replication/batcher_test.go
@@ -62,7 +62,7 @@
 	// answer opens a batch, lets all replicas but that of the silent shard respond, and
 	// returns the receiver's batch.
 	answer := func(batch *replicationv1.Batch, silent uint32) *replicationv1.Batch {
-		for _, message := range receiver.Open(batch) {
+		for _, message := range receiver.Unpack(batch) {
 			if message.GetShard() != silent {
 				receiver.Add(response(message))
 			}
@@ -71,20 +71,20 @@
 	}
 
 	It("omits unchanged shards and delivers the responses of all that accepted", func() {
-		Expect(shardsOf(sender.Open(answer(sendHeartbeats(1, 5, 1, 2, 3), 0)))).To(Equal([]uint32{1, 2, 3}))
+		Expect(shardsOf(sender.Unpack(answer(sendHeartbeats(1, 5, 1, 2, 3), 0)))).To(Equal([]uint32{1, 2, 3}))
 		second := sendHeartbeats(2, 5, 1, 2, 3)
 		Expect(second.GetHeartbeats().GetChanged()).To(BeEmpty())
 		reply := answer(second, 2)
 		Expect(reply.GetMessages()).To(BeEmpty())
-		responses := sender.Open(reply)
+		responses := sender.Unpack(reply)
 		Expect(shardsOf(responses)).To(Equal([]uint32{1, 3}))
 		Expect(responses[0].GetHeartbeatResponse().GetSentAt()).To(BeEquivalentTo(2))
 	})
 
 	It("resends the changes of a lost batch and removes shards no longer led", func() {
-		sender.Open(answer(sendHeartbeats(1, 5, 1, 2), 0))
+		sender.Unpack(answer(sendHeartbeats(1, 5, 1, 2), 0))
 		sendHeartbeats(2, 6, 1, 2)
-		Expect(shardsOf(receiver.Open(sendHeartbeats(3, 6, 2)))).To(Equal([]uint32{2}))
+		Expect(shardsOf(receiver.Unpack(sendHeartbeats(3, 6, 2)))).To(Equal([]uint32{2}))
 	})
 
 	It("does not apply an acknowledgement to a later epoch", func() {
@@ -92,18 +92,18 @@
 		sender.Add(heartbeat(1, 6, 2))
 		sender.Add(heartbeat(2, 5, 2))
 		sender.Take("b")
-		Expect(shardsOf(sender.Open(reply))).To(Equal([]uint32{2}))
+		Expect(shardsOf(sender.Unpack(reply))).To(Equal([]uint32{2}))
 	})
 
 	It("sends the full list to a receiver that has restarted", func() {
-		sender.Open(answer(sendHeartbeats(1, 5, 1, 2), 0))
+		sender.Unpack(answer(sendHeartbeats(1, 5, 1, 2), 0))
 		receiver = replication.NewBatcher("b#next")
-		Expect(sender.Open(answer(sendHeartbeats(2, 5, 1, 2), 0))).To(BeEmpty())
-		Expect(shardsOf(sender.Open(answer(sendHeartbeats(3, 5, 1, 2), 0)))).To(Equal([]uint32{1, 2}))
+		Expect(sender.Unpack(answer(sendHeartbeats(2, 5, 1, 2), 0))).To(BeEmpty())
+		Expect(shardsOf(sender.Unpack(answer(sendHeartbeats(3, 5, 1, 2), 0)))).To(Equal([]uint32{1, 2}))
 	})
 
 	It("sends no batch with only optional heartbeats and keeps their shards for the next one", func() {
-		sender.Open(answer(sendHeartbeats(1, 5, 1, 2, 3), 0))
+		sender.Unpack(answer(sendHeartbeats(1, 5, 1, 2, 3), 0))
 		optional := func(sentAt int64, shards ...uint32) {
 			for _, shard := range shards {
 				envelope := heartbeat(shard, 5, sentAt)
@@ -119,7 +119,7 @@
 		batch := sender.Take("b")
 		Expect(batch.GetHeartbeats().GetSentAt()).To(BeEquivalentTo(3))
 		Expect(batch.GetHeartbeats().GetRemovedShards()).To(Equal([]uint32{3}))
-		Expect(shardsOf(receiver.Open(batch))).To(Equal([]uint32{1, 2}))
+		Expect(shardsOf(receiver.Unpack(batch))).To(Equal([]uint32{1, 2}))
 	})
 
 	It("limits the queue of an unreachable peer by discarding it", func() {
@@ -135,8 +135,8 @@
 	It("ignores duplicate and out-of-order batches", func() {
 		first := sendHeartbeats(1, 5, 1)
 		second := sendHeartbeats(2, 5, 1)
-		Expect(receiver.Open(second)).To(HaveLen(1))
-		Expect(receiver.Open(first)).To(BeEmpty())
-		Expect(receiver.Open(second)).To(BeEmpty())
+		Expect(receiver.Unpack(second)).To(HaveLen(1))
+		Expect(receiver.Unpack(first)).To(BeEmpty())
+		Expect(receiver.Unpack(second)).To(BeEmpty())
 	})
 })
--- a/internal/replication/benchmark_test.go
+++ b/internal/replication/benchmark_test.go
@@ -99,7 +99,7 @@
 				if other.name != peer {
 					continue
 				}
-				for _, message := range other.batcher.Open(batch) {
+				for _, message := range other.batcher.Unpack(batch) {
 					replica := other.replicas[message.GetShard()]
 					replica.Receive(c.now, message)
 					c.finish(other, replica)
--- a/internal/replication/claim.go
+++ b/internal/replication/claim.go
@@ -72,13 +72,13 @@
 	return &Archive{shard: shard}
 }
 
-// Read processes the next record of the stream and returns the entries that it adds
+// Apply processes the next record of the stream and returns the entries that it adds
 // to the shard's log, to be applied in order.
 //
 // A claim is accepted only if its generation follows the current one, so the first
 // of several claims to a generation wins. Entries of another generation, duplicates
 // and entries after a gap are ignored.
-func (a *Archive) Read(record []byte) ([]Entry, error) {
+func (a *Archive) Apply(record []byte) ([]Entry, error) {
 	decoded := &replicationv1.ArchiveRecord{}
 	if err := proto.Unmarshal(record, decoded); err != nil {
 		return nil, fmt.Errorf("decoding archive record: %w", err)
--- a/internal/replication/claim_test.go
+++ b/internal/replication/claim_test.go
@@ -46,7 +46,7 @@
 var _ = Describe("A shard's archive", func() {
 	var archive *replication.Archive
 	read := func(record []byte) []uint64 {
-		entries, err := archive.Read(record)
+		entries, err := archive.Apply(record)
 		Expect(err).NotTo(HaveOccurred())
 		return indexesOf(entries)
 	}
@@ -92,7 +92,7 @@
 	})
 
 	It("rejects a malformed record", func() {
-		_, err := archive.Read([]byte{0xff, 0xff})
+		_, err := archive.Apply([]byte{0xff, 0xff})
 		Expect(err).To(HaveOccurred())
 	})
 })
--- a/internal/replication/output.go
+++ b/internal/replication/output.go
@@ -25,8 +25,8 @@
 	ErrTooFewActiveMembers = errors.New("too few active members for the membership change")
 	// ErrUnknownMember means that the given member is not valid for the operation.
 	ErrUnknownMember = errors.New("unknown member")
-	// ErrNoSnapshotWanted means that no member needs a snapshot.
-	ErrNoSnapshotWanted = errors.New("no member needs a snapshot")
+	// ErrNoSnapshotNeeded means that no member needs a snapshot.
+	ErrNoSnapshotNeeded = errors.New("no member needs a snapshot")
 )
 
 // Role is a state of the replica state chart, charts/replica.yaml.
@@ -90,8 +90,8 @@
 	Restore *RestoredState
 	// Committed holds the entries to apply, in order and without gaps.
 	Committed []Entry
-	// SnapshotWanted requests ProvideSnapshot after Committed is applied.
-	SnapshotWanted bool
+	// SnapshotNeeded requests ProvideSnapshot after Committed is applied.
+	SnapshotNeeded bool
 	// RoleChanged means that Role, Epoch or Leader differs from the last Output.
 	RoleChanged bool
 	// MembersChanged means that Members differs from the last Output.
--- a/internal/replication/rebuild_test.go
+++ b/internal/replication/rebuild_test.go
@@ -48,7 +48,7 @@
 func (sim *simulation) readStream() *replication.Archive {
 	archive := replication.NewArchive(shardNumber)
 	for _, record := range sim.stream {
-		entries, err := archive.Read(record)
+		entries, err := archive.Apply(record)
 		sim.check(err == nil, "reading record: %v", err)
 		for _, entry := range entries {
 			sim.check(entry.Epoch == sim.entries[entry.Index].Epoch, "stream has a different entry at index %d", entry.Index)
--- a/internal/replication/replica.go
+++ b/internal/replication/replica.go
@@ -148,11 +148,11 @@
 	return r.entriesBetween(after, r.commit, maxBytes)
 }
 
-// TailEntries returns entries after an index, committed or not, limited to maxBytes
+// LogEntries returns entries after an index, committed or not, limited to maxBytes
 // but at least one. It returns nil if the log no longer holds them. A host may
 // archive them only with proof that a majority of the generation's members is gone,
 // since then no other entries can be committed in their place.
-func (r *Replica) TailEntries(after uint64, maxBytes int) []Entry {
+func (r *Replica) LogEntries(after uint64, maxBytes int) []Entry {
 	return r.entriesBetween(after, r.log.lastIndex(), maxBytes)
 }
 
@@ -288,7 +288,7 @@
 	output := Output{}
 	if r.role == RoleLeader {
 		r.replicate(now)
-		output.SnapshotWanted = r.role == RoleLeader && r.leaderState.needsSnapshot()
+		output.SnapshotNeeded = r.role == RoleLeader && r.leaderState.needsSnapshot()
 	}
 	output.Restore = r.pendingRestore
 	output.Committed = r.takeCommitted()
--- a/internal/replication/simulation_test.go
+++ b/internal/replication/simulation_test.go
@@ -201,7 +201,7 @@
 }
 
 func (sim *simulation) deliver(node *process, item *event) {
-	for _, message := range node.batcher.Open(item.batch) {
+	for _, message := range node.batcher.Unpack(item.batch) {
 		node.replica.Receive(node.clock(sim.now), message)
 	}
 }
@@ -221,7 +221,7 @@
 		sim.inspectEntry(node, entry)
 	}
 	sim.inspectState(node)
-	if output.SnapshotWanted {
+	if output.SnapshotNeeded {
 		_ = node.replica.ProvideSnapshot(node.clock(sim.now), node.state.snapshot())
 		sim.finish(node)
 	}
--- a/internal/replication/snapshot.go
+++ b/internal/replication/snapshot.go
@@ -28,7 +28,7 @@
 // when they have received it.
 func (r *Replica) ProvideSnapshot(now time.Duration, state []byte) error {
 	if r.role != RoleLeader || !r.leaderState.needsSnapshot() {
-		return ErrNoSnapshotWanted
+		return ErrNoSnapshotNeeded
 	}
 	payload, err := proto.Marshal(r.encodeSnapshot(state))
 	if err != nil {
--- a/internal/resultcode/resultcode.go
+++ b/internal/resultcode/resultcode.go
@@ -154,8 +154,8 @@
 	return &Error{Code: code, Message: fmt.Sprintf(format, arguments...)}
 }
 
-// After returns a copy with RetryAfter set to wait.
-func (failure *Error) After(wait time.Duration) *Error {
+// WithRetryAfter returns a copy with RetryAfter set to wait.
+func (failure *Error) WithRetryAfter(wait time.Duration) *Error {
 	copied := *failure
 	copied.RetryAfter = wait
 	return &copied
--- a/internal/resultcode/resultcode_test.go
+++ b/internal/resultcode/resultcode_test.go
@@ -74,7 +74,7 @@
 var _ = Describe("Error", func() {
 	It("keeps its code when wrapped, and is not modified by setting a retry delay", func() {
 		refusal := resultcode.New(resultcode.Overloaded, "wait %d s", 3)
-		later := refusal.After(time.Second)
+		later := refusal.WithRetryAfter(time.Second)
 		Expect(refusal.RetryAfter).To(BeZero())
 		Expect(later.RetryAfter).To(Equal(time.Second))
 		Expect(resultcode.CodeOf(eris.Wrap(later, "call"))).To(Equal(resultcode.Overloaded))
--- a/internal/scheduler/call_handler.go
+++ b/internal/scheduler/call_handler.go
@@ -75,7 +75,7 @@
 		view, err := buffer.Next(ctx, idleTimer.C, after)
 		idleTimer.Reset(keepaliveInterval)
 		switch {
-		case errors.Is(err, stream.ErrQuiet):
+		case errors.Is(err, stream.ErrWaitTimeout):
 			if events.keepalive() != nil {
 				return
 			}
@@ -136,7 +136,7 @@
 		events.write(&schedulerv1.CallEvent{Event: &schedulerv1.CallEvent_Finished{Finished: view.Finished}})
 	case view.Failure != nil:
 		events.fail(wireError(view.Failure))
-	case !view.Dropped:
+	case !view.Abandoned:
 		return false
 	}
 	events.flush()
--- a/internal/scheduler/call_request.go
+++ b/internal/scheduler/call_request.go
@@ -38,7 +38,7 @@
 	}
 	if host.backlogFull() {
 		core.decline(event.ReplyTo, resultcode.New(resultcode.ArchiveBacklogFull,
-			"the archive backlog is full").After(archiveRetryAfter))
+			"the archive backlog is full").WithRetryAfter(archiveRetryAfter))
 		return
 	}
 	if failure := core.checkTarget(program, request); failure != nil {
@@ -50,7 +50,7 @@
 
 // joinCall attaches a repeated request to the original call.
 func (core *Core) joinCall(replyTo ReplyID, host *host, call *shard.Call, request *schedulerv1.CallRequest) {
-	if !request.AttachOnly && !call.SameBody(request.Digest) {
+	if !request.AttachOnly && !call.HasDigest(request.Digest) {
 		core.decline(replyTo, resultcode.New(resultcode.RequestIDReused,
 			"request id %s was used with another body", request.RequestId))
 		return
@@ -72,7 +72,7 @@
 	}
 	if core.configuration == nil || !core.configurationCurrent {
 		return resultcode.New(resultcode.ConfigurationStale,
-			"the configuration may not be current").After(staleRetryAfter)
+			"the configuration may not be current").WithRetryAfter(staleRetryAfter)
 	}
 	if _, found := core.configuration.Tier(request.Caller.GetTenant(), request.Caller.GetTier()); !found {
 		return resultcode.New(resultcode.BadKey, "no tier %s", request.Caller.GetTier())
@@ -226,12 +226,12 @@
 func (host *host) stopIfExhausted(request *schedulerv1.CallRequest, failure *resultcode.Error) {
 	program := host.state.Program(request.ProgramId)
 	tier, found := host.core.configuration.Tier(request.Caller.Tenant, request.Caller.Tier)
-	if program == nil || program.Over() || program.OpenCalls() > 0 || !found {
+	if program == nil || program.IsFinal() || program.OpenCalls() > 0 || !found {
 		return
 	}
 	smallest := acceptedCall(request, tier)
 	smallest.MaxTokens = 1
-	capSpent := failure.Code == resultcode.ProgramCapReached && !host.state.Covers(program, program.WorstCase(smallest))
+	capSpent := failure.Code == resultcode.ProgramCapReached && !host.state.Covers(program, program.WorstCaseCost(smallest))
 	if !capSpent && failure.Code != resultcode.TurnLimitReached {
 		return
 	}
@@ -295,7 +295,7 @@
 	}
 	host.core.emit(Follow{ReplyTo: waiting.replyTo, Turn: outcome.Call.Turn(), Buffer: host.bufferOf(outcome.Call)})
 	program := outcome.Program
-	if program.Created().SingleCall && program.OpenCalls() == 0 && !program.Over() {
+	if program.Created().SingleCall && program.OpenCalls() == 0 && !program.IsFinal() {
 		host.proposeEnd(&shardv1.ProgramEnded{ProgramId: program.ID()}, ignoredWaiter{})
 	}
 }
--- a/internal/scheduler/call_run.go
+++ b/internal/scheduler/call_run.go
@@ -15,7 +15,7 @@
 
 func abandonedBuffer() *stream.Buffer {
 	buffer := stream.New()
-	buffer.Drop()
+	buffer.Abandon()
 	return buffer
 }
 
@@ -23,7 +23,7 @@
 // committed intent may be running: it is attached to and never sent again.
 func (host *host) resumeCalls() {
 	for _, program := range host.sortedPrograms() {
-		if program.Over() {
+		if program.IsFinal() {
 			host.endedSince[program.ID()] = host.core.now
 			continue
 		}
@@ -112,7 +112,7 @@
 		return
 	}
 	switch {
-	case live.call.Over():
+	case live.call.IsFinal():
 		host.closeCall(live)
 	case live.call.State() == charts.CallStateDispatched && live.phase == phaseCommittingIntent:
 		host.sendWhenArchived(live)
@@ -191,7 +191,7 @@
 func (host *host) requeue(live *liveCall, notRun bool, detail string) {
 	if live.call.Attempt() >= host.core.config.MaximumAttempts {
 		host.fail(live, resultcode.New(resultcode.EngineFailed,
-			"%d attempts failed; last error: %s", live.call.Attempt(), detail).After(noBackEndRetryAfter))
+			"%d attempts failed; last error: %s", live.call.Attempt(), detail).WithRetryAfter(noBackEndRetryAfter))
 		return
 	}
 	live.phase = phaseClosing
@@ -217,7 +217,7 @@
 func (host *host) refuse(live *liveCall, failure *resultcode.Error) {
 	if live.call.MayHaveRun() {
 		failure = resultcode.New(resultcode.EngineFailed,
-			"an attempt was lost and the next one was refused: %s", failure.Message).After(failure.RetryAfter)
+			"an attempt was lost and the next one was refused: %s", failure.Message).WithRetryAfter(failure.RetryAfter)
 	}
 	host.fail(live, failure)
 }
@@ -249,7 +249,7 @@
 	delete(host.calls, live.id())
 	host.retainDecisions(live)
 	program := call.Program()
-	if program.Over() {
+	if program.IsFinal() {
 		return
 	}
 	if program.OpenCalls() > 0 {
--- a/internal/scheduler/call_send.go
+++ b/internal/scheduler/call_send.go
@@ -15,7 +15,7 @@
 	machine, found := host.core.selectTool(accepted.Target)
 	if !found {
 		host.refuse(live, resultcode.New(resultcode.NoBackEnd,
-			"no back end of %s accepts work", accepted.Target).After(noBackEndRetryAfter))
+			"no back end of %s accepts work", accepted.Target).WithRetryAfter(noBackEndRetryAfter))
 		return
 	}
 	live.recordDecision("placed", "tool back end "+machine.ID)
--- a/internal/scheduler/client_test.go
+++ b/internal/scheduler/client_test.go
@@ -157,14 +157,14 @@
 
 func (client *testClient) followBuffer() {
 	node := client.node
-	view := client.buffer.Look(0)
+	view := client.buffer.Peek(0)
 	switch {
 	case view.Finished != nil:
 		text, _ := client.buffer.Content()
 		client.finish(testResult{text: text})
 	case view.Failure != nil:
 		client.finish(testResult{code: view.Failure.Code})
-	case view.Dropped, node.dead, node.paused:
+	case view.Abandoned, node.dead, node.paused:
 		client.buffer = nil
 	}
 }
--- a/internal/scheduler/cluster_test.go
+++ b/internal/scheduler/cluster_test.go
@@ -512,11 +512,11 @@
 func (cluster *testCluster) follow(leader string, buffer *stream.Buffer, bound time.Duration) (outcome, bool) {
 	node := cluster.nodes[leader]
 	over := func() bool {
-		view := buffer.Look(0)
-		return view.Finished != nil || view.Failure != nil || view.Dropped
+		view := buffer.Peek(0)
+		return view.Finished != nil || view.Failure != nil || view.Abandoned
 	}
 	cluster.runUntil(bound, func() bool { return over() || node.dead || node.paused })
-	view := buffer.Look(0)
+	view := buffer.Peek(0)
 	text, _ := buffer.Content()
 	switch {
 	case view.Finished != nil:
--- a/internal/scheduler/escrow.go
+++ b/internal/scheduler/escrow.go
@@ -59,7 +59,7 @@
 func budgetExhausted(worstCase uint64) *resultcode.Error {
 	failure := resultcode.New(resultcode.BudgetExhausted,
 		"the tier's budget does not cover the %d micros that the call may cost", worstCase)
-	return failure.After(budgetRetryAfter)
+	return failure.WithRetryAfter(budgetRetryAfter)
 }
 
 func (host *host) escrowDemand(key shard.TierKey) *escrowDemand {
@@ -75,9 +75,9 @@
 func (host *host) worstCase(programID string, accepted *shardv1.CallAccepted) uint64 {
 	program := host.state.Program(programID)
 	if program == nil {
-		return shard.WorstCaseAlone(accepted)
+		return shard.WorstCaseCostWithoutHistory(accepted)
 	}
-	return program.WorstCase(accepted)
+	return program.WorstCaseCost(accepted)
 }
 
 // coversCall reports whether the escrow covers another call.
@@ -231,7 +231,7 @@
 		if expired {
 			// Nothing was proposed, and it is unknown whether the budget is exhausted.
 			host.core.decline(parked.replyTo, resultcode.New(resultcode.NoLeader,
-				"the leader of the tier's account did not answer in time").After(leaderRetryAfter))
+				"the leader of the tier's account did not answer in time").WithRetryAfter(leaderRetryAfter))
 		}
 		return expired
 	})
--- a/internal/scheduler/host.go
+++ b/internal/scheduler/host.go
@@ -111,9 +111,9 @@
 
 func proposalRefused(err error) *resultcode.Error {
 	if err == replication.ErrBacklogFull {
-		return resultcode.New(resultcode.ArchiveBacklogFull, "%v", err).After(archiveRetryAfter)
+		return resultcode.New(resultcode.ArchiveBacklogFull, "%v", err).WithRetryAfter(archiveRetryAfter)
 	}
-	return resultcode.New(resultcode.NotLeader, "%v", err).After(leaderRetryAfter)
+	return resultcode.New(resultcode.NotLeader, "%v", err).WithRetryAfter(leaderRetryAfter)
 }
 
 const (
--- a/internal/scheduler/keeper_client.go
+++ b/internal/scheduler/keeper_client.go
@@ -25,7 +25,7 @@
 	pools := host.core.poolsFor(live.call.Accepted().Target, live.id().program)
 	if len(pools) == 0 {
 		host.refuse(live, resultcode.New(resultcode.NoBackEnd,
-			"no engine serves %s", live.call.Accepted().Target).After(noBackEndRetryAfter))
+			"no engine serves %s", live.call.Accepted().Target).WithRetryAfter(noBackEndRetryAfter))
 		return
 	}
 	if live.deadline > 0 && host.core.now >= live.deadline {
@@ -204,7 +204,7 @@
 		return
 	}
 	failure := resultcode.New(resultcode.Code(refusal.Code), "%s", refusal.Why)
-	live.host.refuse(live, failure.After(time.Duration(refusal.RetryAfterMs)*time.Millisecond))
+	live.host.refuse(live, failure.WithRetryAfter(time.Duration(refusal.RetryAfterMs)*time.Millisecond))
 }
 
 // tryNextPool offers a call to the model's next pool if the current one is full.
--- a/internal/scheduler/layout.go
+++ b/internal/scheduler/layout.go
@@ -57,7 +57,7 @@
 
 // poolsFor lists the pools that a program's calls to a model may use, in order of preference.
 func (core *Core) poolsFor(model, programID string) []string {
-	return membership.PoolsFor(core.layout.pools, model, core.config.Region, programID)
+	return membership.PoolsByPreference(core.layout.pools, model, core.config.Region, programID)
 }
 
 // poolOfEngine returns the pool of an engine, or "" if the engine is no longer listed.
--- a/internal/scheduler/leader_reports.go
+++ b/internal/scheduler/leader_reports.go
@@ -136,7 +136,7 @@
 func (host *host) livePrograms() []*shard.Program {
 	var found []*shard.Program
 	for _, program := range host.sortedPrograms() {
-		if !program.Over() {
+		if !program.IsFinal() {
 			found = append(found, program)
 		}
 	}
--- a/internal/scheduler/live_call.go
+++ b/internal/scheduler/live_call.go
@@ -104,7 +104,7 @@
 
 // abandon ends the call's stream without an answer, and stops following its run.
 func (live *liveCall) abandon() {
-	live.buffer.Drop()
+	live.buffer.Abandon()
 	if live.phase == phaseRunning {
 		live.host.core.emit(StopRun{Run: live.run()})
 	}
@@ -126,12 +126,12 @@
 		return live.buffer
 	}
 	if failure := call.Failure(); failure != nil {
-		return stream.Failed(failure)
+		return stream.NewFailed(failure)
 	}
 	if finished := call.Finished(); finished != nil {
-		return stream.Recorded(finished.Output, finished.ChunkBytes, call.Usage(), finished.FinishReason)
+		return stream.NewFinished(finished.Output, finished.ChunkBytes, call.Usage(), finished.FinishReason)
 	}
-	return stream.Failed(resultcode.New(resultcode.Internal, "call %s has no recorded result", call.RequestID()))
+	return stream.NewFailed(resultcode.New(resultcode.Internal, "call %s has no recorded result", call.RequestID()))
 }
 
 // track creates the leader's record of an open call.
@@ -139,7 +139,7 @@
 	live := &liveCall{
 		host:       host,
 		call:       call,
-		buffer:     stream.Begun(call.Partial().Output, call.Partial().ChunkBytes, call.Partial().Tokens),
+		buffer:     stream.NewPartial(call.Partial().Output, call.Partial().ChunkBytes, call.Partial().Tokens),
 		acceptedAt: host.core.now,
 	}
 	host.calls[live.id()] = live
--- a/internal/scheduler/loop.go
+++ b/internal/scheduler/loop.go
@@ -174,5 +174,5 @@
 
 // unavailable is the error returned if the control loop does not answer.
 func unavailable() *schedulerv1.Error {
-	return wireError(resultcode.New(resultcode.NoLeader, "the scheduler is stopping").After(leaderRetryAfter))
+	return wireError(resultcode.New(resultcode.NoLeader, "the scheduler is stopping").WithRetryAfter(leaderRetryAfter))
 }
--- a/internal/scheduler/outbox.go
+++ b/internal/scheduler/outbox.go
@@ -71,7 +71,7 @@
 		core.peerReplyTo = event.ReplyTo
 	}
 	core.directory.heard(sender.Process(), string(sender), core.now)
-	for _, message := range core.batcher.Open(batch.Replication) {
+	for _, message := range core.batcher.Unpack(batch.Replication) {
 		if host := core.hosts[message.Shard]; host != nil {
 			host.receive(message)
 		}
--- a/internal/scheduler/pool.go
+++ b/internal/scheduler/pool.go
@@ -193,7 +193,7 @@
 		pool.reply(effect.Request, pool.grantOf(effect))
 	case keeper.Refuse:
 		pool.core.log("offer_refused", effect.Request.Shard, effect.Request.Call.Program, effect.Request.Call.RequestID,
-			fmt.Sprintf("pool=%s code=%s retry_after=%s why=%q %s", pool.name, effect.Code, effect.RetryAfter, effect.Why, effect.Grounds))
+			fmt.Sprintf("pool=%s code=%s retry_after=%s why=%q %s", pool.name, effect.Code, effect.RetryAfter, effect.Why, effect.Context))
 		pool.reply(effect.Request, refusalOf(effect))
 	case keeper.Preempt:
 		pool.reply(effect.Request, preemptionOf(effect))
--- a/internal/scheduler/program_request.go
+++ b/internal/scheduler/program_request.go
@@ -55,7 +55,7 @@
 func (core *Core) checkCreation(request *schedulerv1.CreateProgramRequest) (*shardv1.ProgramCreated, *resultcode.Error) {
 	if core.configuration == nil || !core.configurationCurrent {
 		return nil, resultcode.New(resultcode.ConfigurationStale,
-			"the configuration may not be current").After(staleRetryAfter)
+			"the configuration may not be current").WithRetryAfter(staleRetryAfter)
 	}
 	tier, found := core.configuration.Tier(request.Caller.GetTenant(), request.Caller.GetTier())
 	if !found {
@@ -85,7 +85,7 @@
 type programWaiter struct{ replyTo ReplyID }
 
 func (waiting programWaiter) applied(host *host, outcome shard.Outcome) {
-	if outcome.Program != nil && outcome.Err == nil && !outcome.Program.Over() {
+	if outcome.Program != nil && outcome.Err == nil && !outcome.Program.IsFinal() {
 		host.noteIdle(outcome.Program)
 	}
 	host.core.answerProgram(waiting.replyTo, wireError(outcome.Err), outcome.Program)
--- a/internal/scheduler/program_sweep.go
+++ b/internal/scheduler/program_sweep.go
@@ -44,7 +44,7 @@
 
 func (host *host) sweepIdle(programID string) {
 	program := host.state.Program(programID)
-	if program == nil || program.Over() || program.OpenCalls() > 0 {
+	if program == nil || program.IsFinal() || program.OpenCalls() > 0 {
 		delete(host.idleSince, programID)
 		return
 	}
--- a/internal/scheduler/rebuild.go
+++ b/internal/scheduler/rebuild.go
@@ -90,7 +90,7 @@
 	if assignment.appending {
 		return true
 	}
-	entries := host.replica.TailEntries(assignment.archive.Last().Index, maximumArchiveBytes)
+	entries := host.replica.LogEntries(assignment.archive.Last().Index, maximumArchiveBytes)
 	if len(entries) == 0 {
 		return false
 	}
@@ -111,7 +111,7 @@
 	if assignment == nil || assignment.rebuild == nil || !assignment.atEnd || assignment.appending {
 		return true
 	}
-	return len(host.replica.TailEntries(assignment.archive.Last().Index, 1)) > 0
+	return len(host.replica.LogEntries(assignment.archive.Last().Index, 1)) > 0
 }
 
 // restartRead discards the view and reads the stream again for the state of a new generation.
--- a/internal/scheduler/replica_output.go
+++ b/internal/scheduler/replica_output.go
@@ -46,7 +46,7 @@
 	for _, entry := range output.Committed {
 		host.apply(entry)
 	}
-	if output.SnapshotWanted {
+	if output.SnapshotNeeded {
 		host.provideSnapshot()
 	}
 	if host.replica.Role() == replication.RoleRetired {
--- a/internal/scheduler/snapshot_loader.go
+++ b/internal/scheduler/snapshot_loader.go
@@ -27,12 +27,12 @@
 		_ = loader.view.read(record)
 		return
 	}
-	isPart, err := loader.collector.Take(record.Data)
+	isPart, err := loader.collector.AddRecord(record.Data)
 	if !isPart {
 		loader.deferRecord(record)
 		return
 	}
-	encoded, whole, decodeErr := loader.collector.Encoded()
+	encoded, whole, decodeErr := loader.collector.Assemble()
 	loader.failed = err != nil || decodeErr != nil
 	if whole && !loader.failed {
 		loader.restore(encoded, record.Offset)
--- a/internal/scheduler/stream_view.go
+++ b/internal/scheduler/stream_view.go
@@ -44,7 +44,7 @@
 func (view *streamView) read(record outside.Record) error {
 	view.offset = record.Offset + 1
 	before := view.archive.Claim().Generation
-	entries, err := view.archive.Read(record.Data)
+	entries, err := view.archive.Apply(record.Data)
 	if err != nil {
 		view.unreadable++
 		return err
--- a/internal/shard/apply_call.go
+++ b/internal/shard/apply_call.go
@@ -15,12 +15,12 @@
 		return errorOutcome(resultcode.UnknownProgram, "no program %s", accepted.ProgramId)
 	}
 	if known := program.Call(accepted.RequestId); known != nil {
-		if !known.SameBody(accepted.Digest) {
+		if !known.HasDigest(accepted.Digest) {
 			return errorOutcome(resultcode.RequestIDReused, "request id %s was used with another body", accepted.RequestId)
 		}
 		return Outcome{Program: program, Call: known, Duplicate: true}
 	}
-	if program.Over() {
+	if program.IsFinal() {
 		return errorOutcome(resultcode.ProgramOver, "program %s has ended", accepted.ProgramId)
 	}
 	limit := program.Created().TurnLimit
@@ -28,7 +28,7 @@
 		return program.rejectCall(accepted,
 			resultcode.New(resultcode.TurnLimitReached, "program %s has reached its limit of %d turns", accepted.ProgramId, limit))
 	}
-	reservation := program.WorstCase(accepted)
+	reservation := program.WorstCaseCost(accepted)
 	if failure := state.reserve(program, reservation); failure != nil {
 		return program.rejectCall(accepted, failure)
 	}
@@ -118,7 +118,7 @@
 		return nil, errorOutcome(resultcode.UnknownRequest, "no call %s", requestID)
 	}
 	outcome := Outcome{Program: program, Call: call}
-	if call.Over() || call.record.Attempt != attempt {
+	if call.IsFinal() || call.record.Attempt != attempt {
 		outcome.Duplicate = true
 		return nil, outcome
 	}
--- a/internal/shard/apply_program.go
+++ b/internal/shard/apply_program.go
@@ -25,7 +25,7 @@
 		if parent == nil || parent.Created().Tenant != created.Tenant {
 			return errorOutcome(resultcode.UnknownProgram, "no parent program %s", created.ParentId)
 		}
-		if parent.Over() {
+		if parent.IsFinal() {
 			return errorOutcome(resultcode.ProgramOver, "parent program %s has ended", created.ParentId)
 		}
 		if failure := parent.applyEvent(charts.ProgramEventSubAgentStarted); failure != nil {
@@ -56,7 +56,7 @@
 		return errorOutcome(resultcode.UnknownProgram, "no program %s", ended.ProgramId)
 	}
 	outcome := Outcome{Program: program}
-	if program.Over() {
+	if program.IsFinal() {
 		outcome.Duplicate = true
 		return outcome
 	}
@@ -69,7 +69,7 @@
 	program.applyEvent(event)
 	state.notifyParent(program)
 	for _, child := range program.sortedChildren() {
-		if child.Over() {
+		if child.IsFinal() {
 			continue
 		}
 		childEnd := &shardv1.ProgramEnded{ProgramId: child.ID(), Stopped: ended.Stopped, Reason: ended.Reason}
@@ -132,7 +132,7 @@
 // forgetProgram deletes the records of an ended program and its sub-agents.
 func (state *State) forgetProgram(forgotten *shardv1.ProgramForgotten) Outcome {
 	program := state.programs[forgotten.ProgramId]
-	if program == nil || !program.Over() {
+	if program == nil || !program.IsFinal() {
 		return Outcome{Program: program, Duplicate: true}
 	}
 	state.deleteSubtree(program)
--- a/internal/shard/call.go
+++ b/internal/shard/call.go
@@ -41,11 +41,11 @@
 // a rejected call.
 func (call *Call) Turn() uint32 { return call.record.Turn }
 
-// Over reports whether the call is in a final state.
-func (call *Call) Over() bool { return charts.Call.Final(call.state) }
+// IsFinal reports whether the call is in a final state.
+func (call *Call) IsFinal() bool { return charts.Call.Final(call.state) }
 
-// SameBody reports whether digest equals the digest of the call's request body.
-func (call *Call) SameBody(digest []byte) bool {
+// HasDigest reports whether digest equals the digest of the call's request body.
+func (call *Call) HasDigest(digest []byte) bool {
 	return bytes.Equal(call.record.Accepted.Digest, digest)
 }
 
@@ -83,7 +83,7 @@
 		return nil
 	}
 	failure := resultcode.New(resultcode.Code(ended.Code), "%s", ended.Message)
-	return failure.After(time.Duration(ended.RetryAfterMs) * time.Millisecond)
+	return failure.WithRetryAfter(time.Duration(ended.RetryAfterMs) * time.Millisecond)
 }
 
 // Prompt returns the full prompt of an open call. Prompt.Parts assembles it.
--- a/internal/shard/snapshot.go
+++ b/internal/shard/snapshot.go
@@ -115,7 +115,7 @@
 			continue
 		}
 		parent.children = append(parent.children, program)
-		if !program.Over() {
+		if !program.IsFinal() {
 			parent.liveChildren++
 		}
 	}
--- a/internal/shard/state.go
+++ b/internal/shard/state.go
@@ -70,8 +70,8 @@
 // State returns the program's state in the program state chart.
 func (program *Program) State() charts.ProgramState { return program.state }
 
-// Over reports whether the program is in a final state: ended or stopped.
-func (program *Program) Over() bool {
+// IsFinal reports whether the program is in a final state: ended or stopped.
+func (program *Program) IsFinal() bool {
 	return charts.Program.Final(program.state)
 }
 
--- a/internal/shard/worst_case.go
+++ b/internal/shard/worst_case.go
@@ -13,15 +13,15 @@
 	}
 }
 
-// WorstCaseAlone returns the worst-case cost, in micros, of a call without history.
-func WorstCaseAlone(accepted *shardv1.CallAccepted) uint64 {
+// WorstCaseCostWithoutHistory returns the worst-case cost, in micros, of a call without history.
+func WorstCaseCostWithoutHistory(accepted *shardv1.CallAccepted) uint64 {
 	return uint64(price(accepted).Cost(EstimateTokens(accepted.Messages), accepted.MaxTokens))
 }
 
-// WorstCase returns the worst-case cost, in micros, of a call accepted now: no prompt
+// WorstCaseCost returns the worst-case cost, in micros, of a call accepted now: no prompt
 // token is cached and the output reaches MaxTokens. The messages and outputs of open
 // calls count as part of the prompt.
-func (program *Program) WorstCase(accepted *shardv1.CallAccepted) uint64 {
+func (program *Program) WorstCaseCost(accepted *shardv1.CallAccepted) uint64 {
 	promptTokens := program.record.HistoryTokens + EstimateTokens(accepted.Messages)
 	for _, requestID := range program.record.Pending {
 		open := program.calls[requestID].record.Accepted
--- a/internal/stream/buffer.go
+++ b/internal/stream/buffer.go
@@ -32,18 +32,18 @@
 	return &Buffer{changed: make(chan struct{})}
 }
 
-// Recorded returns a finished buffer with the output of a stored call, split
+// NewFinished returns a finished buffer with the output of a stored call, split
 // at the stored chunk lengths.
-func Recorded(output string, chunkBytes []uint32, usage *schedulerv1.Usage, finishReason string) *Buffer {
-	buffer := Begun(output, chunkBytes, usage.GetOutputTokens())
+func NewFinished(output string, chunkBytes []uint32, usage *schedulerv1.Usage, finishReason string) *Buffer {
+	buffer := NewPartial(output, chunkBytes, usage.GetOutputTokens())
 	buffer.Finish(finishReason, usage)
 	return buffer
 }
 
-// Begun returns an open buffer with the first part of a call's output, split at
+// NewPartial returns an open buffer with the first part of a call's output, split at
 // the given chunk lengths. Only the total token count is known, so the last
 // chunk carries all of it.
-func Begun(output string, chunkBytes []uint32, tokens uint32) *Buffer {
+func NewPartial(output string, chunkBytes []uint32, tokens uint32) *Buffer {
 	buffer := New()
 	remaining := output
 	for _, size := range chunkBytes {
@@ -60,8 +60,8 @@
 	return buffer
 }
 
-// Failed returns an empty buffer that has ended with failure.
-func Failed(failure *resultcode.Error) *Buffer {
+// NewFailed returns an empty buffer that has ended with failure.
+func NewFailed(failure *resultcode.Error) *Buffer {
 	buffer := New()
 	buffer.Fail(failure)
 	return buffer
@@ -111,10 +111,10 @@
 	buffer.notifyReaders()
 }
 
-// Drop ends the buffer without a result: this process no longer tracks the
+// Abandon ends the buffer without a result: this process no longer tracks the
 // call, and readers must reattach at the shard's new leader. It has no effect
 // on an ended buffer.
-func (buffer *Buffer) Drop() {
+func (buffer *Buffer) Abandon() {
 	buffer.mutex.Lock()
 	defer buffer.mutex.Unlock()
 	if buffer.ended() {
@@ -173,12 +173,12 @@
 	// Chunks then holds all remaining chunks.
 	Finished *schedulerv1.Finished
 	Failure  *resultcode.Error
-	// Dropped is true once the buffer has ended without a result.
-	Dropped bool
+	// Abandoned is true once the buffer has ended without a result.
+	Abandoned bool
 }
 
-// ErrQuiet is returned by Next when its timeout fires first.
-var ErrQuiet = errors.New("timed out waiting for stream data")
+// ErrWaitTimeout is returned by Next when its timeout fires first.
+var ErrWaitTimeout = errors.New("timed out waiting for stream data")
 
 // Next waits for chunks after the given sequence number or the buffer's end. It
 // returns an error when timeout fires or ctx is done.
@@ -191,16 +191,16 @@
 		select {
 		case <-changed:
 		case <-timeout:
-			return View{}, ErrQuiet
+			return View{}, ErrWaitTimeout
 		case <-ctx.Done():
 			return View{}, ctx.Err()
 		}
 	}
 }
 
-// Look returns the current view after the given sequence number without
+// Peek returns the current view after the given sequence number without
 // waiting.
-func (buffer *Buffer) Look(after uint64) View {
+func (buffer *Buffer) Peek(after uint64) View {
 	view, _, _ := buffer.view(after)
 	return view
 }
@@ -208,7 +208,7 @@
 func (buffer *Buffer) view(after uint64) (View, <-chan struct{}, bool) {
 	buffer.mutex.Lock()
 	defer buffer.mutex.Unlock()
-	view := View{Finished: buffer.finished, Failure: buffer.failure, Dropped: buffer.abandoned}
+	view := View{Finished: buffer.finished, Failure: buffer.failure, Abandoned: buffer.abandoned}
 	if after < uint64(len(buffer.chunks)) {
 		view.Chunks = buffer.chunks[after:len(buffer.chunks):len(buffer.chunks)]
 	}
--- a/rehearsal/caller/caller.go
+++ b/rehearsal/caller/caller.go
@@ -35,8 +35,8 @@
 	return &Caller{client: client, key: key}
 }
 
-// Failure is an error response of a gateway.
-type Failure struct {
+// ErrorResponse is an error response of a gateway.
+type ErrorResponse struct {
 	Status       int    `json:"-"`
 	Code         uint32 `json:"code"`
 	Name         string `json:"name"`
@@ -45,12 +45,12 @@
 }
 
 // Error implements error.
-func (failure *Failure) Error() string {
+func (failure *ErrorResponse) Error() string {
 	return fmt.Sprintf("%d %s: %s", failure.Code, failure.Name, failure.Message)
 }
 
 // RetryAfter is how long to wait before a retry; 0 if the response names no delay.
-func (failure *Failure) RetryAfter() time.Duration {
+func (failure *ErrorResponse) RetryAfter() time.Duration {
 	return time.Duration(failure.RetryAfterMs) * time.Millisecond
 }
 
@@ -176,7 +176,7 @@
 
 func decodeFailure(response *http.Response) error {
 	var body struct {
-		Error Failure `json:"error"`
+		Error ErrorResponse `json:"error"`
 	}
 	if err := json.NewDecoder(response.Body).Decode(&body); err != nil {
 		return eris.Wrapf(err, "decode error body of response %s", response.Status)
@@ -185,9 +185,9 @@
 	return &body.Error
 }
 
-// Run sends a streamed call and returns its complete response. After an error that
+// StreamCall sends a streamed call and returns its complete response. After an error that
 // is not an error response of the gateway, the outcome of the call is unknown.
-func (caller *Caller) Run(ctx context.Context, gateway, program, requestID string, call Call) (Result, error) {
+func (caller *Caller) StreamCall(ctx context.Context, gateway, program, requestID string, call Call) (Result, error) {
 	call.Stream = true
 	started := time.Now()
 	response, err := caller.send(ctx, http.MethodPost, gateway+"/v1/programs/"+program+"/calls", requestID, call)
@@ -240,7 +240,7 @@
 		return true, decoder.handleFinished(data)
 	case eventError:
 		var body struct {
-			Error Failure `json:"error"`
+			Error ErrorResponse `json:"error"`
 		}
 		if err := json.Unmarshal(data, &body); err != nil {
 			return false, eris.Wrap(err, "decode error event")
--- a/rehearsal/cluster/network.go
+++ b/rehearsal/cluster/network.go
@@ -8,12 +8,12 @@
 		return nil
 	}
 	for offset, address := range []string{plan.LogAddress(), plan.MachinesAddress(), plan.WeightsAddress()} {
-		if err := cluster.network.Relay(address, plan.platformAddress(offset+relayPortOffset)); err != nil {
+		if err := cluster.network.AddRelay(address, plan.platformAddress(offset+relayPortOffset)); err != nil {
 			return err
 		}
 	}
 	for _, machine := range plan.Machines() {
-		if err := cluster.network.Relay(machine.Address, machine.Listen); err != nil {
+		if err := cluster.network.AddRelay(machine.Address, machine.Listen); err != nil {
 			return err
 		}
 	}
@@ -24,7 +24,7 @@
 // and with platform set also between it and the platform's services. It requires
 // a plan with relays.
 func (cluster *Cluster) IsolateZone(zone int, platform bool) {
-	cluster.network.CutZone(zone, cluster.plan.Zones, platform)
+	cluster.network.IsolateZone(zone, cluster.plan.Zones, platform)
 }
 
 // HealZone undoes IsolateZone with the same arguments.
--- a/rehearsal/command/losses.go
+++ b/rehearsal/command/losses.go
@@ -31,5 +31,5 @@
 	if err != nil {
 		return eris.Wrap(err, "read the run's output")
 	}
-	return losses.Write(os.Stdout, lost, losses.Windows(lost, first, command.Window), command.Examples)
+	return losses.Write(os.Stdout, lost, losses.GroupByWindow(lost, first, command.Window), command.Examples)
 }
--- a/rehearsal/command/node_standins.go
+++ b/rehearsal/command/node_standins.go
@@ -58,7 +58,7 @@
 
 // Run serves until ctx is done.
 func (command *Engine) Run(ctx context.Context) error {
-	return command.serve(ctx, command.Listen, records.ServiceModels, command.Events, agentengine.Faults{Pause: command.Pause})
+	return command.serve(ctx, command.Listen, records.ServiceModels, command.Events, agentengine.Faults{EventDelay: command.Pause})
 }
 
 // Tool runs a stand-in tool service for nodes.
--- a/rehearsal/command/node_standins_test.go
+++ b/rehearsal/command/node_standins_test.go
@@ -66,10 +66,10 @@
 		callerAddress := startNode(store)
 		// Each attempt is a separate request, with its own request id.
 		Eventually(func() int {
-			status, _, _ := post(callerAddress, records.PathTool+"x", "tool-"+time.Now().String(), "credit")
+			status, _, _ := post(callerAddress, records.PathUnsafe+"x", "tool-"+time.Now().String(), "credit")
 			return status
 		}, settleTimeout, "50ms").Should(Equal(http.StatusOK))
-		status, content, reads := post(callerAddress, records.PathKept+"chat", "turn-1", "why was the token refused?")
+		status, content, reads := post(callerAddress, records.PathRetained+"chat", "turn-1", "why was the token refused?")
 		Expect(status).To(Equal(http.StatusOK))
 		Expect(content).To(And(HavePrefix("id: 1\ndata: turn-1-1\n\n"), HaveSuffix("id: 5\ndata: turn-1-5\n\n")))
 		Expect(reads).To(BeNumerically(">", 2), "the response was not streamed")
--- a/rehearsal/command/run.go
+++ b/rehearsal/command/run.go
@@ -31,26 +31,26 @@
 	Magpielug  string `arg:"--magpielug" help:"program to start; default is the one beside this program"`
 }
 
-func (layout *NodeLayout) options() (soak.StagedOptions, error) {
+func (layout *NodeLayout) options() (soak.ScriptedOptions, error) {
 	deployment, err := workload.DeploymentByName(layout.Deployment)
 	if err != nil {
-		return soak.StagedOptions{}, err
+		return soak.ScriptedOptions{}, err
 	}
 	binaries, err := (&Layout{Magpielug: layout.Magpielug}).binaries()
 	if err != nil {
-		return soak.StagedOptions{}, err
+		return soak.ScriptedOptions{}, err
 	}
 	directory := filepath.Clean(layout.Directory)
 	err = os.RemoveAll(directory)
 	if err != nil {
-		return soak.StagedOptions{}, eris.Wrap(err, "remove old run directory")
+		return soak.ScriptedOptions{}, eris.Wrap(err, "remove old run directory")
 	}
-	return soak.StagedOptions{
+	return soak.ScriptedOptions{
 		Options: soak.Options{
 			Nodes:      layout.Nodes,
 			Host:       callerHost,
 			FirstPort:  layout.Port,
-			EventPause: eventPause,
+			EventDelay: eventPause,
 			Magpielug:  binaries.Magpielug,
 			Directory:  directory,
 			Output:     os.Stderr,
@@ -85,17 +85,17 @@
 	}
 	options.Seed = command.Seed
 	options.Programs = command.Programs
-	options.Over = command.ArrivalSpan
+	options.ArrivalPeriod = command.ArrivalSpan
 	options.TimeScale = command.TimeScale
-	options.LoopBudget = command.LoopBudget
-	options.Aims = softDeadlines(options.Deployment)
+	options.EndlessBudget = command.LoopBudget
+	options.SoftDeadlines = softDeadlines(options.Deployment)
 	fmt.Fprintf(os.Stderr, "starting %d nodes in %d zones, %d engines, %d tools and a store; logs in %s\n",
 		options.Nodes, len(options.Deployment.Zones), options.Deployment.ModelEngines, options.Deployment.ApplicationBackEnds, options.Directory)
-	outcome, err := soak.RunStaged(ctx, options)
+	outcome, err := soak.RunScripted(ctx, options)
 	if err != nil {
 		return err
 	}
-	fmt.Print(outcome.Table(tierNames(options.Deployment), options.Aims))
+	fmt.Print(outcome.Table(tierNames(options.Deployment), options.SoftDeadlines))
 	return reportViolations(outcome.Violations)
 }
 
--- a/rehearsal/command/scheduler_standins_test.go
+++ b/rehearsal/command/scheduler_standins_test.go
@@ -34,14 +34,14 @@
 
 // freeAddress returns a loopback address with a free port.
 func freeAddress() string {
-	allocated, err := portAllocator.Pick(1)
+	allocated, err := portAllocator.Allocate(1)
 	Expect(err).NotTo(HaveOccurred())
 	return fmt.Sprintf("127.0.0.1:%d", allocated[0])
 }
 
 // portAllocator allocates ports outside the ephemeral range, so that no outgoing
 // connection takes one before the process under test listens on it.
-var portAllocator = ports.NewPicker(ports.OfCommand)
+var portAllocator = ports.NewAllocator(ports.CommandRange)
 
 var _ = Describe("Stand-ins of the schedulers' platform", func() {
 	It("serve, and keep engines and tools on the machine list while they run", func() {
--- a/rehearsal/command/soak.go
+++ b/rehearsal/command/soak.go
@@ -64,21 +64,21 @@
 		return false, eris.Wrap(err, "remove old run directory")
 	}
 	report, err := soak.Run(ctx, soak.Options{
-		Seed:      seed,
-		Length:    command.Length,
-		Nodes:     command.Nodes,
-		Callers:   command.Callers,
-		Lanes:     command.Lanes,
-		LoadLanes: command.LoadLanes,
-		Magpielug: magpielug,
-		Directory: directory,
-		Output:    os.Stderr,
+		Seed:             seed,
+		FaultDuration:    command.Length,
+		Nodes:            command.Nodes,
+		Callers:          command.Callers,
+		FaultWorkers:     command.Lanes,
+		LoadFaultWorkers: command.LoadLanes,
+		Magpielug:        magpielug,
+		Directory:        directory,
+		Output:           os.Stderr,
 	})
 	if err != nil {
 		return false, err
 	}
 	fmt.Printf("seed %d: %d faults, %d turns, responses by status %v, %d violations\n",
-		report.Seed, report.Thrown, report.Turns, report.Statuses, len(report.Violations))
+		report.Seed, report.InjectedFaults, report.Turns, report.Statuses, len(report.Violations))
 	for _, violation := range report.Violations[:min(maxViolationsShown, len(report.Violations))] {
 		fmt.Println("  " + violation.String())
 	}
--- a/rehearsal/command/up.go
+++ b/rehearsal/command/up.go
@@ -25,7 +25,7 @@
 		fmt.Printf("serving; send requests to any of %v\n", addresses)
 		fmt.Println("API keys by tenant:", keys)
 		fmt.Printf("try:\n  curl -sN http://%s%schat -H 'Request-Id: turn-1' -H 'Authorization: Token %s' -d 'why was the token refused?'\n",
-			addresses[0], records.PathKept, keys[tenant])
+			addresses[0], records.PathRetained, keys[tenant])
 	})
 	fmt.Fprintln(os.Stderr, "stopped")
 	return err
--- a/rehearsal/experiment/file.go
+++ b/rehearsal/experiment/file.go
@@ -222,7 +222,7 @@
 
 // usesPriorities reports whether engines get the priorities of the keeper's
 // grants: under every queue policy except first come, first served.
-func (policy Policy) usesPriorities() bool { return policy.Queue != queue.FirstCome }
+func (policy Policy) usesPriorities() bool { return policy.Queue != queue.FCFS }
 
 func (engine Engine) check() error {
 	values := []struct {
--- a/rehearsal/experiment/program.go
+++ b/rehearsal/experiment/program.go
@@ -167,7 +167,7 @@
 		Model:            modelName,
 		Zone:             run.program.Zone,
 		PromptTokens:     call.request.PromptTokens,
-		MaxTokens:        run.simulation.config.Deployment.OutputBound(run.program.Kind),
+		MaxTokens:        run.simulation.config.Deployment.MaxOutputTokens(run.program.Kind),
 		AttainedService:  run.root.attainedService,
 		ProgramAge:       run.simulation.now - run.root.startsAt,
 		WaitBound:        run.tier.WaitBound,
--- a/rehearsal/fault/backend.go
+++ b/rehearsal/fault/backend.go
@@ -46,7 +46,7 @@
 	if !found || !isBackend(machine.Role) {
 		return nil
 	}
-	request := fault.Order{Kind: fault.Outage, ForMillis: rejectDuration.Milliseconds()}
+	request := fault.Spec{Kind: fault.Outage, DurationMillis: rejectDuration.Milliseconds()}
 	if err := cluster.PostJSON(ctx, machine.Address, faultPath, request); err != nil {
 		return err
 	}
@@ -62,11 +62,11 @@
 	name := runner.processName(machine.ID)
 	runner.lock.Lock()
 	defer runner.lock.Unlock()
-	runner.record.BackEnds.Record(name, response.Runs)
-	runner.record.BackEnds.Late += response.Late
-	for index, leaving := range runner.record.Leavings {
+	runner.record.BackEnds.RecordRuns(name, response.Runs)
+	runner.record.BackEnds.LateRequests += response.LateRequests
+	for index, leaving := range runner.record.Drains {
 		if leaving.BackEnd == machine.ID {
-			runner.record.Leavings[index].After = response.Runs
+			runner.record.Drains[index].RunsAfter = response.Runs
 		}
 	}
 	return nil
@@ -97,8 +97,8 @@
 			return
 		}
 		if len(held) == 0 || time.Now().After(until) || !sleep(ctx, memoryPollInterval) {
-			runner.record.Unreleased = held
-			runner.record.EnginesRead = true
+			runner.record.LeakedMemory = held
+			runner.record.EngineMemoryChecked = true
 			return
 		}
 	}
@@ -123,8 +123,8 @@
 	return held, nil
 }
 
-func (runner *runner) fetchRuns(ctx context.Context, address string) (engine.RunsAnswer, error) {
-	var response engine.RunsAnswer
+func (runner *runner) fetchRuns(ctx context.Context, address string) (engine.RunsResponse, error) {
+	var response engine.RunsResponse
 	return response, runner.fetchJSON(ctx, address+engine.PathRuns, &response)
 }
 
--- a/rehearsal/fault/call.go
+++ b/rehearsal/fault/call.go
@@ -20,13 +20,13 @@
 
 // makeCall sends a call until it has a final outcome; a duplicate is sent twice
 // concurrently. The failure is nil if the call succeeded or its outcome is unknown.
-func (program *programRun) makeCall(ctx context.Context, requestID string, call caller.Call, duplicate bool) (history.Call, *caller.Failure) {
+func (program *programRun) makeCall(ctx context.Context, requestID string, call caller.Call, duplicate bool) (history.Call, *caller.ErrorResponse) {
 	if !duplicate {
 		return program.sendUntilAnswered(ctx, requestID, call)
 	}
 	type answer struct {
 		record  history.Call
-		failure *caller.Failure
+		failure *caller.ErrorResponse
 	}
 	second := make(chan answer, 1)
 	go func() {
@@ -40,15 +40,15 @@
 
 // mergeDuplicates merges the outcomes of two concurrent sends of a request id into
 // one call. It records a problem if both are conclusive and differ.
-func (program *programRun) mergeDuplicates(first history.Call, firstFailure *caller.Failure, second history.Call, secondFailure *caller.Failure) (history.Call, *caller.Failure) {
+func (program *programRun) mergeDuplicates(first history.Call, firstFailure *caller.ErrorResponse, second history.Call, secondFailure *caller.ErrorResponse) (history.Call, *caller.ErrorResponse) {
 	if isInconclusive(first) {
 		first, firstFailure, second = second, secondFailure, first
 	}
-	first.Sends += second.Sends
+	first.SendCount += second.SendCount
 	first.Invoked = min(first.Invoked, second.Invoked)
 	same := first.Outcome == second.Outcome && first.Result.Output == second.Result.Output
 	if !same && !isInconclusive(second) {
-		program.record.Problem = first.RequestID + " got two different responses: " + string(first.Outcome) + " " + first.Failure +
+		program.record.AbortReason = first.RequestID + " got two different responses: " + string(first.Outcome) + " " + first.Failure +
 			", " + string(second.Outcome) + " " + second.Failure
 	}
 	return first, firstFailure
@@ -64,23 +64,23 @@
 // gateway, after connection failures and retryable error responses. When callTimeout
 // passes, a call that was refused and never interrupted counts as not run; otherwise
 // its outcome is unknown.
-func (program *programRun) sendUntilAnswered(ctx context.Context, requestID string, call caller.Call) (history.Call, *caller.Failure) {
+func (program *programRun) sendUntilAnswered(ctx context.Context, requestID string, call caller.Call) (history.Call, *caller.ErrorResponse) {
 	runner := program.runner()
-	record := history.Call{RequestID: requestID, Sent: call, Invoked: runner.elapsed(), Outcome: history.Unknown}
+	record := history.Call{RequestID: requestID, Request: call, Invoked: runner.elapsed(), Outcome: history.Unknown}
 	deadline := time.Now().Add(callTimeout)
 	interrupted := false
-	var lastRefusal *caller.Failure
+	var lastRefusal *caller.ErrorResponse
 	for time.Now().Before(deadline) && ctx.Err() == nil {
 		gateway := program.gateway()
 		result, err := program.send(ctx, gateway, requestID, call)
 		record.Returned = runner.elapsed()
-		record.Sends++
+		record.SendCount++
 		if err == nil {
 			record.Outcome, record.Result, record.Failure = history.Answered, result, ""
 			return record, nil
 		}
 		record.Failure = err.Error()
-		var failure *caller.Failure
+		var failure *caller.ErrorResponse
 		switch {
 		case errors.As(err, &failure) && isFinal(failure):
 			record.Code = failure.Code
@@ -88,10 +88,10 @@
 			return record, failure
 		case failure != nil && isUnrecordedRefusal(resultcode.Code(failure.Code)):
 			lastRefusal = failure
-			runner.recordRetriedError(gateway, history.BackEndName(program.record.ID, requestID), err)
+			runner.recordRetriedError(gateway, history.BackEndRequestID(program.record.ID, requestID), err)
 		case !isUnreachable(err):
 			interrupted = true
-			runner.recordInterruption(gateway, history.BackEndName(program.record.ID, requestID), err)
+			runner.recordInterruption(gateway, history.BackEndRequestID(program.record.ID, requestID), err)
 		}
 		sleep(ctx, program.backOff(err))
 	}
@@ -105,12 +105,12 @@
 func (program *programRun) send(ctx context.Context, gateway, requestID string, call caller.Call) (caller.Result, error) {
 	bounded, cancel := context.WithTimeout(ctx, attemptTimeout)
 	defer cancel()
-	return program.caller.Run(bounded, gateway, program.record.ID, requestID, call)
+	return program.caller.StreamCall(bounded, gateway, program.record.ID, requestID, call)
 }
 
 // isFinal reports whether an error response is the final outcome of its request id.
 // After any other, the same request is to be retried.
-func isFinal(failure *caller.Failure) bool {
+func isFinal(failure *caller.ErrorResponse) bool {
 	code := resultcode.Code(failure.Code)
 	return code != resultcode.SlowReader && code != resultcode.Internal && !isUnrecordedRefusal(code)
 }
@@ -137,16 +137,16 @@
 func (runner *runner) recordInterruption(gateway, request string, cause error) {
 	runner.lock.Lock()
 	defer runner.lock.Unlock()
-	runner.record.Cuts = append(runner.record.Cuts, runner.newIncident(gateway, request, cause))
+	runner.record.InterruptedRequests = append(runner.record.InterruptedRequests, runner.newIncident(gateway, request, cause))
 }
 
 // recordRetriedError records an error response after which the request is retried.
 func (runner *runner) recordRetriedError(gateway, request string, cause error) {
 	runner.lock.Lock()
 	defer runner.lock.Unlock()
-	runner.record.Shown = append(runner.record.Shown, runner.newIncident(gateway, request, cause))
+	runner.record.TransientErrors = append(runner.record.TransientErrors, runner.newIncident(gateway, request, cause))
 }
 
-func (runner *runner) newIncident(gateway, request string, cause error) history.Cut {
-	return history.Cut{At: runner.elapsed(), Gateway: gateway, Request: request, Cause: cause.Error()}
+func (runner *runner) newIncident(gateway, request string, cause error) history.RequestError {
+	return history.RequestError{At: runner.elapsed(), Gateway: gateway, Request: request, Cause: cause.Error()}
 }
--- a/rehearsal/fault/faults.go
+++ b/rehearsal/fault/faults.go
@@ -174,7 +174,7 @@
 	}
 	runner.lock.Lock()
 	defer runner.lock.Unlock()
-	runner.record.Leavings = append(runner.record.Leavings, history.Leaving{BackEnd: target, At: at, Before: before.Runs})
+	runner.record.Drains = append(runner.record.Drains, history.Drain{BackEnd: target, At: at, RunsBefore: before.Runs})
 	return nil
 }
 
@@ -198,12 +198,12 @@
 }
 
 func (runner *runner) inject(ctx context.Context, target string, scheduled Fault) error {
-	err := cluster.PostJSON(ctx, runner.targetAddress(target), faultPath, fault.Order{
-		Kind:        scheduled.Effect,
-		ForMillis:   scheduled.Duration.Milliseconds(),
-		Probability: scheduled.Probability,
-		Seed:        runner.scenario.Seed,
-		DelayMillis: scheduled.Delay.Milliseconds(),
+	err := cluster.PostJSON(ctx, runner.targetAddress(target), faultPath, fault.Spec{
+		Kind:           scheduled.Effect,
+		DurationMillis: scheduled.Duration.Milliseconds(),
+		Probability:    scheduled.Probability,
+		Seed:           runner.scenario.Seed,
+		DelayMillis:    scheduled.Delay.Milliseconds(),
 	})
 	sleep(ctx, scheduled.Duration)
 	return err
@@ -224,7 +224,7 @@
 func (runner *runner) recordDisturbance(process string, from, until time.Duration) {
 	runner.lock.Lock()
 	defer runner.lock.Unlock()
-	runner.record.Disturbed = append(runner.record.Disturbed, history.Disturbance{Process: process, From: from, Until: until})
+	runner.record.Outages = append(runner.record.Outages, history.Outage{Process: process, From: from, Until: until})
 }
 
 // logf writes a line with the time since the load started to the run's output.
--- a/rehearsal/fault/program.go
+++ b/rehearsal/fault/program.go
@@ -66,7 +66,7 @@
 	}
 	stopReading()
 	program.record.Reads = <-reads
-	return program.record.Problem == "" && !program.exhausted
+	return program.record.AbortReason == "" && !program.exhausted
 }
 
 func (program *programRun) create(ctx context.Context) bool {
@@ -80,7 +80,7 @@
 			return true
 		}
 		program.recordError(gateway, "create "+requestID, err)
-		var failure *caller.Failure
+		var failure *caller.ErrorResponse
 		if errors.As(err, &failure) && history.OutcomeOf(resultcode.Code(failure.Code)) == history.NotRun {
 			requestID = fmt.Sprintf("%s-again-%d", program.name, attempt)
 		}
@@ -88,7 +88,7 @@
 			return false
 		}
 		if time.Now().After(deadline) || !sleep(ctx, program.backOff(err)) {
-			program.record.Problem = "could not be created: " + err.Error()
+			program.record.AbortReason = "could not be created: " + err.Error()
 			program.saveRecord()
 			return false
 		}
@@ -97,7 +97,7 @@
 
 // isExhausted reports whether a budget, cap or turn limit was reached, which is no
 // violation.
-func isExhausted(failure *caller.Failure) bool {
+func isExhausted(failure *caller.ErrorResponse) bool {
 	if failure == nil {
 		return false
 	}
@@ -110,13 +110,13 @@
 
 // isUnknownProgram reports whether the program has been lost; a retry can't succeed.
 func isUnknownProgram(err error) bool {
-	var failure *caller.Failure
+	var failure *caller.ErrorResponse
 	return errors.As(err, &failure) && resultcode.Code(failure.Code) == resultcode.UnknownProgram
 }
 
 // backOff returns how long to wait before a retry.
 func (program *programRun) backOff(err error) time.Duration {
-	var failure *caller.Failure
+	var failure *caller.ErrorResponse
 	if errors.As(err, &failure) && failure.RetryAfter() > 0 {
 		return failure.RetryAfter()
 	}
@@ -149,7 +149,7 @@
 			return false
 		}
 		if isUnknownProgram(failure) || time.Now().After(deadline) || !sleep(ctx, program.backOff(failure)) {
-			program.record.Problem = fmt.Sprintf("call %d was refused on every attempt: %v", number, failure)
+			program.record.AbortReason = fmt.Sprintf("call %d was refused on every attempt: %v", number, failure)
 			return false
 		}
 	}
@@ -208,13 +208,13 @@
 	program.retryStep(ctx, "history", func(gateway string) error {
 		turns, err := program.caller.GetHistory(ctx, gateway, program.record.ID)
 		if err == nil {
-			program.record.Final = append([]caller.Turn{}, turns...)
+			program.record.FinalTurns = append([]caller.Turn{}, turns...)
 		}
 		return err
 	})
 	program.retryStep(ctx, "state", func(gateway string) error {
 		var err error
-		program.record.State, err = program.caller.GetProgram(ctx, gateway, program.record.ID)
+		program.record.FinalState, err = program.caller.GetProgram(ctx, gateway, program.record.ID)
 		return err
 	})
 	program.retryStep(ctx, "end", func(gateway string) error {
@@ -234,7 +234,7 @@
 		}
 		program.recordError(gateway, step+" "+program.record.ID, err)
 		if isUnknownProgram(err) || time.Now().After(deadline) || !sleep(ctx, program.backOff(err)) {
-			program.record.Problem = step + ": " + err.Error()
+			program.record.AbortReason = step + ": " + err.Error()
 			return
 		}
 	}
@@ -243,7 +243,7 @@
 // recordError records an error response to, or an interruption of, a request other
 // than a call.
 func (program *programRun) recordError(gateway, request string, err error) {
-	var failure *caller.Failure
+	var failure *caller.ErrorResponse
 	switch {
 	case errors.As(err, &failure):
 		program.runner().recordRetriedError(gateway, request, err)
--- a/rehearsal/fault/run.go
+++ b/rehearsal/fault/run.go
@@ -142,7 +142,7 @@
 	sleep(bounded, settleDelay)
 	runner.closeOpenPrograms(bounded)
 	if last := runner.lastPublishReturn(); last > 0 {
-		sleep(bounded, last+history.ForceBound+2*sampleInterval-runner.elapsed())
+		sleep(bounded, last+history.ActivationTimeout+2*sampleInterval-runner.elapsed())
 	}
 	stopWatching()
 	watchers.Wait()
--- a/rehearsal/history/answer.go
+++ b/rehearsal/history/answer.go
@@ -25,7 +25,7 @@
 	for index := range run.Programs {
 		program := &run.Programs[index]
 		var prompt []string
-		for _, turn := range program.Final {
+		for _, turn := range program.FinalTurns {
 			prompt = appendPromptParts(prompt, turn.Messages)
 			segments := countSegments(program, turn, prompt)
 			compared++
@@ -59,14 +59,14 @@
 	if call == nil {
 		return 0
 	}
-	if call.Sent.Input != nil {
-		expected := tool.ExpectedOutput(program.ID, BackEndName(program.ID, turn.RequestID), call.Sent.Target, *call.Sent.Input)
+	if call.Request.Input != nil {
+		expected := tool.ExpectedOutput(program.ID, BackEndRequestID(program.ID, turn.RequestID), call.Request.Target, *call.Request.Input)
 		if turn.Output == expected {
 			return 1
 		}
 		return 0
 	}
-	request := engineRequest{program: program.ID, requestID: BackEndName(program.ID, turn.RequestID), prompt: prompt, maxTokens: *call.Sent.MaxTokens}
+	request := engineRequest{program: program.ID, requestID: BackEndRequestID(program.ID, turn.RequestID), prompt: prompt, maxTokens: *call.Request.MaxTokens}
 	return request.countSegments(turn.Output, 0)
 }
 
--- a/rehearsal/history/at_most_once.go
+++ b/rehearsal/history/at_most_once.go
@@ -8,18 +8,18 @@
 	var violations []string
 	checked, ran, unknown := 0, 0, 0
 	run.forEachCall(func(program *Program, call *Call) {
-		if call.Sent.Repeatable {
+		if call.Request.Repeatable {
 			return
 		}
 		checked++
-		count := runs[BackEndName(program.ID, call.RequestID)]
+		count := runs[BackEndRequestID(program.ID, call.RequestID)]
 		ran += min(count, 1)
 		if call.Outcome == Unknown {
 			unknown++
 		}
 		if count > 1 {
 			violations = append(violations, fmt.Sprintf("%s is not repeatable but ran %d times (%s, sent %d times)",
-				BackEndName(program.ID, call.RequestID), count, call.Outcome, call.Sends))
+				BackEndRequestID(program.ID, call.RequestID), count, call.Outcome, call.SendCount))
 		}
 	})
 	return newResult(CheckAtMostOnce, checked, violations,
@@ -37,9 +37,9 @@
 			return
 		}
 		refused++
-		if count := runs[BackEndName(program.ID, call.RequestID)]; count > 0 {
+		if count := runs[BackEndRequestID(program.ID, call.RequestID)]; count > 0 {
 			violations = append(violations, fmt.Sprintf("%s was refused with code %d (not run) but ran %d times",
-				BackEndName(program.ID, call.RequestID), call.Code, count))
+				BackEndRequestID(program.ID, call.RequestID), call.Code, count))
 		}
 	})
 	return newResult(CheckRefusals, refused, violations, "%d calls refused without running", refused)
--- a/rehearsal/history/back_end.go
+++ b/rehearsal/history/back_end.go
@@ -7,14 +7,14 @@
 type BackEnds struct {
 	// runsByProcess counts each process's runs of each attempt.
 	runsByProcess map[string]map[string]int
-	// Late is the number of requests that draining engines received after their
+	// LateRequests is the number of requests that draining engines received after their
 	// grace period.
-	Late int
+	LateRequests int
 }
 
-// Record replaces the counts of a process. They are cumulative, so that the last
+// RecordRuns replaces the counts of a process. They are cumulative, so that the last
 // ones are complete.
-func (backEnds *BackEnds) Record(process string, runs map[string]int) {
+func (backEnds *BackEnds) RecordRuns(process string, runs map[string]int) {
 	if backEnds.runsByProcess == nil {
 		backEnds.runsByProcess = make(map[string]map[string]int)
 	}
@@ -37,15 +37,15 @@
 	return backEnds.runsByProcess[process]
 }
 
-// Leaving is the drain of a back end, requested at At.
-type Leaving struct {
+// Drain is the drain of a back end, requested at At.
+type Drain struct {
 	BackEnd string
 	At      time.Duration
-	// Before holds the run counts at the time from which it must receive no new
+	// RunsBefore holds the run counts at the time from which it must receive no new
 	// requests.
-	Before map[string]int
-	// After holds the run counts at the end of the run.
-	After map[string]int
+	RunsBefore map[string]int
+	// RunsAfter holds the run counts at the end of the run.
+	RunsAfter map[string]int
 }
 
 // HeldMemory is engine memory that was not released when its program ended.
--- a/rehearsal/history/budget.go
+++ b/rehearsal/history/budget.go
@@ -12,17 +12,17 @@
 	checked := 0
 	for index := range run.Programs {
 		program := &run.Programs[index]
-		if program.State.ID == "" {
+		if program.FinalState.ID == "" {
 			continue
 		}
 		checked++
-		if program.State.SpentMicros > program.State.CapMicros {
+		if program.FinalState.SpentMicros > program.FinalState.CapMicros {
 			violations = append(violations, fmt.Sprintf("%s spent %d micros, its cap is %d",
-				program.ID, program.State.SpentMicros, program.State.CapMicros))
+				program.ID, program.FinalState.SpentMicros, program.FinalState.CapMicros))
 		}
 		charged[program.Tier] += program.chargedMicros()
 		if program.Parent == "" {
-			spent[program.Tier] += program.State.SpentMicros
+			spent[program.Tier] += program.FinalState.SpentMicros
 		}
 	}
 	figures := fmt.Sprintf("%d programs", checked)
