--- a/rehearsal/history/check_test.go
+++ b/rehearsal/history/check_test.go
@@ -36,8 +36,8 @@
 	lastOutput := engine.ExpectedOutput(program, program+"/c", []string{firstPart, output, "\ntool: reading", reading, lastPart}, maxTokens).Text
 	made := func(id string, order int, sent caller.Call, output string) history.Call {
 		at := time.Duration(order) * time.Second
-		return history.Call{RequestID: id, Sent: sent, Invoked: at, Returned: at + time.Millisecond, Outcome: history.Answered,
-			Sends: 1, Result: caller.Result{Output: output, Usage: caller.Usage{CostMicros: 10}}}
+		return history.Call{RequestID: id, Request: sent, Invoked: at, Returned: at + time.Millisecond, Outcome: history.Answered,
+			SendCount: 1, Result: caller.Result{Output: output, Usage: caller.Usage{CostMicros: 10}}}
 	}
 	calls := []history.Call{
 		made("a", 1, caller.Call{Messages: first, MaxTokens: &bound}, output),
@@ -51,30 +51,30 @@
 	}
 	run := &history.Run{
 		Programs: []history.Program{{
-			ID: program, Tier: "kiosk", Calls: calls, Final: turns,
-			State: caller.Program{ID: program, SpentMicros: 30, CapMicros: 50},
-			Reads: []history.Read{{Invoked: 2500 * time.Millisecond, Returned: 2600 * time.Millisecond, Turns: turns[:2]}},
+			ID: program, Tier: "kiosk", Calls: calls, FinalTurns: turns,
+			FinalState: caller.Program{ID: program, SpentMicros: 30, CapMicros: 50},
+			Reads:      []history.Read{{Invoked: 2500 * time.Millisecond, Returned: 2600 * time.Millisecond, Turns: turns[:2]}},
 		}},
-		Budgets:     map[string]uint64{"kiosk": 40},
-		EnginesRead: true,
-		Leavings:    []history.Leaving{{BackEnd: "engine-1", Before: map[string]int{"x": 1}, After: map[string]int{"x": 1}}},
+		Budgets:             map[string]uint64{"kiosk": 40},
+		EngineMemoryChecked: true,
+		Drains:              []history.Drain{{BackEnd: "engine-1", RunsBefore: map[string]int{"x": 1}, RunsAfter: map[string]int{"x": 1}}},
 		Publishes: []history.Publish{
 			{ChangeID: "one", Base: 1, Version: 2, Returned: time.Second},
 			{ChangeID: "two", Base: 1, Code: resultcode.VersionConflict, Returned: time.Second},
 		},
 		Samples: []history.VersionSample{{At: 500 * time.Millisecond, Process: "gateway-1", Version: 1}, {At: 20 * time.Second, Process: "gateway-1", Version: 2}},
 	}
-	run.BackEnds.Record(engineRun, map[string]int{"p1/a": 1, "p1/b": 1, "p1/c": 1})
+	run.BackEnds.RecordRuns(engineRun, map[string]int{"p1/a": 1, "p1/b": 1, "p1/c": 1})
 	return run
 }
 
 // continuedAt replaces the last output from the given token on with what a second
 // engine generates when it continues the first one's output.
 func continuedAt(run *history.Run, tokens int) {
-	call, turn := &run.Programs[0].Calls[2], &run.Programs[0].Final[2]
+	call, turn := &run.Programs[0].Calls[2], &run.Programs[0].FinalTurns[2]
 	prefix := turn.Output[:tokens*4]
 	var prompt []string
-	for _, earlier := range run.Programs[0].Final {
+	for _, earlier := range run.Programs[0].FinalTurns {
 		for _, message := range earlier.Messages {
 			prompt = append(prompt, "\n"+message.Role+": "+message.Content)
 		}
@@ -111,41 +111,41 @@
 		mutate(run, &run.Programs[0])
 		Expect(history.Checks[check](run).Verdict).To(Equal(history.Violated))
 	},
-		Entry("turns out of order", history.CheckOrder, func(_ *history.Run, found *history.Program) { slices.Reverse(found.Final) }),
-		Entry("answered call missing from the history", history.CheckHistory, func(_ *history.Run, found *history.Program) { found.Final = found.Final[:2] }),
+		Entry("turns out of order", history.CheckOrder, func(_ *history.Run, found *history.Program) { slices.Reverse(found.FinalTurns) }),
+		Entry("answered call missing from the history", history.CheckHistory, func(_ *history.Run, found *history.Program) { found.FinalTurns = found.FinalTurns[:2] }),
 		Entry("duplicate turn", history.CheckHistory, func(_ *history.Run, found *history.Program) {
-			found.Final = append(found.Final, found.Final[0])
+			found.FinalTurns = append(found.FinalTurns, found.FinalTurns[0])
 		}),
-		Entry("turn that the program did not make", history.CheckHistory, func(_ *history.Run, found *history.Program) { found.Final[1].RequestID = "z" }),
-		Entry("output with an extra byte", history.CheckHistory, func(_ *history.Run, found *history.Program) { found.Final[1].Output += "x" }),
-		Entry("messages that differ from those sent", history.CheckHistory, func(_ *history.Run, found *history.Program) { found.Final[0].Messages, _ = question("x") }),
+		Entry("turn that the program did not make", history.CheckHistory, func(_ *history.Run, found *history.Program) { found.FinalTurns[1].RequestID = "z" }),
+		Entry("output with an extra byte", history.CheckHistory, func(_ *history.Run, found *history.Program) { found.FinalTurns[1].Output += "x" }),
+		Entry("messages that differ from those sent", history.CheckHistory, func(_ *history.Run, found *history.Program) { found.FinalTurns[0].Messages, _ = question("x") }),
 		Entry("refused call in the history", history.CheckHistory, func(_ *history.Run, found *history.Program) { found.Calls[1].Outcome = history.NotRun }),
-		Entry("unreadable history", history.CheckHistory, func(_ *history.Run, found *history.Program) { found.Final = nil }),
+		Entry("unreadable history", history.CheckHistory, func(_ *history.Run, found *history.Program) { found.FinalTurns = nil }),
 		Entry("truncated response", history.CheckAnswers, func(_ *history.Run, found *history.Program) {
-			found.Final[2].Output = found.Final[2].Output[:40]
+			found.FinalTurns[2].Output = found.FinalTurns[2].Output[:40]
 		}),
 		Entry("response generated from another history", history.CheckAnswers, func(_ *history.Run, found *history.Program) {
-			found.Final = found.Final[1:]
+			found.FinalTurns = found.FinalTurns[1:]
 		}),
-		Entry("tool response to another request", history.CheckAnswers, func(_ *history.Run, found *history.Program) { found.Final[1].Output = "records result 0" }),
+		Entry("tool response to another request", history.CheckAnswers, func(_ *history.Run, found *history.Program) { found.FinalTurns[1].Output = "records result 0" }),
 		Entry("second attempt ran", history.CheckAtMostOnce, func(run *history.Run, _ *history.Program) {
-			run.BackEnds.Record("engine-2/0", map[string]int{"p1/a#2": 1})
+			run.BackEnds.RecordRuns("engine-2/0", map[string]int{"p1/a#2": 1})
 		}),
 		Entry("restarted process ran the call again", history.CheckAtMostOnce, func(run *history.Run, _ *history.Program) {
-			run.BackEnds.Record("engine-1/1", map[string]int{"p1/a": 1})
+			run.BackEnds.RecordRuns("engine-1/1", map[string]int{"p1/a": 1})
 		}),
 		Entry("refused call ran", history.CheckRefusals, func(_ *history.Run, found *history.Program) { found.Calls[2].Outcome = history.NotRun }),
-		Entry("program over its cap", history.CheckBudget, func(_ *history.Run, found *history.Program) { found.State.CapMicros = 29 }),
+		Entry("program over its cap", history.CheckBudget, func(_ *history.Run, found *history.Program) { found.FinalState.CapMicros = 29 }),
 		Entry("tier over its budget", history.CheckBudget, func(run *history.Run, _ *history.Program) { run.Budgets["kiosk"] = 29 }),
 		Entry("memory held for an ended program", history.CheckCache, func(run *history.Run, _ *history.Program) {
-			run.Unreleased = []history.HeldMemory{{Engine: "engine-1", Program: program, Blocks: 1}}
+			run.LeakedMemory = []history.HeldMemory{{Engine: "engine-1", Program: program, Blocks: 1}}
 		}),
-		Entry("new request after the grace period", history.CheckDraining, func(run *history.Run, _ *history.Program) { run.Leavings[0].After["y"] = 1 }),
-		Entry("late requests at a draining engine", history.CheckDraining, func(run *history.Run, _ *history.Program) { run.BackEnds.Late = 1 }),
-		Entry("interrupted request", history.CheckPlannedStop, func(run *history.Run, _ *history.Program) { run.Cuts = []history.Cut{{}} }),
-		Entry("transient error", history.CheckPlannedStop, func(run *history.Run, _ *history.Program) { run.Shown = []history.Cut{{}} }),
+		Entry("new request after the grace period", history.CheckDraining, func(run *history.Run, _ *history.Program) { run.Drains[0].RunsAfter["y"] = 1 }),
+		Entry("late requests at a draining engine", history.CheckDraining, func(run *history.Run, _ *history.Program) { run.BackEnds.LateRequests = 1 }),
+		Entry("interrupted request", history.CheckPlannedStop, func(run *history.Run, _ *history.Program) { run.InterruptedRequests = []history.RequestError{{}} }),
+		Entry("transient error", history.CheckPlannedStop, func(run *history.Run, _ *history.Program) { run.TransientErrors = []history.RequestError{{}} }),
 		Entry("failed call", history.CheckPlannedStop, func(_ *history.Run, found *history.Program) { found.Calls[0].Outcome = history.Failed }),
-		Entry("caller that stopped early", history.CheckProgress, func(_ *history.Run, found *history.Program) { found.Problem = "refused" }),
+		Entry("caller that stopped early", history.CheckProgress, func(_ *history.Run, found *history.Program) { found.AbortReason = "refused" }),
 		Entry("version assigned to two changes", history.CheckConfiguration, func(run *history.Run, _ *history.Program) { run.Publishes[1].Version = 2 }),
 		Entry("reverted version", history.CheckConfiguration, func(run *history.Run, _ *history.Program) { run.Samples[0].Version = 3 }),
 		Entry("change not active in time", history.CheckConfiguration, func(run *history.Run, _ *history.Program) { run.Samples[1].Version = 1 }),
@@ -153,14 +153,14 @@
 			found.Reads[0].Turns = found.Reads[0].Turns[:1]
 		}),
 		Entry("history read with a later turn", history.CheckLinearizable, func(_ *history.Run, found *history.Program) {
-			found.Reads[0].Turns = found.Final
+			found.Reads[0].Turns = found.FinalTurns
 		}),
 	)
 
 	It("exempt a process that was frozen from activating a change in time", func() {
 		run := goodRun()
 		run.Samples[1].Version = 1
-		run.Disturbed = []history.Disturbance{{Process: "gateway-1", From: 5 * time.Second, Until: 15 * time.Second}}
+		run.Outages = []history.Outage{{Process: "gateway-1", From: 5 * time.Second, Until: 15 * time.Second}}
 		Expect(history.Configuration(run).Verdict).To(Equal(history.Passed))
 	})
 
@@ -171,7 +171,7 @@
 		found.Calls[1].Result.Output = ""
 		Expect(history.Linearizable(run).Verdict).To(Equal(history.Passed))
 		found.Reads = append(found.Reads, history.Read{
-			Invoked: 2700 * time.Millisecond, Returned: 2800 * time.Millisecond, Turns: found.Final[:1],
+			Invoked: 2700 * time.Millisecond, Returned: 2800 * time.Millisecond, Turns: found.FinalTurns[:1],
 		})
 		Expect(history.Linearizable(run).Verdict).To(Equal(history.Violated))
 	})
--- a/rehearsal/history/configuration.go
+++ b/rehearsal/history/configuration.go
@@ -7,9 +7,9 @@
 	"github.com/magpielug/magpielug/internal/resultcode"
 )
 
-// ForceBound is the time within which an accepted configuration must be active on
+// ActivationTimeout is the time within which an accepted configuration must be active on
 // every live process.
-const ForceBound = 10 * time.Second
+const ActivationTimeout = 10 * time.Second
 
 // Publish is a configuration change as its operator saw it.
 type Publish struct {
@@ -30,8 +30,8 @@
 	Version uint64
 }
 
-// Disturbance is a period in which a process was down or frozen.
-type Disturbance struct {
+// Outage is a period in which a process was down or frozen.
+type Outage struct {
 	Process string
 	From    time.Duration
 	Until   time.Duration
@@ -102,7 +102,7 @@
 func (run *Run) activationViolations() []string {
 	var violations []string
 	for _, sample := range run.Samples {
-		due := sample.At - ForceBound
+		due := sample.At - ActivationTimeout
 		if run.hadOutage(sample.Process, due, sample.At) {
 			continue
 		}
@@ -117,7 +117,7 @@
 }
 
 func (run *Run) hadOutage(process string, from, until time.Duration) bool {
-	for _, disturbance := range run.Disturbed {
+	for _, disturbance := range run.Outages {
 		if disturbance.Process == process && disturbance.From < until && disturbance.Until > from {
 			return true
 		}
--- a/rehearsal/history/order.go
+++ b/rehearsal/history/order.go
@@ -13,7 +13,7 @@
 			positions[call.RequestID] = position
 		}
 		last, lastNumber := -1, uint32(0)
-		for _, turn := range program.Final {
+		for _, turn := range program.FinalTurns {
 			position, known := positions[turn.RequestID]
 			compared++
 			if known && (position <= last || turn.Number <= lastNumber) {
@@ -36,11 +36,11 @@
 		if program.ID == "" {
 			continue
 		}
-		if program.Final == nil && len(program.Calls) > 0 {
-			violations = append(violations, fmt.Sprintf("%s: history could not be read: %s", program.ID, program.Problem))
+		if program.FinalTurns == nil && len(program.Calls) > 0 {
+			violations = append(violations, fmt.Sprintf("%s: history could not be read: %s", program.ID, program.AbortReason))
 			continue
 		}
-		compared += len(program.Final)
+		compared += len(program.FinalTurns)
 		violations = append(violations, historyViolations(program)...)
 	}
 	return newResult(CheckHistory, compared, violations, "%d turns compared byte for byte", compared)
@@ -53,7 +53,7 @@
 	for index := range program.Calls {
 		calls[program.Calls[index].RequestID] = &program.Calls[index]
 	}
-	for _, turn := range program.Final {
+	for _, turn := range program.FinalTurns {
 		if present[turn.RequestID] {
 			violations = append(violations, fmt.Sprintf("%s: turn %s is duplicated", program.ID, turn.RequestID))
 		}
--- a/rehearsal/history/record.go
+++ b/rehearsal/history/record.go
@@ -43,14 +43,14 @@
 // Call is a call as its caller saw it. Times are relative to the start of the run.
 type Call struct {
 	RequestID string
-	Sent      caller.Call
+	Request   caller.Call
 	Invoked   time.Duration
 	Returned  time.Duration
 	Outcome   Outcome
 	Code      uint32
 	Result    caller.Result
-	// Sends is the number of times the request was sent with its request ID.
-	Sends int
+	// SendCount is the number of times the request was sent with its request ID.
+	SendCount int
 	// Failure is the last error of an unanswered call.
 	Failure string
 }
@@ -70,17 +70,17 @@
 	Kind   string
 	Calls  []Call
 	Reads  []Read
-	// Final is the history at the end of the run; nil if it could not be read.
-	Final []caller.Turn
-	// State is the program's state at the end of the run.
-	State caller.Program
-	// Problem is why the caller stopped early; empty if it made all calls.
-	Problem string
+	// FinalTurns is the history at the end of the run; nil if it could not be read.
+	FinalTurns []caller.Turn
+	// FinalState is the program's state at the end of the run.
+	FinalState caller.Program
+	// AbortReason is why the caller stopped early; empty if it made all calls.
+	AbortReason string
 }
 
-// Cut is a request that its caller had to repeat because of a broken connection or
+// RequestError is a request that its caller had to repeat because of a broken connection or
 // an error response.
-type Cut struct {
+type RequestError struct {
 	At      time.Duration
 	Gateway string
 	Request string
@@ -90,20 +90,20 @@
 // Run is the record of a run.
 type Run struct {
 	Programs []Program
-	// Cuts are the requests interrupted by broken connections.
-	Cuts []Cut
-	// Shown are the transient errors: error responses to requests that succeeded
+	// InterruptedRequests are the requests interrupted by broken connections.
+	InterruptedRequests []RequestError
+	// TransientErrors are the transient errors: error responses to requests that succeeded
 	// when repeated.
-	Shown     []Cut
-	BackEnds  BackEnds
-	Publishes []Publish
-	Samples   []VersionSample
-	Disturbed []Disturbance
-	Leavings  []Leaving
-	// Unreleased is the engine memory held for ended programs at the end of the run.
-	Unreleased []HeldMemory
-	// EnginesRead reports whether the engines were asked for that memory.
-	EnginesRead bool
+	TransientErrors []RequestError
+	BackEnds        BackEnds
+	Publishes       []Publish
+	Samples         []VersionSample
+	Outages         []Outage
+	Drains          []Drain
+	// LeakedMemory is the engine memory held for ended programs at the end of the run.
+	LeakedMemory []HeldMemory
+	// EngineMemoryChecked reports whether the engines were asked for that memory.
+	EngineMemoryChecked bool
 	// Budgets are the tiers' budgets in micros.
 	Budgets map[string]uint64
 }
@@ -121,9 +121,9 @@
 // attemptSeparator precedes the attempt number in a back end's request ID.
 const attemptSeparator = "#"
 
-// BackEndName returns a call's request ID at the back ends, without the attempt
+// BackEndRequestID returns a call's request ID at the back ends, without the attempt
 // number.
-func BackEndName(program, requestID string) string { return program + "/" + requestID }
+func BackEndRequestID(program, requestID string) string { return program + "/" + requestID }
 
 func trimAttempt(name string) string {
 	if index := strings.LastIndex(name, attemptSeparator); index >= 0 {
--- a/rehearsal/history/turn.go
+++ b/rehearsal/history/turn.go
@@ -19,7 +19,7 @@
 	if call.Outcome == NotRun {
 		violations = append(violations, fmt.Sprintf("%s: history contains turn %s, which was refused without running", program, turn.RequestID))
 	}
-	if !slices.Equal(turn.Messages, messagesOf(call.Sent)) {
+	if !slices.Equal(turn.Messages, messagesOf(call.Request)) {
 		violations = append(violations, fmt.Sprintf("%s: the messages of turn %s differ from those sent", program, turn.RequestID))
 	}
 	if call.Outcome == Answered && turn.Output != call.Result.Output {
--- a/rehearsal/losses/losses_test.go
+++ b/rehearsal/losses/losses_test.go
@@ -34,7 +34,7 @@
 	expect.Expect(found[0].Answered).To(Equal(1))
 	expect.Expect(found[1].Cause).To(Equal(turn))
 
-	windows := losses.Windows(found, first, 2*time.Second)
+	windows := losses.GroupByWindow(found, first, 2*time.Second)
 	expect.Expect(windows).To(HaveLen(2))
 	expect.Expect(windows[0].Causes).To(Equal(map[losses.Cause]int{tool: 1}))
 	expect.Expect(windows[1].Start).To(Equal(2 * time.Second))
@@ -70,6 +70,6 @@
 	expect.Expect(err).NotTo(HaveOccurred())
 	expect.Expect(found).To(HaveLen(3), "a call with an unknown key is not a loss")
 	var written strings.Builder
-	expect.Expect(losses.Write(&written, found, losses.Windows(found, first, time.Second), 0)).To(Succeed())
+	expect.Expect(losses.Write(&written, found, losses.GroupByWindow(found, first, time.Second), 0)).To(Succeed())
 	expect.Expect(written.String()).To(ContainSubstring("by tenant, 2 with losses:\n  first: 2\n  second: 1\n"))
 }
--- a/rehearsal/losses/table.go
+++ b/rehearsal/losses/table.go
@@ -16,9 +16,9 @@
 	Causes map[Cause]int
 }
 
-// Windows groups losses, sorted by time, into windows of the given length counted
-// from first. Windows without losses are left out.
-func Windows(losses []Loss, first time.Time, length time.Duration) []Window {
+// GroupByWindow groups losses, sorted by time, into windows of the given length counted
+// from first. GroupByWindow without losses are left out.
+func GroupByWindow(losses []Loss, first time.Time, length time.Duration) []Window {
 	var windows []Window
 	for _, loss := range losses {
 		start := loss.At.Sub(first).Truncate(length)
--- a/rehearsal/nodesettings/nodesettings.go
+++ b/rehearsal/nodesettings/nodesettings.go
@@ -11,8 +11,8 @@
 	"github.com/rotisserie/eris"
 )
 
-// Variable is the environment variable that names a node's settings file.
-const Variable = "MAGPIELUG_NODE_FILE"
+// EnvVar is the environment variable that names a node's settings file.
+const EnvVar = "MAGPIELUG_NODE_FILE"
 
 const (
 	// host is the IP address of all nodes.
@@ -28,14 +28,14 @@
 	Name string
 	// Zone defaults to defaultZone if empty.
 	Zone string
-	// Front, Ready, Peer, Metrics and Control are ports; Peer is less than Metrics. With
-	// Control 0 the node has no control port.
-	Front, Ready, Peer, Metrics, Control int
-	// Store is the log store's address and Partitions its number of partitions.
-	Store      string
-	Partitions int
-	// Grace is the drain timeout in seconds.
-	Grace int
+	// CallerPort, ReadinessPort, PeerPort, MetricsPort and ControlPort are ports; PeerPort is less than MetricsPort. With
+	// ControlPort 0 the node has no control port.
+	CallerPort, ReadinessPort, PeerPort, MetricsPort, ControlPort int
+	// StoreAddress is the log store's address and Partitions its number of partitions.
+	StoreAddress string
+	Partitions   int
+	// DrainSeconds is the drain timeout in seconds.
+	DrainSeconds int
 	// Seeds are the control addresses of other nodes.
 	Seeds []string
 	// Quota configures rate limit enforcement; nil omits it.
@@ -44,8 +44,8 @@
 
 // Quota configures the enforcement of tenants' rate limits.
 type Quota struct {
-	// Window is the length of the accounting window in seconds.
-	Window int
+	// WindowSeconds is the length of the accounting window in seconds.
+	WindowSeconds int
 	// Overage is the tolerated fraction above a window's limit, and Slack the number of
 	// requests tolerated in addition.
 	Overage float64
@@ -55,15 +55,15 @@
 // Address returns host:port for one of the node's ports.
 func Address(port int) string { return fmt.Sprintf("%s:%d", host, port) }
 
-// Write writes the settings to a directory in the platform's key=value format and returns
+// WriteConf writes the settings to a directory in the platform's key=value format and returns
 // the file's path.
-func (settings Settings) Write(directory string) (string, error) {
+func (settings Settings) WriteConf(directory string) (string, error) {
 	return writeFile(filepath.Join(directory, settings.Name+".conf"), settings.confContent())
 }
 
-// WriteOwn writes the settings in the product's TOML format, which has no control port or
+// WriteTOML writes the settings in the product's TOML format, which has no control port or
 // seeds.
-func (settings Settings) WriteOwn(directory string) (string, error) {
+func (settings Settings) WriteTOML(directory string) (string, error) {
 	return writeFile(filepath.Join(directory, settings.Name+".toml"), settings.tomlContent())
 }
 
@@ -85,19 +85,19 @@
 		fmt.Sprintf("name = %q", settings.Name),
 		fmt.Sprintf("zone = %q", settings.zoneOrDefault()),
 		"[listen]",
-		fmt.Sprintf("callers = %q", Address(settings.Front)),
-		fmt.Sprintf("readiness = %q", Address(settings.Ready)),
-		fmt.Sprintf("peers = %q", Address(settings.Peer)),
-		fmt.Sprintf("metrics = %q", Address(settings.Metrics)),
+		fmt.Sprintf("callers = %q", Address(settings.CallerPort)),
+		fmt.Sprintf("readiness = %q", Address(settings.ReadinessPort)),
+		fmt.Sprintf("peers = %q", Address(settings.PeerPort)),
+		fmt.Sprintf("metrics = %q", Address(settings.MetricsPort)),
 		"[store]",
-		fmt.Sprintf("address = %q", settings.Store),
+		fmt.Sprintf("address = %q", settings.StoreAddress),
 		fmt.Sprintf("partitions = %d", settings.Partitions),
 		"[limits]",
 		fmt.Sprintf(`memory = "%dMiB"`, memoryMegabytes),
-		fmt.Sprintf(`drain_timeout = "%ds"`, settings.Grace),
+		fmt.Sprintf(`drain_timeout = "%ds"`, settings.DrainSeconds),
 	}
 	if settings.Quota != nil {
-		lines = append(lines, "[quota]", fmt.Sprintf(`window = "%ds"`, settings.Quota.Window),
+		lines = append(lines, "[quota]", fmt.Sprintf(`window = "%ds"`, settings.Quota.WindowSeconds),
 			fmt.Sprintf("overage = %g", settings.Quota.Overage), fmt.Sprintf("slack = %d", settings.Quota.Slack))
 	}
 	return strings.Join(lines, "\n") + "\n"
@@ -108,25 +108,25 @@
 		"NodeName=" + settings.Name,
 		"Zone=" + settings.zoneOrDefault(),
 		"Ip=" + host,
-		"Listen.Front=" + Address(settings.Front),
-		"Listen.Readiness=" + Address(settings.Ready),
-		fmt.Sprintf("InternalPortRange=%d,%d", settings.Peer, settings.Metrics),
+		"Listen.Front=" + Address(settings.CallerPort),
+		"Listen.Readiness=" + Address(settings.ReadinessPort),
+		fmt.Sprintf("InternalPortRange=%d,%d", settings.PeerPort, settings.MetricsPort),
 		fmt.Sprintf("Limits.MemoryMb=%d", memoryMegabytes),
 		fmt.Sprintf("Limits.MaxFds=%d", maxFileDescriptors),
-		fmt.Sprintf("Bounds.GraceS=%d", settings.Grace),
-		"Platform.Address=" + settings.Store,
+		fmt.Sprintf("Bounds.GraceS=%d", settings.DrainSeconds),
+		"Platform.Address=" + settings.StoreAddress,
 		fmt.Sprintf("Platform.parts=%d", settings.Partitions),
 		// An unknown key must be ignored.
 		"Some.NewField=unknown",
 	}
-	if settings.Control != 0 {
-		lines = append(lines, "Listen.Control="+Address(settings.Control))
+	if settings.ControlPort != 0 {
+		lines = append(lines, "Listen.Control="+Address(settings.ControlPort))
 	}
 	if len(settings.Seeds) > 0 {
 		lines = append(lines, "Seeds="+strings.Join(settings.Seeds, ","))
 	}
 	if settings.Quota != nil {
-		lines = append(lines, fmt.Sprintf("Bounds.QuotaWindowS=%d", settings.Quota.Window),
+		lines = append(lines, fmt.Sprintf("Bounds.QuotaWindowS=%d", settings.Quota.WindowSeconds),
 			fmt.Sprintf("Bounds.QuotaOverage=%g", settings.Quota.Overage), fmt.Sprintf("Bounds.QuotaSlack=%d", settings.Quota.Slack))
 	}
 	return strings.Join(lines, "\n")
--- a/rehearsal/nodesettings/nodesettings_test.go
+++ b/rehearsal/nodesettings/nodesettings_test.go
@@ -18,8 +18,8 @@
 
 var _ = Describe("A node's settings file", func() {
 	It("contains the fields that are set and omits the others", func() {
-		settings := Settings{Name: "node-1", Front: 1, Ready: 2, Peer: 3, Metrics: 4, Store: "127.0.0.1:9", Partitions: 4, Grace: 8}
-		path, err := settings.Write(GinkgoT().TempDir())
+		settings := Settings{Name: "node-1", CallerPort: 1, ReadinessPort: 2, PeerPort: 3, MetricsPort: 4, StoreAddress: "127.0.0.1:9", Partitions: 4, DrainSeconds: 8}
+		path, err := settings.WriteConf(GinkgoT().TempDir())
 		Expect(err).NotTo(HaveOccurred())
 		content, err := os.ReadFile(path)
 		Expect(err).NotTo(HaveOccurred())
@@ -28,15 +28,15 @@
 			"InternalPortRange=3,4", "Platform.Address=127.0.0.1:9", "Platform.parts=4", "Bounds.GraceS=8"))
 		Expect(string(content)).NotTo(Or(ContainSubstring("Listen.Control"), ContainSubstring("Seeds")))
 
-		settings.Control = 5
+		settings.ControlPort = 5
 		settings.Seeds = []string{"a", "b"}
 		Expect(strings.Split(settings.confContent(), "\n")).To(ContainElements("Listen.Control=127.0.0.1:5", "Seeds=a,b"))
 	})
 
 	It("contains the same fields in the product's TOML format", func() {
-		settings := Settings{Name: "node-1", Zone: "zone-3", Front: 1, Ready: 2, Peer: 3, Metrics: 4, Store: "127.0.0.1:9", Partitions: 4, Grace: 8,
-			Quota: &Quota{Window: 5, Overage: 0.1, Slack: 20}}
-		path, err := settings.WriteOwn(GinkgoT().TempDir())
+		settings := Settings{Name: "node-1", Zone: "zone-3", CallerPort: 1, ReadinessPort: 2, PeerPort: 3, MetricsPort: 4, StoreAddress: "127.0.0.1:9", Partitions: 4, DrainSeconds: 8,
+			Quota: &Quota{WindowSeconds: 5, Overage: 0.1, Slack: 20}}
+		path, err := settings.WriteTOML(GinkgoT().TempDir())
 		Expect(err).NotTo(HaveOccurred())
 		loaded, err := productsettings.LoadNode(path, nil)
 		Expect(err).NotTo(HaveOccurred())
--- a/rehearsal/ports/ports.go
+++ b/rehearsal/ports/ports.go
@@ -17,30 +17,30 @@
 // overlap neither each other nor the ports of the fault scenario tests (10000 to 30000),
 // so that tests can run in parallel.
 var (
-	// OfSoak is the range of the soak test.
-	OfSoak = Range{First: 30_000, Last: 31_300}
-	// OfPlatform is the range of the platform package's tests.
-	OfPlatform = Range{First: 31_300, Last: 32_500}
-	// OfCommand is the range of the command package's tests.
-	OfCommand = Range{First: 32_500, Last: 32_760}
+	// SoakRange is the range of the soak test.
+	SoakRange = Range{First: 30_000, Last: 31_300}
+	// PlatformRange is the range of the platform package's tests.
+	PlatformRange = Range{First: 31_300, Last: 32_500}
+	// CommandRange is the range of the command package's tests.
+	CommandRange = Range{First: 32_500, Last: 32_760}
 )
 
 // maxAttempts bounds the random draws for one port.
 const maxAttempts = 200
 
-// Picker allocates free ports, each at most once.
-type Picker struct {
+// Allocator allocates free ports, each at most once.
+type Allocator struct {
 	portRange Range
 	allocated map[int]bool
 }
 
-// NewPicker returns an allocator for a port range.
-func NewPicker(portRange Range) *Picker {
-	return &Picker{portRange: portRange, allocated: map[int]bool{}}
+// NewAllocator returns an allocator for a port range.
+func NewAllocator(portRange Range) *Allocator {
+	return &Allocator{portRange: portRange, allocated: map[int]bool{}}
 }
 
-// Pick returns count ports on which nothing listens.
-func (allocator *Picker) Pick(count int) ([]int, error) {
+// Allocate returns count ports on which nothing listens.
+func (allocator *Allocator) Allocate(count int) ([]int, error) {
 	ports := make([]int, 0, count)
 	for len(ports) < count {
 		port, err := allocator.allocateOne()
@@ -52,7 +52,7 @@
 	return ports, nil
 }
 
-func (allocator *Picker) allocateOne() (int, error) {
+func (allocator *Allocator) allocateOne() (int, error) {
 	lastErr := eris.New("all drawn ports are already allocated")
 	for range maxAttempts {
 		port := allocator.portRange.First + rand.IntN(allocator.portRange.Last-allocator.portRange.First)
--- a/rehearsal/ports/ports_test.go
+++ b/rehearsal/ports/ports_test.go
@@ -20,8 +20,8 @@
 		var first, last int
 		_, err = fmt.Sscan(string(content), &first, &last)
 		Expect(err).NotTo(HaveOccurred())
-		for _, portRange := range []Range{OfSoak, OfPlatform, OfCommand} {
-			ports, err := NewPicker(portRange).Pick(50)
+		for _, portRange := range []Range{SoakRange, PlatformRange, CommandRange} {
+			ports, err := NewAllocator(portRange).Allocate(50)
 			Expect(err).NotTo(HaveOccurred())
 			for _, port := range ports {
 				Expect(port).To(Or(BeNumerically("<", first), BeNumerically(">", last)))
@@ -30,11 +30,11 @@
 	})
 
 	It("are allocated once", func() {
-		allocator := NewPicker(Range{First: OfSoak.First, Last: OfSoak.First + 3})
-		ports, err := allocator.Pick(3)
+		allocator := NewAllocator(Range{First: SoakRange.First, Last: SoakRange.First + 3})
+		ports, err := allocator.Allocate(3)
 		Expect(err).NotTo(HaveOccurred())
-		Expect(ports).To(ConsistOf(OfSoak.First, OfSoak.First+1, OfSoak.First+2))
-		_, err = allocator.Pick(1)
+		Expect(ports).To(ConsistOf(SoakRange.First, SoakRange.First+1, SoakRange.First+2))
+		_, err = allocator.Allocate(1)
 		Expect(err).To(HaveOccurred())
 	})
 })
--- a/rehearsal/relay/proxy.go
+++ b/rehearsal/relay/proxy.go
@@ -9,49 +9,49 @@
 	"github.com/rotisserie/eris"
 )
 
-// Mode is the set of faults that a proxy injects; the zero value injects none.
-type Mode struct {
-	// Silent stalls both directions and new connections.
-	Silent bool
-	// Mute stalls the target's responses only.
-	Mute bool
-	// Resets closes open and new connections with a TCP reset.
-	Resets bool
-	// Delay is the upper bound of a random delay before each chunk of bytes.
-	Delay time.Duration
+// Faults is the set of faults that a proxy injects; the zero value injects none.
+type Faults struct {
+	// Stall stalls both directions and new connections.
+	Stall bool
+	// StallResponses stalls the target's responses only.
+	StallResponses bool
+	// Reset closes open and new connections with a TCP reset.
+	Reset bool
+	// MaxDelay is the upper bound of a random delay before each chunk of bytes.
+	MaxDelay time.Duration
 }
 
-// Door is a fault-injecting TCP proxy. It is safe for concurrent use.
-type Door struct {
+// Proxy is a fault-injecting TCP proxy. It is safe for concurrent use.
+type Proxy struct {
 	listener net.Listener
 	target   string
 	lock     sync.Mutex
-	faults   Mode
+	faults   Faults
 	changed  chan struct{}
 	open     map[*net.TCPConn]bool
 	closed   bool
 }
 
-// OpenDoor starts a proxy that listens on an address and connects to target.
-func OpenDoor(listen, target string) (*Door, error) {
+// StartProxy starts a proxy that listens on an address and connects to target.
+func StartProxy(listen, target string) (*Proxy, error) {
 	listener, err := net.Listen("tcp", listen)
 	if err != nil {
 		return nil, eris.Wrapf(err, "listen for the proxy to %s", target)
 	}
-	proxy := &Door{listener: listener, target: target, changed: make(chan struct{}), open: map[*net.TCPConn]bool{}}
+	proxy := &Proxy{listener: listener, target: target, changed: make(chan struct{}), open: map[*net.TCPConn]bool{}}
 	go proxy.accept()
 	return proxy, nil
 }
 
 // Address returns the proxy's listen address, IP:PORT.
-func (proxy *Door) Address() string { return proxy.listener.Addr().String() }
+func (proxy *Proxy) Address() string { return proxy.listener.Addr().String() }
 
-// Set replaces the proxy's faults.
-func (proxy *Door) Set(faults Mode) {
+// SetFaults replaces the proxy's faults.
+func (proxy *Proxy) SetFaults(faults Faults) {
 	proxy.lock.Lock()
 	defer proxy.lock.Unlock()
 	proxy.faults = faults
-	if faults.Resets {
+	if faults.Reset {
 		proxy.resetAll()
 	}
 	close(proxy.changed)
@@ -59,22 +59,22 @@
 }
 
 // Close stops the proxy and resets its connections.
-func (proxy *Door) Close() {
+func (proxy *Proxy) Close() {
 	_ = proxy.listener.Close()
 	proxy.lock.Lock()
 	proxy.closed = true
 	proxy.lock.Unlock()
-	proxy.Set(Mode{Resets: true})
+	proxy.SetFaults(Faults{Reset: true})
 }
 
-func (proxy *Door) resetAll() {
+func (proxy *Proxy) resetAll() {
 	for connection := range proxy.open {
 		_ = connection.SetLinger(0)
 		_ = connection.Close()
 	}
 }
 
-func (proxy *Door) accept() {
+func (proxy *Proxy) accept() {
 	for {
 		connection, err := proxy.listener.Accept()
 		if err != nil {
@@ -84,7 +84,7 @@
 	}
 }
 
-func (proxy *Door) forward(client *net.TCPConn) {
+func (proxy *Proxy) forward(client *net.TCPConn) {
 	if !proxy.track(client) {
 		return
 	}
@@ -113,29 +113,29 @@
 
 // awaitPass applies the faults to a chunk of bytes; response means that it comes from the
 // target. False means that the connection must be closed.
-func (proxy *Door) awaitPass(response bool) bool {
+func (proxy *Proxy) awaitPass(response bool) bool {
 	for {
 		proxy.lock.Lock()
 		faults, changed, closed := proxy.faults, proxy.changed, proxy.closed
 		proxy.lock.Unlock()
 		switch {
-		case closed || faults.Resets:
+		case closed || faults.Reset:
 			return false
-		case faults.Silent || (faults.Mute && response):
+		case faults.Stall || (faults.StallResponses && response):
 			<-changed
 			continue
-		case faults.Delay > 0:
-			time.Sleep(rand.N(faults.Delay))
+		case faults.MaxDelay > 0:
+			time.Sleep(rand.N(faults.MaxDelay))
 		}
 		return true
 	}
 }
 
 // track registers a connection, or resets it and returns false while resets are injected.
-func (proxy *Door) track(connection *net.TCPConn) bool {
+func (proxy *Proxy) track(connection *net.TCPConn) bool {
 	proxy.lock.Lock()
 	defer proxy.lock.Unlock()
-	if proxy.closed || proxy.faults.Resets {
+	if proxy.closed || proxy.faults.Reset {
 		_ = connection.SetLinger(0)
 		_ = connection.Close()
 		return false
@@ -144,7 +144,7 @@
 	return true
 }
 
-func (proxy *Door) untrack(connection *net.TCPConn) {
+func (proxy *Proxy) untrack(connection *net.TCPConn) {
 	proxy.lock.Lock()
 	defer proxy.lock.Unlock()
 	delete(proxy.open, connection)
--- a/rehearsal/relay/proxy_test.go
+++ b/rehearsal/relay/proxy_test.go
@@ -12,7 +12,7 @@
 var _ = Describe("Proxy", func() {
 	const readTimeout = 5 * time.Second
 	const noDataWindow = 50 * time.Millisecond
-	var proxy *relay.Door
+	var proxy *relay.Proxy
 	var connection net.Conn
 
 	BeforeEach(func() {
@@ -20,7 +20,7 @@
 		DeferCleanup(target.Close)
 		go echo(target)
 		var err error
-		proxy, err = relay.OpenDoor("127.0.0.1:0", target.Addr().String())
+		proxy, err = relay.StartProxy("127.0.0.1:0", target.Addr().String())
 		Expect(err).NotTo(HaveOccurred())
 		DeferCleanup(proxy.Close)
 		connection, err = net.Dial("tcp", proxy.Address())
@@ -45,27 +45,27 @@
 	})
 
 	It("stalls both directions without losing bytes", func() {
-		proxy.Set(relay.Mode{Silent: true})
+		proxy.SetFaults(relay.Faults{Stall: true})
 		send("held\n")
 		_, err := receive(noDataWindow)
 		Expect(err).To(HaveOccurred())
-		proxy.Set(relay.Mode{})
+		proxy.SetFaults(relay.Faults{})
 		Expect(receive(readTimeout)).To(Equal("held\n"))
 	})
 
 	It("stalls responses without losing bytes", func() {
-		proxy.Set(relay.Mode{Mute: true})
+		proxy.SetFaults(relay.Faults{StallResponses: true})
 		send("one way\n")
 		_, err := receive(noDataWindow)
 		Expect(err).To(HaveOccurred())
-		proxy.Set(relay.Mode{})
+		proxy.SetFaults(relay.Faults{})
 		Expect(receive(readTimeout)).To(Equal("one way\n"))
 	})
 
 	It("resets open and new connections", func() {
 		send("hello\n")
 		Expect(receive(readTimeout)).To(Equal("hello\n"))
-		proxy.Set(relay.Mode{Resets: true})
+		proxy.SetFaults(relay.Faults{Reset: true})
 		_, err := receive(readTimeout)
 		Expect(err).To(MatchError(ContainSubstring("reset")))
 		again, err := net.Dial("tcp", proxy.Address())
--- a/rehearsal/relay/relay.go
+++ b/rehearsal/relay/relay.go
@@ -37,8 +37,8 @@
 	return &Network{blocked: make(map[link]bool), changed: make(chan struct{}), open: make(map[net.Conn]bool)}
 }
 
-// Relay listens on an address and forwards its connections to target.
-func (network *Network) Relay(listen, target string) error {
+// AddRelay listens on an address and forwards its connections to target.
+func (network *Network) AddRelay(listen, target string) error {
 	listener, err := net.Listen("tcp", listen)
 	if err != nil {
 		return eris.Wrapf(err, "listen for the relay to %s", target)
@@ -64,10 +64,10 @@
 	network.notifyWaiters()
 }
 
-// CutZone blocks traffic between a zone and the other zones, and with external also from
+// IsolateZone blocks traffic between a zone and the other zones, and with external also from
 // the zone to the platform services. Connections stay open and resume after HealZone.
 // Clients still reach the zone.
-func (network *Network) CutZone(zone, zones int, external bool) {
+func (network *Network) IsolateZone(zone, zones int, external bool) {
 	network.setBlocked(zone, zones, external, true)
 }
 
--- a/rehearsal/relay/relay_test.go
+++ b/rehearsal/relay/relay_test.go
@@ -49,7 +49,7 @@
 		Expect(reserved.Close()).To(Succeed())
 		network := relay.NewNetwork()
 		defer network.Close()
-		Expect(network.Relay(address, target.Addr().String())).To(Succeed())
+		Expect(network.AddRelay(address, target.Addr().String())).To(Succeed())
 
 		lines := make(chan string, 8)
 		connect := func() net.Conn {
@@ -68,7 +68,7 @@
 		fmt.Fprintln(open, "before")
 		Eventually(lines, receiveTimeout).Should(Receive(Equal("before")))
 
-		network.CutZone(1, zones, false)
+		network.IsolateZone(1, zones, false)
 		fmt.Fprintln(open, "held")
 		opened := connect()
 		defer opened.Close()
--- a/rehearsal/soak/caller.go
+++ b/rehearsal/soak/caller.go
@@ -16,9 +16,9 @@
 )
 
 const (
-	retainedTurnPath = records.PathKept + "x"
+	retainedTurnPath = records.PathRetained + "x"
 	plainTurnPath    = records.PathPlain + "x"
-	unsafeToolPath   = records.PathTool + "x"
+	unsafeToolPath   = records.PathUnsafe + "x"
 	safeToolPath     = records.PathSafe + "x"
 	// attemptDeadline is the deadline of an attempt, idleTimeout the maximum time
 	// without receiving data.
--- a/rehearsal/soak/cluster.go
+++ b/rehearsal/soak/cluster.go
@@ -30,7 +30,7 @@
 	*agentengine.Engine
 	service string
 	zone    string
-	proxy   *relay.Door
+	proxy   *relay.Proxy
 }
 
 // cluster is the nodes, engines and log store of a run.
@@ -75,7 +75,7 @@
 		}
 	}
 	cluster.publishConfiguration()
-	allocator := ports.NewPicker(ports.OfSoak)
+	allocator := ports.NewAllocator(ports.SoakRange)
 	for number := range cluster.options.Nodes {
 		created, err := newNode(number, cluster.options, cluster.store.Address(), allocator)
 		if err != nil {
@@ -95,15 +95,15 @@
 	if err != nil {
 		return eris.Wrap(err, "start engine stand-in")
 	}
-	proxy, err := relay.OpenDoor(loopback, started.Address())
+	proxy, err := relay.StartProxy(loopback, started.Address())
 	if err != nil {
 		return err
 	}
-	if cluster.options.LoadLanes > 0 {
-		started.Pace = engineBaseDelay(service, cluster.enginesStarted)
+	if cluster.options.LoadFaultWorkers > 0 {
+		started.BaseDelay = engineBaseDelay(service, cluster.enginesStarted)
 	}
 	if service == records.ServiceModels {
-		started.SetFaults(agentengine.Faults{Pause: cluster.options.EventPause})
+		started.SetFaults(agentengine.Faults{EventDelay: cluster.options.EventDelay})
 	}
 	added := &engine{Engine: started, service: service, zone: zone, proxy: proxy}
 	cluster.engines = append(cluster.engines, added)
--- a/rehearsal/soak/faults.go
+++ b/rehearsal/soak/faults.go
@@ -188,11 +188,11 @@
 
 func (injector *injector) injectStoreFault(ctx context.Context, random *rand.Rand) string {
 	kinds := []logstore.Faults{
-		{Refuse: true},
-		{Silent: true},
-		{LoseAnswers: true},
+		{Unavailable: true},
+		{Stall: true},
+		{DropResponses: true},
 		{Delay: randomDuration(random, 0, maxStoreDelay)},
-		{DownParts: map[int]bool{random.IntN(partitions): true, random.IntN(partitions): true}},
+		{UnavailablePartitions: map[int]bool{random.IntN(partitions): true, random.IntN(partitions): true}},
 	}
 	selected := kinds[random.IntN(len(kinds))]
 	duration := randomDuration(random, minFaultDuration, maxFaultDuration)
@@ -211,15 +211,15 @@
 	for _, topic := range []string{records.TopicOperator, records.TopicEngines} {
 		snapshot, err := injector.cluster.store.Log.Latest(ctx, topic)
 		if err == nil {
-			injector.cluster.store.Log.Trim(durable.Partition{Topic: topic}, snapshot.End)
+			injector.cluster.store.Log.Trim(durable.Partition{Topic: topic}, snapshot.EndOffset)
 		}
 	}
 	return "keyed topics"
 }
 
 // randomLinkFault draws a fault of a network link.
-func randomLinkFault(random *rand.Rand) relay.Mode {
-	kinds := []relay.Mode{{Silent: true}, {Mute: true}, {Resets: true}, {Delay: randomDuration(random, 0, maxLinkDelay)}}
+func randomLinkFault(random *rand.Rand) relay.Faults {
+	kinds := []relay.Faults{{Stall: true}, {StallResponses: true}, {Reset: true}, {MaxDelay: randomDuration(random, 0, maxLinkDelay)}}
 	return kinds[random.IntN(len(kinds))]
 }
 
@@ -236,26 +236,26 @@
 	return injector.injectLinkFault(ctx, random, target.proxy, target.ID)
 }
 
-func (injector *injector) injectLinkFault(ctx context.Context, random *rand.Rand, proxy *relay.Door, resource string) string {
+func (injector *injector) injectLinkFault(ctx context.Context, random *rand.Rand, proxy *relay.Proxy, resource string) string {
 	mode := randomLinkFault(random)
 	duration := randomDuration(random, minFaultDuration, maxFaultDuration)
 	if !injector.reserve(resource) {
 		return ""
 	}
 	defer injector.release(resource)
-	proxy.Set(mode)
+	proxy.SetFaults(mode)
 	wait.Sleep(ctx, duration)
-	proxy.Set(relay.Mode{})
+	proxy.SetFaults(relay.Faults{})
 	return fmt.Sprintf("%s %+v for %s", resource, mode, duration)
 }
 
 func (injector *injector) injectEngineFault(ctx context.Context, random *rand.Rand) string {
 	target := injector.randomEngine(random)
 	kinds := []agentengine.Faults{
-		{Full: true},
-		{LoseAnswers: true},
-		{BreakAfter: 1 + random.IntN(eventsPerStream)},
-		{Pause: 150 * time.Millisecond},
+		{Overloaded: true},
+		{DropResponses: true},
+		{AbortStreamAfter: 1 + random.IntN(eventsPerStream)},
+		{EventDelay: 150 * time.Millisecond},
 	}
 	selected := kinds[random.IntN(len(kinds))]
 	duration := randomDuration(random, minFaultDuration, maxFaultDuration)
--- a/rehearsal/soak/load_faults.go
+++ b/rehearsal/soak/load_faults.go
@@ -148,7 +148,7 @@
 func (injector *injector) stallZoneStoreLinks(ctx context.Context, random *rand.Rand) string {
 	zone := injector.cluster.options.zoneName(random.IntN(injector.cluster.options.Zones))
 	duration := randomDuration(random, minFaultDuration, maxFaultDuration)
-	var proxies []*relay.Door
+	var proxies []*relay.Proxy
 	var resources []string
 	for _, each := range injector.cluster.nodes {
 		if each.zone == zone {
@@ -161,11 +161,11 @@
 	}
 	defer injector.release(resources...)
 	for _, proxy := range proxies {
-		proxy.Set(relay.Mode{Silent: true})
+		proxy.SetFaults(relay.Faults{Stall: true})
 	}
 	wait.Sleep(ctx, duration)
 	for _, proxy := range proxies {
-		proxy.Set(relay.Mode{})
+		proxy.SetFaults(relay.Faults{})
 	}
 	return fmt.Sprintf("%s for %s", zone, duration)
 }
--- a/rehearsal/soak/node.go
+++ b/rehearsal/soak/node.go
@@ -36,7 +36,7 @@
 	readinessAddress string
 	zone             string
 	// storeProxy is the proxy of the node's connection to the log store.
-	storeProxy *relay.Door
+	storeProxy *relay.Proxy
 
 	mutex   sync.Mutex
 	command *exec.Cmd
@@ -45,8 +45,8 @@
 	incarnation int
 }
 
-func newNode(number int, options Options, store string, allocator *ports.Picker) (*node, error) {
-	storeProxy, err := relay.OpenDoor(loopback, store)
+func newNode(number int, options Options, store string, allocator *ports.Allocator) (*node, error) {
+	storeProxy, err := relay.StartProxy(loopback, store)
 	if err != nil {
 		return nil, err
 	}
@@ -55,20 +55,20 @@
 		return nil, err
 	}
 	settings := nodesettings.Settings{
-		Name:       fmt.Sprintf("node-%d", number),
-		Zone:       options.zoneName(number),
-		Front:      allocated[0],
-		Ready:      allocated[1],
-		Peer:       min(allocated[2], allocated[3]),
-		Metrics:    max(allocated[2], allocated[3]),
-		Store:      storeProxy.Address(),
-		Partitions: partitions,
-		Grace:      graceSeconds,
-		Quota:      &nodesettings.Quota{Window: int(quotaWindow.Seconds()), Overage: quotaOverage, Slack: quotaSlack},
-	}
-	write := settings.Write
+		Name:          fmt.Sprintf("node-%d", number),
+		Zone:          options.zoneName(number),
+		CallerPort:    allocated[0],
+		ReadinessPort: allocated[1],
+		PeerPort:      min(allocated[2], allocated[3]),
+		MetricsPort:   max(allocated[2], allocated[3]),
+		StoreAddress:  storeProxy.Address(),
+		Partitions:    partitions,
+		DrainSeconds:  graceSeconds,
+		Quota:         &nodesettings.Quota{WindowSeconds: int(quotaWindow.Seconds()), Overage: quotaOverage, Slack: quotaSlack},
+	}
+	write := settings.WriteConf
 	if options.TOMLSettings {
-		write = settings.WriteOwn
+		write = settings.WriteTOML
 	}
 	path, err := write(options.Directory)
 	if err != nil {
@@ -79,8 +79,8 @@
 		zone:             settings.Zone,
 		binary:           options.Magpielug,
 		useTOML:          options.TOMLSettings,
-		callerAddress:    nodesettings.Address(settings.Front),
-		readinessAddress: nodesettings.Address(settings.Ready),
+		callerAddress:    nodesettings.Address(settings.CallerPort),
+		readinessAddress: nodesettings.Address(settings.ReadinessPort),
 		storeProxy:       storeProxy,
 		settingsPath:     path,
 		logPath:          filepath.Join(options.Directory, settings.Name+".log"),
@@ -95,9 +95,9 @@
 )
 
 // nodePorts returns the ports of the node with the given number.
-func (options Options) nodePorts(number int, allocator *ports.Picker) ([]int, error) {
+func (options Options) nodePorts(number int, allocator *ports.Allocator) ([]int, error) {
 	if options.FirstPort == 0 {
-		return allocator.Pick(portsPerNode)
+		return allocator.Allocate(portsPerNode)
 	}
 	var fixed []int
 	for offset := range portsPerNode {
@@ -112,7 +112,7 @@
 		return exec.Command(node.binary, "node", "--settings", node.settingsPath)
 	}
 	command := exec.Command(node.binary, "node")
-	command.Env = append(os.Environ(), nodesettings.Variable+"="+node.settingsPath)
+	command.Env = append(os.Environ(), nodesettings.EnvVar+"="+node.settingsPath)
 	return command
 }
 
--- a/rehearsal/soak/run.go
+++ b/rehearsal/soak/run.go
@@ -22,16 +22,16 @@
 	// Seed determines the faults and calls. The timing of the processes is not
 	// reproducible.
 	Seed uint64
-	// Length is how long faults are injected.
-	Length time.Duration
-	Nodes  int
+	// FaultDuration is how long faults are injected.
+	FaultDuration time.Duration
+	Nodes         int
 	// Callers is the number of concurrent programs.
 	Callers int
-	// Lanes is the number of concurrent faults.
-	Lanes int
-	// LoadLanes is the number of concurrent load faults. If positive, there are two
+	// FaultWorkers is the number of concurrent faults.
+	FaultWorkers int
+	// LoadFaultWorkers is the number of concurrent load faults. If positive, there are two
 	// zones by default and engines have unequal speeds.
-	LoadLanes int
+	LoadFaultWorkers int
 	// Magpielug is the path of the binary under test. Settings files and logs are
 	// written to Directory.
 	Magpielug string
@@ -46,8 +46,8 @@
 	Host string
 	// Tenants are the configured tenants without their keys; nil for the default.
 	Tenants []records.Tenant
-	// EventPause is the delay between the events of a stream.
-	EventPause time.Duration
+	// EventDelay is the delay between the events of a stream.
+	EventDelay time.Duration
 	// FirstPort is the first node's caller port, from which all ports are derived; 0 to
 	// allocate free ports.
 	FirstPort int
@@ -66,7 +66,7 @@
 
 // withDefaults returns the options with unset fields replaced by defaults.
 func (options Options) withDefaults() Options {
-	if options.LoadLanes > 0 {
+	if options.LoadFaultWorkers > 0 {
 		options.Zones = cmp.Or(options.Zones, defaultLoadFaultZones)
 	}
 	options.Zones = cmp.Or(options.Zones, defaultZones)
@@ -90,11 +90,11 @@
 
 // Outcome is the result of a run.
 type Outcome struct {
-	Seed       uint64
-	Thrown     int
-	Turns      int64
-	Statuses   map[int]int
-	Violations []Violation
+	Seed           uint64
+	InjectedFaults int
+	Turns          int64
+	Statuses       map[int]int
+	Violations     []Violation
 }
 
 const (
@@ -218,13 +218,13 @@
 
 // injectFaults runs the fault workers for the run's length.
 func (run *run) injectFaults(ctx context.Context) {
-	faultCtx, cancel := context.WithTimeout(ctx, run.options.Length)
+	faultCtx, cancel := context.WithTimeout(ctx, run.options.FaultDuration)
 	defer cancel()
 	var workers sync.WaitGroup
-	for worker := range run.options.Lanes {
+	for worker := range run.options.FaultWorkers {
 		workers.Go(func() { run.injector.run(faultCtx, run.random(uint64(1000+worker)), faults) })
 	}
-	for worker := range run.options.LoadLanes {
+	for worker := range run.options.LoadFaultWorkers {
 		workers.Go(func() { run.injector.run(faultCtx, run.random(uint64(2000+worker)), loadFaults) })
 	}
 	workers.Wait()
@@ -260,7 +260,7 @@
 }
 
 func (run *run) outcome() *Outcome {
-	outcome := &Outcome{Seed: run.options.Seed, Thrown: run.injector.injected, Statuses: run.recorder.statuses, Violations: run.recorder.violations}
+	outcome := &Outcome{Seed: run.options.Seed, InjectedFaults: run.injector.injected, Statuses: run.recorder.statuses, Violations: run.recorder.violations}
 	for _, turns := range run.completedTurns {
 		outcome.Turns += turns.Load()
 	}
--- a/rehearsal/soak/run_test.go
+++ b/rehearsal/soak/run_test.go
@@ -19,15 +19,15 @@
 	itFindsNoViolation := func(seed uint64, loadLanes int) {
 		It("finds no invariant violation", func() {
 			report, err := Run(context.Background(), Options{
-				Seed:      seed,
-				Length:    8 * time.Second,
-				Nodes:     4,
-				Callers:   6,
-				Lanes:     2,
-				LoadLanes: loadLanes,
-				Magpielug: binary,
-				Directory: GinkgoT().TempDir(),
-				Output:    GinkgoWriter,
+				Seed:             seed,
+				FaultDuration:    8 * time.Second,
+				Nodes:            4,
+				Callers:          6,
+				FaultWorkers:     2,
+				LoadFaultWorkers: loadLanes,
+				Magpielug:        binary,
+				Directory:        GinkgoT().TempDir(),
+				Output:           GinkgoWriter,
 			})
 			Expect(err).NotTo(HaveOccurred())
 			Expect(report.Violations).To(BeEmpty())
--- a/rehearsal/soak/scripted.go
+++ b/rehearsal/soak/scripted.go
@@ -14,22 +14,22 @@
 	"github.com/magpielug/magpielug/rehearsal/workload"
 )
 
-// StagedOptions configures a run of generated programs with faults at fixed times.
-type StagedOptions struct {
+// ScriptedOptions configures a run of generated programs with faults at fixed times.
+type ScriptedOptions struct {
 	Options
 	// Deployment determines the zones, the engines, the kinds of programs and, from its
 	// tiers, the tenants.
 	Deployment workload.Deployment
 	// Programs is the number of programs, to which an endless one is added.
 	Programs int
-	// Over is the period over which the programs arrive at a constant rate.
-	Over time.Duration
+	// ArrivalPeriod is the period over which the programs arrive at a constant rate.
+	ArrivalPeriod time.Duration
 	// TimeScale is a factor applied to the programs' pauses.
 	TimeScale float64
-	// LoopBudget is the token budget of the endless program.
-	LoopBudget int64
-	// Aims are the soft deadlines of programs by tenant, relative to their arrival.
-	Aims map[string]time.Duration
+	// EndlessBudget is the token budget of the endless program.
+	EndlessBudget int64
+	// SoftDeadlines are the soft deadlines of programs by tenant, relative to their arrival.
+	SoftDeadlines map[string]time.Duration
 }
 
 const (
@@ -94,7 +94,7 @@
 // scriptedRun is the state of a scripted run in progress.
 type scriptedRun struct {
 	*run
-	options       StagedOptions
+	options       ScriptedOptions
 	endedPrograms atomic.Int64
 	// lostOwners is the number of nodes killed or frozen so far, each of which may own
 	// programs.
@@ -105,7 +105,7 @@
 
 // applyDeployment returns the options with zones, engines, tools and tenants set from
 // the deployment.
-func (options StagedOptions) applyDeployment() StagedOptions {
+func (options ScriptedOptions) applyDeployment() ScriptedOptions {
 	deployment := options.Deployment
 	options.Zones = len(deployment.Zones)
 	options.Engines = deployment.ModelEngines
@@ -119,10 +119,10 @@
 	return options
 }
 
-// RunStaged runs generated programs against nodes, kills one node, freezes a shard
+// RunScripted runs generated programs against nodes, kills one node, freezes a shard
 // owner, and checks invariants over what callers and engines observe. It returns an
 // error if the run could not be carried out.
-func RunStaged(ctx context.Context, options StagedOptions) (*ScriptedOutcome, error) {
+func RunScripted(ctx context.Context, options ScriptedOptions) (*ScriptedOutcome, error) {
 	options = options.applyDeployment()
 	cluster, err := startCluster(ctx, options.withDefaults())
 	if err != nil {
@@ -146,7 +146,7 @@
 // Serve starts the cluster of a scripted run without its load and faults, and serves
 // until ctx ends. It calls onReady with the nodes' addresses for callers and the
 // tenants' keys.
-func Serve(ctx context.Context, options StagedOptions, onReady func(addresses []string, keys map[string]string)) error {
+func Serve(ctx context.Context, options ScriptedOptions, onReady func(addresses []string, keys map[string]string)) error {
 	cluster, err := startCluster(ctx, options.applyDeployment().withDefaults())
 	if err != nil {
 		return err
@@ -173,7 +173,7 @@
 	scripted.workers.Go(func() { scripted.logProgress(loadCtx) })
 	var workers sync.WaitGroup
 	workers.Go(func() { scripted.injectScriptedFaults(ctx) })
-	programCtx, cancel := context.WithTimeout(ctx, scripted.options.Over+completionTimeout)
+	programCtx, cancel := context.WithTimeout(ctx, scripted.options.ArrivalPeriod+completionTimeout)
 	defer cancel()
 	for _, plan := range scripted.generatePrograms() {
 		workers.Go(func() { scripted.runProgram(programCtx, plan) })
@@ -185,8 +185,8 @@
 func (scripted *scriptedRun) generatePrograms() []*workload.Program {
 	deployment := scripted.options.Deployment
 	generator := workload.NewGenerator(deployment, scripted.options.Seed)
-	plans := []*workload.Program{generator.EndlessProgram(endlessProgramNumber, deployment.LowestKind())}
-	gap := scripted.options.Over / time.Duration(max(scripted.options.Programs, 1))
+	plans := []*workload.Program{generator.EndlessProgram(endlessProgramNumber, deployment.LowestTierKind())}
+	gap := scripted.options.ArrivalPeriod / time.Duration(max(scripted.options.Programs, 1))
 	for number := range scripted.options.Programs {
 		plan := generator.Program(number)
 		plan.Arrival = time.Duration(number) * gap
@@ -198,7 +198,7 @@
 
 // injectScriptedFaults kills a node, freezes an owner and publishes a configuration.
 func (scripted *scriptedRun) injectScriptedFaults(ctx context.Context) {
-	over := scripted.options.Over.Seconds()
+	over := scripted.options.ArrivalPeriod.Seconds()
 	at := func(share float64) {
 		wait.Sleep(ctx, time.Until(scripted.startedAt.Add(time.Duration(share*over*float64(time.Second)))))
 	}
@@ -239,11 +239,11 @@
 	wait.Sleep(ctx, time.Until(scripted.startedAt.Add(plan.Arrival)))
 	started := time.Now()
 	program := &program{name: plan.ID, tenant: plan.Tier, budget: defaultBudget}
-	if softDeadline := scripted.options.Aims[plan.Tier]; softDeadline > 0 {
+	if softDeadline := scripted.options.SoftDeadlines[plan.Tier]; softDeadline > 0 {
 		program.softDeadline = started.Add(softDeadline)
 	}
 	if plan.Endless {
-		program.budget = scripted.options.LoopBudget
+		program.budget = scripted.options.EndlessBudget
 	}
 	program.uncertainSpend = func() int64 { return maxUncertainSpend(program.budget, scripted.lostOwners.Load()) }
 	record := ProgramRecord{Name: plan.ID, Tenant: plan.Tier}
--- a/rehearsal/soak/scripted_test.go
+++ b/rehearsal/soak/scripted_test.go
@@ -12,7 +12,7 @@
 
 var _ = Describe("A scripted run", func() {
 	It("completes all programs, stops the endless one, and finds no invariant violation", func() {
-		outcome, err := RunStaged(context.Background(), StagedOptions{
+		outcome, err := RunScripted(context.Background(), ScriptedOptions{
 			Options: Options{
 				Seed:      1,
 				Nodes:     4,
@@ -20,11 +20,11 @@
 				Directory: GinkgoT().TempDir(),
 				Output:    GinkgoWriter,
 			},
-			Deployment: workload.Cairo(),
-			Programs:   12,
-			Over:       5 * time.Second,
-			TimeScale:  0.1,
-			LoopBudget: 20 * maxTurnTokens,
+			Deployment:    workload.Cairo(),
+			Programs:      12,
+			ArrivalPeriod: 5 * time.Second,
+			TimeScale:     0.1,
+			EndlessBudget: 20 * maxTurnTokens,
 		})
 		Expect(err).NotTo(HaveOccurred())
 		Expect(outcome.Violations).To(BeEmpty())
--- a/rehearsal/soak/tenants.go
+++ b/rehearsal/soak/tenants.go
@@ -96,7 +96,7 @@
 	recorder.mutex.Lock()
 	for _, run := range runs {
 		if attempt := recorder.attempts[run.ID]; attempt != nil && attempt.tenant == tenantLimited {
-			spans = append(spans, span{attempt.sentAt, run.At})
+			spans = append(spans, span{attempt.sentAt, run.ArrivedAt})
 		}
 	}
 	recorder.mutex.Unlock()
--- a/rehearsal/speed/cost.go
+++ b/rehearsal/speed/cost.go
@@ -48,16 +48,16 @@
 			}
 		}
 	}
-	rates, err := usage.Watch(ctx, procDirectory, processes, duration)
+	rates, err := usage.MeasureRates(ctx, procDirectory, processes, duration)
 	if err != nil {
 		return nil, err
 	}
 	for index, rate := range rates {
 		cost := &costs[roles[index]]
-		cost.CPUCores += rate.ProcessorShare
+		cost.CPUCores += rate.CPUCores
 		cost.ReadBytesPerSecond += rate.ReadBytesPerSecond
 		cost.WrittenBytesPerSecond += rate.WriteBytesPerSecond
-		cost.ResidentBytes += float64(rate.Resident)
+		cost.ResidentBytes += float64(rate.ResidentBytes)
 	}
 	return costs, nil
 }
--- a/rehearsal/standin/agentengine/agentengine.go
+++ b/rehearsal/standin/agentengine/agentengine.go
@@ -15,16 +15,16 @@
 
 // Faults is the set of injected faults; the zero value injects none.
 type Faults struct {
-	// Full rejects every request as not executed.
-	Full bool
+	// Overloaded rejects every request as not executed.
+	Overloaded bool
 	// Fail answers every request with status 500.
 	Fail bool
-	// LoseAnswers runs requests and closes the connection without a response.
-	LoseAnswers bool
-	// BreakAfter aborts streams after this many events; 0 disables it.
-	BreakAfter int
-	// Pause is added to the delay between the events of a stream.
-	Pause time.Duration
+	// DropResponses runs requests and closes the connection without a response.
+	DropResponses bool
+	// AbortStreamAfter aborts streams after this many events; 0 disables it.
+	AbortStreamAfter int
+	// EventDelay is added to the delay between the events of a stream.
+	EventDelay time.Duration
 }
 
 // Run is a request that the engine ran.
@@ -35,22 +35,22 @@
 	Body     string
 	Header   http.Header
 	Canceled bool
-	// At is the request's arrival time.
-	At time.Time
+	// ArrivedAt is the request's arrival time.
+	ArrivedAt time.Time
 }
 
 // Engine is a running stand-in.
 type Engine struct {
-	ID     string
-	Events int
-	// Pace is the delay between the events of a stream, and before any other response. It
+	ID              string
+	EventsPerStream int
+	// BaseDelay is the delay between the events of a stream, and before any other response. It
 	// must be set before the first request.
-	Pace     time.Duration
-	server   *http.Server
-	listener net.Listener
-	mutex    sync.Mutex
-	faults   Faults
-	runs     []Run
+	BaseDelay time.Duration
+	server    *http.Server
+	listener  net.Listener
+	mutex     sync.Mutex
+	faults    Faults
+	runs      []Run
 }
 
 const headerTimeout = 30 * time.Second
@@ -67,7 +67,7 @@
 	if err != nil {
 		return nil, err
 	}
-	engine := &Engine{ID: id, Events: events, listener: listener}
+	engine := &Engine{ID: id, EventsPerStream: events, listener: listener}
 	engine.server = &http.Server{Handler: engine, ReadHeaderTimeout: headerTimeout}
 	go func() { _ = engine.server.Serve(listener) }()
 	return engine, nil
@@ -107,7 +107,7 @@
 		writer.WriteHeader(http.StatusMisdirectedRequest)
 		return
 	}
-	if faults.Full {
+	if faults.Overloaded {
 		writer.Header().Set("Not-Executed", "1")
 		writer.WriteHeader(http.StatusServiceUnavailable)
 		return
@@ -121,7 +121,7 @@
 		writer.WriteHeader(http.StatusInternalServerError)
 		return
 	}
-	if faults.LoseAnswers {
+	if faults.DropResponses {
 		panic(http.ErrAbortHandler)
 	}
 	writer.Header().Set("Response-Stamp", "stamp-"+engine.ID)
@@ -129,7 +129,7 @@
 		engine.stream(writer, request, faults, index)
 		return
 	}
-	time.Sleep(engine.Pace)
+	time.Sleep(engine.BaseDelay)
 	if strings.HasSuffix(request.URL.Path, LargeSuffix) {
 		_, _ = io.WriteString(writer, strings.Repeat(".", LargeBytes))
 	}
@@ -140,12 +140,12 @@
 	engine.mutex.Lock()
 	defer engine.mutex.Unlock()
 	engine.runs = append(engine.runs, Run{
-		ID:     request.Header.Get("Request-Id"),
-		Method: request.Method,
-		Target: request.RequestURI,
-		Body:   body,
-		Header: request.Header.Clone(),
-		At:     time.Now(),
+		ID:        request.Header.Get("Request-Id"),
+		Method:    request.Method,
+		Target:    request.RequestURI,
+		Body:      body,
+		Header:    request.Header.Clone(),
+		ArrivedAt: time.Now(),
 	})
 	return len(engine.runs) - 1
 }
@@ -153,8 +153,8 @@
 func (engine *Engine) stream(writer http.ResponseWriter, request *http.Request, faults Faults, index int) {
 	writer.Header().Set("Content-Type", "text/event-stream")
 	flusher := writer.(http.Flusher)
-	for event := 1; event <= engine.Events; event++ {
-		if faults.BreakAfter > 0 && event > faults.BreakAfter {
+	for event := 1; event <= engine.EventsPerStream; event++ {
+		if faults.AbortStreamAfter > 0 && event > faults.AbortStreamAfter {
 			panic(http.ErrAbortHandler)
 		}
 		_, err := fmt.Fprintf(writer, "id: %d\ndata: %s-%d\n\n", event, request.Header.Get("Request-Id"), event)
@@ -163,7 +163,7 @@
 		}
 		flusher.Flush()
 		select {
-		case <-time.After(faults.Pause + engine.Pace):
+		case <-time.After(faults.EventDelay + engine.BaseDelay):
 		case <-request.Context().Done():
 			engine.mutex.Lock()
 			engine.runs[index].Canceled = true
--- a/rehearsal/standin/engine/commands.go
+++ b/rehearsal/standin/engine/commands.go
@@ -66,43 +66,43 @@
 	return wire.Empty{}, nil
 }
 
-func (engine *Engine) release(request wire.ProgramRequest) (wire.BlocksAnswer, error) {
+func (engine *Engine) release(request wire.ProgramRequest) (wire.BlocksResponse, error) {
 	engine.lock.Lock()
 	defer engine.lock.Unlock()
 	if err := engine.checkFence(request.Fence); err != nil {
-		return wire.BlocksAnswer{}, err
+		return wire.BlocksResponse{}, err
 	}
-	return wire.BlocksAnswer{Blocks: engine.model.Release(engine.now(), request.Program)}, nil
+	return wire.BlocksResponse{Blocks: engine.model.Release(engine.now(), request.Program)}, nil
 }
 
-func (engine *Engine) export(request wire.ProgramRequest) (wire.ExportAnswer, error) {
+func (engine *Engine) export(request wire.ProgramRequest) (wire.ExportResponse, error) {
 	engine.lock.Lock()
 	defer engine.lock.Unlock()
 	if err := engine.checkFence(request.Fence); err != nil {
-		return wire.ExportAnswer{}, err
+		return wire.ExportResponse{}, err
 	}
 	payload, err := json.Marshal(exportPayload{
 		Format: exportVersion,
 		Model:  engine.weights.model,
 		Blocks: engine.model.Export(request.Program),
 	})
-	return wire.ExportAnswer{Content: payload}, err
+	return wire.ExportResponse{Content: payload}, err
 }
 
-func (engine *Engine) importBlocks(request wire.ImportRequest) (wire.BlocksAnswer, error) {
+func (engine *Engine) importBlocks(request wire.ImportRequest) (wire.BlocksResponse, error) {
 	var payload exportPayload
 	if err := json.Unmarshal(request.Content, &payload); err != nil || payload.Format != exportVersion {
-		return wire.BlocksAnswer{}, reply.BadRequest("content is no export")
+		return wire.BlocksResponse{}, reply.BadRequest("content is no export")
 	}
 	engine.lock.Lock()
 	defer engine.lock.Unlock()
 	if err := engine.checkFence(request.Fence); err != nil {
-		return wire.BlocksAnswer{}, err
+		return wire.BlocksResponse{}, err
 	}
 	if payload.Model != engine.weights.model {
-		return wire.BlocksAnswer{}, reply.NotRun(http.StatusConflict, wire.CodeWrongModel, "the export is of another model")
+		return wire.BlocksResponse{}, reply.NotRun(http.StatusConflict, wire.CodeWrongModel, "the export is of another model")
 	}
-	return wire.BlocksAnswer{Blocks: engine.model.Import(engine.now(), request.Program, payload.Blocks)}, nil
+	return wire.BlocksResponse{Blocks: engine.model.Import(engine.now(), request.Program, payload.Blocks)}, nil
 }
 
 func (engine *Engine) startLoad(request wire.LoadRequest) (wire.Empty, error) {
--- a/rehearsal/standin/engine/engine_test.go
+++ b/rehearsal/standin/engine/engine_test.go
@@ -204,14 +204,14 @@
 
 	It("runs a request whose response is dropped, and returns the output to a retry", func() {
 		engine := newTestEngine(Config{})
-		Expect(engine.Faults().Set(fault.Order{Kind: fault.DropResponses, ForMillis: faultMillis})).To(Succeed())
+		Expect(engine.Faults().Set(fault.Spec{Kind: fault.DropResponses, DurationMillis: faultMillis})).To(Succeed())
 		request := newRequest("a", "hello [[tokens=20]]")
 		_, err := engine.generate(request)
 		Expect(err).To(MatchError(outside.ErrOutcomeUnknown))
 		Expect(err).NotTo(MatchError(outside.ErrNotRun))
 		err = engine.client.SetRole(context.Background(), engine.address, RoleDecode, outside.Fence{Epoch: 2})
 		Expect(err).To(MatchError(outside.ErrOutcomeUnknown))
-		Expect(engine.Faults().Set(fault.Order{Kind: fault.Clear})).To(Succeed())
+		Expect(engine.Faults().Set(fault.Spec{Kind: fault.Clear})).To(Succeed())
 		result, err := engine.generate(request)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(result.text).To(Equal(expectedText(request)))
@@ -222,7 +222,7 @@
 	DescribeTable("breaks streams under a fault without losing output to a resuming client",
 		func(kind fault.Kind, expected error) {
 			engine := newTestEngine(Config{})
-			Expect(engine.Faults().Set(fault.Order{Kind: kind, ForMillis: faultMillis, Probability: 0.1, Seed: 7})).To(Succeed())
+			Expect(engine.Faults().Set(fault.Spec{Kind: kind, DurationMillis: faultMillis, Probability: 0.1, Seed: 7})).To(Succeed())
 			request := newRequest("a", "hello [[tokens=60]]")
 			text, failures := "", 0
 			for range 200 {
@@ -241,12 +241,12 @@
 			Expect(engine.runs("a")).To(Equal(1))
 		},
 		Entry("aborted stream", fault.AbortStream, outside.ErrOutcomeUnknown),
-		Entry("garbage bytes", fault.Garbage, outside.ErrMalformedAnswer),
+		Entry("garbage bytes", fault.Garbage, outside.ErrMalformedResponse),
 	)
 
 	It("rejects every request in an outage as not run", func() {
 		engine := newTestEngine(Config{})
-		Expect(engine.Faults().Set(fault.Order{Kind: fault.Outage, ForMillis: faultMillis})).To(Succeed())
+		Expect(engine.Faults().Set(fault.Spec{Kind: fault.Outage, DurationMillis: faultMillis})).To(Succeed())
 		_, err := engine.generate(newRequest("a", "hello"))
 		Expect(err).To(MatchError(outside.ErrNotRun))
 		Expect(engine.runs("a")).To(BeZero())
@@ -295,7 +295,7 @@
 			_, err := engine.generate(newRequest(fmt.Sprint("b", attempts), "hello [[tokens=1]]"))
 			return err
 		}, settleTimeout).Should(MatchError(outside.ErrNotRun))
-		Expect(engine.Runs().Late).To(BeNumerically(">", 0))
+		Expect(engine.Runs().LateRequests).To(BeNumerically(">", 0))
 		result, err := engine.generate(request)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(result.text).To(Equal(expectedText(request)))
--- a/rehearsal/standin/engine/reports.go
+++ b/rehearsal/standin/engine/reports.go
@@ -26,12 +26,12 @@
 	defaultEventLimit = 1000
 )
 
-// RunsAnswer is the response of GET PathRuns.
-type RunsAnswer struct {
+// RunsResponse is the response of GET PathRuns.
+type RunsResponse struct {
 	// Runs counts the starts of each request id.
 	Runs map[string]int `json:"runs"`
-	// Late counts requests that arrived after LeaveGrace.
-	Late int `json:"late"`
+	// LateRequests counts requests that arrived after LeaveGrace.
+	LateRequests int `json:"late"`
 }
 
 // telemetry holds sampled load reports and cache events until they are due.
@@ -146,7 +146,7 @@
 func (engine *Engine) routeQueries(mux *http.ServeMux) {
 	reply.HandleGetWithETag(mux, wire.PathReport, engine.laggedReport, withoutVolatileFields)
 	reply.HandleGet(mux, wire.PathEvents, engine.cacheEvents)
-	reply.HandleGet(mux, PathRuns, func(*http.Request) (RunsAnswer, error) { return engine.Runs(), nil })
+	reply.HandleGet(mux, PathRuns, func(*http.Request) (RunsResponse, error) { return engine.Runs(), nil })
 	reply.HandleGet(mux, PathState, func(*http.Request) (wire.LoadReport, error) {
 		engine.lock.Lock()
 		defer engine.lock.Unlock()
@@ -175,19 +175,19 @@
 }
 
 // cacheEvents returns the due events after a sequence number.
-func (engine *Engine) cacheEvents(request *http.Request) (wire.EventsAnswer, error) {
+func (engine *Engine) cacheEvents(request *http.Request) (wire.EventsResponse, error) {
 	after, err := reply.UintParameter(request, wire.ParameterAfter, 0)
 	if err != nil {
-		return wire.EventsAnswer{}, err
+		return wire.EventsResponse{}, err
 	}
 	limit, err := reply.UintParameter(request, wire.ParameterLimit, defaultEventLimit)
 	if err != nil {
-		return wire.EventsAnswer{}, err
+		return wire.EventsResponse{}, err
 	}
 	engine.lock.Lock()
 	defer engine.lock.Unlock()
 	due := engine.now() - engine.config.EventDelay
-	response := wire.EventsAnswer{Events: []wire.CacheEvent{}}
+	response := wire.EventsResponse{Events: []wire.CacheEvent{}}
 	for _, sample := range engine.telemetry.events {
 		if sample.at > due || uint64(len(response.Events)) >= limit {
 			break
@@ -200,14 +200,14 @@
 }
 
 // Runs counts the starts of each request id.
-func (engine *Engine) Runs() RunsAnswer {
+func (engine *Engine) Runs() RunsResponse {
 	engine.lock.Lock()
 	defer engine.lock.Unlock()
 	runs := make(map[string]int, len(engine.counts.runs))
 	for id, count := range engine.counts.runs {
 		runs[id] = count
 	}
-	return RunsAnswer{Runs: runs, Late: engine.counts.lateRequests}
+	return RunsResponse{Runs: runs, LateRequests: engine.counts.lateRequests}
 }
 
 // Stats returns the model's current state and counters.
--- a/rehearsal/standin/fault/fault.go
+++ b/rehearsal/standin/fault/fault.go
@@ -39,11 +39,11 @@
 
 var kinds = []Kind{Outage, Slow, DropResponses, Garbage, AbortStream, Clear}
 
-// Order is the body of POST /debug/fault.
-type Order struct {
+// Spec is the body of POST /debug/fault.
+type Spec struct {
 	Kind Kind `json:"kind"`
-	// ForMillis is the duration of the fault.
-	ForMillis int64 `json:"for_ms"`
+	// DurationMillis is the duration of the fault.
+	DurationMillis int64 `json:"for_ms"`
 	// Probability is the chance that a request (for Garbage and AbortStream: an event of a
 	// stream) meets the fault; 0 means 1.
 	Probability float64 `json:"probability"`
@@ -54,7 +54,7 @@
 }
 
 type activeFault struct {
-	spec   Order
+	spec   Spec
 	until  time.Time
 	random *rand.Rand
 }
@@ -71,11 +71,11 @@
 }
 
 // Set starts a fault, replacing an earlier one of the same kind.
-func (injector *Injector) Set(spec Order) error {
+func (injector *Injector) Set(spec Spec) error {
 	if !slices.Contains(kinds, spec.Kind) {
 		return reply.BadRequest("unknown kind of fault: " + string(spec.Kind))
 	}
-	if spec.Probability < 0 || spec.Probability > 1 || spec.ForMillis < 0 || spec.DelayMillis < 0 {
+	if spec.Probability < 0 || spec.Probability > 1 || spec.DurationMillis < 0 || spec.DelayMillis < 0 {
 		return reply.BadRequest("probability must be from 0 to 1, times not negative")
 	}
 	if spec.Probability == 0 {
@@ -89,7 +89,7 @@
 	}
 	injector.faults[spec.Kind] = &activeFault{
 		spec:   spec,
-		until:  time.Now().Add(time.Duration(spec.ForMillis) * time.Millisecond),
+		until:  time.Now().Add(time.Duration(spec.DurationMillis) * time.Millisecond),
 		random: rand.New(rand.NewPCG(spec.Seed, spec.Seed)),
 	}
 	return nil
@@ -101,16 +101,16 @@
 	return hit
 }
 
-func (injector *Injector) draw(kind Kind) (Order, bool) {
+func (injector *Injector) draw(kind Kind) (Spec, bool) {
 	injector.lock.Lock()
 	defer injector.lock.Unlock()
 	fault, found := injector.faults[kind]
 	if !found {
-		return Order{}, false
+		return Spec{}, false
 	}
 	if time.Now().After(fault.until) {
 		delete(injector.faults, kind)
-		return Order{}, false
+		return Spec{}, false
 	}
 	return fault.spec, fault.random.Float64() < fault.spec.Probability
 }
@@ -119,7 +119,7 @@
 // and AbortStream themselves.
 func (injector *Injector) Handler(next http.Handler, streamPaths ...string) http.Handler {
 	mux := http.NewServeMux()
-	reply.HandlePost(mux, Path, func(spec Order) (Order, error) {
+	reply.HandlePost(mux, Path, func(spec Spec) (Spec, error) {
 		return spec, injector.Set(spec)
 	})
 	mux.HandleFunc("/", func(writer http.ResponseWriter, request *http.Request) {
--- a/rehearsal/standin/logservice/log.go
+++ b/rehearsal/standin/logservice/log.go
@@ -59,36 +59,36 @@
 	return log.faults.Handler(mux)
 }
 
-func (log *Log) append(request wire.AppendRequest) (wire.AppendAnswer, error) {
+func (log *Log) append(request wire.AppendRequest) (wire.AppendResponse, error) {
 	if request.Stream == "" {
-		return wire.AppendAnswer{}, reply.BadRequest("stream is empty")
+		return wire.AppendResponse{}, reply.BadRequest("stream is empty")
 	}
 	log.lock.Lock()
 	defer log.lock.Unlock()
 	if log.bytes+len(request.Data) > log.config.MaxBytes {
-		return wire.AppendAnswer{}, reply.NotRun(http.StatusInsufficientStorage, wire.CodeUnavailable, "the log is full")
+		return wire.AppendResponse{}, reply.NotRun(http.StatusInsufficientStorage, wire.CodeUnavailable, "the log is full")
 	}
 	log.bytes += len(request.Data)
 	records := log.streams[request.Stream]
 	log.streams[request.Stream] = append(records, request.Data)
 	offset := uint64(len(records))
-	return wire.AppendAnswer{Offset: &offset}, nil
+	return wire.AppendResponse{Offset: &offset}, nil
 }
 
-func (log *Log) read(request *http.Request) (wire.ReadAnswer, error) {
+func (log *Log) read(request *http.Request) (wire.ReadResponse, error) {
 	offset, err := reply.UintParameter(request, wire.ParameterOffset, 0)
 	if err != nil {
-		return wire.ReadAnswer{}, err
+		return wire.ReadResponse{}, err
 	}
 	limit, err := reply.UintParameter(request, wire.ParameterLimit, defaultReadLimit)
 	if err != nil {
-		return wire.ReadAnswer{}, err
+		return wire.ReadResponse{}, err
 	}
 	log.lock.Lock()
 	records := log.streams[request.URL.Query().Get(wire.ParameterStream)]
 	log.lock.Unlock()
 	// Records are immutable, so the slice can be read without the lock.
-	response := wire.ReadAnswer{Records: []wire.Record{}}
+	response := wire.ReadResponse{Records: []wire.Record{}}
 	bytes := 0
 	for offset < uint64(len(records)) && uint64(len(response.Records)) < min(limit, maxReadLimit) {
 		data := records[offset]
@@ -102,10 +102,10 @@
 	return response, nil
 }
 
-func (log *Log) listStreams(*http.Request) (wire.StreamsAnswer, error) {
+func (log *Log) listStreams(*http.Request) (wire.StreamsResponse, error) {
 	log.lock.Lock()
 	defer log.lock.Unlock()
-	response := wire.StreamsAnswer{Streams: []wire.StreamState{}}
+	response := wire.StreamsResponse{Streams: []wire.StreamState{}}
 	for stream, records := range log.streams {
 		response.Streams = append(response.Streams, wire.StreamState{Stream: stream, Next: uint64(len(records))})
 	}
--- a/rehearsal/standin/logservice/log_test.go
+++ b/rehearsal/standin/logservice/log_test.go
@@ -41,14 +41,14 @@
 
 	It("stores a record whose response was dropped, and none that it rejected", func() {
 		standIn, log := newTestLog(Config{})
-		Expect(standIn.Faults().Set(fault.Order{Kind: fault.DropResponses, ForMillis: 600_000})).To(Succeed())
+		Expect(standIn.Faults().Set(fault.Spec{Kind: fault.DropResponses, DurationMillis: 600_000})).To(Succeed())
 		_, err := log.Append(ctx, "one", []byte("lost"))
 		Expect(err).To(MatchError(outside.ErrOutcomeUnknown))
-		Expect(standIn.Faults().Set(fault.Order{Kind: fault.Clear})).To(Succeed())
-		Expect(standIn.Faults().Set(fault.Order{Kind: fault.Outage, ForMillis: 600_000})).To(Succeed())
+		Expect(standIn.Faults().Set(fault.Spec{Kind: fault.Clear})).To(Succeed())
+		Expect(standIn.Faults().Set(fault.Spec{Kind: fault.Outage, DurationMillis: 600_000})).To(Succeed())
 		_, err = log.Append(ctx, "one", []byte("refused"))
 		Expect(err).To(MatchError(outside.ErrNotRun))
-		Expect(standIn.Faults().Set(fault.Order{Kind: fault.Clear})).To(Succeed())
+		Expect(standIn.Faults().Set(fault.Spec{Kind: fault.Clear})).To(Succeed())
 		Expect(log.Read(ctx, "one", 0, 9)).To(Equal([]outside.Record{{Offset: 0, Data: []byte("lost")}}))
 	})
 
--- a/rehearsal/standin/logstore/logstore.go
+++ b/rehearsal/standin/logstore/logstore.go
@@ -19,16 +19,16 @@
 
 // Faults is the set of injected faults; the zero value injects none.
 type Faults struct {
-	// Refuse rejects every call with status 503, without effect.
-	Refuse bool
-	// Silent stalls every call without a response or effect.
-	Silent bool
-	// LoseAnswers executes appends and closes the connection without a response.
-	LoseAnswers bool
+	// Unavailable rejects every call with status 503, without effect.
+	Unavailable bool
+	// Stall stalls every call without a response or effect.
+	Stall bool
+	// DropResponses executes appends and closes the connection without a response.
+	DropResponses bool
 	// Delay is added to every response.
 	Delay time.Duration
-	// DownParts are the partitions that respond with status 503.
-	DownParts map[int]bool
+	// UnavailablePartitions are the partitions that respond with status 503.
+	UnavailablePartitions map[int]bool
 }
 
 // Store is a running stand-in.
@@ -53,9 +53,9 @@
 	return start(address, durable.NewMemory())
 }
 
-// Second serves the same records on another address with separate faults, so that a fault
+// StartEndpoint serves the same records on another address with separate faults, so that a fault
 // can be limited to one node.
-func (store *Store) Second(address string) (*Store, error) {
+func (store *Store) StartEndpoint(address string) (*Store, error) {
 	return start(address, store.Log)
 }
 
@@ -108,10 +108,10 @@
 		part, _ := strconv.Atoi(request.URL.Query().Get("part"))
 		time.Sleep(faults.Delay)
 		switch {
-		case faults.Silent:
+		case faults.Stall:
 			<-request.Context().Done()
 			panic(http.ErrAbortHandler)
-		case faults.Refuse || faults.DownParts[part]:
+		case faults.Unavailable || faults.UnavailablePartitions[part]:
 			writer.WriteHeader(http.StatusServiceUnavailable)
 		default:
 			serve(writer, request)
@@ -167,7 +167,7 @@
 	if store.dropsResponses() {
 		panic(http.ErrAbortHandler)
 	}
-	response := appendResponse{Offset: appended.Offset, End: appended.End}
+	response := appendResponse{Offset: appended.Offset, End: appended.EndOffset}
 	switch {
 	case err == nil:
 		writeJSON(writer, http.StatusOK, response)
@@ -185,7 +185,7 @@
 func (store *Store) dropsResponses() bool {
 	store.mutex.Lock()
 	defer store.mutex.Unlock()
-	return store.faults.LoseAnswers
+	return store.faults.DropResponses
 }
 
 const frameHeaderBytes = 4
@@ -217,7 +217,7 @@
 	batch, err := store.Log.Read(ctx, parsePartition(request), from, wait)
 	var trimmed *durable.TrimmedError
 	if errors.As(err, &trimmed) {
-		writeJSON(writer, http.StatusGone, appendResponse{FirstOffset: trimmed.First})
+		writeJSON(writer, http.StatusGone, appendResponse{FirstOffset: trimmed.FirstOffset})
 		return
 	}
 	if err != nil {
@@ -249,7 +249,7 @@
 	if err != nil {
 		return
 	}
-	response := latestResponse{End: snapshot.End}
+	response := latestResponse{End: snapshot.EndOffset}
 	for _, record := range snapshot.Records {
 		response.Items = append(response.Items, latestItem{TlsKey: record.Key, Value: record.Value, Offset: record.Offset})
 	}
--- a/rehearsal/standin/machines/machines.go
+++ b/rehearsal/standin/machines/machines.go
@@ -82,9 +82,9 @@
 // Handler serves the list's HTTP interface.
 func (list *List) Handler() http.Handler {
 	mux := http.NewServeMux()
-	reply.HandleGetWithETag(mux, wire.PathMachines, func(*http.Request) (wire.MachinesAnswer, error) {
-		return wire.MachinesAnswer{Machines: list.visibleAt(time.Now())}, nil
-	}, func(answer wire.MachinesAnswer) wire.MachinesAnswer { return answer })
+	reply.HandleGetWithETag(mux, wire.PathMachines, func(*http.Request) (wire.MachinesResponse, error) {
+		return wire.MachinesResponse{Machines: list.visibleAt(time.Now())}, nil
+	}, func(answer wire.MachinesResponse) wire.MachinesResponse { return answer })
 	reply.HandlePost(mux, PathRegister, func(machine wire.Machine) (wire.Empty, error) { return wire.Empty{}, list.Register(machine) })
 	reply.HandlePost(mux, PathLeave, func(request MachineID) (wire.Empty, error) { return wire.Empty{}, list.Leave(request.ID) })
 	reply.HandlePost(mux, PathRemove, func(request MachineID) (wire.Empty, error) { return wire.Empty{}, list.Remove(request.ID) })
--- a/rehearsal/standin/records/records.go
+++ b/rehearsal/standin/records/records.go
@@ -21,13 +21,13 @@
 const (
 	ServiceModels = "models"
 	ServiceTools  = "tools"
-	// PathKept takes turns whose context is retained, PathPlain turns without retention.
-	PathKept  = "/stream/kept/"
-	PathPlain = "/stream/plain/"
+	// PathRetained takes turns whose context is retained, PathPlain turns without retention.
+	PathRetained = "/stream/kept/"
+	PathPlain    = "/stream/plain/"
 	// PathSafe takes tool calls that may be retried.
 	PathSafe = "/safe/"
-	// PathTool takes tool calls that must not be retried.
-	PathTool = "/tool/"
+	// PathUnsafe takes tool calls that must not be retried.
+	PathUnsafe = "/tool/"
 )
 
 const (
@@ -116,10 +116,10 @@
 	return Configuration{
 		Version: version,
 		Routes: []Route{
-			{Name: "kept", Host: host, PathPrefix: PathKept, Kind: kindStreaming, TimeoutMs: turnTimeoutMs, Service: ServiceModels, MaxAttempts: 1, RetainContext: true, RetentionS: retentionSeconds},
+			{Name: "kept", Host: host, PathPrefix: PathRetained, Kind: kindStreaming, TimeoutMs: turnTimeoutMs, Service: ServiceModels, MaxAttempts: 1, RetainContext: true, RetentionS: retentionSeconds},
 			{Name: "plain", Host: host, PathPrefix: PathPlain, Kind: kindStreaming, TimeoutMs: turnTimeoutMs, Service: ServiceModels, MaxAttempts: 1},
 			NewSafeRoute("safe", host, PathSafe),
-			{Name: "tool", Host: host, PathPrefix: PathTool, Kind: kindUnsafe, TimeoutMs: toolTimeoutMs, Service: ServiceTools},
+			{Name: "tool", Host: host, PathPrefix: PathUnsafe, Kind: kindUnsafe, TimeoutMs: toolTimeoutMs, Service: ServiceTools},
 		},
 		Services: []Service{
 			{Name: ServiceModels, MaxConnections: maxConnections, Engine: &Engine{Slots: Slots, StreamStride: tokensPerEvent}},
--- a/rehearsal/standin/tool/tool.go
+++ b/rehearsal/standin/tool/tool.go
@@ -118,7 +118,7 @@
 		return
 	}
 	output := ExpectedOutput(body.Program, body.RequestID, body.Service, body.Input)
-	reply.WriteJSON(writer, http.StatusOK, wire.ToolAnswer{Output: &output})
+	reply.WriteJSON(writer, http.StatusOK, wire.ToolResponse{Output: &output})
 }
 
 func (tool *Tool) validate(body wire.ToolRequest) error {
--- a/rehearsal/standin/tool/tool_test.go
+++ b/rehearsal/standin/tool/tool_test.go
@@ -44,10 +44,10 @@
 	})
 
 	It("counts a run whose response is dropped or hangs, and no rejected request", func() {
-		Expect(standIn.Faults().Set(fault.Order{Kind: fault.DropResponses, ForMillis: 600_000})).To(Succeed())
+		Expect(standIn.Faults().Set(fault.Spec{Kind: fault.DropResponses, DurationMillis: 600_000})).To(Succeed())
 		_, err := call(context.Background(), creditRequest)
 		Expect(err).To(MatchError(outside.ErrOutcomeUnknown))
-		Expect(standIn.Faults().Set(fault.Order{Kind: fault.Clear})).To(Succeed())
+		Expect(standIn.Faults().Set(fault.Spec{Kind: fault.Clear})).To(Succeed())
 		hangingRequest := outside.ToolRequest{RequestID: "hangs", Service: "metering", Input: "[[hang]]"}
 		ctx, cancel := context.WithTimeout(context.Background(), 500*time.Millisecond)
 		defer cancel()
--- a/rehearsal/standin/weights/weights.go
+++ b/rehearsal/standin/weights/weights.go
@@ -58,16 +58,16 @@
 }
 
 // reserve grants a load if a token is available; a rejection consumes none.
-func (store *Store) reserve(request wire.ReserveRequest) (wire.ReserveAnswer, error) {
+func (store *Store) reserve(request wire.ReserveRequest) (wire.ReserveResponse, error) {
 	if request.Model == "" || request.Version == "" {
-		return wire.ReserveAnswer{}, reply.BadRequest("model and version must not be empty")
+		return wire.ReserveResponse{}, reply.BadRequest("model and version must not be empty")
 	}
 	reservation := store.limiter.Reserve()
 	wait := reservation.Delay()
 	if wait == 0 {
-		return wire.ReserveAnswer{Granted: true}, nil
+		return wire.ReserveResponse{Granted: true}, nil
 	}
 	reservation.Cancel()
 	// Rounded up, so that a caller that waits this long finds a token.
-	return wire.ReserveAnswer{WaitMillis: (wait + time.Millisecond - 1).Milliseconds()}, nil
+	return wire.ReserveResponse{WaitMillis: (wait + time.Millisecond - 1).Milliseconds()}, nil
 }
--- a/rehearsal/standin/weights/weights_test.go
+++ b/rehearsal/standin/weights/weights_test.go
@@ -13,7 +13,7 @@
 		store := New(Config{PerSecond: 1.0 / hours, Burst: 2})
 		request := wire.ReserveRequest{Model: "m", Version: "1"}
 		for range 2 {
-			Expect(store.reserve(request)).To(Equal(wire.ReserveAnswer{Granted: true}))
+			Expect(store.reserve(request)).To(Equal(wire.ReserveResponse{Granted: true}))
 		}
 		for range 5 {
 			response, err := store.reserve(request)
--- a/rehearsal/usage/usage.go
+++ b/rehearsal/usage/usage.go
@@ -40,15 +40,15 @@
 	PID                 int
 	ReadBytesPerSecond  float64
 	WriteBytesPerSecond float64
-	// ProcessorShare is the CPU usage in cores.
-	ProcessorShare float64
-	// Resident is the resident set size at the second reading, in bytes.
-	Resident uint64
+	// CPUCores is the CPU usage in cores.
+	CPUCores float64
+	// ResidentBytes is the resident set size at the second reading, in bytes.
+	ResidentBytes uint64
 }
 
-// Watch reads the processes' usage at the start and the end of duration and
+// MeasureRates reads the processes' usage at the start and the end of duration and
 // returns their rates, in the order of pids. root is the path of procfs.
-func Watch(ctx context.Context, root string, pids []int, duration time.Duration) ([]Rate, error) {
+func MeasureRates(ctx context.Context, root string, pids []int, duration time.Duration) ([]Rate, error) {
 	before, err := readAll(root, pids)
 	if err != nil {
 		return nil, err
@@ -76,8 +76,8 @@
 		PID:                 pid,
 		ReadBytesPerSecond:  float64(after.BytesRead-before.BytesRead) / elapsed,
 		WriteBytesPerSecond: float64(after.BytesWritten-before.BytesWritten) / elapsed,
-		ProcessorShare:      (after.CPUTime - before.CPUTime).Seconds() / elapsed,
-		Resident:            after.ResidentBytes,
+		CPUCores:            (after.CPUTime - before.CPUTime).Seconds() / elapsed,
+		ResidentBytes:       after.ResidentBytes,
 	}
 }
 
--- a/rehearsal/workload/deployment.go
+++ b/rehearsal/workload/deployment.go
@@ -85,8 +85,8 @@
 	return Deployment{}, fmt.Errorf("unknown deployment %q: namibia or cairo", name)
 }
 
-// LowestKind returns the name of the first kind in the lowest tier.
-func (deployment Deployment) LowestKind() string {
+// LowestTierKind returns the name of the first kind in the lowest tier.
+func (deployment Deployment) LowestTierKind() string {
 	lowest := deployment.Tiers[len(deployment.Tiers)-1].Name
 	for _, kind := range deployment.Kinds {
 		if kind.Tier == lowest {
@@ -107,9 +107,9 @@
 	return Tier{}
 }
 
-// OutputBound returns the maximum number of tokens that a turn of the kind
+// MaxOutputTokens returns the maximum number of tokens that a turn of the kind
 // generates, which callers send as the call's token limit.
-func (deployment Deployment) OutputBound(kindName string) int {
+func (deployment Deployment) MaxOutputTokens(kindName string) int {
 	kind, _ := deployment.kind(kindName)
 	return int(kind.Output.High)
 }
