--- a/internal/admission/forecast.go
+++ b/internal/admission/forecast.go
@@ -120,8 +120,8 @@
 		change += estimator.programDemand(resource, program.route, program.service)
 	}
 	startRate := estimator.demandRate(resource, state, func(route load.Route) float64 { return route.ProgramsStarted })
-	sinceState := state.Age.Seconds() * ((1-state.OwnerShare)*startRate - resource.releaseRate)
-	return change + sinceState + forecastHorizon.Seconds()*(startRate-resource.releaseRate)
+	changeSinceState := state.Age.Seconds() * ((1-state.OwnerShare)*startRate - resource.releaseRate)
+	return change + changeSinceState + forecastHorizon.Seconds()*(startRate-resource.releaseRate)
 }
 
 // demandRate returns the demand for a resource per second, given a count of programs by route.
