--- a/internal/assignment/memory.go
+++ b/internal/assignment/memory.go
@@ -12,8 +12,8 @@
 	// minPromptsForEstimate is the number of prompts that an owner's part of an engine's memory
 	// must exceed for the owner's assignments to indicate the memory's usage.
 	minPromptsForEstimate = 2
-	// ampleMemoryFraction is the used fraction of an owner's part up to which an engine
-	// certainly has free memory.
+	// ampleMemoryFraction is the used fraction of Candidate.OwnerMemoryTokens up to which an
+	// engine has ample memory.
 	ampleMemoryFraction = 0.5
 )
 
