--- a/internal/forward/send.go
+++ b/internal/forward/send.go
@@ -219,9 +219,9 @@
 
 func isSuccess(status int) bool { return status >= 200 && status < 300 }
 
-// egressNodesPerEngine is the number of egress nodes among which an engine's connections are
-// divided. It exceeds the usual number, to leave connections for newly chosen egress nodes and for
-// nodes that send directly.
+// egressNodesPerEngine is the divisor that gives each egress node its part of an engine's
+// connection limit. It exceeds the usual number of egress nodes, to leave connections for newly
+// chosen egress nodes and for nodes that send directly.
 const egressNodesPerEngine = 4
 
 // maxConnections returns this node's share of the engine's connections, 0 for unlimited.
