--- a/internal/ownership/shard.go
+++ b/internal/ownership/shard.go
@@ -259,7 +259,7 @@
 }
 
 // waitTimeoutResult returns the result of a reservation that has waited for too long. If
-// a claim exceeds unresponsiveAfter, the caller may try another node.
+// a claim has been in flight for longer than unresponsiveAfter, the caller may try another node.
 func (shard *shard) waitTimeoutResult(now time.Time) ReserveResult {
 	if shard.phase == charts.OwnershipStateClaiming && feature.Enabled(feature.ClaimRefusal) && now.Sub(shard.claimStartedAt) > unresponsiveAfter {
 		return ReserveResult{Verdict: nodev1.Verdict_VERDICT_UNABLE, Reason: "the log does not answer this node's claim"}
