--- a/internal/quota/bucket.go
+++ b/internal/quota/bucket.go
@@ -94,8 +94,8 @@
 }
 
 // windowRemaining returns the number of further requests that the shares leased in the last
-// window permit. The depth counts only for settled shares, since a former coordinator may have
-// used that of the others.
+// window permit. Only settled shares contribute to the depth: a former coordinator may have used
+// the depth of a share that was leased to it within the window.
 func (bucket *bucket) windowRemaining(leased leaseTotals) float64 {
 	return bucket.envelope.depth*leased.settled + bucket.envelope.rate*leased.inWindow - float64(len(bucket.grants))
 }
--- a/internal/quota/lessor.go
+++ b/internal/quota/lessor.go
@@ -5,7 +5,7 @@
 // Lessor decides to which coordinator one node leases its share of the limits of one group of
 // tenants. It is not safe for concurrent use.
 type Lessor struct {
-	// coordinator holds the lease, or will hold it from the first request that names its clock.
+	// coordinator holds the lease, or will hold it once its clock has been observed.
 	coordinator string
 	// clock is the coordinator's latest time, observed at observedAt; zero if there is none.
 	clock      CoordinatorTime
