--- a/internal/node/follow.go
+++ b/internal/node/follow.go
@@ -41,7 +41,7 @@
 	delegatedEnd func() int64
 	// delegateInitialRead allows delegation before this node's own first read.
 	delegateInitialRead bool
-	// maxWait is passed to the topic follower; interval follows each read.
+	// maxWait is how long a read may wait for a change; interval returns the pause after a read.
 	maxWait  time.Duration
 	interval func() time.Duration
 	// apply receives each update with a time as of which it was valid.
--- a/internal/node/learn.go
+++ b/internal/node/learn.go
@@ -182,8 +182,9 @@
 	return reply.Current, nil
 }
 
-// learnRecordsFrom merges a node's records, and reports whether its views are current. It
-// exchanges no engine observations, which each reader collects for its own nodes.
+// learnRecordsFrom merges another node's records and reports whether that node's views are
+// current. Unlike learnFrom, it exchanges no engine observations: a reader collects those only of
+// the nodes that it reads for.
 func (learner *learner) learnRecordsFrom(ctx context.Context, address string) (bool, error) {
 	reply, err := learner.sendLearn(ctx, address, learner.node.learnRequest())
 	return reply.GetCurrent(), err
--- a/internal/node/listen.go
+++ b/internal/node/listen.go
@@ -70,7 +70,7 @@
 	// headerSlack is added to the configured header limit, since the configuration may count
 	// header bytes differently.
 	headerSlack = 1 << 10
-	// callerIdleTimeout closes callers' idle connections.
+	// callerIdleTimeout is how long a caller's connection may be idle before it is closed.
 	callerIdleTimeout = 60 * time.Second
 )
 
--- a/internal/node/load_status_test.go
+++ b/internal/node/load_status_test.go
@@ -134,7 +134,7 @@
 
 	It("reports unreachable zones and their engines", func() {
 		now := time.Now()
-		node.logHealth.lastResponse.set(now.Add(-2 * logSilentAfter))
+		node.logHealth.lastResponse.set(now.Add(-2 * logUnresponsiveAfter))
 		node.zones.RecordProbeTimeout("b", now, now)
 		node.zones.RecordProbeTimeout("b", now, now)
 		status := statusOf("/load")
--- a/internal/node/log_health.go
+++ b/internal/node/log_health.go
@@ -39,8 +39,8 @@
 	return max(health.lastResponse.age(now).Milliseconds(), 1)
 }
 
-// observeRemote records the age of the last answer that another node knows of. 0 means none, or a
-// version that does not report it.
+// observeRemote records the age of the last answer that another node knows of. 0 means that
+// it knows of none, or that its version does not report the age.
 func (health *logHealth) observeRemote(ageMilliseconds int64, now time.Time) {
 	if ageMilliseconds > 0 {
 		health.lastResponse.advance(now.Add(-milliseconds(ageMilliseconds)))
--- a/internal/node/meter.go
+++ b/internal/node/meter.go
@@ -18,7 +18,7 @@
 	"github.com/prometheus/client_golang/prometheus"
 )
 
-// meter implements forward.Meter with Prometheus metrics.
+// meter implements forward.Metrics with Prometheus metrics.
 type meter struct {
 	calls      *prometheus.CounterVec
 	duration   *prometheus.HistogramVec
@@ -140,7 +140,7 @@
 	meter.loadMessages.WithLabelValues(kind, outcome).Inc()
 }
 
-// observeLogCall implements durable.Observe.
+// observeLogCall is a durable.ObserveFunc.
 func (meter *meter) observeLogCall(operation, topic string, took time.Duration, err error) {
 	outcome := "done"
 	if err != nil {
@@ -194,20 +194,20 @@
 	routing.Streaming: "streaming",
 }
 
-// Finished implements forward.Meter.
+// Finished implements forward.Metrics.
 func (meter *meter) Finished(kind routing.Kind, code resultcode.Code, took time.Duration) {
 	name := kindNames[kind]
 	meter.calls.WithLabelValues(name, strconv.Itoa(int(code))).Inc()
 	meter.duration.WithLabelValues(name).Observe(took.Seconds())
 }
 
-// countHandover implements egress.Observe.
+// countHandover is an egress.OutcomeFunc.
 func (meter *meter) countHandover(outcome string) { meter.handovers.WithLabelValues(outcome).Inc() }
 
-// FirstEvent implements forward.Meter.
+// FirstEvent implements forward.Metrics.
 func (meter *meter) FirstEvent(took time.Duration) { meter.firstEvent.Observe(took.Seconds()) }
 
-// RefusedForCapacity implements forward.Meter.
+// RefusedForCapacity implements forward.Metrics.
 func (meter *meter) RefusedForCapacity(service string, reason forward.CapacityRefusal) {
 	meter.capacityRefusals.WithLabelValues(service, string(reason)).Inc()
 }
--- a/internal/node/zones.go
+++ b/internal/node/zones.go
@@ -14,9 +14,9 @@
 )
 
 const (
-	// logSilentAfter is how long the log may have answered no node that this one hears of before
-	// other zones are probed. Normally its last answer is at most 0.7 s old.
-	logSilentAfter = 700 * time.Millisecond
+	// logUnresponsiveAfter is how long the log may have answered no node that this one hears of
+	// before other zones are probed. Normally its last answer is at most 0.7 s old.
+	logUnresponsiveAfter = 700 * time.Millisecond
 	// probeInterval is the interval between rounds of probes; probeTimeout bounds one probe.
 	probeInterval = 150 * time.Millisecond
 	probeTimeout  = 200 * time.Millisecond
@@ -50,7 +50,7 @@
 	for ctx.Err() == nil {
 		wait.Sleep(ctx, probeInterval)
 		now := time.Now()
-		for _, zone := range node.zones.ProbeTargets(node.otherZones(), node.logSilent(now), now) {
+		for _, zone := range node.zones.ProbeTargets(node.otherZones(), node.logUnresponsive(now), now) {
 			go node.probeZone(ctx, zone)
 		}
 		node.logZones(lastUnreachable, now)
@@ -117,16 +117,16 @@
 	return zones
 }
 
-// logSilent reports whether the log has answered no node that this one hears of for longer than
-// logSilentAfter.
-func (node *Node) logSilent(now time.Time) bool {
-	return node.ageExcludingFreeze(&node.logHealth.lastResponse, now) > logSilentAfter
+// logUnresponsive reports whether the log has answered no node that this one hears of for longer
+// than logUnresponsiveAfter.
+func (node *Node) logUnresponsive(now time.Time) bool {
+	return node.ageExcludingFreeze(&node.logHealth.lastResponse, now) > logUnresponsiveAfter
 }
 
 // zoneIsolated reports whether this node's zone reaches neither the durable log nor any other
 // zone.
 func (node *Node) zoneIsolated(now time.Time) bool {
-	return feature.Enabled(feature.ZoneReachability) && node.logSilent(now) && node.zones.Isolated(node.otherZones(), now)
+	return feature.Enabled(feature.ZoneReachability) && node.logUnresponsive(now) && node.zones.Isolated(node.otherZones(), now)
 }
 
 // nodeReachable reports whether a node's zone is reachable. Unknown nodes count as reachable.
