--- a/internal/feature/feature.go
+++ b/internal/feature/feature.go
@@ -14,74 +14,71 @@
 // Feature is the name of a feature gate.
 type Feature string
 
-// Features, each documented by what happens when it is disabled.
+// Features, each documented by what happens when it is enabled.
 const (
-	// Allowances: every grant waits for a ceiling to be recorded in the log.
+	// Allowances: a grant within the allowance recorded with a claim does not wait for the log.
 	Allowances Feature = "allowances"
-	// HedgedAppends: an append is sent only once, until it times out.
+	// HedgedAppends: an append without a timely answer is sent again before it times out.
 	HedgedAppends Feature = "hedged-appends"
-	// HedgedReads: a read is sent only once, until it times out.
+	// HedgedReads: a read without a timely answer is sent again before it times out.
 	HedgedReads Feature = "rereading"
-	// LearningFromPeers: a node learns nothing while the store does not answer it.
+	// LearningFromPeers: a node learns from other nodes while the log does not answer it.
 	LearningFromPeers Feature = "learning-from-peers"
-	// SharedReader: each node reads the store itself.
+	// SharedReader: a node learns the contents of the log from a node that reads it for others.
 	SharedReader Feature = "shared-reader"
-	// AvoidUnresponsiveEngines: unresponsive engines are not avoided.
+	// AvoidUnresponsiveEngines: unresponsive engines are avoided.
 	AvoidUnresponsiveEngines Feature = "engine-doubt"
-	// EngineReports: nodes do not report to each other which engines they avoid.
+	// EngineReports: nodes report to each other which engines they avoid.
 	EngineReports Feature = "engine-reports"
-	// AvoidSlowEngines: temporarily slow engines get as many requests as others.
+	// AvoidSlowEngines: temporarily slow engines get fewer requests than others.
 	AvoidSlowEngines Feature = "engine-pace"
-	// EngineLimits: a node's concurrency at an engine that refuses requests is not limited.
+	// EngineLimits: a node's concurrency at an engine that refuses requests is limited.
 	EngineLimits Feature = "engine-limits"
-	// QueueOrder: calls waiting for an engine are served in no particular order.
+	// QueueOrder: calls waiting for an engine are served in a defined order.
 	QueueOrder Feature = "queue-order"
-	// LongerToolWait: a program's tool call waits no longer than other calls.
+	// LongerToolWait: a program's tool call may wait longer than other calls.
 	LongerToolWait Feature = "tool-patience"
-	// SafeRepeats: a safe request without a response is not sent again.
+	// SafeRepeats: a safe request without a response is sent again.
 	SafeRepeats Feature = "safe-repeats"
-	// RemoteRecording: a turn is recorded only by its own node.
+	// RemoteRecording: a turn can be recorded by a node other than its own.
 	RemoteRecording Feature = "recording-elsewhere"
-	// OwnershipHandover: an owner keeps its shards even if it cannot write.
+	// OwnershipHandover: an owner that cannot write hands over its shards.
 	OwnershipHandover Feature = "yielding"
-	// OwnershipByCapacity: all nodes own equal shares, regardless of capacity.
+	// OwnershipByCapacity: a node's share of the shards depends on its capacity.
 	OwnershipByCapacity Feature = "ownership-by-capacity"
-	// ClaimRefusal: a node claims shards even if the store does not answer it.
+	// ClaimRefusal: a node that the log does not answer claims no shards.
 	ClaimRefusal Feature = "claim-refusal"
-	// Isolation: a node that reaches no other stays ready and keeps searching.
+	// Isolation: a node that reaches no other node is not ready and stops searching for owners.
 	Isolation Feature = "isolation"
-	// EnginePriority: requests carry no priority to engines.
+	// EnginePriority: requests carry a priority to engines.
 	EnginePriority Feature = "engine-priority"
-	// LogGate: a turn runs even if no node that could record it reaches the log.
+	// LogGate: a turn runs only if a node that could record it reaches the log.
 	LogGate Feature = "log-gate"
-	// Egress: each node sends its turns to the engines itself.
+	// Egress: a node may send streaming turns to the engines through other nodes.
 	Egress Feature = "egress"
-	// StaggeredRetries: a node without a configuration tells all callers the same retry time.
+	// StaggeredRetries: a node without a configuration after its startup tells callers to retry later.
 	StaggeredRetries Feature = "later-retries"
-	// ProgramsFirst: a tenant's limit counts requests in order of arrival, even if running
-	// programs cannot finish as a result.
+	// ProgramsFirst: a tenant's limit lets running programs finish before new ones start.
 	ProgramsFirst Feature = "programs-first"
-	// LoadSharing: a node knows only its own load.
+	// LoadSharing: nodes know each other's load.
 	LoadSharing Feature = "load-sharing"
-	// LoadBasedCapacity: requests are sent to engines regardless of their known load.
+	// LoadBasedCapacity: requests are sent to engines according to their known load.
 	LoadBasedCapacity Feature = "room-by-load"
-	// RetryBudget: a call tries further engines without limit.
+	// RetryBudget: the further engines that a call tries are limited.
 	RetryBudget Feature = "retry-budget"
-	// Admission: programs start even without capacity for them.
+	// Admission: programs start only if there is capacity for them.
 	Admission Feature = "admission"
-	// TenantShares: programs are admitted regardless of their tenants' usage.
+	// TenantShares: programs are admitted according to their tenants' usage.
 	TenantShares Feature = "tenant-shares"
-	// MemoryAdmission: programs start even if their prompts do not fit into the engines'
-	// memory.
+	// MemoryAdmission: programs start only if their prompts fit into the engines' memory.
 	MemoryAdmission Feature = "memory-room"
-	// EngineBreaker: engines whose requests fail get as many requests as others.
+	// EngineBreaker: engines whose requests fail get fewer requests than others.
 	EngineBreaker Feature = "engine-breaker"
-	// SpeedWeighting: requests are distributed regardless of the engines' speed.
+	// SpeedWeighting: requests are distributed according to the engines' speed.
 	SpeedWeighting Feature = "engine-speed"
-	// ResponseBufferLimit: response data not yet read by callers is buffered without an overall limit.
+	// ResponseBufferLimit: the response data buffered for callers has an overall limit.
 	ResponseBufferLimit Feature = "held-bytes"
-	// ZoneReachability: nodes and engines are judged individually, even if a whole zone is
-	// unreachable.
+	// ZoneReachability: all nodes and engines of an unreachable zone count as unreachable.
 	ZoneReachability Feature = "zone-reach"
 )
 
