--- a/internal/node/follow.go
+++ b/internal/node/follow.go
@@ -62,11 +62,11 @@
 	lastEnd int64
 }
 
-// silent reports whether the log has not answered for longer than a read may take.
-func (follower *follower) silent(now time.Time) bool {
-	allowed := learnSilenceThreshold + follower.maxWait
+// unresponsive reports whether the log has not answered for longer than a read may take.
+func (follower *follower) unresponsive(now time.Time) bool {
+	allowed := followerUnresponsiveAfter + follower.maxWait
 	if follower.failing.Load() {
-		allowed = learnSilenceThreshold
+		allowed = followerUnresponsiveAfter
 	}
 	return follower.lastResponse.age(now) > allowed+follower.interval()
 }
--- a/internal/node/freeze.go
+++ b/internal/node/freeze.go
@@ -32,7 +32,7 @@
 }
 
 // ageExcludingFreeze returns the age of a recorded time, not counting the time before the process
-// last resumed: silence during a freeze says nothing about other nodes.
+// last resumed: missing responses during a freeze say nothing about other nodes.
 func (node *Node) ageExcludingFreeze(recorded *atomicTime, now time.Time) time.Duration {
 	return node.freezes.ClampAge(recorded.age(now), now)
 }
--- a/internal/node/freeze_test.go
+++ b/internal/node/freeze_test.go
@@ -61,9 +61,9 @@
 	})
 
 	// Guards against mistaking the node's own freeze for an unavailable log or for isolation.
-	It("does not take its own freeze for silence of the log or of other nodes", func() {
+	It("does not take its own freeze for an unresponsive log or unresponsive nodes", func() {
 		longAgo := time.Now().Add(-frozenFor)
-		node := newSilentNode(longAgo, "a")
+		node := newNodeLastContacted(longAgo, "a")
 		node.recorder = history.NewRecorder(durable.NewMemory(), 1)
 		node.zones = reach.NewZones("")
 		node.logHealth.lastResponse.set(longAgo)
--- a/internal/node/learn.go
+++ b/internal/node/learn.go
@@ -15,10 +15,10 @@
 )
 
 const (
-	// learnSilenceThreshold is how long the durable log may be silent before other nodes are
-	// asked; learnInterval is the interval between requests.
-	learnSilenceThreshold = 700 * time.Millisecond
-	learnInterval         = 300 * time.Millisecond
+	// followerUnresponsiveAfter is how long the durable log may be unresponsive to a follower before
+	// other nodes are asked; learnInterval is the interval between requests.
+	followerUnresponsiveAfter = 700 * time.Millisecond
+	learnInterval             = 300 * time.Millisecond
 	// learnTimeout bounds one request.
 	learnTimeout = 250 * time.Millisecond
 	// learnTTL is how long a reply from the zone's reader makes reading the log unnecessary: one
@@ -71,16 +71,16 @@
 // run requests records until ctx ends.
 func (learner *learner) run(ctx context.Context, followers []*follower) {
 	node := learner.node
-	logSilent := false
+	followerUnresponsive := false
 	for ctx.Err() == nil {
 		wait.Sleep(ctx, learner.interval())
 		now := time.Now()
-		if anyFollowerSilent(followers, now) != logSilent {
-			logSilent = !logSilent
-			node.logger.Info("learning from other nodes", zap.Bool("active", logSilent))
+		if anyFollowerUnresponsive(followers, now) != followerUnresponsive {
+			followerUnresponsive = !followerUnresponsive
+			node.logger.Info("learning from other nodes", zap.Bool("active", followerUnresponsive))
 		}
 		switch {
-		case logSilent:
+		case followerUnresponsive:
 			learner.learnFromRandomPeer(ctx)
 		case now.After(learner.retryReaderAt):
 			learner.learnFromReader(ctx, now)
@@ -218,23 +218,23 @@
 	learner.speedsReceivedAt = now
 }
 
-// anyFollowerSilent reports whether the log has not answered some follower for too long.
-func anyFollowerSilent(followers []*follower, now time.Time) bool {
-	return slices.ContainsFunc(followers, func(follower *follower) bool { return follower.silent(now) })
+// anyFollowerUnresponsive reports whether the log has not answered some follower for too long.
+func anyFollowerUnresponsive(followers []*follower, now time.Time) bool {
+	return slices.ContainsFunc(followers, func(follower *follower) bool { return follower.unresponsive(now) })
 }
 
 // readsLog reports whether other nodes may rely on this node's views: it reads them from the log
 // (engine records possibly through the zone's first reader) and they are recent. Views learned from
 // arbitrary nodes do not qualify, since delays would add up from node to node.
 func (node *Node) readsLog(now time.Time) bool {
-	return !node.learner.hasReader() && !anyFollowerSilent(node.followers, now) && node.engineView.loaded() && node.engineView.age() < maxCurrentAge
+	return !node.learner.hasReader() && !anyFollowerUnresponsive(node.followers, now) && node.engineView.loaded() && node.engineView.age() < maxCurrentAge
 }
 
 // logUnavailable reports whether the log has answered none of the followers for too long.
 func (node *Node) logUnavailable() bool {
 	now := time.Now()
 	for _, follower := range node.followers {
-		if !follower.silent(now) {
+		if !follower.unresponsive(now) {
 			return false
 		}
 	}
--- a/internal/node/learn_test.go
+++ b/internal/node/learn_test.go
@@ -16,7 +16,7 @@
 )
 
 // newLogReader returns a node with fresh views whose log last answered a given time ago.
-func newLogReader(logSilence time.Duration) *Node {
+func newLogReader(logResponseAge time.Duration) *Node {
 	node := &Node{engines: backend.NewDirectory()}
 	node.learner = newLearner(node)
 	node.learner.started = time.Now().Add(-time.Minute)
@@ -26,7 +26,7 @@
 	node.memberView = newRecordView("nodes", zap.NewNop(), ignore)
 	pause := func() time.Duration { return enginePollInterval }
 	follower := &follower{name: "engines", interval: pause, logger: zap.NewNop()}
-	follower.lastResponse.set(time.Now().Add(-logSilence))
+	follower.lastResponse.set(time.Now().Add(-logResponseAge))
 	node.followers = append(node.followers, follower)
 	node.engineView.merge(durable.Update{EndOffset: 1}, time.Now())
 	return node
@@ -39,7 +39,9 @@
 }
 
 var _ = Describe("A node that answers learn requests", func() {
-	replyAfterSilence := func(logSilence time.Duration) *nodev1.LearnReply { return learnReplyOf(newLogReader(logSilence)) }
+	replyAtLogResponseAge := func(logResponseAge time.Duration) *nodev1.LearnReply {
+		return learnReplyOf(newLogReader(logResponseAge))
+	}
 
 	It("is current only with recent engine records, whose age it reports", func() {
 		node := newLogReader(0)
@@ -54,7 +56,7 @@
 	})
 
 	It("is current while the log answers it", func() {
-		Expect(replyAfterSilence(0).Current).To(BeTrue())
+		Expect(replyAtLogResponseAge(0).Current).To(BeTrue())
 	})
 
 	// Guards against treating the reply of a newly started node, which has read nothing, as a
@@ -79,7 +81,7 @@
 		Expect(requester.engineView.age()).To(BeNumerically(">=", time.Minute))
 	})
 
-	It("is not current while the log is silent to it, even with fresh views from other nodes", func() {
-		Expect(replyAfterSilence(time.Minute).Current).To(BeFalse())
+	It("is not current while the log is unresponsive to it, even with fresh views from other nodes", func() {
+		Expect(replyAtLogResponseAge(time.Minute).Current).To(BeFalse())
 	})
 })
--- a/internal/node/load_status_test.go
+++ b/internal/node/load_status_test.go
@@ -139,7 +139,7 @@
 		node.zones.RecordProbeTimeout("b", now, now)
 		status := statusOf("/load")
 		Expect(status.UnreachableZones).To(Equal([]string{"b"}))
-		Expect(status.ZoneIsolated).To(BeTrue(), "the log is silent too")
+		Expect(status.ZoneIsolated).To(BeTrue(), "the log is unresponsive too")
 		Expect(status.Engines[2].Engine).To(Equal("tool"))
 		Expect(status.Engines[2].ZoneReachable).To(BeFalse())
 		Expect(status.Engines[2].AvoidReasons).To(ContainElement(string(backend.AvoidUnreachableZone)))
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -59,8 +59,8 @@
 	drainDelay = 2500 * time.Millisecond
 	// peerDialTimeout bounds connecting to another node.
 	peerDialTimeout = 250 * time.Millisecond
-	// peerSilenceTimeout closes a connection whose peer has acknowledged nothing for this long.
-	peerSilenceTimeout = 1500 * time.Millisecond
+	// unresponsivePeerTimeout closes a connection whose peer has acknowledged nothing for this long.
+	unresponsivePeerTimeout = 1500 * time.Millisecond
 )
 
 // Node is one running scheduler node.
@@ -155,7 +155,7 @@
 }
 
 func build(ctx context.Context, settings Settings, dependencies Dependencies, logger *logging.Logger) (*Node, error) {
-	client, err := httpclient.New(httpclient.Options{DialTimeout: peerDialTimeout, DeadPeerTimeout: peerSilenceTimeout})
+	client, err := httpclient.New(httpclient.Options{DialTimeout: peerDialTimeout, DeadPeerTimeout: unresponsivePeerTimeout})
 	if err != nil {
 		return nil, err
 	}
@@ -253,7 +253,7 @@
 	}
 }
 
-// observeLogCall implements durable.Observe.
+// observeLogCall is a durable.ObserveFunc.
 func (node *Node) observeLogCall(operation, topic string, took time.Duration, err error) {
 	node.meter.observeLogCall(operation, topic, took, err)
 	node.logHealth.observe(err)
--- a/internal/node/peer_contact.go
+++ b/internal/node/peer_contact.go
@@ -46,8 +46,8 @@
 	return roundTrip(request)
 }
 
-// peersSilent reports whether no peer has been in contact for longer than isolatedAfter.
-func (node *Node) peersSilent(now time.Time) bool {
+// peersUnresponsive reports whether no peer has been in contact for longer than isolatedAfter.
+func (node *Node) peersUnresponsive(now time.Time) bool {
 	return node.ageExcludingFreeze(&node.contact.last, now) > isolatedAfter
 }
 
@@ -58,5 +58,5 @@
 	if node.zoneIsolated(time.Now()) {
 		return true
 	}
-	return feature.Enabled(feature.Isolation) && node.logUnavailable() && node.peersSilent(time.Now()) && len(node.members.activePeers(node.settings.Name)) > 0
+	return feature.Enabled(feature.Isolation) && node.logUnavailable() && node.peersUnresponsive(time.Now()) && len(node.members.activePeers(node.settings.Name)) > 0
 }
--- a/internal/node/peer_contact_test.go
+++ b/internal/node/peer_contact_test.go
@@ -20,9 +20,9 @@
 	"github.com/magpielug/magpielug/internal/reach"
 )
 
-// newSilentNode returns a node that last heard from the log and from other nodes at a given time
-// and knows nodes at the given addresses.
-func newSilentNode(lastContact time.Time, addresses ...string) *Node {
+// newNodeLastContacted returns a node that last heard from the log and from other nodes at a given
+// time and knows nodes at the given addresses.
+func newNodeLastContacted(lastContact time.Time, addresses ...string) *Node {
 	node := &Node{settings: Settings{Name: "self", Shards: 1}, members: newMembers(), zones: reach.NewZones("")}
 	node.logger = &logging.Logger{Logger: zap.NewNop()}
 	for number, address := range addresses {
@@ -40,9 +40,9 @@
 	longAgo := time.Now().Add(-time.Hour)
 
 	It("is isolated unless the log or a peer answers, or it knows no peers", func() {
-		Expect(newSilentNode(longAgo, "a").isolated()).To(BeTrue())
-		Expect(newSilentNode(longAgo).isolated()).To(BeFalse())
-		answered := newSilentNode(longAgo, "a")
+		Expect(newNodeLastContacted(longAgo, "a").isolated()).To(BeTrue())
+		Expect(newNodeLastContacted(longAgo).isolated()).To(BeFalse())
+		answered := newNodeLastContacted(longAgo, "a")
 		answered.followers[0].lastResponse.set(time.Now())
 		Expect(answered.isolated()).To(BeFalse())
 	})
@@ -50,13 +50,13 @@
 	It("counts responses and requests of peers as contact", func() {
 		other := httptest.NewServer(http.NotFoundHandler())
 		defer other.Close()
-		node := newSilentNode(longAgo, "a")
+		node := newNodeLastContacted(longAgo, "a")
 		response, err := node.peers.http.Get(other.URL)
 		Expect(err).NotTo(HaveOccurred())
 		_ = response.Body.Close()
 		Expect(node.isolated()).To(BeFalse())
 
-		node = newSilentNode(longAgo, "a")
+		node = newNodeLastContacted(longAgo, "a")
 		node.contact.handler(http.NotFoundHandler()).ServeHTTP(httptest.NewRecorder(), httptest.NewRequest(http.MethodPost, "/", nil))
 		Expect(node.isolated()).To(BeFalse())
 	})
@@ -81,7 +81,7 @@
 			}()
 			addresses = append(addresses, listener.Addr().String())
 		}
-		node := newSilentNode(time.Now(), addresses...)
+		node := newNodeLastContacted(time.Now(), addresses...)
 		ctx, cancel := context.WithCancel(context.Background())
 		defer cancel()
 		node.ownership = ownership.NewManager(ctx, durable.NewMemory(), zap.NewNop(), ownership.Identity{Node: "self"}, 1, ownership.Dependencies{})
--- a/internal/node/zones_test.go
+++ b/internal/node/zones_test.go
@@ -21,9 +21,9 @@
 )
 
 // newZonedNode returns a node in zone a that knows a peer there and one in zone b at the given
-// address. The log has been silent for a long time.
+// address. The log has been unresponsive for a long time.
 func newZonedNode(remoteAddress string) *Node {
-	node := newSilentNode(time.Now().Add(-time.Hour))
+	node := newNodeLastContacted(time.Now().Add(-time.Hour))
 	node.settings.Zone = "a"
 	node.zones = reach.NewZones("a")
 	node.engines = backend.NewDirectory()
@@ -80,7 +80,7 @@
 		Consistently(func() bool { return node.zoneIsolated(time.Now()) }, "1500ms").Should(BeFalse())
 	})
 
-	It("is not assumed if a zone's only node is silent while its engines answer", func() {
+	It("is not assumed if a zone's only node is unresponsive while its engines answer", func() {
 		node := newZonedNode(newUnresponsiveServer().Listener.Addr().String())
 		node.engines.Upsert(backend.Instance{ID: "e", Service: "s", Zone: "b"}, time.Time{})
 		finishRequest := func(outcome backend.Outcome) {
